--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"net"
+	"sync"
 	"time"
 
 	"github.com/panjf2000/gnet/v2"
@@ -25,35 +26,51 @@
 //
 // Invariant: a connection that was accepted counts as pending until its handler knows of it or it was closed.
 type acceptor struct {
-	loop     *Loop
-	accept   func(remote net.Addr) Handler
-	listener net.Listener
-	places   chan struct{} // taken by each connection that the loop has not taken yet
-	emptyAt  time.Time     // when no connection waited to be accepted, as far as is known
+	loop       *Loop
+	accept     func(remote net.Addr) Handler
+	listener   net.Listener
+	places     chan struct{} // taken by each connection that the loop has not taken yet
+	emptySince time.Time     // when no connection waited to be accepted, as far as is known
+	closed     chan struct{}
+	goroutines sync.WaitGroup
 }
 
-// listen opens the address. Errors that pass are waited out.
-func listen(address string) (net.Listener, error) {
-	var listener net.Listener
+// newAcceptor opens an address. Errors that pass are waited out.
+func newAcceptor(l *Loop, listener Listener) (*acceptor, error) {
+	a := &acceptor{
+		loop:   l,
+		accept: listener.Accept,
+		places: make(chan struct{}, maxPendingAccepts),
+		closed: make(chan struct{}),
+	}
 	config := net.ListenConfig{KeepAlive: -1} // a client that says nothing is closed long before
 	err := retryLocal(func() (err error) {
-		listener, err = config.Listen(context.Background(), "tcp", address)
+		a.listener, err = config.Listen(context.Background(), "tcp", listener.Address)
 		return err
 	})
-	return listener, err
+	return a, err
 }
 
-// run accepts until the listener is closed.
+// start begins to accept. It must be called on the loop, once.
+func (a *acceptor) start() { a.goroutines.Go(a.run) }
+
+// close ends the goroutines, and waits for them. What was accepted and not taken by the loop is dropped with it.
+func (a *acceptor) close() {
+	_ = a.listener.Close()
+	close(a.closed)
+	a.goroutines.Wait()
+}
+
+// run accepts until the acceptor is closed.
 func (a *acceptor) run() {
 	pause := time.Duration(0)
-	a.emptyAt = time.Now()
-	for {
-		a.places <- struct{}{}
+	a.emptySince = time.Now()
+	for a.takePlace() {
 		called := time.Now()
 		conn, err := a.listener.Accept()
 		returned := time.Now()
 		if pause == 0 && returned.Sub(called) >= minAcceptWait { // after an error a connection waits all along
-			a.emptyAt = returned
+			a.emptySince = returned
 		}
 		switch {
 		case errors.Is(err, net.ErrClosed):
@@ -62,7 +79,7 @@
 			<-a.places
 			pause = min(max(minAcceptPause, 2*pause), maxAcceptPause)
 			a.loop.acceptFailed(err)
-			time.Sleep(pause)
+			a.sleep(pause)
 		default:
 			pause = 0
 			a.hand(conn)
@@ -70,34 +87,64 @@
 	}
 }
 
+// takePlace waits until one more connection may be accepted; false: the acceptor was closed.
+func (a *acceptor) takePlace() bool {
+	select {
+	case a.places <- struct{}{}:
+		return true
+	case <-a.closed:
+		return false
+	}
+}
+
+// sleep waits, unless the acceptor is closed.
+func (a *acceptor) sleep(pause time.Duration) {
+	select {
+	case <-time.After(pause):
+	case <-a.closed:
+	}
+}
+
 // hand gives a connection to the loop.
 func (a *acceptor) hand(conn net.Conn) {
 	l := a.loop
-	l.accepts.Add(1)
-	accepted := &Conn{loop: l, accept: a.accept, waitedSince: a.emptyAt}
-	result, err := l.events.Enroll(gnet.NewContext(context.Background(), accepted), conn)
+	l.pendingAccepts.Add(1)
+	accepted := &Conn{loop: l, origin: acceptedConn, accept: a.accept, acceptableSince: a.emptySince}
+	result, err := l.gnetLoop.Enroll(gnet.NewContext(context.Background(), accepted), conn)
 	if err != nil { // the loop has ended
 		_ = conn.Close()
-		l.accepts.Add(-1)
+		l.pendingAccepts.Add(-1)
 		<-a.places
 		return
 	}
-	go func() {
-		taken := <-result
-		<-a.places
-		if taken.Err == nil && !accepted.opened { // OnOpen came before the result, if it came
-			taken.Err = errNotOpened
-		}
-		if taken.Err != nil {
-			l.accepts.Add(-1)
-			l.acceptFailed(taken.Err)
-		}
-	}()
+	a.goroutines.Go(func() { a.awaitTaken(accepted, result) })
+}
+
+// awaitTaken frees the place of a connection once the loop has taken it. A loop that has ended takes nothing.
+func (a *acceptor) awaitTaken(accepted *Conn, result <-chan gnet.RegisteredResult) {
+	var taken gnet.RegisteredResult
+	select {
+	case taken = <-result:
+	case <-a.closed:
+		return
+	}
+	<-a.places
+	err := taken.Err
+	if err == nil && !accepted.isOpened { // OnOpen came before the result, if it came
+		err = errNotOpened
+	}
+	if err != nil {
+		a.loop.pendingAccepts.Add(-1)
+		a.loop.acceptFailed(err)
+	}
 }
 
-// acceptFailed reports a connection that could not be accepted.
+// acceptFailed reports a connection that could not be accepted. It may be called beside the loop.
 func (l *Loop) acceptFailed(err error) {
 	if l.AcceptFailed != nil {
 		l.Post(func() { l.AcceptFailed(err) })
 	}
 }
+
+// PendingAccepts is the number of connections that were accepted and that no handler knows of yet.
+func (l *Loop) PendingAccepts() int { return int(l.pendingAccepts.Load()) }
--- a/internal/eventloop/bridge/bridge.go
+++ b/internal/eventloop/bridge/bridge.go
@@ -1,6 +1,6 @@
-// Package bridge joins a connection that can only be used by blocking, such as one by TLS, to the event loop: a pair of sockets,
-// of which the loop serves one like any connection, and two goroutines that copy. Each side that is slow holds up the other by
-// the kernel's own buffers, so nothing grows here.
+// Package bridge joins a connection that can only be used by blocking, such as one by TLS, to the event loop: a pair of
+// sockets, of which the loop serves one like any connection, and two goroutines that copy. Each side that is slow
+// holds up the other by the kernel's own buffers, so nothing grows here.
 package bridge
 
 import (
@@ -35,7 +35,8 @@
 	return conns[0], conns[1], nil
 }
 
-// Copy moves bytes both ways between far and our end of a pair until either ends, and closes both.
+// Copy moves bytes both ways between far and our end of a pair until either ends, and closes both. It blocks until
+// its goroutine has ended too.
 func Copy(far, ours net.Conn) {
 	done := make(chan struct{})
 	go func() {
--- /dev/null
+++ b/internal/eventloop/conn.go
@@ -0,0 +1,194 @@
+package eventloop
+
+import (
+	"net"
+	"time"
+
+	"github.com/panjf2000/gnet/v2"
+)
+
+const (
+	// What waits for one peer that does not read: beyond this part of Memory, and beyond maxUnsentPerPeer, its
+	// connection is closed.
+	unsentPerPeerPart = 10
+	maxUnsentPerPeer  = 6 << 20
+	// Buffers for writing that are used again: how many, and how large each may be.
+	maxSpareBuffers    = 32
+	maxSpareBufferSize = 1 << 20
+)
+
+// connState is how far the end of a connection is. It only goes up.
+type connState uint8
+
+const (
+	connOpen    connState = iota
+	connClosing           // nothing more is read or sent; it closes at the end of the round
+	connClosed            // its handler was told
+)
+
+// connOrigin is where a connection comes from.
+type connOrigin uint8
+
+const (
+	dialedConn connOrigin = iota
+	acceptedConn
+	adoptedConn
+)
+
+// Conn is a connection on the loop. Its methods must be called on the loop, and none blocks.
+type Conn struct {
+	In []byte // received and not consumed yet; valid while Handler.Received runs
+
+	loop     *Loop
+	sock     gnet.Conn
+	handler  Handler
+	state    connState
+	origin   connOrigin
+	isOpened bool // OnOpen has seen it
+	// acceptableSince is since when an accepted connection may have waited to be accepted.
+	acceptableSince time.Time
+	accept          func(remote net.Addr) Handler // gives an accepted connection its handler
+
+	partial        []byte // what Handler.Received left
+	isReadDeferred bool
+	wasRead        bool // the handler was given something
+
+	outbound      []byte // for the end of the round
+	queued        uint64 // bytes that were left for it, ever
+	countedUnsent int    // its part of Loop.unsentBytes
+	isToBeWritten bool   // it is in Loop.toWrite
+	isSlowReader  bool   // it is in Loop.slowReaders
+}
+
+// Send leaves bytes to be written at the end of the round. It copies them.
+func (c *Conn) Send(parts ...[]byte) {
+	if c.state != connOpen {
+		return
+	}
+	if n := len(c.loop.spareBuffers); c.outbound == nil && n > 0 {
+		c.outbound = c.loop.spareBuffers[n-1]
+		c.loop.spareBuffers = c.loop.spareBuffers[:n-1]
+	}
+	for _, part := range parts {
+		c.outbound = append(c.outbound, part...)
+		c.queued += uint64(len(part))
+		c.countedUnsent += len(part)
+		c.loop.unsentBytes += len(part)
+	}
+	c.writeAtRoundEnd()
+}
+
+// writeAtRoundEnd has Loop.writeAll write or close the connection.
+func (c *Conn) writeAtRoundEnd() {
+	if !c.isToBeWritten {
+		c.isToBeWritten = true
+		c.loop.toWrite = append(c.loop.toWrite, c)
+		c.loop.RequestRound()
+	}
+}
+
+// Close closes the connection at the end of the round, once what is left for it was written as far as it takes it.
+func (c *Conn) Close() {
+	if c.state == connOpen {
+		c.state = connClosing
+		c.writeAtRoundEnd()
+	}
+}
+
+// CloseNow closes the connection at once and not at the end of the round: what is read on it until then would have no
+// answer. It must not be called while a handler of this connection runs.
+func (c *Conn) CloseNow() {
+	c.beginClose()
+	c.write()
+}
+
+// Abort is Close for a peer that does not read: what the system holds for it is dropped, or it would be read whenever
+// the peer goes on, long after it was given up.
+func (c *Conn) Abort() {
+	if c.state != connClosed {
+		_ = c.sock.SetLinger(0)
+		c.outbound = nil
+		c.Close()
+	}
+}
+
+func (c *Conn) beginClose() { c.state = max(c.state, connClosing) }
+
+// write writes what is left for the connection, and closes it if that is to be.
+func (c *Conn) write() {
+	if c.state == connClosed {
+		return
+	}
+	if len(c.outbound) > 0 {
+		// A failed write closes the connection, and Closed says so.
+		_, _ = c.sock.Write(c.outbound)
+		c.loop.reuseBuffer(c.outbound)
+		c.outbound = nil
+	}
+	if c.state == connClosed {
+		return
+	}
+	c.countUnsent()
+	if c.countedUnsent > 0 && !c.isSlowReader {
+		c.isSlowReader = true
+		c.loop.slowReaders = append(c.loop.slowReaders, c)
+	}
+	if c.countedUnsent > min(c.loop.Memory/unsentPerPeerPart, maxUnsentPerPeer) {
+		c.beginClose()
+	}
+	if c.state == connClosing {
+		_ = c.sock.EventLoop().Close(c.sock)
+	}
+}
+
+// reuseBuffer keeps a buffer that was written, for Conn.Send.
+func (l *Loop) reuseBuffer(written []byte) {
+	if len(l.spareBuffers) < maxSpareBuffers && cap(written) <= maxSpareBufferSize {
+		l.spareBuffers = append(l.spareBuffers, written[:0])
+	}
+}
+
+// Queued is how many bytes were left for the connection so far.
+func (c *Conn) Queued() uint64 { return c.queued }
+
+// Written is how many of them may have gone out, also after the end of the connection: gnet tries to write what it
+// still holds then, and a peer that has closed its own side alone reads that. It is right up to the handler's Closed.
+// What lies beyond it was never written.
+func (c *Conn) Written() uint64 { return c.queued - uint64(len(c.outbound)) }
+
+// Flushed is how many of them the system has taken.
+func (c *Conn) Flushed() uint64 { return c.queued - uint64(c.Unsent()) }
+
+// Unsent is the number of bytes that the peer has not taken yet.
+func (c *Conn) Unsent() int {
+	if c.state == connClosed {
+		return 0
+	}
+	return len(c.outbound) + c.sock.OutboundBuffered()
+}
+
+// countUnsent takes over into Loop.unsentBytes how much the connection's peer has not taken.
+func (c *Conn) countUnsent() {
+	unsent := c.Unsent()
+	c.loop.unsentBytes += unsent - c.countedUnsent
+	c.countedUnsent = unsent
+}
+
+// UnsentBytes is the number of bytes that wait for peers to read, those of this round that are not written yet among
+// them. What peers took since the last write to them counts until RecountUnsent.
+func (l *Loop) UnsentBytes() int { return l.unsentBytes }
+
+// RecountUnsent looks how much peers have taken that had not taken all: gnet does not tell. Without it the bytes of a
+// slow reader would count until its next answer or its end.
+func (l *Loop) RecountUnsent() {
+	remaining := l.slowReaders[:0]
+	for _, conn := range l.slowReaders {
+		if conn.countUnsent(); conn.countedUnsent > 0 {
+			remaining = append(remaining, conn)
+		} else {
+			conn.isSlowReader = false
+		}
+	}
+	clear(l.slowReaders[len(remaining):])
+	l.slowReaders = remaining
+}
--- /dev/null
+++ b/internal/eventloop/round_test.go
@@ -0,0 +1,28 @@
+package eventloop
+
+import (
+	"testing"
+	"time"
+)
+
+// TestRoundPacer: a loop is busy while its last window had more than busyRounds.
+func TestRoundPacer(t *testing.T) {
+	var pacer roundPacer
+	now := time.Unix(1000, 0)
+	play := func(rounds int) (isBusy bool) {
+		for range rounds {
+			now = now.Add(busyWindow / time.Duration(rounds))
+			isBusy = pacer.roundEnded(now)
+		}
+		return isBusy
+	}
+	for _, c := range []struct {
+		rounds int // in a window
+		want   bool
+	}{{10, false}, {10, false}, {200, true}, {200, true}, {busyRounds / 2, false}, {10, false}} {
+		play(c.rounds)
+		if got := play(c.rounds); got != c.want {
+			t.Errorf("%d rounds a window: busy is %v, want %v", c.rounds, got, c.want)
+		}
+	}
+}
--- a/internal/proxy/pools.go
+++ b/internal/proxy/pools.go
@@ -196,7 +196,7 @@
 	s := d.plan.settings
 	all := s.Sockets - s.Sockets/clientPart - ownSockets
 	p.depots = &upstream.Pool{Loop: d.loop, Emit: p.emit, Now: d.clock.Monotonic, MaySend: p.broker.MaySend, Log: d.log.Event, Resolve: d.resolver.Resolve, AddressBlocked: p.broker.AddressBlocked,
-		Classes: s.Control.Classes, DialTimeout: s.DialTimeout, IdleTimeout: s.ConnIdle, Streams: s.Streams, HealthChecksAllowed: s.Control.HealthChecks, CancelAllowed: s.Control.MayCancel, FlowKBps: s.Control.FlowKBps,
+		Classes: s.Control.Classes, DialTimeout: s.DialTimeout, IdleTimeout: s.ConnIdle, Streams: s.Streams, ChecksAllowed: s.Control.HealthChecks, CancelAllowed: s.Control.MayCancel, FlowKBps: s.Control.FlowKBps,
 		MaxConnections: max(1, int(float64(all)*p.part))}
 	if secure := d.plan.own.UpstreamTLS; secure != nil {
 		p.depots.SecureDialer = secure.secure(s.Control.ZoneNames)
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -120,7 +120,7 @@
 	l.AcceptFailed = func(err error) { d.log.Event("accept-failed", "error", err) }
 	d.resolver = &resolver.Resolver{Loop: l, Now: d.clock.Monotonic}
 	if dns := d.plan.own.DNS; dns != nil {
-		d.resolver.Server, d.resolver.Limit = dns.Resolver, dns.ResolveTimeout
+		d.resolver.Server, d.resolver.Timeout = dns.Resolver, dns.ResolveTimeout
 	}
 	for _, p := range d.pools {
 		p.connect(d)
@@ -333,14 +333,12 @@
 	case broker.SendAttempt:
 		p.depots.Send(e.Attempt)
 	case broker.CancelAttempt:
-		p.depots.Cancel(e.Attempt, e.AwaitEnd)
+		p.depots.Cancel(e)
 	case broker.Respond:
 		d.ended(e.Request, e.Response)
 		e.Request.Frontend.Respond(e.Request, e.Response)
 	case broker.EndpointChanged:
-		p.depots.EndpointChanged(e.Endpoint, e.Restarted)
-	case broker.HealthCheck:
-		p.depots.CheckHealth(e.Endpoint)
+		p.depots.EndpointChanged(e)
 	case broker.RefetchList:
 		d.sources.confirm(e.Source)
 	case broker.LogEntry:
--- a/internal/upstream/dial_failure.go
+++ b/internal/upstream/dial_failure.go
@@ -10,9 +10,14 @@
 	"sloequay/internal/eventloop"
 )
 
-// maxDialLateness is by how much a dial may be told to have timed out too late. Where it is later, this machine stood
-// still while it dialed.
-const maxDialLateness = 100 * time.Millisecond
+const (
+	// maxDialLateness is by how much a dial may be told to have timed out too late. Where it is later, this machine
+	// stood still while it dialed.
+	maxDialLateness = 100 * time.Millisecond
+	// A dial that fails for want of something on this machine is tried again after these pauses, until DialTimeout.
+	minRedialPause = 10 * time.Millisecond
+	maxRedialPause = 100 * time.Millisecond
+)
 
 // redialing is whether a dial that failed is tried again.
 type redialing int
@@ -45,3 +50,29 @@
 	}
 	return dialFailure{neverRedial, broker.ConnectFailed}
 }
+
+// dialProgress is how far the dial of a connection is.
+//
+// Invariants: a dial begins at the latest by the limit after the first one. The pauses before them double from
+// minRedialPause to maxRedialPause. A redialOnce is followed once in the whole dial.
+type dialProgress struct {
+	startedAt     time.Duration // the first one
+	lastStartedAt time.Duration
+	isRedialed    bool          // for a redialOnce
+	pause         time.Duration // before the last redialUntilLimit
+}
+
+// next says whether to dial again after a failure, and after what pause.
+func (d *dialProgress) next(now time.Duration, how redialing, limit time.Duration) (pause time.Duration, redials bool) {
+	switch how {
+	case redialUntilLimit:
+		d.pause = min(max(minRedialPause, 2*d.pause), maxRedialPause)
+		return d.pause, now-d.startedAt+d.pause <= limit
+	case redialOnce:
+		redials = !d.isRedialed
+		d.isRedialed = true
+		return 0, redials
+	default:
+		return 0, false
+	}
+}
--- a/internal/upstream/dial_failure_test.go
+++ b/internal/upstream/dial_failure_test.go
@@ -7,6 +7,8 @@
 	"testing"
 	"time"
 
+	"pgregory.net/rapid"
+
 	"sloequay/internal/broker"
 )
 
@@ -40,3 +42,38 @@
 		}
 	}
 }
+
+// TestDialProgress: however dials fail, the last one begins within the limit, pauses double up to their maximum, and a
+// redialOnce is followed once.
+func TestDialProgress(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		const start = time.Minute
+		limit := time.Duration(rapid.IntRange(1, 1000).Draw(t, "limit")) * time.Millisecond
+		progress := dialProgress{startedAt: start}
+		now := start
+		wantPause := minRedialPause
+		redialedOnce := false
+		for {
+			now += time.Duration(rapid.IntRange(0, 100).Draw(t, "dialed for")) * time.Millisecond
+			how := rapid.SampledFrom([]redialing{neverRedial, redialOnce, redialUntilLimit}).Draw(t, "how")
+			pause, redials := progress.next(now, how, limit)
+			switch {
+			case how == redialOnce && (pause != 0 || redials == redialedOnce):
+				t.Fatalf("redials is %v after a pause of %v, redialed before is %v", redials, pause, redialedOnce)
+			case how == redialUntilLimit && (pause != wantPause || redials != (now+pause <= start+limit)):
+				t.Fatalf("redials is %v after %v and a pause of %v, want a pause of %v within %v",
+					redials, now-start, pause, wantPause, limit)
+			case how == neverRedial && redials:
+				t.Fatal("redials where nothing is to be had from it")
+			}
+			if !redials {
+				return
+			}
+			redialedOnce = redialedOnce || how == redialOnce
+			if how == redialUntilLimit {
+				wantPause = min(2*wantPause, maxRedialPause)
+			}
+			now += pause
+		}
+	})
+}
--- a/internal/upstream/unflushed.go
+++ b/internal/upstream/liveness/unflushed.go
@@ -1,12 +1,11 @@
-package upstream
+package liveness
 
 import "time"
 
 const (
 	// maxUnflushed is how long bytes may wait for an endpoint that does not read, until its connection is ended.
-	// What waits here goes out at its own time: after a drain, after a purge, or after its client has left, of
-	// which the narrowest is 0.1 s, with a deadline that was right when it was queued. Connections are looked at
-	// every watchEvery.
+	// What waits goes out at a time of its own: after a drain, a purge, or after its client has left, of which the
+	// shortest limit is 0.1 s. Connections are looked at every StepInterval.
 	maxUnflushed = 70 * time.Millisecond
 	// unflushedStep is how far apart the times are that are remembered: what is queued within it counts as queued
 	// with the first.
--- /dev/null
+++ b/internal/upstream/response.go
@@ -0,0 +1,120 @@
+package upstream
+
+import (
+	"bytes"
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	"sloequay/internal/broker"
+)
+
+const (
+	maxLine = 4096      // bytes of a response's line
+	maxBody = 256 << 10 // bytes; a part of an object has 240,000 at most
+	// maxSourceDelayMillis bounds what is believed of fieldSourceDelay.
+	maxSourceDelayMillis = 1e9
+)
+
+// response is one response of an endpoint.
+type response struct {
+	id     string
+	code   responseCode
+	digest string // code, fields and length as they came: what tells one response from another
+	fields []broker.Field
+	body   []byte // lies in the bytes that were parsed
+}
+
+// parseResponse takes one response off the front of data: "ID WORD FIELDS LENGTH CR LF", the body, CR LF. With used 0
+// and no error it is incomplete.
+func parseResponse(data []byte) (parsed response, used int, err error) {
+	lineLength := bytes.Index(data[:min(len(data), maxLine)], []byte(lineEnd))
+	if lineLength < 0 {
+		if len(data) >= maxLine {
+			return parsed, 0, fmt.Errorf("a line of over %d bytes", maxLine)
+		}
+		return parsed, 0, nil
+	}
+	line := string(data[:lineLength])
+	words := strings.Split(line, " ")
+	if len(words) != 4 {
+		return parsed, 0, fmt.Errorf("a line of %d words, expected 4", len(words))
+	}
+	bodyLength, err := strconv.ParseUint(words[3], 10, 32)
+	if err != nil || bodyLength > maxBody {
+		return parsed, 0, fmt.Errorf("length %.32q, expected at most %d", words[3], maxBody)
+	}
+	bodyStart := lineLength + len(lineEnd)
+	bodyEnd := bodyStart + int(bodyLength)
+	if len(data) < bodyEnd+len(lineEnd) {
+		return parsed, 0, nil
+	}
+	if string(data[bodyEnd:bodyEnd+len(lineEnd)]) != lineEnd {
+		return parsed, 0, fmt.Errorf("%d bytes are not followed by CR LF", bodyLength)
+	}
+	code, known := responseCodes[words[1]]
+	if !known {
+		return parsed, 0, fmt.Errorf("unknown word %.32q", words[1])
+	}
+	fields, err := parseFields(words[2])
+	if err != nil {
+		return parsed, 0, err
+	}
+	return response{
+		id:     words[0],
+		code:   code,
+		digest: line[len(words[0])+1:],
+		fields: fields,
+		body:   data[bodyStart:bodyEnd],
+	}, bodyEnd + len(lineEnd), nil
+}
+
+// parseFields parses "NAME=VALUE,NAME=VALUE".
+func parseFields(text string) (fields []broker.Field, err error) {
+	if text == noFields {
+		return nil, nil
+	}
+	for _, field := range strings.Split(text, ",") {
+		name, value, ok := strings.Cut(field, "=")
+		if !ok || name == "" {
+			return nil, fmt.Errorf("field %.32q, expected name=value", field)
+		}
+		fields = append(fields, broker.Field{Name: name, Value: value})
+	}
+	return fields, nil
+}
+
+// partialResponseID gives the id of a response that has come in part; empty: not even that is complete.
+func partialResponseID(data []byte) string {
+	id, _, _ := bytes.Cut(data[:min(len(data), maxLine)], []byte(" "))
+	if len(id) == len(data) {
+		return ""
+	}
+	return string(id)
+}
+
+func (r *response) field(name string) string {
+	for _, field := range r.fields {
+		if field.Name == name {
+			return field.Value
+		}
+	}
+	return ""
+}
+
+// attemptEnded is what the response says of an attempt. Its code must be one that ends attempts.
+func (r *response) attemptEnded(attempt *broker.Attempt) broker.AttemptEnded {
+	ended := broker.AttemptEnded{
+		Attempt: attempt,
+		End:     attemptEnds[r.code],
+		Note:    notes[r.field(fieldNote)],
+		Body:    r.body,
+		Fields:  r.fields,
+	}
+	delay, err := strconv.ParseFloat(r.field(fieldSourceDelay), 64)
+	if err == nil && delay > 0 && delay < maxSourceDelayMillis {
+		ended.SourceDelay = time.Duration(delay * float64(time.Millisecond))
+	}
+	return ended
+}
--- /dev/null
+++ b/internal/upstream/selection.go
@@ -0,0 +1,50 @@
+package upstream
+
+// earlyOpenDivisor sets from which load on another connection is opened beside one: its maximum divided by this.
+const earlyOpenDivisor = 2
+
+// candidate is what the choice of a connection depends on.
+type candidate struct {
+	isUp      bool // and not still dialing
+	isRetired bool
+	isUsable  bool // the attempt may be put on it
+	load      int  // attempts and checks that wait for it or are outstanding on it
+}
+
+// isBetterThan says whether an attempt goes rather by c: by the least loaded of those that are up.
+func (c candidate) isBetterThan(other candidate) bool {
+	if c.isUp != other.isUp {
+		return c.isUp
+	}
+	return c.load < other.load
+}
+
+// selection chooses among the connections to an endpoint, which are considered one after the other.
+//
+// Invariants: the chosen one is usable, and no usable one is better. Another connection is wanted where none is
+// usable, or where the chosen one has half of its load and none is being dialed: no attempt waits for that one, it is
+// opened ahead.
+type selection struct {
+	best      candidate
+	bestIndex int
+	isFound   bool
+	isDialing bool // one that will take attempts
+}
+
+// consider takes the next candidate. The index is its place in the caller's list.
+func (s *selection) consider(index int, c candidate) {
+	s.isDialing = s.isDialing || !c.isUp && !c.isRetired
+	if c.isUsable && (!s.isFound || c.isBetterThan(s.best)) {
+		s.best = c
+		s.bestIndex = index
+		s.isFound = true
+	}
+}
+
+// wantsAnother says whether one more connection is to be opened, where each may have a load of maxLoad.
+func (s *selection) wantsAnother(maxLoad int) bool {
+	if !s.isFound {
+		return true
+	}
+	return s.best.load >= max(1, maxLoad/earlyOpenDivisor) && !s.isDialing
+}
--- a/test/pages/checker_test.go
+++ b/test/pages/checker_test.go
@@ -38,7 +38,7 @@
 }
 
 // page gives what is wrong in a page. In a strict one each name of the code stands behind its file, as in
-// `internal/upstream/upstream.go: Pool.Send, link.write`.
+// `internal/upstream/pool.go: Pool.Send, Pool.Flush`.
 func (c *checker) page(text string, strict bool) (faults []string) {
 	for number, line := range strings.Split(text, "\n") {
 		for _, match := range span.FindAllStringSubmatch(line, -1) {
