--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -64,7 +64,7 @@
 		if err := os.MkdirAll(dir, 0o755); err != nil {
 			return err
 		}
-		k, err := keydir.New(dir, fresh(), identity.Algorithm(algorithm))
+		k, err := keydir.NewKeyPair(dir, fresh(), identity.Algorithm(algorithm))
 		if err != nil {
 			return err
 		}
@@ -91,7 +91,7 @@
 				return err
 			}
 			now := system.Unix()
-			next, err := keydir.New(dir, fresh(), identity.Algorithm(algorithm))
+			next, err := keydir.NewKeyPair(dir, fresh(), identity.Algorithm(algorithm))
 			if err != nil {
 				return err
 			}
@@ -130,7 +130,7 @@
 	var span time.Duration
 	keyRevoke := &cobra.Command{Use: "revoke token|subject|key NAME", Short: "Refuse a token, all of a subject, or all that a key signed", Args: cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
-			for what := identity.Token; what <= identity.KeyID; what++ {
+			for what := identity.RevokedToken; what <= identity.RevokedKey; what++ {
 				if what.String() == args[0] {
 					now := system.Unix()
 					if err := keydir.Revoke(dir, now, keydir.Revocation{What: what, Name: args[1], Until: now + span}); err != nil {
@@ -147,7 +147,7 @@
 	keyTSIG := &cobra.Command{Use: "tsig NAME", Short: "Make a shared secret for a DNS client, and print it once", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			shared.Name = args[0]
-			k, err := keydir.NewTSIG(dir, shared)
+			k, err := keydir.AddTSIGKey(dir, shared)
 			if err != nil {
 				return err
 			}
@@ -170,7 +170,7 @@
 		if k == nil {
 			return errors.New("no key signs now")
 		}
-		private, err := keydir.Private(dir, k)
+		private, err := keydir.ReadPrivateKey(dir, k)
 		if err != nil {
 			return err
 		}
@@ -206,7 +206,7 @@
 			for _, r := range c.Revoked {
 				_ = revoked.Add(r.What, r.Name, r.Until)
 			}
-			keyID, algorithm, reason := identity.Head(args[0])
+			keyID, algorithm, reason := identity.ParseHeader(args[0])
 			k := set.Get(keyID)
 			var got identity.Claims
 			switch {
@@ -229,7 +229,7 @@
 		}}
 	tokenVerify.Flags().StringVar(&audience, "audience", "", "for whom it must be")
 	tokenShow := &cobra.Command{Use: "show TOKEN", Short: "Print what a token says, its signature unchecked", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
-		head, body, err := identity.Unchecked(args[0])
+		head, body, err := identity.ParseUnverified(args[0])
 		if err != nil {
 			return err
 		}
--- a/internal/identity/audit.go
+++ b/internal/identity/audit.go
@@ -28,8 +28,8 @@
 	return &Audit{most: most, held: map[string]*list.Element{}, recent: list.New()}
 }
 
-// Line says whether a decision about a subject gets a line now, and how many of it had none since its last.
-func (a *Audit) Line(now time.Duration, subject string) (missed int, ok bool) {
+// ShouldLog says whether a decision about a subject gets a line now, and how many of it had none since its last.
+func (a *Audit) ShouldLog(now time.Duration, subject string) (missed int, ok bool) {
 	e := a.held[subject]
 	if e == nil {
 		a.held[subject] = a.recent.PushFront(&audited{subject: subject, told: now})
--- a/internal/identity/charge.go
+++ b/internal/identity/charge.go
@@ -49,7 +49,7 @@
 		return reason
 	}
 	if len(k.held) >= k.most {
-		return Full
+		return IdempotencyKeysFull
 	}
 	a := &admitted{key: key, subject: subject, tenant: tenant, until: now + window}
 	k.held[key] = a
--- a/internal/identity/files/files.go
+++ b/internal/identity/files/files.go
@@ -18,9 +18,9 @@
 	settle = 20 * time.Millisecond // a writer may touch several files
 )
 
-// Signature changes when one of the files does, as far as size, times and mode tell. A path that is empty or that
+// Fingerprint changes when one of the files does, as far as size, times and mode tell. A path that is empty or that
 // leads nowhere is passed over.
-func Signature(paths ...string) (out string) {
+func Fingerprint(paths ...string) (out string) {
 	for _, path := range paths {
 		if info, err := os.Stat(path); path != "" && err == nil {
 			out += fmt.Sprint(path, info.Size(), info.ModTime().UnixNano(), info.Mode(), ";")
--- a/internal/identity/gate.go
+++ b/internal/identity/gate.go
@@ -6,22 +6,30 @@
 	"time"
 )
 
-// AuthenticatorConfig bounds a Gate.
+// AuthenticatorConfig bounds an Authenticator.
 type AuthenticatorConfig struct {
-	Policy    Policy
-	Cached    int     // verified tokens remembered
-	Waiting   int     // requests that wait for a signature to be checked
-	Checks    float64 // signatures checked a second, in all
-	PerConn   float64 // for one connection
-	PerSource float64 // and for all connections from one source
-	Keyed     int     // idempotency keys remembered
-	Revoked   int     // revocations held
+	Policy              Policy
+	MaxCachedTokens     int     // verified tokens that are remembered
+	MaxWaiting          int     // requests that wait for a signature to be checked
+	ChecksPerSecond     float64 // signatures checked a second, in all
+	ChecksPerConnection float64 // signatures checked a second for one connection
+	ChecksPerSource     float64 // signatures checked a second for all connections from one source
+	MaxIdempotencyKeys  int     // idempotency keys that are remembered
+	MaxRevocations      int     // revocations that are held
 }
 
-// Defaults gives the bounds in force where the settings say nothing.
+// Defaults returns the bounds in force where the settings say nothing.
 func Defaults() AuthenticatorConfig {
-	return AuthenticatorConfig{Policy: Policy{Skew: 5 * time.Second}, Cached: 100_000, Waiting: 4096, Checks: 4000, PerConn: 400, PerSource: 1000,
-		Keyed: 100_000, Revoked: 100_000}
+	return AuthenticatorConfig{
+		Policy:              Policy{Skew: 5 * time.Second},
+		MaxCachedTokens:     100_000,
+		MaxWaiting:          4096,
+		ChecksPerSecond:     4000,
+		ChecksPerConnection: 400,
+		ChecksPerSource:     1000,
+		MaxIdempotencyKeys:  100_000,
+		MaxRevocations:      100_000,
+	}
 }
 
 // Caller is a connection as the gate knows it. Its zero value is a new one.
@@ -57,11 +65,11 @@
 	Subject string
 	KeyID   string
 	Rule    int
-	Wait    time.Duration // with Busy and Full: to stay away
+	Wait    time.Duration // with Busy and IdempotencyKeysFull: to stay away
 }
 
-// Job is a signature to be checked, by Verify, wherever that does not hold the loop. Its Result goes to Verified.
-type Job struct {
+// SignatureJob is a signature to be checked, by Verify, wherever that does not hold the loop. Its Result goes to Verified.
+type SignatureJob struct {
 	Token string
 	Key   *Key
 	hash  [32]byte
@@ -78,7 +86,7 @@
 // Authenticator decides who a caller is and whether it may do what it asks. It remembers tokens whose signature holds, and has
 // others checked within budgets, so that a flood of bad ones costs the sender's own connection first.
 //
-// Invariants: at most one Job is out for a token; what is remembered and what waits is bounded; every Call gets exactly
+// Invariants: at most one SignatureJob is out for a token; what is remembered and what waits is bounded; every Call gets exactly
 // one Outcome. It is not safe for concurrent use.
 type Authenticator struct {
 	cfg     AuthenticatorConfig
@@ -93,12 +101,12 @@
 	total   bucket
 	offset  time.Duration // what the Unix clock is ahead
 	// Counts of what was done, for the log and the tests.
-	Checked, Hits, Refused uint64
+	Checked, Hits, Rejected uint64
 }
 
 // NewAuthenticator makes a gate with no keys.
 func NewAuthenticator(cfg AuthenticatorConfig, rights *Rights) *Authenticator {
-	return &Authenticator{cfg: cfg, rights: rights, revoked: NewRevocations(cfg.Revoked), keyed: NewIdempotencyKeys(cfg.Keyed),
+	return &Authenticator{cfg: cfg, rights: rights, revoked: NewRevocations(cfg.MaxRevocations), keyed: NewIdempotencyKeys(cfg.MaxIdempotencyKeys),
 		cache: map[[32]byte]*list.Element{}, recent: list.New(), waiting: map[[32]byte][]*Call{}}
 }
 
@@ -123,7 +131,7 @@
 
 // Authenticate takes a call. Either its outcome comes back, or a job whose result decides it, or neither where it waits for a job
 // that is out already.
-func (g *Authenticator) Authenticate(now time.Duration, c *Call) (*Outcome, *Job) {
+func (g *Authenticator) Authenticate(now time.Duration, c *Call) (*Outcome, *SignatureJob) {
 	unix := now + g.offset
 	g.revoked.Expire(unix)
 	if c.Token == "" {
@@ -142,7 +150,7 @@
 		g.drop(e) // its key is gone
 	}
 	if calls, out := g.waiting[hash]; out {
-		if g.queued >= g.cfg.Waiting {
+		if g.queued >= g.cfg.MaxWaiting {
 			return g.busy(c, time.Second), nil
 		}
 		g.waiting[hash] = append(calls, c)
@@ -154,7 +162,7 @@
 	if wait, ok := g.afford(now, c.Caller); !ok {
 		return g.hold(now, c, wait), nil
 	}
-	id, algorithm, reason := Head(c.Token)
+	id, algorithm, reason := ParseHeader(c.Token)
 	if reason != Allowed {
 		return g.decide(now, c, nil, reason), nil
 	}
@@ -164,22 +172,22 @@
 		return g.decide(now, c, nil, UnknownKey), nil
 	case k.Algorithm != algorithm:
 		return g.decide(now, c, nil, WrongAlgorithm), nil
-	case g.revoked.Has(unix, KeyID, id):
+	case g.revoked.Has(unix, RevokedKey, id):
 		return g.decide(now, c, nil, Revoked), nil
-	case k.State(unix) == Coming:
+	case k.State(unix) == KeyPending:
 		return g.decide(now, c, nil, NotYet), nil
 	}
 	// A retired key's tokens are checked too: a retry of an admitted request may come by one.
-	if g.queued >= g.cfg.Waiting {
+	if g.queued >= g.cfg.MaxWaiting {
 		return g.busy(c, time.Second), nil
 	}
-	if wait, ok := g.total.take(now, g.cfg.Checks); !ok {
+	if wait, ok := g.total.take(now, g.cfg.ChecksPerSecond); !ok {
 		return g.busy(c, wait), nil
 	}
 	g.waiting[hash] = append(g.waiting[hash], c)
 	g.queued++
 	g.Checked++
-	return nil, &Job{Token: c.Token, Key: k, hash: hash}
+	return nil, &SignatureJob{Token: c.Token, Key: k, hash: hash}
 }
 
 func samePublic(a, b *Key) bool {
@@ -192,7 +200,7 @@
 }
 
 func (g *Authenticator) busy(c *Call, wait time.Duration) *Outcome {
-	g.Refused++
+	g.Rejected++
 	return &Outcome{Call: c, Reason: Busy, Rule: -1, Wait: wait}
 }
 
@@ -200,7 +208,7 @@
 const badMost = 100
 
 // SignatureChecked takes the result of a job, and gives the outcomes of all calls that waited for it.
-func (g *Authenticator) SignatureChecked(now time.Duration, j *Job, claims Claims, reason Reason) (out []*Outcome) {
+func (g *Authenticator) SignatureChecked(now time.Duration, j *SignatureJob, claims Claims, reason Reason) (out []*Outcome) {
 	calls := g.waiting[j.hash]
 	delete(g.waiting, j.hash)
 	g.queued -= len(calls)
@@ -226,7 +234,7 @@
 		return
 	}
 	g.cache[v.hash] = g.recent.PushFront(v)
-	for len(g.cache) > g.cfg.Cached {
+	for len(g.cache) > g.cfg.MaxCachedTokens {
 		g.drop(g.recent.Back())
 	}
 }
@@ -261,7 +269,7 @@
 		}
 	case reason == Unsigned && c.Caller.Tenant != "":
 		o.Tenant, o.Subject, o.Reason = c.Caller.Tenant, c.Caller.Subject, Allowed
-		if g.revoked.Has(now+g.offset, Subject, o.Subject) {
+		if g.revoked.Has(now+g.offset, RevokedSubject, o.Subject) {
 			o.Reason = Revoked
 		}
 	case reason == Unsigned:
@@ -275,7 +283,7 @@
 		if claims != nil && claims.Site != "" {
 			ask.Site = claims.Site
 		}
-		d := g.rights.May(o.Tenant, ask)
+		d := g.rights.Authorize(o.Tenant, ask)
 		if d.Reason != Allowed {
 			o.Reason = d.Reason
 		}
@@ -283,11 +291,11 @@
 			o.Reason = g.keyed.Admit(now, c.Key, o.Subject, o.Tenant, o.Reason, c.Window)
 		}
 	}
-	if o.Reason == Full {
+	if o.Reason == IdempotencyKeysFull {
 		o.Wait = time.Second
 	}
 	if o.Reason != Allowed {
-		g.Refused++
+		g.Rejected++
 	} else if claims != nil || c.Caller.Tenant != "" {
 		c.Caller.proven = true
 		c.Caller.held.ease()
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -17,23 +17,23 @@
 
 // The reasons.
 const (
-	Allowed        Reason = iota
-	NoRight               // no rule of its tenant allows it, or one denies it
-	NoTenant              // nothing is said of its tenant
-	Unsigned              // it has no token, and unsigned callers have no tenant
-	Malformed             // what it has is no token of the form that is taken
-	UnknownKey            // no key has that id
-	WrongAlgorithm        // the token's algorithm is not the key's
-	Signature             // the signature is not that of the key
-	NotYet                // the token or its key is not valid yet
-	Expired               // the token is not valid any more
-	Retired               // its key is not
-	Revoked               // the token, its subject or its key was revoked
-	Audience              // the token is for others
-	Binding               // the token is bound to another client certificate, or to one where there is none
-	KeyInUse              // the request's idempotency key belongs to another subject
-	Full                  // what keyed requests are remembered in is full
-	Busy                  // too many signatures to check; later it may be allowed
+	Allowed             Reason = iota
+	NoRight                    // no rule of its tenant allows it, or one denies it
+	NoTenant                   // nothing is said of its tenant
+	Unsigned                   // it has no token, and unsigned callers have no tenant
+	Malformed                  // what it has is no token of the form that is taken
+	UnknownKey                 // no key has that id
+	WrongAlgorithm             // the token's algorithm is not the key's
+	Signature                  // the signature is not that of the key
+	NotYet                     // the token or its key is not valid yet
+	Expired                    // the token is not valid any more
+	Retired                    // its key is not
+	Revoked                    // the token, its subject or its key was revoked
+	Audience                   // the token is for others
+	Binding                    // the token is bound to another client certificate, or to one where there is none
+	KeyInUse                   // the request's idempotency key belongs to another subject
+	IdempotencyKeysFull        // what keyed requests are remembered in is full
+	Busy                       // too many signatures to check; later it may be allowed
 	reasons
 )
 
@@ -187,8 +187,8 @@
 	Rule   int // of the tenant, from 0, that decided; -1: none did
 }
 
-// May says whether a tenant may do what is asked. It looks only at the rules that name the class.
-func (r *Rights) May(tenant string, a Access) Decision {
+// Authorize says whether a tenant may do what is asked. It looks only at the rules that name the class.
+func (r *Rights) Authorize(tenant string, a Access) Decision {
 	t := r.tenants[tenant]
 	if t == nil {
 		return Decision{NoTenant, -1}
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -142,11 +142,11 @@
 		{"beyond its groups", Access{Class: "charge", Front: "rpc", Site: "north", Group: 32}, NoRight, -1},
 		{"a group that is not told allows nothing", Access{Class: "charge", Front: "rpc", Site: "north", Group: -1}, NoRight, -1},
 	} {
-		if got := r.May("a", c.ask); got != (Decision{c.want, c.rule}) {
+		if got := r.Authorize("a", c.ask); got != (Decision{c.want, c.rule}) {
 			t.Errorf("%s: %v by rule %d, want %v by %d", c.name, got.Reason, got.Rule, c.want, c.rule)
 		}
 	}
-	if got := r.May("b", Access{Class: "lookup"}); got.Reason != NoTenant {
+	if got := r.Authorize("b", Access{Class: "lookup"}); got.Reason != NoTenant {
 		t.Errorf("an unknown tenant: %v", got.Reason)
 	}
 	for _, text := range []string{"", "front=rpc", "x front=http", "x group=9-3", "x group=-1", "x object=xyz", "x site=", "x colour=red"} {
@@ -192,7 +192,7 @@
 				allowed, denied = allowed || !r.Deny, denied || r.Deny
 			}
 		}
-		if got := rights.May("x", ask).Reason == Allowed; got != (allowed && !denied) {
+		if got := rights.Authorize("x", ask).Reason == Allowed; got != (allowed && !denied) {
 			t.Fatalf("%+v by %v: allowed %v, want %v", ask, texts, got, allowed && !denied)
 		}
 	})
@@ -286,9 +286,9 @@
 	}{
 		{"nothing", func(*Authenticator) {}, 0, Allowed},
 		{"its time", func(*Authenticator) {}, 2 * time.Hour, Expired},
-		{"the token revoked", func(g *Authenticator) { _ = g.Revocations().Add(Token, "t1", start+time.Hour) }, 0, Revoked},
-		{"the subject revoked", func(g *Authenticator) { _ = g.Revocations().Add(Subject, "s1", start+time.Hour) }, 0, Revoked},
-		{"the key revoked", func(g *Authenticator) { _ = g.Revocations().Add(KeyID, "k", start+time.Hour) }, 0, Revoked},
+		{"the token revoked", func(g *Authenticator) { _ = g.Revocations().Add(RevokedToken, "t1", start+time.Hour) }, 0, Revoked},
+		{"the subject revoked", func(g *Authenticator) { _ = g.Revocations().Add(RevokedSubject, "s1", start+time.Hour) }, 0, Revoked},
+		{"the key revoked", func(g *Authenticator) { _ = g.Revocations().Add(RevokedKey, "k", start+time.Hour) }, 0, Revoked},
 		{"the key gone", func(g *Authenticator) { g.SetKeys(keySet(t)) }, 0, UnknownKey},
 		{"the key retired", func(g *Authenticator) { r := k; r.RetireAfter = start + 2; g.SetKeys(keySet(t, r)) }, 0, Retired},
 		{"other keys come", func(g *Authenticator) { g.SetKeys(keySet(t, k, m.key("new", ES256))) }, 0, Allowed},
@@ -346,7 +346,7 @@
 	if o := call(g, start+2*time.Second, keyed(soon, "u1")); o.Reason != Allowed {
 		t.Errorf("the retry of a request whose token has expired meanwhile: %v", o.Reason)
 	}
-	_ = g.Revocations().Add(Subject, "s1", start+time.Hour)
+	_ = g.Revocations().Add(RevokedSubject, "s1", start+time.Hour)
 	if o := call(g, start+2*time.Second, keyed(soon, "u1")); o.Reason != Revoked {
 		t.Errorf("the retry of a revoked subject: %v", o.Reason)
 	}
@@ -359,8 +359,8 @@
 		at           time.Duration
 		key, subject string
 		want         Reason
-	}{{0, "a", "s1", Allowed}, {0, "b", "s1", Allowed}, {0, "c", "s1", Full}, {0, "a", "s1", Allowed}, {0, "a", "s2", KeyInUse},
-		{time.Second, "c", "s1", Allowed}, {time.Second, "a", "s2", Allowed}, {time.Second, "b", "s2", Full}} {
+	}{{0, "a", "s1", Allowed}, {0, "b", "s1", Allowed}, {0, "c", "s1", IdempotencyKeysFull}, {0, "a", "s1", Allowed}, {0, "a", "s2", KeyInUse},
+		{time.Second, "c", "s1", Allowed}, {time.Second, "a", "s2", Allowed}, {time.Second, "b", "s2", IdempotencyKeysFull}} {
 		if got := k.Admit(start+c.at, c.key, c.subject, "x", Allowed, time.Second); got != c.want {
 			t.Errorf("step %d: %v, want %v", i, got, c.want)
 		}
@@ -397,7 +397,7 @@
 			case owned && o.subject == subject && reason == Expired:
 				want = Allowed
 			case !owned && reason == Allowed && live >= 4:
-				want = Full
+				want = IdempotencyKeysFull
 			}
 			if got != want {
 				t.Fatalf("key %s by %s with %v: %v, want %v", key, subject, reason, got, want)
@@ -450,10 +450,10 @@
 			tokens = append(tokens, signed{signer, now})
 			for _, s := range tokens {
 				st := s.key.State(now)
-				if now-s.at < life && (st == Coming || st == Dead) {
+				if now-s.at < life && (st == KeyPending || st == KeyRetired) {
 					t.Fatalf("a token of %v ago, by %s, meets a key that is %v", now-s.at, s.key.ID, st)
 				}
-				if s.key.RetireAfter > 0 && now >= s.key.RetireAfter && st != Dead {
+				if s.key.RetireAfter > 0 && now >= s.key.RetireAfter && st != KeyRetired {
 					t.Fatalf("%s is %v after its end", s.key.ID, st)
 				}
 			}
@@ -556,10 +556,10 @@
 	tokens := []string{"", "junk", m.token(k, nil), m.token(k, func(c *Claims) { c.Tenant = "staff" }), m.token(k, nil) + "x"}
 	rapid.Check(t, func(t *rapid.T) {
 		g := gateWith(m.t, k)
-		g.cfg.Waiting, g.cfg.Cached = 4, 1
+		g.cfg.MaxWaiting, g.cfg.MaxCachedTokens = 4, 1
 		callers := []*Caller{{Front: "rpc"}, {Front: "dns"}}
 		outcomes := map[*Call]int{}
-		jobs := map[string]*Job{}
+		jobs := map[string]*SignatureJob{}
 		calls := 0
 		note := func(o *Outcome) { outcomes[o.Call]++ }
 		now := start
@@ -645,12 +645,12 @@
 	})
 	b.Run("new, on the loop", func(b *testing.B) {
 		g := gateWith(b, ed)
-		g.cfg.Checks, g.cfg.PerConn = 1e12, 1e12
+		g.cfg.ChecksPerSecond, g.cfg.ChecksPerConnection = 1e12, 1e12
 		tokens := make([]string, 1000)
 		for i := range tokens {
 			tokens[i] = m.token(ed, nil)
 		}
-		g.cfg.Cached = 1
+		g.cfg.MaxCachedTokens = 1
 		b.ReportAllocs()
 		b.ResetTimer()
 		for i := range b.N {
@@ -681,18 +681,18 @@
 		b.ReportAllocs()
 		b.ResetTimer()
 		for range b.N {
-			r.May("t7777", ask)
+			r.Authorize("t7777", ask)
 		}
 	})
 	b.Run("revoked/100000", func(b *testing.B) {
 		r := NewRevocations(100_000)
 		for i := range 100_000 {
-			_ = r.Add(Token, fmt.Sprint("token-", i), start+time.Hour)
+			_ = r.Add(RevokedToken, fmt.Sprint("token-", i), start+time.Hour)
 		}
 		b.ReportAllocs()
 		b.ResetTimer()
 		for range b.N {
-			r.Has(start, Token, "token-77777")
+			r.Has(start, RevokedToken, "token-77777")
 		}
 	})
 }
@@ -715,7 +715,7 @@
 			c := Claims{ID: fmt.Sprint("token-", i), Subject: fmt.Sprint("subject-", i), Tenant: "lanes", KeyID: "k", Expires: start + time.Hour, audience: []string{"doorman"}}
 			g.remember(&verified{hash: sha256.Sum256([]byte(c.ID)), claims: c, key: g.keys.Get("k")})
 			g.keyed.Admit(start, fmt.Sprint("charge ", i), c.Subject, "lanes", Allowed, 3*time.Second)
-			_ = g.revoked.Add(Token, fmt.Sprint("gone-", i), start+time.Hour)
+			_ = g.revoked.Add(RevokedToken, fmt.Sprint("gone-", i), start+time.Hour)
 		}
 		b.ReportMetric(float64(heap()-before)/(1<<20), "MB")
 		runtime.KeepAlive(g)
--- a/internal/identity/keydir/keydir.go
+++ b/internal/identity/keydir/keydir.go
@@ -188,7 +188,7 @@
 			continue
 		}
 		r := Revocation{What: 255}
-		for w := identity.Token; w <= identity.KeyID; w++ {
+		for w := identity.RevokedToken; w <= identity.RevokedKey; w++ {
 			if w.String() == words[0] {
 				r.What = w
 			}
@@ -288,8 +288,8 @@
 	return out, err
 }
 
-// NewTSIG makes a key with a secret of its own and adds it to the file.
-func NewTSIG(dir string, k tsig.Key) (tsig.Key, error) {
+// AddTSIGKey makes a key with a secret of its own and adds it to the file.
+func AddTSIGKey(dir string, k tsig.Key) (tsig.Key, error) {
 	all, err := readTSIG(dir)
 	if err != nil {
 		return k, err
@@ -315,8 +315,8 @@
 	return k, atomicfile.Replace(filepath.Join(dir, tsigFile), text.Bytes(), 0o600)
 }
 
-// Signature tells whether a directory's files may have changed: their times, sizes and numbers.
-func Signature(dir string) string {
+// Fingerprint tells whether a directory's files may have changed: their times, sizes and numbers.
+func Fingerprint(dir string) string {
 	out := ""
 	for _, name := range []string{keysFile, revokedFile, tsigFile} {
 		if info, err := os.Stat(filepath.Join(dir, name)); err == nil {
@@ -346,8 +346,8 @@
 	return atomicfile.Replace(filepath.Join(dir, keysFile), append(text, '\n'), 0o644)
 }
 
-// New makes a key pair: the public half is returned, the private one written for its owner alone.
-func New(dir, id string, a identity.Algorithm) (k identity.Key, err error) {
+// NewKeyPair makes a key pair: the public half is returned, the private one written for its owner alone.
+func NewKeyPair(dir, id string, a identity.Algorithm) (k identity.Key, err error) {
 	if err := identity.ValidID(id); err != nil {
 		return k, err
 	}
@@ -383,8 +383,8 @@
 	return k, atomicfile.Replace(path, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}), 0o600)
 }
 
-// Private reads the private half of a key, which must be that of the public one, and readable by its owner alone.
-func Private(dir string, k *identity.Key) (any, error) {
+// ReadPrivateKey reads the private half of a key, which must be that of the public one, and readable by its owner alone.
+func ReadPrivateKey(dir string, k *identity.Key) (any, error) {
 	path := filepath.Join(dir, privateDir, k.ID+".pem")
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/identity/keydir/keydir_test.go
+++ b/internal/identity/keydir/keydir_test.go
@@ -20,7 +20,7 @@
 	dir := t.TempDir()
 	var keys []identity.Key
 	for id, a := range map[string]identity.Algorithm{"k1": identity.EdDSA, "k2": identity.ES256} {
-		k, err := New(dir, id, a)
+		k, err := NewKeyPair(dir, id, a)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,17 +37,17 @@
 // owner's alone.
 func TestRoundTrip(t *testing.T) {
 	dir, keys := made(t)
-	if err := Revoke(dir, now, Revocation{identity.Subject, "s1", now + time.Hour}); err != nil {
+	if err := Revoke(dir, now, Revocation{identity.RevokedSubject, "s1", now + time.Hour}); err != nil {
 		t.Fatal(err)
 	}
-	if err := Revoke(dir, now+2*time.Hour, Revocation{identity.Token, "t9", now + 3*time.Hour}); err != nil {
+	if err := Revoke(dir, now+2*time.Hour, Revocation{identity.RevokedToken, "t9", now + 3*time.Hour}); err != nil {
 		t.Fatal(err)
 	}
 	c, err := Read(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff([]Revocation{{identity.Token, "t9", now + 3*time.Hour}}, c.Revoked); diff != "" {
+	if diff := cmp.Diff([]Revocation{{identity.RevokedToken, "t9", now + 3*time.Hour}}, c.Revoked); diff != "" {
 		t.Errorf("revocations, without the one that has ended (-want +got):\n%s", diff)
 	}
 	for i := range keys {
@@ -55,7 +55,7 @@
 		if k.NotBefore != now || k.RetireAfter != now+time.Hour {
 			t.Errorf("times of %s: %+v", k.ID, k)
 		}
-		private, err := Private(dir, k)
+		private, err := ReadPrivateKey(dir, k)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -71,19 +71,19 @@
 			t.Errorf("%s: %v, %v", k.ID, info.Mode(), err)
 		}
 	}
-	if _, err := New(dir, "k1", identity.EdDSA); err == nil {
+	if _, err := NewKeyPair(dir, "k1", identity.EdDSA); err == nil {
 		t.Error("a key is made over another")
 	}
 	other := c.Keys[0]
 	other.Public = ed25519.PublicKey(make([]byte, 32))
-	if _, err := Private(dir, &other); err == nil {
+	if _, err := ReadPrivateKey(dir, &other); err == nil {
 		t.Error("the private half of another key is taken")
 	}
 	path := filepath.Join(dir, "private", c.Keys[0].ID+".pem")
 	if err := os.Chmod(path, 0o640); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Private(dir, &c.Keys[0]); err == nil || !strings.Contains(err.Error(), "lets others read it") {
+	if _, err := ReadPrivateKey(dir, &c.Keys[0]); err == nil || !strings.Contains(err.Error(), "lets others read it") {
 		t.Errorf("a private key that others can read: %v", err)
 	}
 }
--- a/internal/identity/keys.go
+++ b/internal/identity/keys.go
@@ -21,19 +21,19 @@
 	ES256 Algorithm = "ES256"
 )
 
-// State is where a key stands in its life.
-type State uint8
+// KeyState is where a key stands in its life.
+type KeyState uint8
 
 // The states of a key.
 const (
-	Coming   State = iota // published, and not taken yet
-	Signing               // taken, and new tokens are signed by it
-	Accepted              // taken, and no new tokens are signed by it
-	Dead                  // retired: not taken any more
+	KeyPending  KeyState = iota // published, and not taken yet
+	KeySigning                  // taken, and new tokens are signed by it
+	KeyAccepted                 // taken, and no new tokens are signed by it
+	KeyRetired                  // retired: not taken any more
 )
 
 // String gives the word that operators read.
-func (s State) String() string { return [...]string{"coming", "signing", "accepted", "retired"}[s] }
+func (s KeyState) String() string { return [...]string{"coming", "signing", "accepted", "retired"}[s] }
 
 // Key is a public key with its times, on the Unix clock. It is taken from NotBefore until RetireAfter, and new tokens are
 // signed by it from SignFrom until SignUntil. A zero end is none.
@@ -47,16 +47,16 @@
 }
 
 // State is the key's state at a time.
-func (k *Key) State(now time.Duration) State {
+func (k *Key) State(now time.Duration) KeyState {
 	switch {
 	case k.RetireAfter > 0 && now >= k.RetireAfter:
-		return Dead
+		return KeyRetired
 	case now < k.NotBefore:
-		return Coming
+		return KeyPending
 	case now >= k.SignFrom && (k.SignUntil == 0 || now < k.SignUntil):
-		return Signing
+		return KeySigning
 	}
-	return Accepted
+	return KeyAccepted
 }
 
 // thumbprint tells keys apart by what they are, whatever they are called.
@@ -160,11 +160,11 @@
 	return out
 }
 
-// Signer is the key that new tokens are signed by: of those in the state Signing the one that began last.
+// Signer is the key that new tokens are signed by: of those in the state KeySigning the one that began last.
 func (s *Keys) Signer(now time.Duration) *Key {
 	var best *Key
 	for _, k := range s.All() {
-		if k.State(now) == Signing && (best == nil || cmp.Compare(k.SignFrom, best.SignFrom) > 0) {
+		if k.State(now) == KeySigning && (best == nil || cmp.Compare(k.SignFrom, best.SignFrom) > 0) {
 			best = k
 		}
 	}
@@ -180,7 +180,7 @@
 	next.NotBefore = now + r.Publish
 	next.SignFrom = next.NotBefore + r.Accept
 	for _, k := range present {
-		if s := k.State(now); s == Dead || k.SignUntil > 0 && k.SignUntil <= next.SignFrom {
+		if s := k.State(now); s == KeyRetired || k.SignUntil > 0 && k.SignUntil <= next.SignFrom {
 			continue // on its way out already
 		}
 		k.SignUntil = next.SignFrom
--- a/internal/identity/revoke.go
+++ b/internal/identity/revoke.go
@@ -12,9 +12,9 @@
 
 // What can be revoked.
 const (
-	Token   RevocationKind = iota // one token, by its id
-	Subject                       // all tokens of a subject
-	KeyID                         // all tokens that a key has signed
+	RevokedToken   RevocationKind = iota // one token, by its id
+	RevokedSubject                       // all tokens of a subject
+	RevokedKey                           // all tokens that a key has signed
 )
 
 // String gives the word.
--- a/internal/identity/source.go
+++ b/internal/identity/source.go
@@ -114,11 +114,11 @@
 // afford charges one token that is more than a look-up to the caller's connection and to its source. Bad signatures lower
 // both.
 func (g *Authenticator) afford(now time.Duration, c *Caller) (time.Duration, bool) {
-	if wait, ok := c.budget.take(now, g.cfg.PerConn/float64(1+c.bad)); !ok {
+	if wait, ok := c.budget.take(now, g.cfg.ChecksPerConnection/float64(1+c.bad)); !ok {
 		return wait, false
 	}
 	if s := c.Source; s != nil {
-		return s.budget.take(now, g.cfg.PerSource/float64(1+s.bad))
+		return s.budget.take(now, g.cfg.ChecksPerSource/float64(1+s.bad))
 	}
 	return 0, true
 }
--- a/internal/identity/tlsclient/tlsclient.go
+++ b/internal/identity/tlsclient/tlsclient.go
@@ -86,7 +86,7 @@
 // Watch renews whenever the files change, until stop is closed, and tells each time how it went. It blocks.
 func (d *Dialer) Watch(stop <-chan struct{}, told func(error)) {
 	paths := d.cfg.Files()
-	files.Watch(stop, files.Folders(paths...), func() string { return files.Signature(paths...) }, func() error {
+	files.Watch(stop, files.Folders(paths...), func() string { return files.Fingerprint(paths...) }, func() error {
 		err := d.Reload()
 		told(err)
 		return err
--- a/internal/identity/tlslistener/tlslistener.go
+++ b/internal/identity/tlslistener/tlslistener.go
@@ -27,10 +27,10 @@
 	Cert, Key         string           // files of our certificate, in PEM
 	ClientCA          string           // file of the authorities that sign clients; empty: clients show none
 	RequireClientCert bool             // whether a client must show a certificate
-	Handshakes        int              // at once
+	MaxHandshakes     int              // at once
 	HandshakeTimeout  time.Duration    // for one
 	MaxConnections    int              // connections
-	Tickets           time.Duration    // how often the key of session tickets changes
+	TicketKeyRotation time.Duration    // how often the key of session tickets changes
 	Now               func() time.Time // the Unix clock; nil: the system's
 }
 
@@ -63,7 +63,7 @@
 
 // Open listens. adopt hands a connection to the loop, and says whether it was taken; it and log are called from goroutines.
 func Open(cfg Config, who ClientIdentity, adopt func(net.Conn, identity.Caller) bool, log func(string, ...any)) (*Listener, error) {
-	d := &Listener{cfg: cfg, who: who, adopt: adopt, log: log, busy: make(chan struct{}, cfg.Handshakes), told: map[string]time.Time{},
+	d := &Listener{cfg: cfg, who: who, adopt: adopt, log: log, busy: make(chan struct{}, cfg.MaxHandshakes), told: map[string]time.Time{},
 		stop: make(chan struct{})}
 	if err := d.Reload(); err != nil {
 		return nil, err
@@ -131,7 +131,7 @@
 func (d *Listener) rotate() {
 	keys := [][32]byte{}
 	var of *tls.Config
-	tick := time.NewTicker(max(d.cfg.Tickets, time.Second))
+	tick := time.NewTicker(max(d.cfg.TicketKeyRotation, time.Second))
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/identity/tlslistener/tlslistener_test.go
+++ b/internal/identity/tlslistener/tlslistener_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := Open(Config{Listen: "127.0.0.1:0", Cert: cert, Key: key, ClientCA: ca.File, Handshakes: 32, HandshakeTimeout: 5 * time.Second, MaxConnections: 1000, Tickets: time.Hour},
+	d, err := Open(Config{Listen: "127.0.0.1:0", Cert: cert, Key: key, ClientCA: ca.File, MaxHandshakes: 32, HandshakeTimeout: 5 * time.Second, MaxConnections: 1000, TicketKeyRotation: time.Hour},
 		func([]string) (string, string) { return "", "" },
 		func(conn net.Conn, _ identity.Caller) bool {
 			go func() {
--- a/internal/identity/token.go
+++ b/internal/identity/token.go
@@ -39,8 +39,8 @@
 	MaxLifetime time.Duration // a token may be valid for so long at most; 0: any time
 }
 
-// Head is a token's key id and algorithm, read without its signature: it says which key to look for and nothing more.
-func Head(token string) (keyID string, algorithm Algorithm, reason Reason) {
+// ParseHeader reads a token's key id and algorithm, read without its signature: it says which key to look for and nothing more.
+func ParseHeader(token string) (keyID string, algorithm Algorithm, reason Reason) {
 	if token == "" {
 		return "", "", Unsigned
 	}
@@ -101,11 +101,11 @@
 	switch {
 	case k == nil:
 		return UnknownKey
-	case revoked.Has(now, KeyID, c.KeyID), revoked.Has(now, Subject, c.Subject), revoked.Has(now, Token, c.ID):
+	case revoked.Has(now, RevokedKey, c.KeyID), revoked.Has(now, RevokedSubject, c.Subject), revoked.Has(now, RevokedToken, c.ID):
 		return Revoked
-	case k.State(now) == Dead:
+	case k.State(now) == KeyRetired:
 		return Retired
-	case k.State(now) == Coming && !begun:
+	case k.State(now) == KeyPending && !begun:
 		return NotYet
 	case p.Audience != "" && !contains(c.audience, p.Audience):
 		return Audience
@@ -157,8 +157,8 @@
 	return t.SignedString(key)
 }
 
-// Unchecked gives what a token says, whether or not its signature holds.
-func Unchecked(token string) (head, claims map[string]any, err error) {
+// ParseUnverified returns what a token says, whether or not its signature holds.
+func ParseUnverified(token string) (head, claims map[string]any, err error) {
 	if len(token) > MaxTokenBytes {
 		return nil, nil, errors.New("the token is too long")
 	}
--- a/internal/proxy/door.go
+++ b/internal/proxy/door.go
@@ -57,12 +57,12 @@
 	s.Duration("skew", &p.Skew, 0, 5*time.Minute, "of the callers' clocks, either way")
 	s.Duration("life-most", &p.MaxLifetime, 0, 10*365*24*time.Hour, "longest life of a token; 0s: any")
 	s.Text("unsigned", &c.unsigned, nil, "tenant of callers without a token; they are refused without it")
-	s.Rate("checks", &c.Gate.Checks, 1, 1e6, "signatures checked a second")
-	s.Rate("checks-connection", &c.Gate.PerConn, 1, 1e6, "for one connection")
-	s.Rate("checks-source", &c.Gate.PerSource, 1, 1e6, "and for all connections from one address")
-	s.Int("tokens", &c.Gate.Cached, 1, 10_000_000, "verified tokens remembered")
-	s.Int("keyed", &c.Gate.Keyed, 1, 10_000_000, "idempotency keys remembered")
-	s.Int("revocations", &c.Gate.Revoked, 1, 10_000_000, "revocations held")
+	s.Rate("checks", &c.Gate.ChecksPerSecond, 1, 1e6, "signatures checked a second")
+	s.Rate("checks-connection", &c.Gate.ChecksPerConnection, 1, 1e6, "for one connection")
+	s.Rate("checks-source", &c.Gate.ChecksPerSource, 1, 1e6, "and for all connections from one address")
+	s.Int("tokens", &c.Gate.MaxCachedTokens, 1, 10_000_000, "verified tokens remembered")
+	s.Int("keyed", &c.Gate.MaxIdempotencyKeys, 1, 10_000_000, "idempotency keys remembered")
+	s.Int("revocations", &c.Gate.MaxRevocations, 1, 10_000_000, "revocations held")
 	rule := func(section *config.Section, to *[]identity.Rule) {
 		for _, name := range []string{"right", "deny"} {
 			section.Each(name, func(words []string) error {
@@ -73,7 +73,7 @@
 		}
 	}
 	s.Block("tls", false, "a listener for TLS 1.3", func([]string) (*config.Section, error) {
-		c.tls = &tlslistener.Config{Now: unixTime, Handshakes: 64, HandshakeTimeout: 3 * time.Second, MaxConnections: 64, Tickets: time.Hour}
+		c.tls = &tlslistener.Config{Now: unixTime, MaxHandshakes: 64, HandshakeTimeout: 3 * time.Second, MaxConnections: 64, TicketKeyRotation: time.Hour}
 		return c.tlsSection(), nil
 	})
 	s.Block("role", true, "rules that several tenants share", func(words []string) (*config.Section, error) {
@@ -156,10 +156,10 @@
 	s.Text("key", &d.Key, nil, "file of its key, readable by its owner alone")
 	s.Text("client-ca", &d.ClientCA, nil, "file of the authorities that sign clients; they show no certificates without it")
 	s.Flag("client-needed", &d.RequireClientCert, "whether a client must show a certificate")
-	s.Int("handshakes", &d.Handshakes, 1, 10_000, "handshakes at once")
+	s.Int("handshakes", &d.MaxHandshakes, 1, 10_000, "handshakes at once")
 	s.Duration("limit", &d.HandshakeTimeout, 10*time.Millisecond, time.Minute, "for one")
 	s.Int("connections", &d.MaxConnections, 1, 100_000, "connections; each takes three descriptors")
-	s.Duration("tickets", &d.Tickets, time.Second, 24*time.Hour, "how often the key of session tickets changes; three are taken")
+	s.Duration("tickets", &d.TicketKeyRotation, time.Second, 24*time.Hour, "how often the key of session tickets changes; three are taken")
 	s.Check(func() error {
 		if d.Listen == "" {
 			return errors.New("listen is missing")
@@ -186,7 +186,7 @@
 	cfg     *identityConfig
 	gate    *identity.Authenticator
 	audit   *identity.Audit
-	jobs    chan *identity.Job
+	jobs    chan *identity.SignatureJob
 	sources *identity.Sources
 	tsig    *tsig.Keys            // of DNS
 	tls     *tlslistener.Listener // nil: none
@@ -197,7 +197,7 @@
 func (d *server) newDoor(cfg *identityConfig) *door {
 	g := &door{doorman: d, cfg: cfg, gate: identity.NewAuthenticator(cfg.Gate, cfg.rights), audit: identity.NewAudit(auditMost),
 		sources: identity.NewSources(sourcesMost),
-		jobs:    make(chan *identity.Job, cfg.Gate.Waiting)}
+		jobs:    make(chan *identity.SignatureJob, cfg.Gate.MaxWaiting)}
 	for range verifiers {
 		go func() {
 			for j := range g.jobs {
@@ -282,7 +282,7 @@
 			r.Team = o.Tenant
 		}
 		g.doorman.emit(broker.RequestReceived{Request: r})
-	case identity.Busy, identity.Full:
+	case identity.Busy, identity.IdempotencyKeysFull:
 		r.Frontend.Respond(r, broker.Response{Kind: broker.ResponseRejected, RetryAfter: o.Wait, Reason: o.Reason.String()})
 	default:
 		r.Frontend.Respond(r, broker.Response{Kind: broker.ResponseDenied, Reason: o.Reason.String()})
@@ -295,7 +295,7 @@
 	if who == "" {
 		who = "-"
 	}
-	missed, ok := g.audit.Line(g.doorman.clock.Monotonic(), who+" "+o.Reason.String())
+	missed, ok := g.audit.ShouldLog(g.doorman.clock.Monotonic(), who+" "+o.Reason.String())
 	if !ok {
 		return
 	}
@@ -314,7 +314,7 @@
 // take takes over what the directory says; with a fault the old set stays in force.
 func (g *door) take(c keydir.Content, err error) {
 	var keys *identity.Keys
-	revoked := identity.NewRevocations(g.cfg.Gate.Revoked)
+	revoked := identity.NewRevocations(g.cfg.Gate.MaxRevocations)
 	if err == nil {
 		keys, err = g.gate.Keys().Replace(c.Keys)
 	}
@@ -349,7 +349,7 @@
 	never := make(chan struct{})
 	if g.cfg.Keys != "" {
 		// The folder above tells of one that is replaced whole.
-		go files.Watch(never, []string{g.cfg.Keys, filepath.Dir(g.cfg.Keys)}, func() string { return keydir.Signature(g.cfg.Keys) }, func() error {
+		go files.Watch(never, []string{g.cfg.Keys, filepath.Dir(g.cfg.Keys)}, func() string { return keydir.Fingerprint(g.cfg.Keys) }, func() error {
 			content, err := keydir.Read(g.cfg.Keys)
 			g.doorman.loop.Post(func() {
 				g.take(content, err)
@@ -360,7 +360,7 @@
 	}
 	if g.tls != nil {
 		paths := []string{g.cfg.tls.Cert, g.cfg.tls.Key, g.cfg.tls.ClientCA}
-		go files.Watch(never, files.Folders(paths...), func() string { return files.Signature(paths...) }, func() error {
+		go files.Watch(never, files.Folders(paths...), func() string { return files.Fingerprint(paths...) }, func() error {
 			err := g.tls.Reload()
 			g.doorman.renewed(g.cfg.tls.Cert, err)
 			return err
--- a/test/cpu_test.go
+++ b/test/cpu_test.go
@@ -99,7 +99,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	private, err := keydir.Private(keys.dir, &content.Keys[0])
+	private, err := keydir.ReadPrivateKey(keys.dir, &content.Keys[0])
 	if err != nil {
 		t.Fatal(err)
 	}
