--- a/internal/identity/audit.go
+++ b/internal/identity/audit.go
@@ -5,45 +5,53 @@
 	"time"
 )
 
-// Audit says which decisions get a line, so that a flood of one subject can't hide another's: each subject has a line a
-// second and the count of those that had none. Subjects are bounded; the one that was quiet longest makes way. It is not
-// safe for concurrent use.
+// auditInterval is how often a subject gets a line.
+const auditInterval = time.Second
+
+// Audit says which decisions get a line in the log, so that a flood of one subject can't hide another's: each subject
+// has a line a second and the count of those that had none. Subjects are bounded; the one that was quiet longest
+// makes way. It is not safe for concurrent use.
 type Audit struct {
-	most   int
-	held   map[string]*list.Element
-	recent *list.List // of *audited, the newest first
+	maxSubjects int
+	bySubject   map[string]*list.Element
+	recent      *list.List // of *auditedSubject, the last met first
 }
 
-type audited struct {
-	subject string
-	told    time.Duration
-	missed  int
+type auditedSubject struct {
+	subject  string
+	loggedAt time.Duration
+	omitted  int // decisions since then
 }
 
-// auditEvery is how often a subject gets a line.
-const auditEvery = time.Second
-
-// NewAudit makes one for at most so many subjects.
-func NewAudit(most int) *Audit {
-	return &Audit{most: most, held: map[string]*list.Element{}, recent: list.New()}
+// NewAudit returns an audit of at most so many subjects.
+func NewAudit(maxSubjects int) *Audit {
+	return &Audit{maxSubjects: maxSubjects, bySubject: map[string]*list.Element{}, recent: list.New()}
 }
 
-// ShouldLog says whether a decision about a subject gets a line now, and how many of it had none since its last.
-func (a *Audit) ShouldLog(now time.Duration, subject string) (missed int, ok bool) {
-	e := a.held[subject]
-	if e == nil {
-		a.held[subject] = a.recent.PushFront(&audited{subject: subject, told: now})
-		if a.recent.Len() > a.most {
-			delete(a.held, a.recent.Remove(a.recent.Back()).(*audited).subject)
-		}
+// ShouldLog reports whether a decision about a subject gets a line now, and how many of it had none since its last.
+func (a *Audit) ShouldLog(now time.Duration, subject string) (omitted int, ok bool) {
+	element := a.bySubject[subject]
+	if element == nil {
+		a.add(now, subject)
 		return 0, true
 	}
-	a.recent.MoveToFront(e)
-	s := e.Value.(*audited)
-	if now-s.told < auditEvery {
-		s.missed++
+	a.recent.MoveToFront(element)
+	audited := element.Value.(*auditedSubject)
+	if now-audited.loggedAt < auditInterval {
+		audited.omitted++
 		return 0, false
 	}
-	missed, s.missed, s.told = s.missed, 0, now
-	return missed, true
+	omitted = audited.omitted
+	audited.omitted = 0
+	audited.loggedAt = now
+	return omitted, true
+}
+
+// add takes a subject in whose first line is written now.
+func (a *Audit) add(now time.Duration, subject string) {
+	a.bySubject[subject] = a.recent.PushFront(&auditedSubject{subject: subject, loggedAt: now})
+	if a.recent.Len() > a.maxSubjects {
+		quietest := a.recent.Remove(a.recent.Back()).(*auditedSubject)
+		delete(a.bySubject, quietest.subject)
+	}
 }
--- /dev/null
+++ b/internal/identity/authenticator.go
@@ -0,0 +1,356 @@
+package identity
+
+import (
+	"crypto/sha256"
+	"time"
+)
+
+const (
+	// queueFullWait is how long to stay away where all places of those that wait for a signature are taken.
+	queueFullWait = time.Second
+	// idempotencyKeysFullWait is how long to stay away where no more idempotency keys can be remembered.
+	idempotencyKeysFullWait = time.Second
+)
+
+// AuthenticatorConfig bounds an Authenticator.
+type AuthenticatorConfig struct {
+	Policy              Policy
+	MaxCachedTokens     int     // verified tokens that are remembered
+	MaxWaiting          int     // requests that wait for a signature to be checked
+	ChecksPerSecond     float64 // signatures checked a second, in all
+	ChecksPerConnection float64 // signatures checked a second for one connection
+	ChecksPerSource     float64 // signatures checked a second for all connections from one source
+	MaxIdempotencyKeys  int     // idempotency keys that are remembered
+	MaxRevocations      int     // revocations that are held
+}
+
+// Defaults returns the bounds in force where the settings say nothing.
+func Defaults() AuthenticatorConfig {
+	return AuthenticatorConfig{
+		Policy:              Policy{Skew: 5 * time.Second},
+		MaxCachedTokens:     100_000,
+		MaxWaiting:          4096,
+		ChecksPerSecond:     4000,
+		ChecksPerConnection: 400,
+		ChecksPerSource:     1000,
+		MaxIdempotencyKeys:  100_000,
+		MaxRevocations:      100_000,
+	}
+}
+
+// Call is one request at the authenticator.
+type Call struct {
+	Caller *Caller
+	Token  string // empty: it has none
+	Access Access
+	Key    string        // idempotency key; empty: not keyed
+	Window time.Duration // how long repeats of the key may come
+	Data   any           // the user's own
+}
+
+// Outcome is what the authenticator decides of a call.
+type Outcome struct {
+	Call    *Call
+	Reason  Reason
+	Tenant  string        // that the caller is of; empty: not known
+	Subject string        // empty: not known
+	KeyID   string        // of the key that signed the token; empty: none did
+	Rule    int           // of the tenant, from 0, that decided; -1: none did
+	Wait    time.Duration // with Busy and IdempotencyKeysFull: how long to stay away
+}
+
+// SignatureJob is a signature to be checked, by Verify, wherever that does not block the event loop. What Verify
+// returns goes to Authenticator.SignatureChecked.
+type SignatureJob struct {
+	Token string
+	Key   *Key
+	hash  tokenHash
+}
+
+// tokenHash tells tokens apart by their whole text.
+type tokenHash [sha256.Size]byte
+
+// Authenticator decides who a caller is and whether it may do what it wants. It remembers tokens whose signature
+// holds, and has others checked within budgets, so that a flood of bad ones costs the sender's own connection first.
+//
+// Invariants: at most one SignatureJob is out for a token; what is remembered and what waits is bounded; every Call
+// gets exactly one Outcome. It is not safe for concurrent use.
+type Authenticator struct {
+	config          AuthenticatorConfig
+	rights          *Rights
+	keys            *Keys
+	revoked         *Revocations
+	idempotencyKeys *IdempotencyKeys
+	cache           *tokenCache
+	waiting         map[tokenHash][]*Call // for the result of a SignatureJob
+	waitingCalls    int                   // in all of waiting
+	checks          tokenBucket           // of config.ChecksPerSecond
+	clockOffset     time.Duration         // what the Unix clock is ahead of the times that are passed in
+
+	// Counts since the start, for the tests: signatures checked, cached tokens met, calls that were not allowed.
+	Checked, Hits, Rejected uint64
+}
+
+// NewAuthenticator returns an authenticator with no keys.
+func NewAuthenticator(config AuthenticatorConfig, rights *Rights) *Authenticator {
+	return &Authenticator{
+		config:          config,
+		rights:          rights,
+		revoked:         NewRevocations(config.MaxRevocations),
+		idempotencyKeys: NewIdempotencyKeys(config.MaxIdempotencyKeys),
+		cache:           newTokenCache(config.MaxCachedTokens),
+		waiting:         map[tokenHash][]*Call{},
+	}
+}
+
+// SetOffset sets by how much the Unix clock, which tokens, keys and revocations go by, is ahead of the times that are
+// passed in, which budgets and windows go by.
+func (a *Authenticator) SetOffset(offset time.Duration) { a.clockOffset = offset }
+
+// SetKeys replaces the key set. Tokens of keys that stay are not checked again.
+func (a *Authenticator) SetKeys(keys *Keys) { a.keys = keys }
+
+// Keys returns the key set in force.
+func (a *Authenticator) Keys() *Keys { return a.keys }
+
+// SetRights replaces the rights.
+func (a *Authenticator) SetRights(rights *Rights) { a.rights = rights }
+
+// SetRevocations replaces the list of what was revoked.
+func (a *Authenticator) SetRevocations(revoked *Revocations) { a.revoked = revoked }
+
+// Revocations returns the list of what was revoked.
+func (a *Authenticator) Revocations() *Revocations { return a.revoked }
+
+// Waiting returns the number of calls that wait for a signature.
+func (a *Authenticator) Waiting() int { return a.waitingCalls }
+
+// Authenticate takes a call. Either its outcome comes back, or a job whose result decides it, or neither where it
+// waits for a job that is out already.
+func (a *Authenticator) Authenticate(now time.Duration, call *Call) (*Outcome, *SignatureJob) {
+	a.revoked.Expire(now + a.clockOffset)
+	if call.Token == "" {
+		return a.decide(now, call, nil, Unsigned), nil
+	}
+	hash := tokenHash(sha256.Sum256([]byte(call.Token)))
+	if cached := a.cachedToken(hash); cached != nil {
+		return a.decideCached(now, call, cached), nil
+	}
+	if calls, isOut := a.waiting[hash]; isOut {
+		if a.waitingCalls >= a.config.MaxWaiting {
+			return a.busy(call, queueFullWait), nil
+		}
+		a.waiting[hash] = append(calls, call)
+		a.waitingCalls++
+		return nil, nil
+	}
+	return a.startCheck(now, call, hash)
+}
+
+// cachedToken returns a token whose signature was found to hold, by a key that is still there; nil: there is none.
+func (a *Authenticator) cachedToken(hash tokenHash) *verifiedToken {
+	cached := a.cache.get(hash)
+	if cached == nil {
+		return nil
+	}
+	key := a.keys.Get(cached.claims.KeyID)
+	if key != cached.key && !samePublicKey(key, cached.key) {
+		a.cache.remove(cached)
+		return nil
+	}
+	return cached
+}
+
+// decideCached decides about a call with a token whose signature holds.
+func (a *Authenticator) decideCached(now time.Duration, call *Call, cached *verifiedToken) *Outcome {
+	a.Hits++
+	a.cache.touch(cached)
+	unix := now + a.clockOffset
+	reason := a.config.Policy.check(unix, &cached.claims, a.keys, a.revoked, cached.wasValid)
+	cached.wasValid = cached.wasValid || reason == Allowed
+	return a.decide(now, call, &cached.claims, reason)
+}
+
+// startCheck has the signature of an unknown token checked, if its caller's budgets and its header allow it.
+func (a *Authenticator) startCheck(now time.Duration, call *Call, hash tokenHash) (*Outcome, *SignatureJob) {
+	// From here on a token costs more than a look-up, malformed ones too: a connection's budget is charged before
+	// they are read.
+	if wait, ok := a.chargeCaller(now, call.Caller); !ok {
+		call.Caller.rejectedForBudget(now)
+		return a.busy(call, wait), nil
+	}
+	id, algorithm, reason := ParseHeader(call.Token)
+	if reason != Allowed {
+		return a.decide(now, call, nil, reason), nil
+	}
+	key := a.keys.Get(id)
+	if reason := a.checkKey(now, key, id, algorithm); reason != Allowed {
+		return a.decide(now, call, nil, reason), nil
+	}
+	if a.waitingCalls >= a.config.MaxWaiting {
+		return a.busy(call, queueFullWait), nil
+	}
+	if wait, ok := a.checks.take(now, a.config.ChecksPerSecond); !ok {
+		return a.busy(call, wait), nil
+	}
+	a.waiting[hash] = append(a.waiting[hash], call)
+	a.waitingCalls++
+	a.Checked++
+	return nil, &SignatureJob{Token: call.Token, Key: key, hash: hash}
+}
+
+// checkKey says why a key can't verify a token of an algorithm. A retired key can: a retry of an admitted request may
+// come by it.
+func (a *Authenticator) checkKey(now time.Duration, key *Key, id string, algorithm Algorithm) Reason {
+	unix := now + a.clockOffset
+	switch {
+	case key == nil:
+		return UnknownKey
+	case key.Algorithm != algorithm:
+		return WrongAlgorithm
+	case a.revoked.Has(unix, RevokedKey, id):
+		return Revoked
+	case key.State(unix) == KeyPending:
+		return NotYetValid
+	}
+	return Allowed
+}
+
+// chargeCaller charges one token that is more than a look-up to the caller's connection and to its source. It returns
+// how long to stay away where a budget is used up.
+func (a *Authenticator) chargeCaller(now time.Duration, caller *Caller) (wait time.Duration, ok bool) {
+	if wait, ok := caller.budget.take(now, a.config.ChecksPerConnection); !ok {
+		return wait, false
+	}
+	if caller.Source != nil {
+		return caller.Source.budget.take(now, a.config.ChecksPerSource)
+	}
+	return 0, true
+}
+
+// busy rejects a call whose signature can't be checked now.
+func (a *Authenticator) busy(call *Call, wait time.Duration) *Outcome {
+	a.Rejected++
+	return &Outcome{Call: call, Reason: Busy, Rule: noRule, Wait: wait}
+}
+
+// SignatureChecked takes the result of a job, and returns the outcomes of all calls that waited for it.
+func (a *Authenticator) SignatureChecked(
+	now time.Duration, job *SignatureJob, claims Claims, reason Reason,
+) (outcomes []*Outcome) {
+	calls := a.waiting[job.hash]
+	delete(a.waiting, job.hash)
+	a.waitingCalls -= len(calls)
+	validity := reason
+	if reason == Allowed {
+		validity = a.config.Policy.Check(now+a.clockOffset, &claims, a.keys, a.revoked)
+		a.cache.add(&verifiedToken{hash: job.hash, claims: claims, key: job.Key, wasValid: validity == Allowed})
+	}
+	for _, call := range calls {
+		if reason != Allowed {
+			call.Caller.badSignature()
+			outcomes = append(outcomes, a.decide(now, call, nil, reason))
+			continue
+		}
+		call.Caller.goodSignature()
+		outcomes = append(outcomes, a.decide(now, call, &claims, validity))
+	}
+	return outcomes
+}
+
+// Expire drops what has ended. Of the remembered tokens it looks at the maxTokens that were met longest ago: the
+// others are found as they are met.
+func (a *Authenticator) Expire(now time.Duration, maxTokens int) {
+	a.idempotencyKeys.expire(now)
+	unix := now + a.clockOffset
+	a.revoked.Expire(unix)
+	a.cache.expire(unix-a.config.Policy.Skew, maxTokens)
+}
+
+// decide joins who the caller is, what it may do, and the rule for idempotency keys. claims are those of a token
+// whose signature holds; nil: there is none. reason says whether they hold now.
+func (a *Authenticator) decide(now time.Duration, call *Call, claims *Claims, reason Reason) *Outcome {
+	outcome := &Outcome{Call: call, Reason: reason, Rule: noRule}
+	if claims != nil {
+		identifyByToken(outcome, claims)
+	} else if reason == Unsigned {
+		a.identifyUnsigned(now, outcome)
+	}
+	if mayBeAuthorized(outcome) {
+		a.authorize(now, outcome, claims)
+	}
+	if outcome.Reason == IdempotencyKeysFull {
+		outcome.Wait = idempotencyKeysFullWait
+	}
+	if outcome.Reason != Allowed {
+		a.Rejected++
+	} else if claims != nil || call.Caller.Tenant != "" {
+		call.Caller.admittedByCredential()
+	}
+	return outcome
+}
+
+// identifyByToken takes the caller's identity from its token, which may be bound to the connection's certificate.
+func identifyByToken(outcome *Outcome, claims *Claims) {
+	outcome.Tenant = claims.Tenant
+	outcome.Subject = claims.Subject
+	outcome.KeyID = claims.KeyID
+	isBound := claims.Thumbprint != ""
+	if outcome.Reason == Allowed && isBound && claims.Thumbprint != outcome.Call.Caller.Thumbprint {
+		outcome.Reason = WrongCertificate
+	}
+}
+
+// identifyUnsigned takes the identity of a caller without a token from its certificate, or from the rights.
+func (a *Authenticator) identifyUnsigned(now time.Duration, outcome *Outcome) {
+	caller := outcome.Call.Caller
+	if caller.Tenant != "" {
+		outcome.Tenant = caller.Tenant
+		outcome.Subject = caller.Subject
+		outcome.Reason = Allowed
+		if a.revoked.Has(now+a.clockOffset, RevokedSubject, outcome.Subject) {
+			outcome.Reason = Revoked
+		}
+		return
+	}
+	if tenant, ok := a.rights.Unsigned(); ok {
+		outcome.Tenant = tenant
+		outcome.Reason = Allowed
+	}
+}
+
+// mayBeAuthorized reports whether the rights decide about a call. A keyed call may be a retry of one that was
+// admitted before its token or key ended.
+func mayBeAuthorized(outcome *Outcome) bool {
+	if outcome.Tenant == "" {
+		return false
+	}
+	mayBeRetry := outcome.Call.Key != "" && (outcome.Reason == Expired || outcome.Reason == RetiredKey)
+	return outcome.Reason == Allowed || mayBeRetry
+}
+
+// authorize decides whether the caller's tenant may do what it wants, and whether the idempotency key is the
+// caller's.
+func (a *Authenticator) authorize(now time.Duration, outcome *Outcome, claims *Claims) {
+	call := outcome.Call
+	access := call.Access
+	access.Front = call.Caller.Front
+	access.Site = call.Caller.Site
+	if claims != nil && claims.Site != "" {
+		access.Site = claims.Site
+	}
+	decision := a.rights.Authorize(outcome.Tenant, access)
+	outcome.Rule = decision.Rule
+	if decision.Reason != Allowed {
+		outcome.Reason = decision.Reason
+	}
+	if call.Key != "" {
+		outcome.Reason = a.idempotencyKeys.Admit(now, KeyedCall{
+			Key:     call.Key,
+			Subject: outcome.Subject,
+			Tenant:  outcome.Tenant,
+			Reason:  outcome.Reason,
+			Window:  call.Window,
+		})
+	}
+}
--- a/internal/identity/revoke.go
+++ b/internal/identity/revocations.go
@@ -17,45 +17,52 @@
 	RevokedKey                           // all tokens that a key has signed
 )
 
-// String gives the word.
-func (w RevocationKind) String() string { return [...]string{"token", "subject", "key"}[w] }
+// String returns the word that operators read.
+func (k RevocationKind) String() string { return [...]string{"token", "subject", "key"}[k] }
 
-// revoked is one entry.
-type revoked struct {
-	what RevocationKind
+// revocation is one entry.
+type revocation struct {
+	kind RevocationKind
 	name string
 }
 
-// Revocations is what was revoked, each until the last token that it names has ended. It is bounded: what there is no place
-// for is an error, since a revocation must not be lost in silence. It is not safe for concurrent use.
+// Revocations is what was revoked, each until the last token that it names has ended. It is bounded: what there is no
+// place for is an error, since a revocation must not be lost in silence. It is not safe for concurrent use.
 //
 // Invariant: an entry holds from Add until its time, and nothing is held after it once Expire has run.
-type Revocations struct{ entries *expiry.Set[revoked] }
+type Revocations struct{ entries *expiry.Set[revocation] }
 
 // NewRevocations returns an empty list of at most so many.
 func NewRevocations(limit int) *Revocations {
-	return &Revocations{entries: expiry.New[revoked](limit)}
+	return &Revocations{entries: expiry.New[revocation](limit)}
 }
 
 // Len returns the number of entries.
 func (r *Revocations) Len() int { return r.entries.Len() }
 
 // Add revokes something until a time. An entry is never shortened.
-func (r *Revocations) Add(what RevocationKind, name string, until time.Duration) error {
-	if !r.entries.Put(revoked{what, name}, until) {
+func (r *Revocations) Add(kind RevocationKind, name string, until time.Duration) error {
+	if !r.entries.Put(revocation{kind, name}, until) {
 		return fmt.Errorf("%d revocations are held, the most there may be", r.Len())
 	}
 	return nil
 }
 
 // Has reports whether something is revoked.
-func (r *Revocations) Has(now time.Duration, what RevocationKind, name string) bool {
+func (r *Revocations) Has(now time.Duration, kind RevocationKind, name string) bool {
 	if r == nil || r.Len() == 0 {
 		return false
 	}
-	until, known := r.entries.Until(revoked{what, name})
+	until, known := r.entries.Until(revocation{kind, name})
 	return known && now < until
 }
 
+// hasToken reports whether a token, its subject or its key is revoked.
+func (r *Revocations) hasToken(now time.Duration, claims *Claims) bool {
+	return r.Has(now, RevokedKey, claims.KeyID) ||
+		r.Has(now, RevokedSubject, claims.Subject) ||
+		r.Has(now, RevokedToken, claims.ID)
+}
+
 // Expire drops what has ended, and looks at nothing else. An entry has ended at its time.
 func (r *Revocations) Expire(now time.Duration) { r.entries.DropBefore(now + 1) }
--- /dev/null
+++ b/internal/identity/rights_test.go
@@ -0,0 +1,106 @@
+package identity
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+func TestRules(t *testing.T) {
+	r, err := NewRights([]Tenant{{Name: "a", Rules: rules(t,
+		"right lookup",
+		"right charge front=rpc,tls site=north group=0-31",
+		"deny lookup group=7",
+		"deny * object=00000000000000f0-00000000000000ff",
+		"deny lookup site=south",
+	)}}, "")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		name string
+		ask  Access
+		want Reason
+		rule int
+	}{
+		{"allowed", Access{Class: "lookup", Site: "north", Group: 3}, Allowed, 0},
+		{"no rule", Access{Class: "footage", Site: "north"}, NoRight, -1},
+		{"denied by its group", Access{Class: "lookup", Site: "north", Group: 7}, NoRight, 2},
+		{"a group that is not told may be the denied one",
+			Access{Class: "lookup", Site: "north", Group: -1}, NoRight, 2},
+		{"a site that is not told may be the denied one", Access{Class: "lookup", Group: 3}, NoRight, 4},
+		{"denied by the object", Access{Class: "lookup", Site: "north", Object: 0xf7}, NoRight, 3},
+		{"all that it needs", Access{Class: "charge", Front: "tls", Site: "north", Group: 31}, Allowed, 1},
+		{"another front", Access{Class: "charge", Front: "dns", Site: "north", Group: 3}, NoRight, -1},
+		{"another site", Access{Class: "charge", Front: "rpc", Site: "east", Group: 3}, NoRight, -1},
+		{"a site that is not told allows nothing", Access{Class: "charge", Front: "rpc", Group: 3}, NoRight, -1},
+		{"beyond its groups", Access{Class: "charge", Front: "rpc", Site: "north", Group: 32}, NoRight, -1},
+		{"a group that is not told allows nothing",
+			Access{Class: "charge", Front: "rpc", Site: "north", Group: -1}, NoRight, -1},
+	} {
+		if got := r.Authorize("a", c.ask); got != (Decision{c.want, c.rule}) {
+			t.Errorf("%s: %v by rule %d, want %v by %d", c.name, got.Reason, got.Rule, c.want, c.rule)
+		}
+	}
+	if got := r.Authorize("b", Access{Class: "lookup"}); got.Reason != UnknownTenant {
+		t.Errorf("an unknown tenant: %v", got.Reason)
+	}
+	for _, text := range []string{
+		"", "front=rpc", "x front=http", "x group=9-3", "x group=-1", "x object=xyz", "x site=", "x colour=red",
+	} {
+		if _, err := ParseRule(false, strings.Fields(text)); err == nil {
+			t.Errorf("rule %q: no error", text)
+		}
+	}
+}
+
+// TestRightsAgainstAWalk compares random rules and questions with the plainest way to decide: every rule, in turn.
+func TestRightsAgainstAWalk(t *testing.T) {
+	classes := []string{"a", "b", "c"}
+	rapid.Check(t, func(t *rapid.T) {
+		var all []Rule
+		var texts []string
+		for range rapid.IntRange(0, 8).Draw(t, "rules") {
+			words := []string{rapid.SampledFrom(append(classes, "*")).Draw(t, "class")}
+			if rapid.Bool().Draw(t, "front") {
+				words = append(words, "front="+rapid.SampledFrom(Fronts).Draw(t, "which"))
+			}
+			if rapid.Bool().Draw(t, "group") {
+				from, to := rapid.IntRange(0, 2).Draw(t, "from"), rapid.IntRange(2, 4).Draw(t, "to")
+				words = append(words, fmt.Sprint("group=", from, "-", to))
+			}
+			deny := rapid.IntRange(0, 2).Draw(t, "deny") == 0
+			r, err := ParseRule(deny, words)
+			if err != nil {
+				t.Fatal(err)
+			}
+			all, texts = append(all, r), append(texts, fmt.Sprint(deny, words))
+		}
+		rights, err := NewRights([]Tenant{{Name: "x", Rules: all}}, "")
+		if err != nil {
+			t.Fatal(err)
+		}
+		ask := Access{
+			Class: rapid.SampledFrom(classes).Draw(t, "asked"),
+			Front: rapid.SampledFrom(Fronts).Draw(t, "by"),
+			Group: rapid.IntRange(-1, 5).Draw(t, "in"),
+		}
+		allowed, denied := false, false
+		for i := range all {
+			r := &all[i]
+			class := slices.Contains(r.Classes, ask.Class) || slices.Contains(r.Classes, "*")
+			front := len(r.Fronts) == 0 || slices.Contains(r.Fronts, ask.Front)
+			inGroup := ask.Group >= 0 && len(r.Groups) > 0 && r.Groups[0].has(uint64(ask.Group))
+			group := len(r.Groups) == 0 || inGroup || r.Deny && ask.Group < 0
+			if class && front && group {
+				allowed, denied = allowed || !r.Deny, denied || r.Deny
+			}
+		}
+		if got := rights.Authorize("x", ask).Reason == Allowed; got != (allowed && !denied) {
+			t.Fatalf("%+v by %v: allowed %v, want %v", ask, texts, got, allowed && !denied)
+		}
+	})
+}
--- a/internal/identity/source_test.go
+++ b/internal/identity/source_test.go
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-// TestSources: an address is one source, and so is an IPv6 network of 64 bits; the number held is bounded, and the source that
-// was met longest ago makes way. The plain model is a list in the order of meeting.
+// TestSources: an address is one source, and so is an IPv6 network of 64 bits; the number held is bounded, and the
+// source that was met longest ago makes way. The plain model is a list in the order of meeting.
 func TestSources(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		most := rapid.IntRange(1, 8).Draw(t, "most")
-		s := NewSources(most)
+		maxSources := rapid.IntRange(1, 8).Draw(t, "sources")
+		s := NewSources(maxSources)
 		var order []string // the newest last
 		of := map[string]*Source{}
 		for range rapid.IntRange(1, 200).Draw(t, "meetings") {
@@ -42,7 +42,7 @@
 				}
 			}
 			order, of[name] = append(order, name), got
-			if len(order) > most {
+			if len(order) > maxSources {
 				order = order[1:]
 			}
 			for _, o := range order {
@@ -57,25 +57,25 @@
 	})
 }
 
-// TestPaced: a flood of bad tokens has its connection paced, and a new connection from there until something of it is admitted;
-// not others; and a second after it ends all is as before.
+// TestPaced: a flood of bad tokens has its connection paced, and a new connection from there until something of it is
+// admitted; not others; and a second after it ends all is as before.
 func TestPaced(t *testing.T) {
 	m := newMaker(t)
 	ed := m.key("k1", EdDSA)
-	g := gateWith(t, ed)
+	g := newTestAuthenticator(t, ed)
 	now := start
 	sources := NewSources(10)
 	here, there := netip.MustParseAddr("127.0.0.1"), netip.MustParseAddr("127.0.0.2")
 	flood := &Caller{Front: "rpc", Source: sources.Of(here)}
 	good := m.token(ed, nil)
 	proven := &Caller{Front: "rpc", Source: sources.Of(here)}
-	if o := call(g, now, &Call{Caller: proven, Token: good, Access: Access{Class: "charge"}}); o.Reason != Allowed {
+	if o := call(g, now, &Call{Caller: proven, Token: good, Access: charge}); o.Reason != Allowed {
 		t.Fatalf("a good token: %v", o.Reason)
 	}
 	jobs, busy := 0, 0
 	for i := range 2000 {
 		now += 100 * time.Microsecond
-		o, j := g.Authenticate(now, &Call{Caller: flood, Token: fmt.Sprintf("%s%06d", good[:len(good)-6], i), Access: Access{Class: "charge"}})
+		o, j := g.Authenticate(now, &Call{Caller: flood, Token: badToken(good, i), Access: charge})
 		if j != nil {
 			jobs++
 			claims, reason := Verify(j.Token, j.Key)
@@ -84,14 +84,14 @@
 			busy++
 		}
 	}
-	if jobs > 2*newTokens || busy < 1900 {
+	if jobs > 2*newBucketTokens || busy < 1900 {
 		t.Errorf("%d signatures of the flood were checked, %d held off", jobs, busy)
 	}
 	bought := 0
 	for i := range 400 {
 		now += 500 * time.Microsecond
 		c := &Caller{Front: "rpc", Source: sources.Of(here)}
-		if _, j := g.Authenticate(now, &Call{Caller: c, Token: fmt.Sprintf("%s%06d", good[:len(good)-6], 500_000+i), Access: Access{Class: "charge"}}); j != nil {
+		if _, j := g.Authenticate(now, &Call{Caller: c, Token: badToken(good, 500_000+i), Access: charge}); j != nil {
 			bought++
 			claims, reason := Verify(j.Token, j.Key)
 			g.SignatureChecked(now, j, claims, reason)
@@ -105,19 +105,23 @@
 	for name, c := range map[string]struct {
 		caller *Caller
 		want   bool
-	}{"the flood": {flood, true}, "a new connection from there": {again, true}, "one that was admitted before": {proven, false},
-		"another source": {elsewhere, false}} {
+	}{
+		"the flood":                    {flood, true},
+		"a new connection from there":  {again, true},
+		"one that was admitted before": {proven, false},
+		"another source":               {elsewhere, false},
+	} {
 		if c.caller.Paced(now) != c.want {
 			t.Errorf("%s: paced %v, want %v", name, !c.want, c.want)
 		}
 	}
-	if o := call(g, now, &Call{Caller: again, Token: good, Access: Access{Class: "charge"}}); o.Reason != Allowed || again.Paced(now) {
+	if o := call(g, now, &Call{Caller: again, Token: good, Access: charge}); o.Reason != Allowed || again.Paced(now) {
 		t.Errorf("a remembered token on the new connection: %v, still paced %v", o.Reason, again.Paced(now))
 	}
 	if !flood.Paced(now - time.Millisecond) {
 		t.Error("within a round that began before its last call the flood is not paced")
 	}
-	if now += heldFor + time.Millisecond; flood.Paced(now) {
+	if now += rejectionMemory + time.Millisecond; flood.Paced(now) {
 		t.Error("the flood is paced for longer than it is remembered")
 	}
 }
--- a/internal/identity/token.go
+++ b/internal/identity/token.go
@@ -2,28 +2,45 @@
 
 import (
 	"errors"
+	"slices"
 	"strings"
 	"time"
 
 	"github.com/golang-jwt/jwt/v5"
 )
 
-// MaxTokenBytes is the longest token that is looked at, in bytes.
-const MaxTokenBytes = 4096
+// What a token may have at most, in bytes.
+const (
+	MaxTokenBytes = 4096 // of a token that is looked at
+
+	maxSubjectBytes = 256
+	maxTenantBytes  = 256
+	maxTokenIDBytes = 128
+)
+
+// Members of a token's header (RFC 7515, section 4.1).
+const (
+	headerKeyID     = "kid"
+	headerAlgorithm = "alg"
+	headerCritical  = "crit"
+)
 
 // Claims is what a verified token says. Times are on the Unix clock.
 type Claims struct {
-	ID, Subject, Tenant string
-	KeyID               string
-	Site                string
-	Thumbprint          string // of the client certificate that it is bound to (RFC 8705); empty: to none
-	NotBefore, Expires  time.Duration
-	Issued              time.Duration
-	audience            []string
+	ID         string
+	Subject    string
+	Tenant     string
+	KeyID      string        // of the key that signed it
+	Site       string        // that its subject calls from; empty: not told
+	Thumbprint string        // of the client certificate that it is bound to (RFC 8705); empty: to none
+	NotBefore  time.Duration // 0: not told
+	Expires    time.Duration
+	Issued     time.Duration // 0: not told
+	audience   []string
 }
 
-// body is a token's claims in JSON.
-type body struct {
+// tokenBody is a token's claims in JSON.
+type tokenBody struct {
 	jwt.RegisteredClaims
 	Tenant       string `json:"tenant"`
 	Site         string `json:"site,omitempty"`
@@ -34,12 +51,13 @@
 
 // Policy is what tokens are held to beside their signature.
 type Policy struct {
-	Audience    string
+	Audience    string        // that tokens must be for; empty: any
 	Skew        time.Duration // of the callers' clocks, either way
 	MaxLifetime time.Duration // a token may be valid for so long at most; 0: any time
 }
 
-// ParseHeader reads a token's key id and algorithm, read without its signature: it says which key to look for and nothing more.
+// ParseHeader reads a token's key id and algorithm without checking its signature: it says which key to look for and
+// nothing more.
 func ParseHeader(token string) (keyID string, algorithm Algorithm, reason Reason) {
 	if token == "" {
 		return "", "", Unsigned
@@ -47,89 +65,105 @@
 	if len(token) > MaxTokenBytes || strings.Count(token, ".") != 2 {
 		return "", "", Malformed
 	}
-	var b body
-	parsed, _, err := jwt.NewParser().ParseUnverified(token, &b)
+	var body tokenBody
+	parsed, _, err := jwt.NewParser().ParseUnverified(token, &body)
 	if err != nil {
 		return "", "", Malformed
 	}
-	id, ok := parsed.Header["kid"].(string)
-	if !ok || ValidID(id) != nil || parsed.Header["crit"] != nil {
+	id, ok := parsed.Header[headerKeyID].(string)
+	if !ok || ValidID(id) != nil || parsed.Header[headerCritical] != nil {
 		return "", "", Malformed
 	}
-	alg, _ := parsed.Header["alg"].(string)
-	if a := Algorithm(alg); a == EdDSA || a == ES256 {
-		return id, a, Allowed
+	name, _ := parsed.Header[headerAlgorithm].(string)
+	if algorithm := Algorithm(name); algorithm == EdDSA || algorithm == ES256 {
+		return id, algorithm, Allowed
 	}
 	return id, "", WrongAlgorithm
 }
 
-// Verify checks a token's signature by a key, and reads its claims. It costs what a signature costs, and may run anywhere:
-// it touches nothing but its arguments. Whether the claims hold at a time is Check's to say.
-func Verify(token string, k *Key) (Claims, Reason) {
-	var b body
+// Verify checks a token's signature by a key, and reads its claims. It costs what a signature costs, and may run
+// anywhere: it touches nothing but its arguments. Whether the claims hold at a time is Policy.Check's to say.
+func Verify(token string, key *Key) (Claims, Reason) {
+	var body tokenBody
 	// The algorithm is the key's, whatever the token says.
-	parser := jwt.NewParser(jwt.WithValidMethods([]string{string(k.Algorithm)}), jwt.WithoutClaimsValidation())
-	_, err := parser.ParseWithClaims(token, &b, func(t *jwt.Token) (any, error) { return k.Public, nil })
-	switch {
-	case err == nil:
-	case errors.Is(err, jwt.ErrTokenSignatureInvalid):
-		return Claims{}, Signature
-	default:
+	methods := jwt.WithValidMethods([]string{string(key.Algorithm)})
+	parser := jwt.NewParser(methods, jwt.WithoutClaimsValidation())
+	_, err := parser.ParseWithClaims(token, &body, func(*jwt.Token) (any, error) { return key.Public, nil })
+	if errors.Is(err, jwt.ErrTokenSignatureInvalid) {
+		return Claims{}, BadSignature
+	}
+	if err != nil || !body.isComplete() {
 		return Claims{}, Malformed
 	}
-	c := Claims{ID: b.ID, Subject: b.Subject, Tenant: b.Tenant, KeyID: k.ID, Site: b.Site, Thumbprint: b.Confirmation.Thumbprint}
-	for date, to := range map[*jwt.NumericDate]*time.Duration{b.NotBefore: &c.NotBefore, b.ExpiresAt: &c.Expires, b.IssuedAt: &c.Issued} {
-		if date != nil {
-			*to = time.Duration(date.UnixNano())
-		}
+	return Claims{
+		ID:         body.ID,
+		Subject:    body.Subject,
+		Tenant:     body.Tenant,
+		KeyID:      key.ID,
+		Site:       body.Site,
+		Thumbprint: body.Confirmation.Thumbprint,
+		NotBefore:  sinceEpoch(body.NotBefore),
+		Expires:    sinceEpoch(body.ExpiresAt),
+		Issued:     sinceEpoch(body.IssuedAt),
+		audience:   body.Audience,
+	}, Allowed
+}
+
+// isComplete reports whether a token says all that it must, within the bounds.
+func (b *tokenBody) isComplete() bool {
+	return b.Subject != "" && len(b.Subject) <= maxSubjectBytes &&
+		b.ID != "" && len(b.ID) <= maxTokenIDBytes &&
+		b.Tenant != "" && len(b.Tenant) <= maxTenantBytes &&
+		sinceEpoch(b.ExpiresAt) > 0
+}
+
+// sinceEpoch returns a date on the Unix clock; 0: there is none.
+func sinceEpoch(date *jwt.NumericDate) time.Duration {
+	if date == nil {
+		return 0
 	}
-	if c.Subject == "" || c.ID == "" || c.Expires <= 0 || c.Tenant == "" || len(c.Subject) > 256 || len(c.ID) > 128 || len(c.Tenant) > 256 {
-		return Claims{}, Malformed
+	return time.Duration(date.UnixNano())
+}
+
+// numericDate is the reverse of sinceEpoch.
+func numericDate(sinceEpoch time.Duration) *jwt.NumericDate {
+	if sinceEpoch <= 0 {
+		return nil
 	}
-	c.audience = b.Audience
-	return c, Allowed
+	return jwt.NewNumericDate(time.Unix(0, int64(sinceEpoch)))
 }
 
 // Check says whether claims hold at a time: their own times and audience, their key, and what was revoked.
-func (p *Policy) Check(now time.Duration, c *Claims, keys *Keys, revoked *Revocations) Reason {
-	return p.check(now, c, keys, revoked, false)
+func (p *Policy) Check(now time.Duration, claims *Claims, keys *Keys, revoked *Revocations) Reason {
+	return p.check(now, claims, keys, revoked, false)
 }
 
-// check is Check; begun says that key and token were in force before: a clock that is set back does not undo that.
-func (p *Policy) check(now time.Duration, c *Claims, keys *Keys, revoked *Revocations, begun bool) Reason {
-	k := keys.Get(c.KeyID)
+// check is Check; wasValid says that key and token were valid before: a clock that is set back does not undo that.
+func (p *Policy) check(now time.Duration, claims *Claims, keys *Keys, revoked *Revocations, wasValid bool) Reason {
+	key := keys.Get(claims.KeyID)
 	switch {
-	case k == nil:
+	case key == nil:
 		return UnknownKey
-	case revoked.Has(now, RevokedKey, c.KeyID), revoked.Has(now, RevokedSubject, c.Subject), revoked.Has(now, RevokedToken, c.ID):
+	case revoked.hasToken(now, claims):
 		return Revoked
-	case k.State(now) == KeyRetired:
-		return Retired
-	case k.State(now) == KeyPending && !begun:
-		return NotYet
-	case p.Audience != "" && !contains(c.audience, p.Audience):
-		return Audience
-	case now >= c.Expires+p.Skew:
+	case key.State(now) == KeyRetired:
+		return RetiredKey
+	case key.State(now) == KeyPending && !wasValid:
+		return NotYetValid
+	case p.Audience != "" && !slices.Contains(claims.audience, p.Audience):
+		return WrongAudience
+	case now >= claims.Expires+p.Skew:
 		return Expired
-	case c.NotBefore > 0 && now < c.NotBefore-p.Skew && !begun:
-		return NotYet
-	case p.MaxLifetime > 0 && c.Expires-max(c.Issued, c.NotBefore) > p.MaxLifetime:
+	case claims.NotBefore > 0 && now < claims.NotBefore-p.Skew && !wasValid:
+		return NotYetValid
+	case p.MaxLifetime > 0 && claims.Expires-max(claims.Issued, claims.NotBefore) > p.MaxLifetime:
 		return Malformed
 	}
 	return Allowed
 }
 
-func contains(list []string, s string) bool {
-	for _, x := range list {
-		if x == s {
-			return true
-		}
-	}
-	return false
-}
-
-// Sign makes a token; key is an ed25519.PrivateKey or an *ecdsa.PrivateKey, of the algorithm and id told.
-func Sign(c Claims, audience string, algorithm Algorithm, keyID string, key any) (string, error) {
+// Sign makes a token; key is an ed25519.PrivateKey or an *ecdsa.PrivateKey, of the algorithm and the id.
+func Sign(claims Claims, audience string, algorithm Algorithm, keyID string, key any) (string, error) {
 	var method jwt.SigningMethod
 	switch algorithm {
 	case EdDSA:
@@ -139,33 +173,30 @@
 	default:
 		return "", errors.New("no such algorithm: " + string(algorithm))
 	}
-	b := body{Tenant: c.Tenant, Site: c.Site}
-	b.ID, b.Subject = c.ID, c.Subject
-	b.Confirmation.Thumbprint = c.Thumbprint
+	body := tokenBody{Tenant: claims.Tenant, Site: claims.Site}
+	body.ID = claims.ID
+	body.Subject = claims.Subject
+	body.Confirmation.Thumbprint = claims.Thumbprint
 	if audience != "" {
-		b.Audience = jwt.ClaimStrings{audience}
-	}
-	date := func(d time.Duration) *jwt.NumericDate {
-		if d <= 0 {
-			return nil
-		}
-		return jwt.NewNumericDate(time.Unix(0, int64(d)))
+		body.Audience = jwt.ClaimStrings{audience}
 	}
-	b.NotBefore, b.ExpiresAt, b.IssuedAt = date(c.NotBefore), date(c.Expires), date(c.Issued)
-	t := jwt.NewWithClaims(method, b)
-	t.Header["kid"] = keyID
-	return t.SignedString(key)
+	body.NotBefore = numericDate(claims.NotBefore)
+	body.ExpiresAt = numericDate(claims.Expires)
+	body.IssuedAt = numericDate(claims.Issued)
+	token := jwt.NewWithClaims(method, body)
+	token.Header[headerKeyID] = keyID
+	return token.SignedString(key)
 }
 
 // ParseUnverified returns what a token says, whether or not its signature holds.
-func ParseUnverified(token string) (head, claims map[string]any, err error) {
+func ParseUnverified(token string) (header, claims map[string]any, err error) {
 	if len(token) > MaxTokenBytes {
 		return nil, nil, errors.New("the token is too long")
 	}
-	m := jwt.MapClaims{}
-	parsed, _, err := jwt.NewParser().ParseUnverified(token, m)
+	body := jwt.MapClaims{}
+	parsed, _, err := jwt.NewParser().ParseUnverified(token, body)
 	if err != nil {
 		return nil, nil, err
 	}
-	return parsed.Header, m, nil
+	return parsed.Header, body, nil
 }
