--- a/internal/identity/files/files.go
+++ b/internal/identity/files/files.go
@@ -14,73 +14,99 @@
 )
 
 const (
-	poll   = time.Second
-	settle = 20 * time.Millisecond // a writer may touch several files
+	pollInterval = time.Second
+	settleTime   = 20 * time.Millisecond // after a notice: a writer may touch several files
 )
 
-// Fingerprint changes when one of the files does, as far as size, times and mode tell. A path that is empty or that
-// leads nowhere is passed over.
-func Fingerprint(paths ...string) (out string) {
+// Fingerprint returns a text that changes when one of the files does, as far as size, times and mode tell. A path
+// that is empty or that leads nowhere is passed over.
+func Fingerprint(paths ...string) string {
+	fingerprint := ""
 	for _, path := range paths {
 		if info, err := os.Stat(path); path != "" && err == nil {
-			out += fmt.Sprint(path, info.Size(), info.ModTime().UnixNano(), info.Mode(), ";")
+			fingerprint += fmt.Sprint(path, info.Size(), info.ModTime().UnixNano(), info.Mode(), ";")
 		}
 	}
-	return out
+	return fingerprint
 }
 
-// Watch calls changed whenever signature gives something else than before, within a poll of a second at the latest,
-// until stop is closed. Where changed fails by an error of the system, as EIO, it is called again with the next
-// poll: nothing may change again. folders are those whose notices are heeded. It blocks.
-func Watch(stop <-chan struct{}, folders []string, signature func() string, changed func() error) {
-	var events chan fsnotify.Event
-	var faults chan error
-	w, err := fsnotify.NewWatcher()
-	if err == nil {
-		defer w.Close()
-		events, faults = w.Events, w.Errors
-	}
-	last, unread := signature(), false
-	tick := time.NewTicker(poll)
-	defer tick.Stop()
-	for first := true; ; first = false {
-		if first {
-			for _, f := range folders {
-				if w != nil && f != "" {
-					_ = w.Add(f) // the poll stands in for one that can't be watched
-				}
-			}
-		} else {
-			select {
-			case <-stop:
-				return
-			case <-faults: // the poll finds what it did not tell
-			case <-events:
-				time.Sleep(settle)
-			case <-tick.C:
-				for _, f := range folders { // it may have been away
-					if w != nil && f != "" {
-						_ = w.Add(f)
-					}
-				}
-			}
+// Watch calls changed whenever fingerprint returns something else than before, within a poll of a second at the
+// latest, until stop is closed. Where changed fails by an error of the system, as EIO, it is called again with the
+// next poll: the files may not change again. Notices come of folders, in which the files are. It blocks.
+func Watch(stop <-chan struct{}, folders []string, fingerprint func() string, changed func() error) {
+	notices := newNotifier(folders)
+	defer notices.close()
+	poll := time.NewTicker(pollInterval)
+	defer poll.Stop()
+	last := fingerprint()
+	unread := false // the last change could not be read
+	notices.watchFolders()
+	for {
+		if current := fingerprint(); current != last || unread {
+			last = current
+			unread = isSystemError(changed())
+		}
+		select {
+		case <-stop:
+			return
+		case <-notices.faults: // the poll finds what the system did not tell
+		case <-notices.events:
+			time.Sleep(settleTime)
+		case <-poll.C:
+			notices.watchFolders()
 		}
-		if now := signature(); now != last || unread {
-			last = now
-			var errno syscall.Errno
-			unread = errors.As(changed(), &errno)
+	}
+}
+
+// isSystemError reports whether an error comes from the system: another attempt may succeed.
+func isSystemError(err error) bool {
+	var errno syscall.Errno
+	return errors.As(err, &errno)
+}
+
+// notifier gets the system's notices of folders. Where there is no such service its channels are nil.
+type notifier struct {
+	folders []string
+	watcher *fsnotify.Watcher // nil: there is no such service
+	events  chan fsnotify.Event
+	faults  chan error
+}
+
+func newNotifier(folders []string) *notifier {
+	watcher, err := fsnotify.NewWatcher()
+	if err != nil {
+		return &notifier{folders: folders}
+	}
+	return &notifier{folders: folders, watcher: watcher, events: watcher.Events, faults: watcher.Errors}
+}
+
+// watchFolders asks for the notices of all folders: one may have been away meanwhile.
+func (n *notifier) watchFolders() {
+	if n.watcher == nil {
+		return
+	}
+	for _, folder := range n.folders {
+		if folder != "" {
+			_ = n.watcher.Add(folder) // the poll stands in for one that can't be watched
 		}
 	}
 }
 
-// Folders gives the folders of files, each once.
-func Folders(paths ...string) (out []string) {
+func (n *notifier) close() {
+	if n.watcher != nil {
+		_ = n.watcher.Close()
+	}
+}
+
+// Folders returns the folders of files, each once. Empty paths are passed over.
+func Folders(paths ...string) []string {
+	var folders []string
 	seen := map[string]bool{}
 	for _, path := range paths {
-		if dir := filepath.Dir(path); path != "" && !seen[dir] {
-			seen[dir] = true
-			out = append(out, dir)
+		if folder := filepath.Dir(path); path != "" && !seen[folder] {
+			seen[folder] = true
+			folders = append(folders, folder)
 		}
 	}
-	return out
+	return folders
 }
--- a/internal/identity/files/files_test.go
+++ b/internal/identity/files/files_test.go
@@ -41,7 +41,7 @@
 					return nil
 				})
 			}()
-			time.Sleep(4 * poll) // within which the calls are counted
+			time.Sleep(4 * pollInterval) // within which the calls are counted
 			close(stop)
 			<-stopped
 			if len(calls) != c.want {
--- a/internal/identity/keydir/keydir_test.go
+++ b/internal/identity/keydir/keydir_test.go
@@ -33,8 +33,8 @@
 	return dir, keys
 }
 
-// TestRoundTrip: what is written is read as it was, tokens are signed and verified by it, and private halves are their
-// owner's alone.
+// TestRoundTrip: what is written is read as it was, tokens are signed and verified by it, and private halves are
+// their owner's alone.
 func TestRoundTrip(t *testing.T) {
 	dir, keys := made(t)
 	if err := Revoke(dir, now, Revocation{identity.RevokedSubject, "s1", now + time.Hour}); err != nil {
@@ -59,7 +59,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		token, err := identity.Sign(identity.Claims{ID: "t1", Subject: "s1", Tenant: "lanes", Expires: now}, "", k.Algorithm, k.ID, private)
+		signed := identity.Claims{ID: "t1", Subject: "s1", Tenant: "lanes", Expires: now}
+		token, err := identity.Sign(signed, "", k.Algorithm, k.ID, private)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -88,7 +89,8 @@
 	}
 }
 
-// TestRefused: a directory that is not whole is refused with the file and the reason, at every length of a half-written set.
+// TestRefused: a directory that is not whole is refused with the file and the reason, at every length of a
+// half-written set.
 func TestRefused(t *testing.T) {
 	dir, _ := made(t)
 	path := filepath.Join(dir, "keys.json")
@@ -114,7 +116,8 @@
 		"a private key":       {strings.Replace(string(sound), `"kid"`, `"d": "AAAA", "kid"`, 1), 0o644, "private key"},
 		"an id with a path":   {strings.Replace(string(sound), `"k1"`, `"../k1"`, 1), 0o644, "key id"},
 		"an odd algorithm":    {strings.Replace(string(sound), `"EdDSA"`, `"HS256"`, 1), 0o644, "expected OKP"},
-		"an odd time":         {strings.Replace(string(sound), `"not_before": "2`, `"not_before": "x`, 1), 0o644, "not_before"},
+		"an odd time": {strings.Replace(string(sound), `"not_before": "2`, `"not_before": "x`, 1), 0o644,
+			"not_before"},
 		"something behind it": {string(sound) + "{}", 0o644, "something follows"},
 		"a point on no curve": {strings.Replace(string(sound), `"y": "`, `"y": "A`, 1), 0o644, "y: expected 32 bytes"},
 	} {
--- a/internal/identity/keydir/stored_test.go
+++ b/internal/identity/keydir/stored_test.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestStoredTokens verifies tokens that an earlier build signed with the stored keys. The one by Ed25519, which always
-// signs alike, is signed anew as the same text.
+// TestStoredTokens verifies tokens that an earlier build signed with the stored keys. The one by Ed25519, which
+// always signs alike, is signed anew as the same text.
 func TestStoredTokens(t *testing.T) {
 	dir := storedDirectory(t)
 	content, err := Read(dir)
--- a/internal/identity/tlsclient/tlsclient.go
+++ b/internal/identity/tlsclient/tlsclient.go
@@ -1,4 +1,5 @@
-// Package tlsclient connects by TLS to boxes and to the catalogue, with certificates and authorities that change in service.
+// Package tlsclient connects by TLS to endpoints and to the catalogue, with certificates and authorities that change
+// in service.
 package tlsclient
 
 import (
@@ -15,6 +16,12 @@
 	"sloequay/internal/identity/files"
 )
 
+// maxSessions is how many far ends a session is remembered of, for a shorter handshake.
+const maxSessions = 256
+
+// othersMayUse is the permissions that the file of a key must not give.
+const othersMayUse = 0o077
+
 // Config is the settings of a Dialer.
 type Config struct {
 	CA         string           // file of the authorities that sign the far ends; empty: the system's
@@ -23,72 +30,85 @@
 	Now        func() time.Time // the Unix clock; nil: the system's
 }
 
-// Files are those whose change asks for Renew.
+// Files returns the files whose change asks for Dialer.Reload.
 func (c Config) Files() []string { return []string{c.CA, c.Cert, c.Key} }
 
 // Load reads the files, and checks that they fit one another.
 func (c Config) Load() (*tls.Config, error) {
-	out := &tls.Config{MinVersion: tls.VersionTLS13, Time: c.Now, ClientSessionCache: tls.NewLRUClientSessionCache(sessions)}
+	loaded := &tls.Config{
+		MinVersion:         tls.VersionTLS13,
+		Time:               c.Now,
+		ClientSessionCache: tls.NewLRUClientSessionCache(maxSessions),
+	}
 	if c.MinVersion != 0 {
-		out.MinVersion = c.MinVersion
+		loaded.MinVersion = c.MinVersion
 	}
 	if (c.Cert == "") != (c.Key == "") {
 		return nil, errors.New("tls: cert and key go together")
 	}
 	if c.Cert != "" {
-		pair, err := tls.LoadX509KeyPair(c.Cert, c.Key)
+		pair, err := c.loadCertificate()
 		if err != nil {
-			return nil, fmt.Errorf("tls: %s, %s: %w", c.Cert, c.Key, err)
+			return nil, err
 		}
-		if info, err := os.Stat(c.Key); err != nil || info.Mode().Perm()&0o077 != 0 {
-			return nil, fmt.Errorf("tls: %s: others can read it, or it is gone: %v", c.Key, err)
-		}
-		out.Certificates = []tls.Certificate{pair}
+		loaded.Certificates = []tls.Certificate{pair}
 	}
 	if c.CA != "" {
 		text, err := os.ReadFile(c.CA)
 		if err != nil {
 			return nil, fmt.Errorf("tls: %w", err)
 		}
-		out.RootCAs = x509.NewCertPool()
-		if !out.RootCAs.AppendCertsFromPEM(text) {
+		loaded.RootCAs = x509.NewCertPool()
+		if !loaded.RootCAs.AppendCertsFromPEM(text) {
 			return nil, fmt.Errorf("tls: %s: no certificate in it", c.CA)
 		}
 	}
-	return out, nil
+	return loaded, nil
 }
 
-// sessions is how many far ends a session is kept of, for a shorter handshake.
-const sessions = 256
+// loadCertificate reads our certificate, whose key only its owner may read.
+func (c Config) loadCertificate() (tls.Certificate, error) {
+	pair, err := tls.LoadX509KeyPair(c.Cert, c.Key)
+	if err != nil {
+		return pair, fmt.Errorf("tls: %s, %s: %w", c.Cert, c.Key, err)
+	}
+	if info, err := os.Stat(c.Key); err != nil || info.Mode().Perm()&othersMayUse != 0 {
+		return pair, fmt.Errorf("tls: %s: others can read it, or it is gone: %v", c.Key, err)
+	}
+	return pair, nil
+}
 
-// Dialer makes connections by the files as they were last found sound.
+// Dialer makes connections by the files as they were last found sound. It may be used by many goroutines at once.
 type Dialer struct {
-	cfg     Config
+	config  Config
 	current atomic.Pointer[tls.Config]
 }
 
-// New reads the files.
-func New(cfg Config) (*Dialer, error) {
-	d := &Dialer{cfg: cfg}
-	return d, d.Reload()
+// New reads the files and returns a dialer. With an error the dialer has no files yet: Reload may be called again.
+func New(config Config) (*Dialer, error) {
+	dialer := &Dialer{config: config}
+	return dialer, dialer.Reload()
 }
 
-// Reload reads the files again. Connections that stand go on; sessions under the old files are not taken up again, so that an
-// authority that is trusted no more is not trusted by one. With a fault the old files stay in force.
+// Reload reads the files again. Connections that stand go on; sessions under the old files are not taken up again, so
+// that an authority that is trusted no more is not trusted by one. With a fault the old files stay in force.
 func (d *Dialer) Reload() error {
-	next, err := d.cfg.Load()
-	if err == nil {
-		d.current.Store(next)
+	next, err := d.config.Load()
+	if err != nil {
+		return err
 	}
-	return err
+	d.current.Store(next)
+	return nil
 }
 
-// Watch renews whenever the files change, until stop is closed, and tells each time how it went. It blocks.
-func (d *Dialer) Watch(stop <-chan struct{}, told func(error)) {
-	paths := d.cfg.Files()
-	files.Watch(stop, files.Folders(paths...), func() string { return files.Fingerprint(paths...) }, func() error {
+// Watch reloads the files whenever they change, until stop is closed, and calls reloaded each time with the error, if
+// there is one. It blocks.
+func (d *Dialer) Watch(stop <-chan struct{}, reloaded func(error)) {
+	paths := d.config.Files()
+	fingerprint := func() string { return files.Fingerprint(paths...) }
+	files.Watch(stop, files.Folders(paths...), fingerprint, func() error {
 		err := d.Reload()
-		told(err)
+		reloaded(err)
 		return err
 	})
 }
@@ -99,9 +119,9 @@
 	if err != nil {
 		return nil, err
 	}
-	cfg := d.current.Load().Clone()
-	cfg.ServerName = name
-	conn := tls.Client(raw, cfg)
+	config := d.current.Load().Clone()
+	config.ServerName = name
+	conn := tls.Client(raw, config)
 	if err := conn.HandshakeContext(ctx); err != nil {
 		_ = raw.Close()
 		return nil, fmt.Errorf("tls: %w", err)
--- a/internal/identity/tlslistener/tlslistener_test.go
+++ b/internal/identity/tlslistener/tlslistener_test.go
@@ -15,7 +15,7 @@
 	"sloequay/internal/identity"
 )
 
-// opened starts a door whose connections are answered with what they send.
+// opened starts a listener whose connections are answered with what they send.
 func opened(t testing.TB) (*Listener, *emulator.Authority, *tls.Config) {
 	t.Helper()
 	ca, err := emulator.NewAuthority(t.TempDir())
@@ -26,7 +26,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := Open(Config{Listen: "127.0.0.1:0", Cert: cert, Key: key, ClientCA: ca.File, MaxHandshakes: 32, HandshakeTimeout: 5 * time.Second, MaxConnections: 1000, TicketKeyRotation: time.Hour},
+	config := Config{
+		Listen:            "127.0.0.1:0",
+		Cert:              cert,
+		Key:               key,
+		ClientCA:          ca.File,
+		MaxHandshakes:     32,
+		HandshakeTimeout:  5 * time.Second,
+		MaxConnections:    1000,
+		TicketKeyRotation: time.Hour,
+	}
+	d, err := Open(config,
 		func([]string) (string, string) { return "", "" },
 		func(conn net.Conn, _ identity.Caller) bool {
 			go func() {
@@ -62,6 +72,7 @@
 	if err != nil || os.Chmod(open, 0o644) != nil {
 		t.Fatal(err)
 	}
+	openCert := strings.TrimSuffix(open, "-key.pem") + ".pem"
 	for name, c := range map[string]struct {
 		cfg  Config
 		want string
@@ -69,10 +80,11 @@
 		"sound":                  {Config{Cert: cert, Key: key, ClientCA: ca.File}, ""},
 		"another's key":          {Config{Cert: cert, Key: other}, "other-key.pem"},
 		"no file":                {Config{Cert: "/nowhere", Key: key}, "/nowhere"},
-		"a key others can read":  {Config{Cert: strings.TrimSuffix(open, "-key.pem") + ".pem", Key: open}, "others can read it"},
+		"a key others can read":  {Config{Cert: openCert, Key: open}, "others can read it"},
 		"no authority in a file": {Config{Cert: cert, Key: key, ClientCA: key}, "no certificate in it"},
 	} {
-		if _, err := Load(c.cfg); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
+		_, err := Load(c.cfg)
+		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", name, err, c.want)
 		}
 	}
@@ -81,7 +93,7 @@
 // TestBackPressure: a side that does not read holds the other up, and nothing grows beyond the sockets' own buffers.
 func TestBackPressure(t *testing.T) {
 	d, _, cfg := opened(t)
-	conn, err := tls.Dial("tcp", d.ln.Addr().String(), cfg)
+	conn, err := tls.Dial("tcp", d.listener.Addr().String(), cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,7 +126,7 @@
 	}
 	cfg.Certificates = []tls.Certificate{pair}
 	one := func(b *testing.B, c *tls.Config, resumed bool) {
-		conn, err := tls.Dial("tcp", d.ln.Addr().String(), c)
+		conn, err := tls.Dial("tcp", d.listener.Addr().String(), c)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -145,8 +157,8 @@
 	})
 }
 
-// BenchmarkEcho is a small message there and back on a connection that stands: by the bare pair of sockets, and by TLS
-// and the pair behind it.
+// BenchmarkEcho is a small message there and back on a connection that stands: by the bare pair of sockets, and by
+// TLS and the pair behind it.
 func BenchmarkEcho(b *testing.B) {
 	d, _, cfg := opened(b)
 	run := func(conn net.Conn) func(*testing.B) {
@@ -170,7 +182,7 @@
 	defer ours.Close()
 	go func() { _, _ = io.Copy(theirs, theirs) }()
 	b.Run("pair", run(ours))
-	conn, err := tls.Dial("tcp", d.ln.Addr().String(), cfg)
+	conn, err := tls.Dial("tcp", d.listener.Addr().String(), cfg)
 	if err != nil {
 		b.Fatal(err)
 	}
--- /dev/null
+++ b/internal/identity/tsig/keys.go
@@ -0,0 +1,89 @@
+package tsig
+
+import (
+	"encoding/base64"
+	"fmt"
+	"slices"
+	"strings"
+
+	"github.com/miekg/dns"
+
+	"sloequay/internal/identity"
+)
+
+// Key is a shared secret and whose it is.
+type Key struct {
+	Name      string // a domain name
+	Algorithm string // one of Algorithms
+	Secret    string // base64
+	Tenant    string
+	Subject   string
+}
+
+// Algorithms are those that are accepted. MD5 and SHA-1 are not.
+var Algorithms = []string{"hmac-sha256", "hmac-sha384", "hmac-sha512"}
+
+// MaxKeys bounds a set.
+const MaxKeys = 4096
+
+// minSecretBytes is the shortest secret that is accepted: RFC 8945, section 8 asks for the hash's length.
+const minSecretBytes = 32
+
+// Keys is a set of keys, by name. It does not change. Nil is one without keys.
+type Keys struct{ byName map[string]*boundKey }
+
+// boundKey is a key with the caller that it stands for.
+type boundKey struct {
+	Key
+	caller identity.Caller
+}
+
+// New returns a set. An error names the key and what is wrong with it, never the secret.
+func New(all []Key) (*Keys, error) {
+	if len(all) > MaxKeys {
+		return nil, fmt.Errorf("%d keys, at most %d are held", len(all), MaxKeys)
+	}
+	keys := &Keys{byName: map[string]*boundKey{}}
+	for _, key := range all {
+		key.Name = dns.CanonicalName(key.Name)
+		if err := key.check(); err != nil {
+			return nil, err
+		}
+		if keys.byName[key.Name] != nil {
+			return nil, fmt.Errorf("key %s is there twice", key.Name)
+		}
+		caller := identity.Caller{Front: "dns", Tenant: key.Tenant, Subject: key.Subject}
+		keys.byName[key.Name] = &boundKey{Key: key, caller: caller}
+	}
+	return keys, nil
+}
+
+// check returns an error unless a key is sound.
+func (k *Key) check() error {
+	secret, err := base64.StdEncoding.DecodeString(k.Secret)
+	_, isName := dns.IsDomainName(k.Name)
+	switch {
+	case !isName || k.Name == ".":
+		return fmt.Errorf("key %.64q: the name is no domain name", k.Name)
+	case !slices.Contains(Algorithms, k.Algorithm):
+		expected := strings.Join(Algorithms, ", ")
+		return fmt.Errorf("key %s: algorithm %.32q: expected one of %s", k.Name, k.Algorithm, expected)
+	case err != nil || len(secret) < minSecretBytes:
+		return fmt.Errorf("key %s: the secret must be at least %d bytes in base64", k.Name, minSecretBytes)
+	case k.Tenant == "" || k.Subject == "":
+		return fmt.Errorf("key %s: tenant and subject are needed", k.Name)
+	}
+	return nil
+}
+
+// get returns the key that a record names, with its algorithm; nil: there is none.
+func (k *Keys) get(record *dns.TSIG) *boundKey {
+	if k == nil {
+		return nil
+	}
+	key := k.byName[dns.CanonicalName(record.Hdr.Name)]
+	if key == nil || dns.CanonicalName(record.Algorithm) != key.Algorithm+"." {
+		return nil
+	}
+	return key
+}
--- a/internal/identity/tsig/tsig_test.go
+++ b/internal/identity/tsig/tsig_test.go
@@ -16,7 +16,10 @@
 
 func keys(t testing.TB) *Keys {
 	t.Helper()
-	k, err := New([]Key{{"lane-3.", "hmac-sha256", secret, "lanes", "lane-3"}, {"old.", "hmac-sha512", secret, "lanes", "old"}})
+	k, err := New([]Key{
+		{"lane-3.", "hmac-sha256", secret, "lanes", "lane-3"},
+		{"old.", "hmac-sha512", secret, "lanes", "old"},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,10 +58,12 @@
 		{"an unknown key", "lane-4.", dns.HmacSHA256, secret, now, nil, dns.RcodeBadKey},
 		{"another algorithm", "lane-3.", dns.HmacSHA512, secret, now, nil, dns.RcodeBadKey},
 		{"another secret", "lane-3.", dns.HmacSHA256, other, now, nil, dns.RcodeBadSig},
-		{"a question that was changed", "lane-3.", dns.HmacSHA256, secret, now, func(b []byte) { b[14] ^= 1 }, dns.RcodeBadSig},
+		{"a question that was changed", "lane-3.", dns.HmacSHA256, secret, now, func(b []byte) { b[14] ^= 1 },
+			dns.RcodeBadSig},
 		{"an hour old", "lane-3.", dns.HmacSHA256, secret, now - time.Hour, nil, dns.RcodeBadTime},
 		{"a day ahead", "lane-3.", dns.HmacSHA256, secret, now + 24*time.Hour, nil, dns.RcodeBadTime},
-		{"older than is allowed here, within its own fudge", "lane-3.", dns.HmacSHA256, secret, now - 20*time.Second, nil, dns.RcodeBadTime},
+		{"older than is allowed here, within its own fudge", "lane-3.", dns.HmacSHA256, secret,
+			now - 20*time.Second, nil, dns.RcodeBadTime},
 		{"a little old", "lane-3.", dns.HmacSHA256, secret, now - 4*time.Second, nil, 0},
 	} {
 		packet, mac := query(t, c.key, c.algorithm, c.secret, c.at, c.change)
@@ -108,9 +113,14 @@
 
 func TestKeys(t *testing.T) {
 	sound := Key{"a.", "hmac-sha256", secret, "t", "s"}
-	for name, k := range map[string][]Key{"a name": {{".", "hmac-sha256", secret, "t", "s"}}, "an algorithm": {{"a.", "hmac-md5", secret, "t", "s"}},
-		"a short secret": {{"a.", "hmac-sha256", "AAAA", "t", "s"}}, "no base64": {{"a.", "hmac-sha256", "!", "t", "s"}},
-		"no tenant": {{"a.", "hmac-sha256", secret, "", "s"}}, "twice": {sound, {"A", "hmac-sha256", secret, "t", "s"}}} {
+	for name, k := range map[string][]Key{
+		"a name":         {{".", "hmac-sha256", secret, "t", "s"}},
+		"an algorithm":   {{"a.", "hmac-md5", secret, "t", "s"}},
+		"a short secret": {{"a.", "hmac-sha256", "AAAA", "t", "s"}},
+		"no base64":      {{"a.", "hmac-sha256", "!", "t", "s"}},
+		"no tenant":      {{"a.", "hmac-sha256", secret, "", "s"}},
+		"twice":          {sound, {"A", "hmac-sha256", secret, "t", "s"}},
+	} {
 		_, err := New(k)
 		if err == nil || strings.Contains(err.Error(), secret) {
 			t.Errorf("%s: %v", name, err)
@@ -134,8 +144,8 @@
 	f.Add(sound)
 	spoilt, _ := query(f, "lane-3.", dns.HmacSHA256, secret, now, func(b []byte) { b[len(b)-8] ^= 1 })
 	f.Add(spoilt)
-	k, asked := keys(f), &dns.Msg{}
-	if err := asked.Unpack(sound); err != nil {
+	k, signed := keys(f), &dns.Msg{}
+	if err := signed.Unpack(sound); err != nil {
 		f.Fatal(err)
 	}
 	f.Fuzz(func(t *testing.T, packet []byte) {
@@ -147,13 +157,16 @@
 		if err != nil || s == nil {
 			return
 		}
-		// The message's id, the case of names and what stands behind the message are not signed. All that is asked is.
-		if s.Error == 0 && (len(m.Question) != 1 || !strings.EqualFold(m.Question[0].String(), asked.Question[0].String()) ||
-			s.record.MAC != asked.IsTsig().MAC || s.record.TimeSigned != asked.IsTsig().TimeSigned || len(m.Answer)+len(m.Ns) > 0) {
+		// The message's id, the case of names and what stands behind the message are not signed. All that is asked
+		// is.
+		sameQuestion := len(m.Question) == 1 && strings.EqualFold(m.Question[0].String(), signed.Question[0].String())
+		sameSignature := s.record.MAC == signed.IsTsig().MAC && s.record.TimeSigned == signed.IsTsig().TimeSigned
+		if s.Error == 0 && (!sameQuestion || !sameSignature || len(m.Answer)+len(m.Ns) > 0) {
 			t.Fatalf("taken: %x", packet)
 		}
 		if len(m.Question) == 1 {
-			if _, err := s.Sign(new(dns.Msg).SetRcode(m, dns.RcodeNotAuth), now); err != nil && s.Error != dns.RcodeBadKey {
+			_, err := s.Sign(new(dns.Msg).SetRcode(m, dns.RcodeNotAuth), now)
+			if err != nil && s.Error != dns.RcodeBadKey {
 				t.Fatalf("the answer can't be signed: %v", err)
 			}
 		}
