--- a/internal/frontend/connlimit/connlimit.go
+++ b/internal/frontend/connlimit/connlimit.go
@@ -1,5 +1,28 @@
-// Package connlimit keeps the clients of a front within its descriptors and its patience: who has said nothing yet, who
-// has sent a part of a message, who is idle, and who makes way when a new one comes.
+// Package connlimit bounds the client connections of one frontend. It decides which of them is evicted, and when.
+//
+// A client is in one of four states:
+//
+//   - new: it has not sent a complete message yet;
+//   - busy: a request of it is open;
+//   - flushing: no request is open, and the system has not taken all of its responses;
+//   - idle: neither.
+//
+// Clients are evicted for these reasons alone:
+//
+//   - Where all places are taken and another client connects, one makes way: the longest connected of the new ones if
+//     it has had firstMessageGrace, else the longest idle one, else the longest connected of the new ones. Where
+//     there are neither new nor idle clients the other one is not admitted.
+//   - A new client that has not sent a complete message within MessageTimeout.
+//   - A client that has begun a message and not completed it within MessageTimeout, unless it is busy or flushing.
+//   - A client that has been idle for the limiter's idle time-out.
+//   - A flushing client of whose responses the system has taken nothing for the idle time-out.
+//   - With CloseIdle, each idle client that has not begun a message.
+//
+// Invariants: a busy client is never evicted, and a flushing one only in the case named above; there are never more
+// clients than the limiter was made for; each client is in at most one queue.
+//
+// A limiter does no I/O and asks no clock: the frontend tells it the time and what was read, and closes a connection
+// when its evict function is called. It is not safe for concurrent use.
 package connlimit
 
 import (
@@ -8,179 +31,125 @@
 )
 
 const (
-	// MessageTimeout is how long a client may take for its first message and for the rest of one that it has begun. A bad
-	// client is owed a refusal, an error or a close within 3 s.
+	// MessageTimeout is how long a client may take for its first message, and for the rest of one that it has begun.
+	// The protocol gives 3 s for the rejection, error or close that a bad client is due.
 	MessageTimeout = 2 * time.Second
-	// firstWithin is how long a new client stays for certain while there are idle ones.
-	firstWithin = 250 * time.Millisecond
+	// firstMessageGrace is how long a new client stays for certain while there are idle ones.
+	firstMessageGrace = 250 * time.Millisecond
 )
 
-// Limiter is all clients of one front. Clients that connect by hundreds and say nothing, or ask once and stay, must not
-// keep others out: when all places are taken one of those makes way.
-//
-// Invariant: who has something open is never bidden to leave; who has not taken all of its answers is only when it takes nothing for as
-// long as an idle one may stay.
+// Limiter is all client connections of one frontend.
 type Limiter struct {
-	most    int
-	patient time.Duration // with idle clients
-	count   int
-	fresh   *list.List // guests without a whole message yet, the oldest first
-	idle    *list.List // guests with nothing open and nothing unsent, the longest idle first
-	halves  map[*Client]bool
-	owed    map[*Client]bool // guests whose answers are on their way
-}
+	maxClients  int
+	idleTimeout time.Duration
+	count       int
+	fresh       *list.List // of *Client: the new ones, the longest connected first
+	idle        *list.List // of *Client: the idle ones, the longest idle first
 
-// Client is one client's connection.
-type Client struct {
-	lobby  *Limiter
-	bid    func()     // bids it leave: closes the connection
-	unsent func() int // bytes of its answers that the system has not taken
-	left   int        // of them when it was last looked at
-	since  time.Duration
-	half   time.Duration // when the message that is not whole was begun
-	asked  bool          // it has sent a whole message
-	busy   bool
-	gone   bool
-	queue  *list.List // that it is in: fresh, idle or, when it is busy, none
-	ticket *list.Element
+	partialMessages map[*Client]bool // clients that have begun a message and not completed it
+	unflushed       map[*Client]bool // the flushing clients
 }
 
-// New makes a lobby with a number of places. A guest with nothing open is bidden to leave after patient.
-func New(most int, patient time.Duration) *Limiter {
-	return &Limiter{most: most, patient: patient, fresh: list.New(), idle: list.New(), halves: map[*Client]bool{},
-		owed: map[*Client]bool{}}
+// New returns a limiter of at most maxClients connections. A client is idle for at most idleTimeout.
+func New(maxClients int, idleTimeout time.Duration) *Limiter {
+	return &Limiter{
+		maxClients:      maxClients,
+		idleTimeout:     idleTimeout,
+		fresh:           list.New(),
+		idle:            list.New(),
+		partialMessages: map[*Client]bool{},
+		unflushed:       map[*Client]bool{},
+	}
 }
 
-// Admit gives a client a place, or nil where all guests are busy. bid must close the connection and call Leave; unsent says how
-// many bytes of its answers the system has not taken.
-func (l *Limiter) Admit(now time.Duration, bid func(), unsent func() int) *Client {
-	if l.count >= l.most && !l.makeWay(now) {
+// Admit takes a new connection in, evicting another one where there is no place. It returns nil where nobody can make
+// way.
+//
+// The limiter calls evict when the client has to go: it must close the connection and call Remove. unsent returns how
+// many bytes of the client's responses the system has not taken.
+func (l *Limiter) Admit(now time.Duration, evict func(), unsent func() int) *Client {
+	if l.count >= l.maxClients && !l.evictOne(now) {
 		return nil
 	}
 	l.count++
-	g := &Client{lobby: l, bid: bid, unsent: unsent}
-	g.settle(now)
-	return g
+	client := &Client{limiter: l, evict: evict, unsent: unsent}
+	client.requeue(now)
+	return client
 }
 
-// Len is the number of guests.
+// Len returns the number of connections.
 func (l *Limiter) Len() int { return l.count }
 
-func (l *Limiter) makeWay(now time.Duration) bool {
+// evictOne makes a place, and reports whether it could.
+func (l *Limiter) evictOne(now time.Duration) bool {
 	if l.idle.Len() == 0 {
-		l.recount(now)
+		l.checkUnflushed(now)
 	}
-	victim := l.fresh.Front()
-	if victim == nil || now-victim.Value.(*Client).since < firstWithin {
-		if longest := l.idle.Front(); longest != nil {
-			victim = longest
+	victim := first(l.fresh)
+	if victim == nil || now-victim.since < firstMessageGrace {
+		if longestIdle := first(l.idle); longestIdle != nil {
+			victim = longestIdle
 		}
 	}
 	if victim == nil {
 		return false
 	}
-	victim.Value.(*Client).bid()
+	victim.evict()
 	return true
 }
 
-// Tick bids those leave whose time is over, and counts those that did not end a message.
-func (l *Limiter) Tick(now time.Duration) (halves int) {
-	for e := l.fresh.Front(); e != nil && now-e.Value.(*Client).since > MessageTimeout; e = l.fresh.Front() {
-		e.Value.(*Client).bid()
-	}
-	for e := l.idle.Front(); e != nil && now-e.Value.(*Client).since > l.patient; e = l.idle.Front() {
-		e.Value.(*Client).bid()
-	}
-	for g := range l.halves { // one that has something open stays: what it sent before the half was whole
-		if now-g.half > MessageTimeout && !g.busy && !l.owed[g] {
-			halves++
-			g.bid()
+// Tick evicts the clients whose time is over. It returns how many of them had not completed a message that they had
+// begun. The frontend calls it a few times a second.
+func (l *Limiter) Tick(now time.Duration) (unfinished int) {
+	for client := first(l.fresh); client != nil && now-client.since > MessageTimeout; client = first(l.fresh) {
+		client.evict()
+	}
+	for client := first(l.idle); client != nil && now-client.since > l.idleTimeout; client = first(l.idle) {
+		client.evict()
+	}
+	for client := range l.partialMessages {
+		// What a busy or flushing client sent before this message was complete: its responses come first.
+		if now-client.partialSince > MessageTimeout && !client.busy && !l.unflushed[client] {
+			unfinished++
+			client.evict()
 		}
 	}
-	l.recount(now)
-	return halves
+	l.checkUnflushed(now)
+	return unfinished
 }
 
-// recount looks which guests have taken their answers meanwhile.
-func (l *Limiter) recount(now time.Duration) {
-	for g := range l.owed {
-		switch left := g.unsent(); {
-		case left == 0:
-			delete(l.owed, g)
-			g.settle(now)
-		case left < g.left:
-			g.left, g.since = left, now
-		case now-g.since > l.patient:
-			g.bid() // it takes nothing of what it asked for
+// checkUnflushed looks at what the flushing clients have taken meanwhile.
+func (l *Limiter) checkUnflushed(now time.Duration) {
+	for client := range l.unflushed {
+		switch unsent := client.unsent(); {
+		case unsent == 0:
+			delete(l.unflushed, client)
+			client.requeue(now)
+		case unsent < client.lastUnsent:
+			client.lastUnsent = unsent
+			client.since = now
+		case now-client.since > l.idleTimeout:
+			client.evict()
 		}
 	}
 }
 
-// CloseIdle bids all leave that are idle and have not begun a message: nothing is lost with them.
+// CloseIdle evicts all idle clients that have not begun a message: nothing is lost with them.
 func (l *Limiter) CloseIdle() {
-	for e := l.idle.Front(); e != nil; {
-		g := e.Value.(*Client)
-		e = e.Next()
-		if !l.halves[g] {
-			g.bid()
+	for element := l.idle.Front(); element != nil; {
+		client := element.Value.(*Client)
+		element = element.Next()
+		if !l.partialMessages[client] {
+			client.evict()
 		}
 	}
 }
 
-// Received notes what has been read: whether messages came whole, and whether a part of one is left over.
-func (g *Client) Received(now time.Duration, whole, half bool) {
-	if g.gone {
-		return
-	}
-	if whole {
-		g.asked = true
-		g.settle(now)
-	}
-	if !half {
-		delete(g.lobby.halves, g)
-	} else if whole || !g.lobby.halves[g] {
-		g.half = now
-		g.lobby.halves[g] = true
-	}
-}
-
-// Busy says whether something is open for the guest. Where nothing is any more its last answers are still on their way.
-func (g *Client) Busy(now time.Duration, busy bool) {
-	if g.gone {
-		return
-	}
-	if g.busy = busy; busy {
-		delete(g.lobby.owed, g)
-	} else if g.left = g.unsent(); g.left > 0 {
-		g.lobby.owed[g] = true
-	}
-	g.settle(now)
-}
-
-// settle puts the guest last into the queue that it belongs to.
-func (g *Client) settle(now time.Duration) {
-	if g.queue != nil {
-		g.queue.Remove(g.ticket)
-	}
-	g.since = now
-	switch g.queue = g.lobby.idle; {
-	case g.gone || g.busy || g.lobby.owed[g]:
-		g.queue = nil
-		return
-	case !g.asked:
-		g.queue = g.lobby.fresh
-	}
-	g.ticket = g.queue.PushBack(g)
-}
-
-// Remove gives the place free. It may be called more than once.
-func (g *Client) Remove() {
-	if g.gone {
-		return
+// first returns the first client of a queue; nil: it is empty.
+func first(queue *list.List) *Client {
+	element := queue.Front()
+	if element == nil {
+		return nil
 	}
-	g.gone = true
-	g.lobby.count--
-	delete(g.lobby.halves, g)
-	delete(g.lobby.owed, g)
-	g.settle(0)
+	return element.Value.(*Client)
 }
--- a/internal/frontend/dns/config.go
+++ b/internal/frontend/dns/config.go
@@ -1,6 +1,7 @@
 package dns
 
 import (
+	"errors"
 	"fmt"
 	"net/netip"
 	"time"
@@ -10,41 +11,52 @@
 	"sloequay/internal/config"
 )
 
-// Config is the block `dns` of the settings, which turns the DNS side on.
+const (
+	defaultTimeout        = 2 * time.Second
+	defaultResolveTimeout = 300 * time.Millisecond
+	minTimeout            = time.Millisecond
+	maxTimeout            = time.Minute
+)
+
+// Config is the block `dns` of the settings, which turns the frontend on.
 type Config struct {
 	Listen         string        // ip:port, UDP and TCP
 	Zone           string        // lower case, with the last dot
-	Timeout        time.Duration // that a query waits at most
-	Resolver       string        // ip:port of the server that knows boxes listed by name; empty: none
-	ResolveTimeout time.Duration
+	Timeout        time.Duration // that a query waits at most; 2 s by default
+	Resolver       string        // ip:port of the server that knows endpoints listed by name; empty: none
+	ResolveTimeout time.Duration // for the address of one name; 300 ms by default
 }
 
-// Section gives the directives of the block.
+// Section returns the directives of the block, and sets the defaults.
 func (c *Config) Section() *config.Section {
-	c.Timeout, c.ResolveTimeout = 2*time.Second, 300*time.Millisecond
-	address := func(s string) error {
-		if _, err := netip.ParseAddrPort(s); err != nil {
-			return fmt.Errorf("expected ip:port, got %q", s)
-		}
-		return nil
-	}
-	s := &config.Section{}
-	s.Text("listen", &c.Listen, address, "where queries come, by UDP and TCP")
-	s.Text("zone", &c.Zone, func(zone string) error {
-		if _, ok := dns.IsDomainName(zone); !ok || dns.CanonicalName(zone) == "." {
-			return fmt.Errorf("%q is not a domain name", zone)
-		}
-		return nil
-	}, "the zone whose names are requests")
-	s.Duration("limit", &c.Timeout, time.Millisecond, time.Minute, "that a query waits at most")
-	s.Text("resolver", &c.Resolver, address, "name server that knows boxes listed by name")
-	s.Duration("resolve-limit", &c.ResolveTimeout, time.Millisecond, time.Minute, "for the address of one name")
-	s.Check(func() error {
+	c.Timeout = defaultTimeout
+	c.ResolveTimeout = defaultResolveTimeout
+	section := &config.Section{}
+	section.Text("listen", &c.Listen, checkAddress, "where queries come, by UDP and TCP")
+	section.Text("zone", &c.Zone, checkZone, "the zone whose names are requests")
+	section.Duration("limit", &c.Timeout, minTimeout, maxTimeout, "that a query waits at most")
+	section.Text("resolver", &c.Resolver, checkAddress, "name server that knows the endpoints listed by name")
+	section.Duration("resolve-limit", &c.ResolveTimeout, minTimeout, maxTimeout, "for the address of one name")
+	section.Check(func() error {
 		if c.Listen == "" || c.Zone == "" {
-			return fmt.Errorf("listen and zone are needed")
+			return errors.New("listen and zone are needed")
 		}
 		c.Zone = dns.CanonicalName(c.Zone)
 		return nil
 	})
-	return s
+	return section
+}
+
+func checkAddress(text string) error {
+	if _, err := netip.ParseAddrPort(text); err != nil {
+		return fmt.Errorf("expected ip:port, got %q", text)
+	}
+	return nil
+}
+
+func checkZone(zone string) error {
+	if _, ok := dns.IsDomainName(zone); !ok || dns.CanonicalName(zone) == "." {
+		return fmt.Errorf("%q is not a domain name", zone)
+	}
+	return nil
 }
--- /dev/null
+++ b/internal/frontend/dns/flight.go
@@ -0,0 +1,156 @@
+package dns
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/miekg/dns"
+
+	"sloequay/internal/broker"
+	"sloequay/internal/identity"
+	"sloequay/internal/policy"
+)
+
+const (
+	// minResubmitTime is what must be left of a query's time for its request to be made again.
+	minResubmitTime = 50 * time.Millisecond
+	// signedTimeMargin is what the time of a signed query may be off beside the skew of clocks.
+	signedTimeMargin = time.Second
+)
+
+// flight is one request with all the queries that wait for its response.
+type flight struct {
+	target    target
+	caller    *identity.Caller
+	class     int
+	key       string // in Server.byKey; empty: it is not keyed
+	request   *broker.Request
+	deadline  time.Duration // when the first query's time is over
+	waiting   []*query
+	final     *broker.Response // nil: it is open
+	keepUntil time.Duration    // until when the final response is given again
+}
+
+// join has a query wait for the request of its key, or makes a request of it.
+func (s *Server) join(q *query, requested target, class int) {
+	now := s.Now()
+	caller := &s.unsigned
+	if q.signed != nil {
+		caller = q.signed.Caller()
+	}
+	key := ""
+	if s.Classes[class].Idempotency != policy.Idempotent {
+		// The key and not the address of the client says what is the same request: retries come from other ports.
+		// Two subjects never share one: the second is to be rejected, and not told what came of the first.
+		key = caller.Subject + " " + requested.team + " " + requested.class + " " + requested.key
+		known := s.byKey[key]
+		if known != nil && (known.final == nil || now < known.keepUntil) {
+			s.joinKnown(q, known, requested)
+			return
+		}
+	}
+	if len(s.byRequest)+len(s.byKey) >= maxFlights {
+		s.sendOverloaded(q)
+		return
+	}
+	opened := &flight{target: requested, class: class, key: key, caller: caller, deadline: now + s.timeout(class)}
+	if key != "" {
+		s.byKey[key] = opened
+	}
+	s.wait(q, opened)
+	s.submit(opened)
+}
+
+// joinKnown answers a query by the request of its key, or has it wait for that request's response.
+func (s *Server) joinKnown(q *query, known *flight, requested target) {
+	switch {
+	case known.target.object != requested.object || known.target.part != requested.part:
+		s.sendStatus(q, status{rcode: dns.RcodeFormatError, text: "this key was used for another object"})
+	case known.final != nil:
+		s.answer(q, known.final)
+	case len(known.waiting) < maxJoined:
+		s.wait(q, known)
+	default:
+		s.sendOverloaded(q)
+	}
+}
+
+func (s *Server) wait(q *query, joined *flight) {
+	joined.waiting = append(joined.waiting, q)
+	s.pending[q.identity] = q
+}
+
+// submit makes the broker's request of a flight.
+func (s *Server) submit(opened *flight) {
+	s.requests++
+	now := s.Now()
+	requested := &opened.target
+	opened.request = &broker.Request{
+		Frontend:   s,
+		ID:         fmt.Sprintf("%016x", s.Seed+s.requests),
+		Class:      opened.class,
+		Team:       requested.team,
+		Object:     requested.object,
+		ObjectName: requested.objectName,
+		Part:       requested.part,
+		Group:      requested.group,
+		Key:        requested.key,
+		Caller:     opened.caller,
+		Zone:       s.Config.Zone,
+		ReceivedAt: now,
+		Timeout:    opened.deadline - now,
+	}
+	s.byRequest[opened.request] = opened
+	s.Emit(broker.RequestReceived{Request: opened.request})
+}
+
+// Respond answers all queries that wait for a request. The broker calls it once for each request that was not
+// canceled.
+func (s *Server) Respond(request *broker.Request, response broker.Response) {
+	ended := s.byRequest[request]
+	if ended == nil {
+		return
+	}
+	delete(s.byRequest, request)
+	now := s.Now()
+	served := response.Kind == broker.ResponseServed || response.Kind == broker.ResponseNotModified
+	if served && response.Endpoint.State != policy.Ready && ended.key == "" && ended.deadline-now > minResubmitTime {
+		// The endpoint that served it began to drain meanwhile. The request is idempotent: it is made again.
+		s.submit(ended)
+		return
+	}
+	response.Body = nil
+	ended.final = &response
+	if ended.key != "" {
+		ended.keepUntil = now + s.resultLifetime(ended)
+	}
+	for _, q := range ended.waiting {
+		delete(s.pending, q.identity)
+		s.answer(q, ended.final)
+	}
+	ended.waiting = nil
+}
+
+// resultLifetime returns how long the final response of a keyed request is given again.
+func (s *Server) resultLifetime(ended *flight) time.Duration {
+	switch ended.final.Kind {
+	case broker.ResponseRejected:
+		// A rejection promises that a retry is harmless, so it is repeated until its Retry-After only.
+		return ended.final.RetryAfter
+	case broker.ResponseDenied:
+		return 0 // nothing was attempted by this key
+	}
+	lifetime := s.Classes[ended.class].DedupWindow
+	if ended.caller.Subject != "" {
+		// A signed query may be sent again by whoever saw it, as long as its time will do: it must find this result.
+		lifetime = max(lifetime, 2*(s.Skew+signedTimeMargin))
+	}
+	return lifetime
+}
+
+// cancel takes back a request that nobody waits for any more.
+func (s *Server) cancel(request *broker.Request) {
+	delete(s.byRequest, request)
+	request.Canceled = true
+	s.Emit(broker.RequestCanceled{Request: request})
+}
--- a/internal/frontend/dns/name.go
+++ b/internal/frontend/dns/name.go
@@ -11,81 +11,112 @@
 	"sloequay/internal/broker"
 )
 
-// target is what a name under the zone asks for: a request, or the address of a box.
+// target is what a name under the zone asks for: a request, or the address of an endpoint.
 //
-//	name  = [key "."] [group "."] part "." object "." class "." team "." zone
-//	key   = "k-" and up to 60 letters, digits and hyphens
-//	group = "g" and a number, 0 to 255
-//	part  = "n" and a number from 0
-//	team  = a label, or "_" for none
-//	box   = host ".box." zone
+//	name     = [key "."] [group "."] part "." object "." class "." team "." zone
+//	key      = "k-" and up to 60 letters, digits and hyphens
+//	group    = "g" and a number, 0 to 255
+//	part     = "n" and a number from 0
+//	team     = a label, or "_" for none
+//	endpoint = host ".box." zone
 type target struct {
-	key, thing, class, team string
-	object                  uint64
-	part, group             int // group -1: not told
-	box                     string
+	key        string
+	objectName string // object as the client wrote it, in lower case
+	class      string
+	team       string
+	object     uint64
+	part       int
+	group      int    // anyGroup: not told
+	endpoint   string // its host; empty: the name is a request
 }
 
+// The words of names.
+const (
+	endpointLabel = "box"
+	keyPrefix     = "k-"
+	groupPrefix   = "g"
+	partPrefix    = "n"
+	noTeam        = "_"
+
+	requestLabels = 4 // part, object, class and team
+	objectDigits  = 16
+	maxKeyBytes   = 60
+	maxGroup      = 255
+	maxPart       = 1 << 30
+	anyGroup      = -1
+)
+
+const keyLetters = "abcdefghijklmnopqrstuvwxyz0123456789-"
+
 var (
 	errOtherZone = errors.New("another zone")
 	errApex      = errors.New("the zone itself")
 )
 
-// parseName reads a name. Names are compared without regard to case, as DNS has it.
+// parseName reads a name. Names are compared without regard to case, as DNS has it. With an error what it read so far
+// is returned too.
 func parseName(name, zone string) (target, error) {
-	t := target{group: -1}
+	parsed := target{group: anyGroup}
 	name = strings.ToLower(name)
 	if !dns.IsSubDomain(zone, name) {
-		return t, errOtherZone
+		return parsed, errOtherZone
 	}
 	labels := dns.SplitDomainName(name)
 	labels = labels[:len(labels)-dns.CountLabel(zone)]
 	if len(labels) == 0 {
-		return t, errApex
+		return parsed, errApex
 	}
-	if n := len(labels) - 1; n > 0 && labels[n] == "box" {
-		t.box = strings.Join(labels[:n], ".")
-		return t, nil
+	if last := len(labels) - 1; last > 0 && labels[last] == endpointLabel {
+		parsed.endpoint = strings.Join(labels[:last], ".")
+		return parsed, nil
 	}
-	if len(labels) > 4 && strings.HasPrefix(labels[0], "k-") {
-		t.key = labels[0][2:]
-		if t.key == "" || len(t.key) > 60 || strings.Trim(t.key, "abcdefghijklmnopqrstuvwxyz0123456789-") != "" {
-			return t, fmt.Errorf("key %q", t.key)
+	err := parsed.parseRequest(labels)
+	return parsed, err
+}
+
+// parseRequest reads the labels of a request.
+func (t *target) parseRequest(labels []string) error {
+	if len(labels) > requestLabels && strings.HasPrefix(labels[0], keyPrefix) {
+		t.key = strings.TrimPrefix(labels[0], keyPrefix)
+		if t.key == "" || len(t.key) > maxKeyBytes || strings.Trim(t.key, keyLetters) != "" {
+			return fmt.Errorf("key %q", t.key)
 		}
 		labels = labels[1:]
 	}
 	var err error
-	if len(labels) > 4 {
-		if t.group, err = count(labels[0], "g", 255); err != nil {
-			return t, fmt.Errorf("group %q", labels[0])
+	if len(labels) > requestLabels {
+		if t.group, err = parseNumber(labels[0], groupPrefix, maxGroup); err != nil {
+			return fmt.Errorf("group %q", labels[0])
 		}
 		labels = labels[1:]
 	}
-	if len(labels) != 4 {
-		return t, fmt.Errorf("%d labels before the zone, expected part, object, class and team", len(labels))
+	if len(labels) != requestLabels {
+		return fmt.Errorf("%d labels before the zone, expected part, object, class and team", len(labels))
 	}
-	if t.part, err = count(labels[0], "n", 1<<30); err != nil {
-		return t, fmt.Errorf("part %q", labels[0])
+	if t.part, err = parseNumber(labels[0], partPrefix, maxPart); err != nil {
+		return fmt.Errorf("part %q", labels[0])
 	}
-	t.thing, t.class, t.team = labels[1], labels[2], labels[3]
-	if t.object, err = strconv.ParseUint(t.thing, 16, 64); err != nil || len(t.thing) != 16 {
-		return t, fmt.Errorf("object %q", t.thing)
+	t.objectName = labels[1]
+	t.class = labels[2]
+	t.team = labels[3]
+	if t.object, err = strconv.ParseUint(t.objectName, 16, 64); err != nil || len(t.objectName) != objectDigits {
+		return fmt.Errorf("object %q", t.objectName)
 	}
 	if t.object == 0 {
 		t.object = broker.ObjectZero
 	}
-	if t.team == "_" {
+	if t.team == noTeam {
 		t.team = ""
 	}
-	return t, nil
+	return nil
 }
 
-// count reads a prefix with a number of plain digits behind it.
-func count(label, prefix string, most uint64) (int, error) {
+// parseNumber reads a prefix with a number of plain digits behind it.
+func parseNumber(label, prefix string, maximum uint64) (int, error) {
 	digits, ok := strings.CutPrefix(label, prefix)
-	n, err := strconv.ParseUint(digits, 10, 31)
-	if !ok || err != nil || n > most {
+	number, err := strconv.ParseUint(digits, 10, 31)
+	if !ok || err != nil || number > maximum {
 		return 0, fmt.Errorf("%q", label)
 	}
-	return int(n), nil
+	return int(number), nil
 }
--- /dev/null
+++ b/internal/frontend/dns/response.go
@@ -0,0 +1,219 @@
+package dns
+
+import (
+	"net"
+	"net/netip"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/miekg/dns"
+
+	"sloequay/internal/broker"
+	"sloequay/internal/policy"
+)
+
+// Words of the texts in answers.
+const (
+	textServed       = "outcome=served"
+	textEndpointGone = "outcome=served-by-a-box-that-left" // the endpoint can't be named any more
+	textRetryAfter   = "later="                            // in milliseconds
+	textBudget       = "budget="                           // in quotes
+)
+
+// maxTextBytes is what one string of a TXT record holds.
+const maxTextBytes = 255
+
+// answer answers a query by the final response of its request. Whether the endpoint may be named is decided now, not
+// when it served.
+func (s *Server) answer(q *query, final *broker.Response) {
+	switch final.Kind {
+	case broker.ResponseRejected:
+		s.sendRejection(q, final.RetryAfter, final.Budget)
+	case broker.ResponseFailed:
+		s.sendStatus(q, status{rcode: dns.RcodeServerFailure, text: final.Reason})
+	case broker.ResponseDenied:
+		s.sendStatus(q, status{rcode: dns.RcodeRefused, text: final.Reason})
+	default:
+		s.sendServed(q, final)
+	}
+}
+
+// sendServed answers with the records of the endpoint that served.
+func (s *Server) sendServed(q *query, final *broker.Response) {
+	message := newAnswer(q, dns.RcodeSuccess)
+	question := &q.message.Question[0]
+	address, service := s.records(question.Name, final.Endpoint, final.Address)
+	outcome := textServed
+	if address == nil {
+		outcome = textEndpointGone
+	}
+	text := &dns.TXT{Hdr: recordHeader(question.Name, dns.TypeTXT), Txt: []string{outcome}}
+	for _, field := range final.Fields {
+		text.Txt = append(text.Txt, clip(field.Name+"="+field.Value))
+	}
+	switch {
+	case question.Qtype == dns.TypeTXT:
+		message.Answer = append(message.Answer, text)
+	case address == nil:
+		message.Extra = append(message.Extra, text)
+	case question.Qtype == dns.TypeA:
+		message.Answer = append(message.Answer, address)
+	default:
+		message.Answer = append(message.Answer, service)
+		ofTarget := *address
+		ofTarget.Hdr.Name = service.Target
+		message.Extra = append(message.Extra, &ofTarget)
+	}
+	s.send(q, message)
+}
+
+// answerEndpoint answers for the target of an earlier SRV record.
+func (s *Server) answerEndpoint(q *query, host string) {
+	endpoint := s.EndpointByName(host)
+	if endpoint == nil || endpoint.State != policy.Ready {
+		s.sendStatus(q, status{rcode: dns.RcodeNameError})
+		return
+	}
+	message := newAnswer(q, dns.RcodeSuccess)
+	question := &q.message.Question[0]
+	address, _ := s.records(question.Name, endpoint, endpoint.Address)
+	if address != nil && question.Qtype == dns.TypeA {
+		message.Answer = append(message.Answer, address)
+	}
+	s.send(q, message)
+}
+
+// records returns the records that name an endpoint, or nil where it may not be named or has no IPv4 address.
+func (s *Server) records(name string, endpoint *broker.Endpoint, address string) (*dns.A, *dns.SRV) {
+	at, err := netip.ParseAddrPort(address)
+	if err != nil || endpoint == nil || endpoint.State != policy.Ready || !at.Addr().Unmap().Is4() {
+		return nil, nil
+	}
+	host := &dns.A{Hdr: recordHeader(name, dns.TypeA), A: net.IP(at.Addr().Unmap().AsSlice())}
+	service := &dns.SRV{
+		Hdr:    recordHeader(name, dns.TypeSRV),
+		Port:   at.Port(),
+		Target: strings.ToLower(endpoint.Name) + "." + endpointLabel + "." + s.Config.Zone,
+	}
+	return host, service
+}
+
+// recordHeader returns the head of a record with a TTL of 0: the endpoint list may change any time.
+func recordHeader(name string, recordType uint16) dns.RR_Header {
+	return dns.RR_Header{Name: name, Rrtype: recordType, Class: dns.ClassINET}
+}
+
+// clip cuts a text to what one string of a TXT record holds.
+func clip(text string) string { return text[:min(len(text), maxTextBytes)] }
+
+// sendOverloaded answers a query for which there is no place.
+func (s *Server) sendOverloaded(q *query) {
+	s.sendRejection(q, min(overloadRetryAfter, s.MaxRetryAfter), "")
+}
+
+// sendRejection answers REFUSED with the Retry-After, where one may be sent, and the budget that was used up, if it
+// was one.
+func (s *Server) sendRejection(q *query, retryAfter time.Duration, budget string) {
+	var words []string
+	if s.MaxRetryAfter > 0 {
+		words = append(words, textRetryAfter+strconv.FormatInt(max(1, retryAfter.Milliseconds()), 10))
+	}
+	if budget != "" {
+		words = append(words, textBudget+strconv.Quote(budget))
+	}
+	s.sendStatus(q, status{rcode: dns.RcodeRefused, text: clip(strings.Join(words, " "))})
+}
+
+// extendedErrors has the extended error that goes with a code (RFC 8914).
+var extendedErrors = map[int]uint16{
+	dns.RcodeRefused:       dns.ExtendedErrorCodeProhibited,
+	dns.RcodeServerFailure: dns.ExtendedErrorCodeNoReachableAuthority,
+}
+
+// sendStatus answers without a record. The text goes into an extended error, or into a TXT record where the client
+// knows no EDNS.
+func (s *Server) sendStatus(q *query, answer status) {
+	message := newAnswer(q, answer.rcode)
+	if opt := message.IsEdns0(); opt != nil && answer.text != "" {
+		extended := &dns.EDNS0_EDE{InfoCode: extendedErrors[answer.rcode], ExtraText: answer.text}
+		opt.Option = append(opt.Option, extended)
+	} else if answer.text != "" && len(message.Question) == 1 {
+		header := recordHeader(message.Question[0].Name, dns.TypeTXT)
+		message.Extra = append(message.Extra, &dns.TXT{Hdr: header, Txt: []string{clip(answer.text)}})
+	}
+	s.send(q, message)
+}
+
+// newAnswer returns an answer to a query, with no records yet.
+func newAnswer(q *query, rcode int) *dns.Msg {
+	message := &dns.Msg{}
+	message.SetRcode(q.message, rcode)
+	message.Authoritative = true
+	if q.message.IsEdns0() != nil {
+		message.SetEdns0(maxUDPBytes, false)
+	}
+	return message
+}
+
+// send sends an answer; what is too long for UDP goes out empty and marked, and the client asks again by TCP.
+func (s *Server) send(q *query, message *dns.Msg) {
+	if len(message.Answer) == 0 && (message.Rcode == dns.RcodeSuccess || message.Rcode == dns.RcodeNameError) {
+		message.Ns = append(message.Ns, s.zoneAuthority())
+	}
+	packet, err := s.pack(q, message)
+	if err != nil {
+		s.Log("dns-encode-failed", "error", err)
+		failure := new(dns.Msg).SetRcode(q.message, dns.RcodeServerFailure)
+		if packet, err = failure.Pack(); err != nil {
+			return
+		}
+	}
+	q.reply(packet)
+	if q.stream != nil {
+		q.stream.answered()
+	}
+}
+
+// pack encodes and signs an answer, without its records if they make it too long.
+func (s *Server) pack(q *query, message *dns.Msg) ([]byte, error) {
+	message.Compress = true
+	maxBytes := q.maxBytes
+	if q.signed != nil {
+		maxBytes -= q.signed.Size()
+	}
+	packet, err := message.Pack()
+	if err == nil && len(packet) > maxBytes {
+		truncate(message)
+		packet, err = message.Pack()
+	}
+	if err == nil && q.signed != nil {
+		return q.signed.Sign(message, s.Unix())
+	}
+	return packet, err
+}
+
+// truncate takes all records off an answer but EDNS's own, and marks it.
+func truncate(message *dns.Msg) {
+	opt := message.IsEdns0()
+	message.Answer = nil
+	message.Ns = nil
+	message.Extra = nil
+	if opt != nil {
+		message.Extra = append(message.Extra, opt)
+	}
+	message.Truncated = true
+}
+
+// zoneAuthority returns the record that goes with an answer without others.
+func (s *Server) zoneAuthority() *dns.SOA {
+	return &dns.SOA{
+		Hdr:     recordHeader(s.Config.Zone, dns.TypeSOA),
+		Ns:      "ns." + s.Config.Zone,
+		Mbox:    "hostmaster." + s.Config.Zone,
+		Serial:  1,
+		Refresh: 3600,
+		Retry:   600,
+		Expire:  86400,
+	}
+}
--- /dev/null
+++ b/internal/frontend/dns/stream.go
@@ -0,0 +1,127 @@
+package dns
+
+import (
+	"encoding/binary"
+	"net"
+
+	"sloequay/internal/eventloop"
+	"sloequay/internal/frontend/connlimit"
+)
+
+// lengthBytes is the size of the length in front of each message on TCP.
+const lengthBytes = 2
+
+// stream is one TCP connection and its eventloop.Handler.
+type stream struct {
+	server *Server
+	client *connlimit.Client
+	conn   *eventloop.Conn
+	from   string
+	open   int // queries without an answer
+	closed bool
+}
+
+// Accept takes a new TCP connection in, and returns nil where there is no place for it.
+func (s *Server) Accept(remote net.Addr) eventloop.Handler {
+	accepted := &stream{server: s, from: "tcp " + remote.String()}
+	accepted.client = s.clients.Admit(s.Now(), accepted.close, accepted.unsent)
+	if accepted.client == nil {
+		s.Log("client-connection-limit", "front", "dns", "from", remote)
+		return nil
+	}
+	return accepted
+}
+
+// Opened notes the connection.
+func (c *stream) Opened(conn *eventloop.Conn) { c.conn = conn }
+
+// Closed gives up what the client waited for.
+func (c *stream) Closed(*eventloop.Conn, error) { c.close() }
+
+// Received handles the messages that have come completely.
+func (c *stream) Received(conn *eventloop.Conn) {
+	used := c.handleMessages(conn.In)
+	if c.closed {
+		used = len(conn.In)
+	}
+	conn.Consume(used)
+	c.client.Received(c.server.Now(), connlimit.Input{Complete: used > 0, Partial: len(conn.In) > 0})
+	c.updateOpen()
+}
+
+// handleMessages handles complete messages from the front of data, and returns how many bytes they took. It closes
+// the connection at one that can't be answered under an id.
+func (c *stream) handleMessages(data []byte) (used int) {
+	for len(data)-used >= lengthBytes && !c.closed {
+		length := int(binary.BigEndian.Uint16(data[used:]))
+		if length < headerBytes || c.open >= maxJoined {
+			c.close()
+			break
+		}
+		if len(data)-used < lengthBytes+length {
+			break
+		}
+		packet := data[used+lengthBytes : used+lengthBytes+length]
+		used += lengthBytes + length
+		if packet[flagsByte]&flagAnswer != 0 {
+			c.close()
+			break
+		}
+		c.open++
+		c.server.handle(packet, &query{from: c.from, reply: c.reply, maxBytes: minUDPBytes, stream: c})
+	}
+	return used
+}
+
+func (c *stream) reply(packet []byte) {
+	if !c.closed {
+		c.conn.Send(binary.BigEndian.AppendUint16(nil, uint16(len(packet))), packet)
+	}
+}
+
+// answered notes that one query has its answer.
+func (c *stream) answered() {
+	c.open--
+	c.updateOpen()
+}
+
+// updateOpen tells the limiter how much is open: a connection with an open query is not evicted.
+func (c *stream) updateOpen() { c.client.SetOpen(c.server.Now(), c.open) }
+
+// unsent returns how many bytes of the answers the client has not taken.
+func (c *stream) unsent() int {
+	if c.conn == nil {
+		return 0
+	}
+	return c.conn.Unsent()
+}
+
+// close ends the connection once what was sent is out, and cancels what only this client waited for. A keyed request
+// goes on: its result may be asked for again.
+func (c *stream) close() {
+	if c.closed {
+		return
+	}
+	c.closed = true
+	c.client.Remove()
+	c.conn.Close()
+	for request, joined := range c.server.byRequest {
+		c.leaveFlight(joined)
+		if len(joined.waiting) == 0 && joined.key == "" {
+			c.server.cancel(request)
+		}
+	}
+}
+
+// leaveFlight takes the connection's queries off those that wait for a request.
+func (c *stream) leaveFlight(joined *flight) {
+	others := joined.waiting[:0]
+	for _, q := range joined.waiting {
+		if q.stream == c {
+			delete(c.server.pending, q.identity)
+		} else {
+			others = append(others, q)
+		}
+	}
+	joined.waiting = others
+}
--- /dev/null
+++ b/internal/frontend/rpc/connection.go
@@ -0,0 +1,174 @@
+package rpc
+
+import (
+	"errors"
+	"maps"
+	"slices"
+	"time"
+
+	"sloequay/internal/broker"
+	"sloequay/internal/eventloop"
+	"sloequay/internal/frontend/connlimit"
+	"sloequay/internal/frontend/rpc/msgpack"
+	"sloequay/internal/frontend/rpc/pacing"
+	"sloequay/internal/identity"
+	"sloequay/internal/invariant"
+)
+
+// connection is one client's connection and what is open on it. It is the connection's eventloop.Handler and its
+// requests' broker.Frontend.
+type connection struct {
+	server     *Server
+	client     *connlimit.Client
+	conn       *eventloop.Conn // nil: not opened yet
+	caller     identity.Caller
+	open       map[uint32]*broker.Request // by message id
+	messageIDs map[*broker.Request]uint32 // of open
+	openLimit  pacing.OpenLimit
+	pace       pacing.Connection[*connection]
+	receivedAt time.Duration // when the messages that are handled now may have come at the earliest
+	rejectAll  bool          // requests are rejected unread, as the connection is about to be closed
+	closed     bool
+}
+
+func newConnection(server *Server, caller identity.Caller) *connection {
+	c := &connection{
+		server:     server,
+		caller:     caller,
+		open:       map[uint32]*broker.Request{},
+		messageIDs: map[*broker.Request]uint32{},
+		openLimit:  pacing.OpenLimit{MaxOpen: maxOpenRequests, MaxExcess: maxExcessRequests},
+	}
+	c.pace.Owner = c
+	return c
+}
+
+// Opened notes the connection.
+func (c *connection) Opened(conn *eventloop.Conn) { c.conn = conn }
+
+// Closed cancels all that is open.
+func (c *connection) Closed(*eventloop.Conn, error) { c.close() }
+
+// Received handles the messages that have come completely.
+func (c *connection) Received(conn *eventloop.Conn) {
+	c.openLimit.StartRead()
+	now := c.server.Now()
+	c.receivedAt = c.pace.EarliestArrival(now - conn.ReadLag())
+	used, mustWait := c.handleMessages(conn.In, now)
+	if mustWait {
+		c.pace.Unread(c.receivedAt)
+	} else {
+		c.pace.AllRead()
+	}
+	if unread := len(conn.In) - used; mustWait && c.server.paced.TooMuchUnread(unread) {
+		c.server.Log("client-rate-limited", "from", c.caller.Remote, "bytes", unread)
+		c.rejectUnread(conn.In[used:])
+		c.failAndClose()
+	}
+	if c.closed {
+		used = len(conn.In)
+	}
+	conn.Consume(used)
+	if mustWait && used == 0 {
+		conn.DeferRead()
+		return
+	}
+	// What is left over of a rate-limited connection is complete, as far as is known.
+	c.client.Received(now, connlimit.Input{Complete: used > 0, Partial: len(conn.In) > 0 && !mustWait})
+	c.updateOpen()
+}
+
+// handleMessages handles complete messages from the front of data. It returns how many bytes they took, and whether
+// the rest has to wait for the connection's turn.
+func (c *connection) handleMessages(data []byte, now time.Duration) (used int, mustWait bool) {
+	for used < len(data) && !c.closed {
+		if c.mustWait(now) {
+			return used, true
+		}
+		size, err := c.handleMessage(data[used:])
+		if errors.Is(err, msgpack.ErrShort) {
+			break
+		}
+		if err != nil {
+			c.server.Log("client-protocol-error", "error", err, "open", len(c.open))
+			c.failAndClose()
+		}
+		used += size
+	}
+	return used, false
+}
+
+// mustWait reports whether the next message has to wait for the connection's turn.
+func (c *connection) mustWait(now time.Duration) bool {
+	if c.rejectAll || c.server.Source == nil || !c.caller.Paced(now) {
+		return false
+	}
+	return !c.server.paced.Admit(now, &c.pace)
+}
+
+// rejectUnread rejects the complete requests in data, which were read, so that each is due a response.
+func (c *connection) rejectUnread(data []byte) {
+	c.rejectAll = true
+	for len(data) > 0 {
+		size, err := c.handleMessage(data)
+		if err != nil {
+			return
+		}
+		data = data[size:]
+	}
+}
+
+// updateOpen tells the limiter how much is open: a connection with an open request is not evicted.
+func (c *connection) updateOpen() { c.client.SetOpen(c.server.Now(), len(c.open)) }
+
+// unsent returns how many bytes of the answers the client has not taken.
+func (c *connection) unsent() int {
+	if c.conn == nil {
+		return 0
+	}
+	return c.conn.Unsent()
+}
+
+// close ends the connection once what was sent is out, and cancels what is open on it.
+func (c *connection) close() {
+	if c.closed {
+		return
+	}
+	c.closed = true
+	c.server.paced.Remove(&c.pace)
+	c.client.Remove()
+	for _, request := range c.open {
+		c.cancel(request)
+	}
+	c.open = nil
+	c.messageIDs = nil
+	if c.conn != nil {
+		c.conn.Close()
+	}
+}
+
+// cancel takes back a request that the client does not wait for any more.
+func (c *connection) cancel(request *broker.Request) {
+	request.Canceled = true
+	c.server.Emit(broker.RequestCanceled{Request: request})
+}
+
+// evict closes the connection of a client that has nothing open, for another client or at the end of its time.
+func (c *connection) evict() {
+	if len(c.open) > 0 {
+		c.server.Monitor.Violated(invariant.NothingOpenAtClose, c.caller.Remote)
+	}
+	c.close()
+	if c.conn != nil {
+		c.conn.CloseNow()
+	}
+}
+
+// failAndClose ends the connection of a client that breaks the protocol. What it requested before was well-formed and
+// is due a response. It is not served, as nobody can tell which answer such a client takes for which.
+func (c *connection) failAndClose() {
+	for _, messageID := range slices.Sorted(maps.Keys(c.open)) {
+		c.sendError(messageID, errorFailed, nil)
+	}
+	c.close()
+}
--- /dev/null
+++ b/internal/frontend/rpc/msgpack/reader.go
@@ -0,0 +1,223 @@
+package msgpack
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+)
+
+// ErrShort is returned for a value that goes on beyond the bytes at hand.
+var ErrShort = errors.New("msgpack: the value is not whole yet")
+
+// maxDepth is how far Skip follows nested values.
+const maxDepth = 8
+
+// Reader takes values off the front of Data. The first error stays, and all later reads return zero values. What is
+// announced to go beyond MaxBytes or ValuesLeft is an error at once, before any of it has come.
+type Reader struct {
+	Data       []byte
+	Pos        int // of the next value in Data, in bytes
+	MaxBytes   int // of Data that may be read; 0: no limit
+	ValuesLeft int // nested values that Skip may still pass over, and one more; 0: no limit
+	Err        error
+}
+
+// Uint reads an integer that is not negative.
+func (r *Reader) Uint() uint64 {
+	code := r.code()
+	switch {
+	case code < positiveFixIntEnd:
+		return uint64(code)
+	case code >= codeUint8 && code <= codeUint64:
+		return r.number(1 << (code - codeUint8))
+	}
+	r.wrongType(code, "an integer of 0 or more")
+	return 0
+}
+
+// Array reads the head of an array and returns the number of its elements.
+func (r *Reader) Array() int {
+	code := r.code()
+	switch {
+	case isFixArray(code):
+		return int(code & fixLengthMask)
+	case code == codeArray16 || code == codeArray32:
+		return int(uint32(r.number(2 << (code - codeArray16))))
+	}
+	r.wrongType(code, "an array")
+	return 0
+}
+
+// Map reads the head of a map and returns the number of its pairs.
+func (r *Reader) Map() int {
+	code := r.code()
+	switch {
+	case isFixMap(code):
+		return int(code & fixLengthMask)
+	case code == codeMap16 || code == codeMap32:
+		return int(uint32(r.number(2 << (code - codeMap16))))
+	}
+	r.wrongType(code, "a map")
+	return 0
+}
+
+// Text reads a string of at most maxBytes. The bytes stay part of Data.
+func (r *Reader) Text(maxBytes uint32) []byte {
+	code := r.code()
+	switch {
+	case isFixStr(code):
+		return r.bounded(uint32(code&fixStrLengthMask), maxBytes)
+	case code >= codeStr8 && code <= codeStr32:
+		return r.bounded(uint32(r.number(1<<(code-codeStr8))), maxBytes)
+	}
+	r.wrongType(code, "a string")
+	return nil
+}
+
+// Binary reads a binary of at most maxBytes. The bytes stay part of Data.
+func (r *Reader) Binary(maxBytes uint32) []byte {
+	code := r.code()
+	if code < codeBin8 || code > codeBin32 {
+		r.wrongType(code, "a binary")
+		return nil
+	}
+	return r.bounded(uint32(r.number(1<<(code-codeBin8))), maxBytes)
+}
+
+// Skip passes over one value of any type.
+func (r *Reader) Skip() { r.skip(maxDepth) }
+
+func (r *Reader) skip(depth int) {
+	if depth == 0 {
+		r.fail("nested deeper than %d", maxDepth)
+	}
+	if r.Err != nil {
+		return
+	}
+	code := r.code()
+	nested := r.nestedValues(code)
+	if nested == 0 {
+		r.skipScalar(code)
+	}
+	r.countValues(nested)
+	for ; nested > 0 && r.Err == nil; nested-- { // ends with the bytes at hand, however many are announced
+		r.skip(depth - 1)
+	}
+}
+
+// nestedValues returns how many values an array or a map has, of which code was read. Other values have none.
+func (r *Reader) nestedValues(code byte) uint64 {
+	switch {
+	case isFixMap(code):
+		return 2 * uint64(code&fixLengthMask)
+	case isFixArray(code):
+		return uint64(code & fixLengthMask)
+	case code == codeArray16 || code == codeArray32:
+		return r.number(2 << (code - codeArray16))
+	case code == codeMap16 || code == codeMap32:
+		return 2 * r.number(2<<(code-codeMap16))
+	}
+	return 0
+}
+
+// skipScalar passes over the rest of a value without nested ones, of which code was read.
+func (r *Reader) skipScalar(code byte) {
+	switch {
+	case code < positiveFixIntEnd, code >= negativeFixIntStart, code == codeNil, code == codeFalse, code == codeTrue:
+	case isFixStr(code):
+		r.take(uint32(code & fixStrLengthMask))
+	case code >= codeBin8 && code <= codeBin32:
+		r.take(uint32(r.number(1 << (code - codeBin8))))
+	case code >= codeExt8 && code <= codeExt32:
+		length := uint32(r.number(1 << (code - codeExt8)))
+		r.take(1) // the extension's type
+		r.take(length)
+	case code == codeFloat32 || code == codeFloat64:
+		r.take(4 << (code - codeFloat32))
+	case code >= codeUint8 && code <= codeInt64:
+		r.take(1 << ((code - codeUint8) & 3)) // four unsigned sizes, then the same signed
+	case code >= codeFixExt1 && code <= codeFixExt16:
+		r.take(1 + 1<<(code-codeFixExt1)) // the extension's type and its data
+	case code >= codeStr8 && code <= codeStr32:
+		r.take(uint32(r.number(1 << (code - codeStr8))))
+	case isFixMap(code) || isFixArray(code) || code >= codeArray16 && code <= codeMap32: // empty
+	default:
+		r.wrongType(code, "a value")
+	}
+}
+
+// countValues takes nested values off those that may still be skipped.
+func (r *Reader) countValues(nested uint64) {
+	if r.ValuesLeft == 0 || r.Err != nil {
+		return
+	}
+	if nested >= uint64(r.ValuesLeft) {
+		r.fail("%d values are announced, fewer than %d expected", nested, r.ValuesLeft)
+	}
+	r.ValuesLeft -= int(min(nested, uint64(r.ValuesLeft)-1))
+}
+
+// code reads the first byte of a value, and returns codeUnused where there is none.
+func (r *Reader) code() byte {
+	if b := r.take(1); b != nil {
+		return b[0]
+	}
+	return codeUnused
+}
+
+// number reads a big-endian number of 1, 2, 4 or 8 bytes.
+func (r *Reader) number(bytes uint32) uint64 {
+	b := r.take(bytes)
+	switch len(b) {
+	case 1:
+		return uint64(b[0])
+	case 2:
+		return uint64(binary.BigEndian.Uint16(b))
+	case 4:
+		return uint64(binary.BigEndian.Uint32(b))
+	case 8:
+		return binary.BigEndian.Uint64(b)
+	}
+	return 0
+}
+
+// bounded takes bytes that may be at most maxBytes long.
+func (r *Reader) bounded(length, maxBytes uint32) []byte {
+	if r.Err == nil && length > maxBytes {
+		r.fail("%d bytes, at most %d expected", length, maxBytes)
+	}
+	return r.take(length)
+}
+
+// take returns the next bytes, which stay part of Data.
+func (r *Reader) take(length uint32) []byte {
+	if r.Err != nil {
+		return nil
+	}
+	if uint64(length) > uint64(len(r.Data)-r.Pos) {
+		if r.MaxBytes > 0 && uint64(r.Pos)+uint64(length) > uint64(r.MaxBytes) {
+			r.fail("%d bytes are announced, at most %d expected in all", length, r.MaxBytes)
+		} else {
+			r.Err = ErrShort
+		}
+		return nil
+	}
+	taken := r.Data[r.Pos : r.Pos+int(length)]
+	r.Pos += int(length)
+	return taken
+}
+
+// wrongType notes that the code just read is of another type than expected, unless there was none.
+func (r *Reader) wrongType(code byte, expected string) {
+	if r.Err == nil {
+		r.Pos--
+		r.fail("code 0x%02x, expected %s", code, expected)
+	}
+}
+
+// fail notes the first error, with its place.
+func (r *Reader) fail(format string, args ...any) {
+	if r.Err == nil {
+		r.Err = fmt.Errorf("msgpack: byte %d: "+format, append([]any{r.Pos}, args...)...)
+	}
+}
--- /dev/null
+++ b/internal/frontend/rpc/response.go
@@ -0,0 +1,100 @@
+package rpc
+
+import (
+	"strconv"
+	"time"
+
+	"sloequay/internal/broker"
+	"sloequay/internal/frontend/rpc/msgpack"
+	"sloequay/internal/invariant"
+)
+
+// Respond answers a request. The broker calls it once for each request that was not canceled.
+func (c *connection) Respond(request *broker.Request, response broker.Response) {
+	messageID, isOpen := c.messageIDs[request]
+	if !isOpen {
+		if !c.closed && !request.Canceled {
+			c.server.Monitor.Violated(invariant.OneResponse, request.ID)
+		}
+		return
+	}
+	delete(c.messageIDs, request)
+	delete(c.open, messageID)
+	c.sendResponse(messageID, response)
+	c.updateOpen()
+}
+
+func (c *connection) sendResponse(messageID uint32, response broker.Response) {
+	if response.Kind == broker.ResponseServed && len(response.Body) > smallBodyBytes && c.server.MemoryShort() {
+		// Clients that do not read hold the memory. A short answer that says so is better than none at all.
+		response.Kind = broker.ResponseFailed
+	}
+	switch response.Kind {
+	case broker.ResponseServed:
+		c.sendResult(messageID, response.Body, response.Fields)
+	case broker.ResponseNotModified:
+		fields := response.Fields[:len(response.Fields):len(response.Fields)]
+		fields = append(fields, broker.Field{Name: fieldNotModified, Value: notModified})
+		c.sendResult(messageID, response.Body, fields)
+	case broker.ResponseRejected:
+		c.sendRejection(messageID, response)
+	case broker.ResponseFailed:
+		c.sendError(messageID, errorFailed, nil)
+	case broker.ResponseDenied:
+		c.sendError(messageID, errorDenied, []broker.Field{{Name: fieldReason, Value: response.Reason}})
+	}
+}
+
+// sendResult sends [1, ID, nil, [BODY, FIELDS]]. The body is not copied.
+func (c *connection) sendResult(messageID uint32, body []byte, fields []broker.Field) {
+	head := msgpack.AppendNil(appendAnswerHead(nil, messageID))
+	head = msgpack.AppendArray(head, 2)
+	head = msgpack.AppendBinaryHead(head, len(body))
+	c.conn.Send(head, body, appendFields(nil, fields))
+}
+
+// sendStatus sends [1, ID, nil, [READY, {}]]: whether new clients are wanted.
+func (c *connection) sendStatus(messageID uint32) {
+	answer := msgpack.AppendNil(appendAnswerHead(nil, messageID))
+	answer = msgpack.AppendArray(answer, 2)
+	answer = msgpack.AppendBool(answer, c.server.Ready())
+	c.conn.Send(msgpack.AppendMap(answer, 0))
+}
+
+// sendRejection says that a retry is harmless, when it is welcome, and which budget was used up.
+func (c *connection) sendRejection(messageID uint32, response broker.Response) {
+	var fields []broker.Field
+	if response.RetryAfter > 0 && c.server.MaxRetryAfter > 0 {
+		milliseconds := (response.RetryAfter + time.Millisecond - 1) / time.Millisecond
+		value := strconv.FormatInt(int64(milliseconds), 10)
+		fields = append(fields, broker.Field{Name: fieldRetryAfterMillis, Value: value})
+	}
+	if response.Budget != "" {
+		fields = append(fields, broker.Field{Name: fieldBudget, Value: response.Budget})
+	}
+	c.sendError(messageID, errorRejected, fields)
+}
+
+// sendError sends [1, ID, [WORD, FIELDS], nil].
+func (c *connection) sendError(messageID uint32, word string, fields []broker.Field) {
+	answer := msgpack.AppendArray(appendAnswerHead(nil, messageID), 2)
+	answer = msgpack.AppendText(answer, word)
+	answer = appendFields(answer, fields)
+	c.conn.Send(msgpack.AppendNil(answer))
+}
+
+// appendAnswerHead writes an answer up to its error.
+func appendAnswerHead(b []byte, messageID uint32) []byte {
+	b = msgpack.AppendArray(b, answerElements)
+	b = msgpack.AppendUint(b, kindAnswer)
+	return msgpack.AppendUint(b, uint64(messageID))
+}
+
+func appendFields(b []byte, fields []broker.Field) []byte {
+	b = msgpack.AppendMap(b, len(fields))
+	for _, field := range fields {
+		b = msgpack.AppendText(b, field.Name)
+		b = msgpack.AppendText(b, field.Value)
+	}
+	return b
+}
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -92,12 +92,23 @@
 	if p.own.DNS != nil {
 		most := clients / 4
 		clients -= most
-		d.dns = &dns.Server{Config: p.own.DNS, Classes: s.Control.Classes, Emit: d.admit, Now: d.clock.Monotonic, Unix: d.clock.Unix,
-			Log: d.log.Event, EndpointByName: d.box, MaxConnections: most, Seed: s.Seed, MaxRetryAfter: s.Control.MaxRetryAfter}
+		options := dns.Options{
+			Config:         p.own.DNS,
+			Classes:        s.Control.Classes,
+			Emit:           d.admit,
+			Now:            d.clock.Monotonic,
+			Unix:           d.clock.Unix,
+			Log:            d.log.Event,
+			EndpointByName: d.box,
+			MaxConnections: most,
+			Seed:           s.Seed,
+			MaxRetryAfter:  s.Control.MaxRetryAfter,
+		}
 		if cfg := p.own.Identity; cfg != nil {
-			d.dns.Skew = cfg.Gate.Policy.Skew
-			d.dns.Keys = func() *tsig.Keys { return d.door.tsig }
+			options.Skew = cfg.Gate.Policy.Skew
+			options.Keys = func() *tsig.Keys { return d.door.tsig }
 		}
+		d.dns = dns.New(options)
 		listeners = append(listeners, eventloop.Listener{Network: "udp", Address: p.own.DNS.Listen, Packet: d.dns.Packet},
 			eventloop.Listener{Network: "tcp", Address: p.own.DNS.Listen, Accept: d.dns.Accept})
 	}
@@ -106,9 +117,17 @@
 		cfg.tls.MaxConnections = min(cfg.tls.MaxConnections, clients/4)
 		clients -= 2 * cfg.tls.MaxConnections
 	}
-	d.front = rpc.New(s.Control.Classes, clients, d.admit, d.clock.Monotonic, ready, full, d.log.Event)
-	d.front.Monitor = &d.monitor
-	d.front.MaxRetryAfter = s.Control.MaxRetryAfter
+	d.front = rpc.New(rpc.Config{
+		Classes:        s.Control.Classes,
+		MaxConnections: clients,
+		Emit:           d.admit,
+		Now:            d.clock.Monotonic,
+		Ready:          ready,
+		MemoryShort:    full,
+		Log:            d.log.Event,
+		MaxRetryAfter:  s.Control.MaxRetryAfter,
+		Monitor:        &d.monitor,
+	})
 	listeners = append(listeners, eventloop.Listener{Network: "tcp", Address: s.Listen, Accept: d.front.Accept})
 	return eventloop.Run(listeners, d.start, d.round)
 }
--- a/test/pages/layers_test.go
+++ b/test/pages/layers_test.go
@@ -23,9 +23,9 @@
 		"platformconfig", "simwire", "emulator"},
 	{"broker"},
 	{"policy", "quota", "concurrency", "retry", "route", "invalidation", "membership", "identity", "bootstrap", "peer",
-		"snapshot", "shutdown"},
-	{"clock", "config", "eventlog", "eventloop", "expiry", "frontend/connlimit", "frontend/rpc/msgpack", "digesttest",
-		"invariant", "atomicfile"},
+		"snapshot", "shutdown", "frontend/connlimit", "frontend/rpc/pacing"},
+	{"clock", "config", "eventlog", "eventloop", "expiry", "frontend/rpc/msgpack", "digesttest", "invariant",
+		"atomicfile"},
 }
 
 // ioPackages are of the standard library, and not for what decides: its caller does the I/O.
