--- a/internal/frontend/dns/dns.go
+++ b/internal/frontend/dns/dns.go
@@ -54,7 +54,7 @@
 
 	byKey     map[string]*flight          // keyed ones, open or finished within their window
 	byRequest map[*broker.Request]*flight // open ones
-	pending   map[string]*query           // by query.identity: a retransmitted query is answered once
+	pending   map[string]*pendingQuery    // by pendingQuery.transaction: a retransmitted query is answered once
 	clients   *connlimit.Limiter          // of TCP connections
 	requests  uint64                      // that were made so far
 	unsigned  identity.Caller             // of queries without a signature
@@ -66,7 +66,7 @@
 		Options:   options,
 		byKey:     map[string]*flight{},
 		byRequest: map[*broker.Request]*flight{},
-		pending:   map[string]*query{},
+		pending:   map[string]*pendingQuery{},
 		clients:   connlimit.New(options.MaxConnections, tcpIdleTimeout),
 		unsigned:  identity.Caller{Front: "dns"},
 	}
--- a/internal/frontend/dns/flight.go
+++ b/internal/frontend/dns/flight.go
@@ -26,17 +26,17 @@
 	key       string // in Server.byKey; empty: it is not keyed
 	request   *broker.Request
 	deadline  time.Duration // when the first query's time is over
-	waiting   []*query
+	waiting   []*pendingQuery
 	final     *broker.Response // nil: it is open
 	keepUntil time.Duration    // until when the final response is given again
 }
 
 // join has a query wait for the request of its key, or makes a request of it.
-func (s *Server) join(q *query, requested target, class int) {
+func (s *Server) join(query *pendingQuery, requested target, class int) {
 	now := s.Now()
 	caller := &s.unsigned
-	if q.signed != nil {
-		caller = q.signed.Caller()
+	if query.signed != nil {
+		caller = query.signed.Caller()
 	}
 	key := ""
 	if s.Classes[class].Idempotency != policy.Idempotent {
@@ -45,39 +45,39 @@
 		key = caller.Subject + " " + requested.team + " " + requested.class + " " + requested.key
 		known := s.byKey[key]
 		if known != nil && (known.final == nil || now < known.keepUntil) {
-			s.joinKnown(q, known, requested)
+			s.joinKnown(query, known, requested)
 			return
 		}
 	}
 	if len(s.byRequest)+len(s.byKey) >= maxFlights {
-		s.sendOverloaded(q)
+		s.sendOverloaded(query)
 		return
 	}
 	opened := &flight{target: requested, class: class, key: key, caller: caller, deadline: now + s.timeout(class)}
 	if key != "" {
 		s.byKey[key] = opened
 	}
-	s.wait(q, opened)
+	s.wait(query, opened)
 	s.submit(opened)
 }
 
 // joinKnown answers a query by the request of its key, or has it wait for that request's response.
-func (s *Server) joinKnown(q *query, known *flight, requested target) {
+func (s *Server) joinKnown(query *pendingQuery, known *flight, requested target) {
 	switch {
 	case known.target.object != requested.object || known.target.part != requested.part:
-		s.sendStatus(q, status{rcode: dns.RcodeFormatError, text: "this key was used for another object"})
+		s.sendStatus(query, status{rcode: dns.RcodeFormatError, text: "this key was used for another object"})
 	case known.final != nil:
-		s.answer(q, known.final)
+		s.answer(query, known.final)
 	case len(known.waiting) < maxJoined:
-		s.wait(q, known)
+		s.wait(query, known)
 	default:
-		s.sendOverloaded(q)
+		s.sendOverloaded(query)
 	}
 }
 
-func (s *Server) wait(q *query, joined *flight) {
-	joined.waiting = append(joined.waiting, q)
-	s.pending[q.identity] = q
+func (s *Server) wait(query *pendingQuery, joined *flight) {
+	joined.waiting = append(joined.waiting, query)
+	s.pending[query.transaction] = query
 }
 
 // submit makes the broker's request of a flight.
@@ -124,9 +124,9 @@
 	if ended.key != "" {
 		ended.keepUntil = now + s.resultLifetime(ended)
 	}
-	for _, q := range ended.waiting {
-		delete(s.pending, q.identity)
-		s.answer(q, ended.final)
+	for _, query := range ended.waiting {
+		delete(s.pending, query.transaction)
+		s.answer(query, ended.final)
 	}
 	ended.waiting = nil
 }
--- a/internal/frontend/dns/query.go
+++ b/internal/frontend/dns/query.go
@@ -19,15 +19,15 @@
 	flagAnswer  = 0x80
 )
 
-// query is one query that was taken and is due one answer.
-type query struct {
-	message  *dns.Msg
-	from     string // its client's address
-	identity string // its client, id and question: a retransmitted query has the same
-	reply    func([]byte)
-	maxBytes int          // of its answer
-	stream   *stream      // nil: it came by UDP
-	signed   *tsig.Signed // nil: it is not
+// pendingQuery is one query that was taken and is due one answer.
+type pendingQuery struct {
+	message     *dns.Msg
+	from        string // its client's address
+	transaction string // its client, id and question: a retransmitted query has the same
+	reply       func([]byte)
+	maxBytes    int          // of its answer
+	stream      *stream      // nil: it came by UDP
+	signed      *tsig.Signed // nil: it is not
 }
 
 // status is an answer without a record.
@@ -38,50 +38,51 @@
 
 // Packet answers a query that came by UDP, or has it wait for its request. reply sends the answer.
 func (s *Server) Packet(packet []byte, from net.Addr, reply func([]byte)) {
-	s.handle(packet, &query{from: from.String(), reply: reply, maxBytes: minUDPBytes})
+	s.handle(packet, &pendingQuery{from: from.String(), reply: reply, maxBytes: minUDPBytes})
 }
 
 // handle reads a packet into a query of which sender and transport are known. It answers the query, or has it wait
 // for its request.
-func (s *Server) handle(packet []byte, q *query) {
-	q.message = &dns.Msg{}
-	err := q.message.Unpack(packet)
+func (s *Server) handle(packet []byte, query *pendingQuery) {
+	query.message = &dns.Msg{}
+	err := query.message.Unpack(packet)
 	if len(packet) < headerBytes || packet[flagsByte]&flagAnswer != 0 {
 		return // no id to answer under, or an answer: answering those would make loops
 	}
 	if err != nil {
-		s.Log("dns-bad-query", "from", q.from, "error", err)
-		q.message = &dns.Msg{}
-		q.message.Id = binary.BigEndian.Uint16(packet)
-		s.sendStatus(q, status{rcode: dns.RcodeFormatError})
+		s.Log("dns-bad-query", "from", query.from, "error", err)
+		query.message = &dns.Msg{}
+		query.message.Id = binary.BigEndian.Uint16(packet)
+		s.sendStatus(query, status{rcode: dns.RcodeFormatError})
 		return
 	}
-	q.maxBytes = maxAnswerBytes(q)
-	if rejection, ok := checkHeader(q.message); !ok {
-		s.sendStatus(q, rejection)
+	query.maxBytes = maxAnswerBytes(query)
+	if rejection, ok := checkHeader(query.message); !ok {
+		s.sendStatus(query, rejection)
 		return
 	}
-	if rejection, ok := s.checkSignature(packet, q); !ok {
-		s.sendStatus(q, rejection)
+	if rejection, ok := s.checkSignature(packet, query); !ok {
+		s.sendStatus(query, rejection)
 		return
 	}
-	question := &q.message.Question[0]
-	q.identity = fmt.Sprintf("%s %d %d %s", q.from, q.message.Id, question.Qtype, strings.ToLower(question.Name))
-	if s.pending[q.identity] != nil { // a retransmitted query: its answer is under way
-		if q.stream != nil {
-			q.stream.answered()
+	question := &query.message.Question[0]
+	name := strings.ToLower(question.Name)
+	query.transaction = fmt.Sprintf("%s %d %d %s", query.from, query.message.Id, question.Qtype, name)
+	if s.pending[query.transaction] != nil { // a retransmitted query: its answer is under way
+		if query.stream != nil {
+			query.stream.answered()
 		}
 		return
 	}
-	s.dispatch(q)
+	s.dispatch(query)
 }
 
 // maxAnswerBytes returns how long the answer to a query may be.
-func maxAnswerBytes(q *query) int {
-	if q.stream != nil {
+func maxAnswerBytes(query *pendingQuery) int {
+	if query.stream != nil {
 		return dns.MaxMsgSize
 	}
-	if opt := q.message.IsEdns0(); opt != nil {
+	if opt := query.message.IsEdns0(); opt != nil {
 		return min(maxUDPBytes, max(minUDPBytes, int(opt.UDPSize())))
 	}
 	return minUDPBytes
@@ -101,44 +102,44 @@
 }
 
 // checkSignature reads the signature of a query, and reports whether it is sound or there is none.
-func (s *Server) checkSignature(packet []byte, q *query) (rejection status, ok bool) {
+func (s *Server) checkSignature(packet []byte, query *pendingQuery) (rejection status, ok bool) {
 	var keys *tsig.Keys
 	if s.Keys != nil {
 		keys = s.Keys()
 	}
 	var err error
-	q.signed, err = keys.Check(packet, q.message, s.Unix(), s.Skew)
+	query.signed, err = keys.Check(packet, query.message, s.Unix(), s.Skew)
 	if err != nil {
 		return status{rcode: dns.RcodeFormatError, text: err.Error()}, false
 	}
-	if q.signed != nil && q.signed.Error != 0 {
-		s.Log("dns-signature-rejected", "from", q.from, "error", dns.RcodeToString[int(q.signed.Error)])
+	if query.signed != nil && query.signed.Error != 0 {
+		s.Log("dns-signature-rejected", "from", query.from, "error", dns.RcodeToString[int(query.signed.Error)])
 		return status{rcode: dns.RcodeNotAuth}, false
 	}
 	return status{}, true
 }
 
 // dispatch answers a query by its name, or has it wait for its request.
-func (s *Server) dispatch(q *query) {
-	question := &q.message.Question[0]
+func (s *Server) dispatch(query *pendingQuery) {
+	question := &query.message.Question[0]
 	target, err := parseName(question.Name, s.Config.Zone)
 	class := s.classIndex(target.class)
 	switch {
 	case errors.Is(err, errOtherZone):
-		s.sendStatus(q, status{rcode: dns.RcodeRefused, text: "zone"})
+		s.sendStatus(query, status{rcode: dns.RcodeRefused, text: "zone"})
 	case errors.Is(err, errApex):
-		s.sendStatus(q, status{rcode: dns.RcodeSuccess})
+		s.sendStatus(query, status{rcode: dns.RcodeSuccess})
 	case err != nil:
-		s.sendStatus(q, status{rcode: dns.RcodeFormatError, text: err.Error()})
+		s.sendStatus(query, status{rcode: dns.RcodeFormatError, text: err.Error()})
 	case target.endpoint != "":
-		s.answerEndpoint(q, target.endpoint)
+		s.answerEndpoint(query, target.endpoint)
 	case class < 0:
-		s.sendStatus(q, status{rcode: dns.RcodeNameError})
+		s.sendStatus(query, status{rcode: dns.RcodeNameError})
 	case s.Classes[class].Idempotency != policy.Idempotent && target.key == "":
-		s.sendStatus(q, status{rcode: dns.RcodeFormatError, text: "this class needs a key"})
+		s.sendStatus(query, status{rcode: dns.RcodeFormatError, text: "this class needs a key"})
 	case question.Qtype != dns.TypeA && question.Qtype != dns.TypeSRV && question.Qtype != dns.TypeTXT:
-		s.sendStatus(q, status{rcode: dns.RcodeSuccess}) // the name is there, a record of that type is not
+		s.sendStatus(query, status{rcode: dns.RcodeSuccess}) // the name is there, a record of that type is not
 	default:
-		s.join(q, target, class)
+		s.join(query, target, class)
 	}
 }
--- a/internal/frontend/dns/response.go
+++ b/internal/frontend/dns/response.go
@@ -26,23 +26,23 @@
 
 // answer answers a query by the final response of its request. Whether the endpoint may be named is decided now, not
 // when it served.
-func (s *Server) answer(q *query, final *broker.Response) {
+func (s *Server) answer(query *pendingQuery, final *broker.Response) {
 	switch final.Kind {
 	case broker.ResponseRejected:
-		s.sendRejection(q, final.RetryAfter, final.Budget)
+		s.sendRejection(query, final.RetryAfter, final.Budget)
 	case broker.ResponseFailed:
-		s.sendStatus(q, status{rcode: dns.RcodeServerFailure, text: final.Reason})
+		s.sendStatus(query, status{rcode: dns.RcodeServerFailure, text: final.Reason})
 	case broker.ResponseDenied:
-		s.sendStatus(q, status{rcode: dns.RcodeRefused, text: final.Reason})
+		s.sendStatus(query, status{rcode: dns.RcodeRefused, text: final.Reason})
 	default:
-		s.sendServed(q, final)
+		s.sendServed(query, final)
 	}
 }
 
 // sendServed answers with the records of the endpoint that served.
-func (s *Server) sendServed(q *query, final *broker.Response) {
-	message := newAnswer(q, dns.RcodeSuccess)
-	question := &q.message.Question[0]
+func (s *Server) sendServed(query *pendingQuery, final *broker.Response) {
+	message := newAnswer(query, dns.RcodeSuccess)
+	question := &query.message.Question[0]
 	address, service := s.records(question.Name, final.Endpoint, final.Address)
 	outcome := textServed
 	if address == nil {
@@ -65,23 +65,23 @@
 		ofTarget.Hdr.Name = service.Target
 		message.Extra = append(message.Extra, &ofTarget)
 	}
-	s.send(q, message)
+	s.send(query, message)
 }
 
 // answerEndpoint answers for the target of an earlier SRV record.
-func (s *Server) answerEndpoint(q *query, host string) {
+func (s *Server) answerEndpoint(query *pendingQuery, host string) {
 	endpoint := s.EndpointByName(host)
 	if endpoint == nil || endpoint.State != policy.Ready {
-		s.sendStatus(q, status{rcode: dns.RcodeNameError})
+		s.sendStatus(query, status{rcode: dns.RcodeNameError})
 		return
 	}
-	message := newAnswer(q, dns.RcodeSuccess)
-	question := &q.message.Question[0]
+	message := newAnswer(query, dns.RcodeSuccess)
+	question := &query.message.Question[0]
 	address, _ := s.records(question.Name, endpoint, endpoint.Address)
 	if address != nil && question.Qtype == dns.TypeA {
 		message.Answer = append(message.Answer, address)
 	}
-	s.send(q, message)
+	s.send(query, message)
 }
 
 // records returns the records that name an endpoint, or nil where it may not be named or has no IPv4 address.
@@ -108,13 +108,13 @@
 func clip(text string) string { return text[:min(len(text), maxTextBytes)] }
 
 // sendOverloaded answers a query for which there is no place.
-func (s *Server) sendOverloaded(q *query) {
-	s.sendRejection(q, min(overloadRetryAfter, s.MaxRetryAfter), "")
+func (s *Server) sendOverloaded(query *pendingQuery) {
+	s.sendRejection(query, min(overloadRetryAfter, s.MaxRetryAfter), "")
 }
 
 // sendRejection answers REFUSED with the Retry-After, where one may be sent, and the budget that was used up, if it
 // was one.
-func (s *Server) sendRejection(q *query, retryAfter time.Duration, budget string) {
+func (s *Server) sendRejection(query *pendingQuery, retryAfter time.Duration, budget string) {
 	var words []string
 	if s.MaxRetryAfter > 0 {
 		words = append(words, textRetryAfter+strconv.FormatInt(max(1, retryAfter.Milliseconds()), 10))
@@ -122,7 +122,7 @@
 	if budget != "" {
 		words = append(words, textBudget+strconv.Quote(budget))
 	}
-	s.sendStatus(q, status{rcode: dns.RcodeRefused, text: clip(strings.Join(words, " "))})
+	s.sendStatus(query, status{rcode: dns.RcodeRefused, text: clip(strings.Join(words, " "))})
 }
 
 // extendedErrors has the extended error that goes with a code (RFC 8914).
@@ -133,8 +133,8 @@
 
 // sendStatus answers without a record. The text goes into an extended error, or into a TXT record where the client
 // knows no EDNS.
-func (s *Server) sendStatus(q *query, answer status) {
-	message := newAnswer(q, answer.rcode)
+func (s *Server) sendStatus(query *pendingQuery, answer status) {
+	message := newAnswer(query, answer.rcode)
 	if opt := message.IsEdns0(); opt != nil && answer.text != "" {
 		extended := &dns.EDNS0_EDE{InfoCode: extendedErrors[answer.rcode], ExtraText: answer.text}
 		opt.Option = append(opt.Option, extended)
@@ -142,53 +142,53 @@
 		header := recordHeader(message.Question[0].Name, dns.TypeTXT)
 		message.Extra = append(message.Extra, &dns.TXT{Hdr: header, Txt: []string{clip(answer.text)}})
 	}
-	s.send(q, message)
+	s.send(query, message)
 }
 
 // newAnswer returns an answer to a query, with no records yet.
-func newAnswer(q *query, rcode int) *dns.Msg {
+func newAnswer(query *pendingQuery, rcode int) *dns.Msg {
 	message := &dns.Msg{}
-	message.SetRcode(q.message, rcode)
+	message.SetRcode(query.message, rcode)
 	message.Authoritative = true
-	if q.message.IsEdns0() != nil {
+	if query.message.IsEdns0() != nil {
 		message.SetEdns0(maxUDPBytes, false)
 	}
 	return message
 }
 
 // send sends an answer; what is too long for UDP goes out empty and marked, and the client asks again by TCP.
-func (s *Server) send(q *query, message *dns.Msg) {
+func (s *Server) send(query *pendingQuery, message *dns.Msg) {
 	if len(message.Answer) == 0 && (message.Rcode == dns.RcodeSuccess || message.Rcode == dns.RcodeNameError) {
 		message.Ns = append(message.Ns, s.zoneAuthority())
 	}
-	packet, err := s.pack(q, message)
+	packet, err := s.pack(query, message)
 	if err != nil {
 		s.Log("dns-encode-failed", "error", err)
-		failure := new(dns.Msg).SetRcode(q.message, dns.RcodeServerFailure)
+		failure := new(dns.Msg).SetRcode(query.message, dns.RcodeServerFailure)
 		if packet, err = failure.Pack(); err != nil {
 			return
 		}
 	}
-	q.reply(packet)
-	if q.stream != nil {
-		q.stream.answered()
+	query.reply(packet)
+	if query.stream != nil {
+		query.stream.answered()
 	}
 }
 
 // pack encodes and signs an answer, without its records if they make it too long.
-func (s *Server) pack(q *query, message *dns.Msg) ([]byte, error) {
+func (s *Server) pack(query *pendingQuery, message *dns.Msg) ([]byte, error) {
 	message.Compress = true
-	maxBytes := q.maxBytes
-	if q.signed != nil {
-		maxBytes -= q.signed.Size()
+	maxBytes := query.maxBytes
+	if query.signed != nil {
+		maxBytes -= query.signed.Size()
 	}
 	packet, err := message.Pack()
 	if err == nil && len(packet) > maxBytes {
 		truncate(message)
 		packet, err = message.Pack()
 	}
-	if err == nil && q.signed != nil {
-		return q.signed.Sign(message, s.Unix())
+	if err == nil && query.signed != nil {
+		return query.signed.Sign(message, s.Unix())
 	}
 	return packet, err
 }
--- a/internal/frontend/dns/stream.go
+++ b/internal/frontend/dns/stream.go
@@ -68,7 +68,7 @@
 			break
 		}
 		c.open++
-		c.server.handle(packet, &query{from: c.from, reply: c.reply, maxBytes: minUDPBytes, stream: c})
+		c.server.handle(packet, &pendingQuery{from: c.from, reply: c.reply, maxBytes: minUDPBytes, stream: c})
 	}
 	return used
 }
@@ -106,21 +106,21 @@
 	c.client.Remove()
 	c.conn.Close()
 	for request, joined := range c.server.byRequest {
-		c.leaveFlight(joined)
+		c.removeFrom(joined)
 		if len(joined.waiting) == 0 && joined.key == "" {
 			c.server.cancel(request)
 		}
 	}
 }
 
-// leaveFlight takes the connection's queries off those that wait for a request.
-func (c *stream) leaveFlight(joined *flight) {
+// removeFrom takes the connection's queries off those that wait for a request.
+func (c *stream) removeFrom(joined *flight) {
 	others := joined.waiting[:0]
-	for _, q := range joined.waiting {
-		if q.stream == c {
-			delete(c.server.pending, q.identity)
+	for _, query := range joined.waiting {
+		if query.stream == c {
+			delete(c.server.pending, query.transaction)
 		} else {
-			others = append(others, q)
+			others = append(others, query)
 		}
 	}
 	joined.waiting = others
--- a/internal/frontend/rpc/pacing/pacing.go
+++ b/internal/frontend/rpc/pacing/pacing.go
@@ -11,7 +11,7 @@
 //     handled, and at most Limits.MessagesPerRound of all connections' together.
 //   - Turns are in the order in which connections began to wait; one that still has messages after its turn waits
 //     anew.
-//   - A connection that waits longer than Limits.MaxWait is overdue, and none else is.
+//   - A connection that waits longer than Limits.MaxWait is timed out, and none else is.
 //   - A connection stands in the queue at most once.
 //
 // Bounds: one list element for each connection that waits. The package does no I/O and asks no clock. It is not safe
@@ -82,9 +82,9 @@
 // Len returns the number of connections that wait for a turn.
 func (q *Queue[Owner]) Len() int { return q.waiting.Len() }
 
-// Overdue returns the connection that has waited longest, and for how long, if that is longer than it may wait; nil:
+// TimedOut returns the connection that has waited longest, and for how long, if that is longer than it may wait; nil:
 // none has. The caller closes and removes it.
-func (q *Queue[Owner]) Overdue(now time.Duration) (overdue *Connection[Owner], waited time.Duration) {
+func (q *Queue[Owner]) TimedOut(now time.Duration) (timedOut *Connection[Owner], waited time.Duration) {
 	longest := q.first()
 	if longest == nil || now-longest.queuedAt <= q.limits.MaxWait {
 		return nil, 0
--- a/internal/frontend/rpc/pacing/pacing_test.go
+++ b/internal/frontend/rpc/pacing/pacing_test.go
@@ -38,7 +38,7 @@
 }
 
 // TestQueue: over random messages and rounds, each connection gets its turns in order and no more than its part, and
-// those that wait too long are overdue, and none else.
+// those that wait too long are timed out, and none else.
 func TestQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{
@@ -67,7 +67,7 @@
 				model.waiting = slices.DeleteFunc(model.waiting, func(waiting int) bool { return waiting == owner })
 				model.connections[owner].unread = 0
 			case "round":
-				checkOverdue(t, now, queue, model)
+				checkTimedOut(t, now, queue, model)
 				checkRound(t, now, queue, model, limits)
 			}
 			if queue.Len() != len(model.waiting) {
@@ -77,21 +77,22 @@
 	})
 }
 
-// checkOverdue compares who is overdue with those of the model that wait too long, and ends them.
-func checkOverdue(t *rapid.T, now time.Duration, queue *Queue[int], model *plainModel) {
+// checkTimedOut compares who is timed out with those of the model that wait too long, and ends them.
+func checkTimedOut(t *rapid.T, now time.Duration, queue *Queue[int], model *plainModel) {
 	for _, owner := range slices.Clone(model.waiting) {
 		plain := model.connections[owner]
-		overdue, waited := queue.Overdue(now)
+		timedOut, waited := queue.TimedOut(now)
 		if now-plain.queuedAt <= queue.limits.MaxWait {
-			if overdue != nil {
-				t.Fatalf("connection %d is overdue after %v", overdue.Owner, waited)
+			if timedOut != nil {
+				t.Fatalf("connection %d is timed out after %v", timedOut.Owner, waited)
 			}
 			return
 		}
-		if overdue != plain.connection || waited != now-plain.queuedAt {
-			t.Fatalf("%v is overdue after %v, want connection %d after %v", overdue, waited, owner, now-plain.queuedAt)
+		if timedOut != plain.connection || waited != now-plain.queuedAt {
+			want := now - plain.queuedAt
+			t.Fatalf("%v is timed out after %v, want connection %d after %v", timedOut, waited, owner, want)
 		}
-		queue.Remove(overdue)
+		queue.Remove(timedOut)
 		plain.unread = 0
 		model.waiting = model.waiting[1:]
 	}
--- a/internal/frontend/rpc/rpc.go
+++ b/internal/frontend/rpc/rpc.go
@@ -102,22 +102,22 @@
 	if unfinished := s.clients.Tick(now); unfinished > 0 {
 		s.Log("client-message-timeout", "front", "rpc", "connections", unfinished)
 	}
-	s.closeOverdue(now)
+	s.closeTimedOut(now)
 	s.paced.StartRound()
 	for turn := s.paced.Next(); turn != nil; turn = s.paced.Next() {
 		turn.Owner.conn.ReadAgain()
 	}
 }
 
-// closeOverdue rejects what rate-limited clients sent that could not be handled in time, and closes their
+// closeTimedOut rejects what rate-limited clients sent that could not be handled in time, and closes their
 // connections.
-func (s *Server) closeOverdue(now time.Duration) {
+func (s *Server) closeTimedOut(now time.Duration) {
 	for {
-		overdue, waited := s.paced.Overdue(now)
-		if overdue == nil {
+		timedOut, waited := s.paced.TimedOut(now)
+		if timedOut == nil {
 			return
 		}
-		c := overdue.Owner
+		c := timedOut.Owner
 		s.Log("client-rate-limited", "from", c.caller.Remote, "waited", waited)
 		c.rejectAll = true
 		c.conn.ReadAgain()
--- a/internal/identity/revocations_test.go
+++ b/internal/identity/revocations_test.go
@@ -27,14 +27,14 @@
 				name: fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "name")),
 			}
 			until := now + time.Duration(rapid.IntRange(1, 5000).Draw(t, "for"))*time.Millisecond
-			_, held := plain[k]
-			if err := r.Add(k.kind, k.name, until); (err == nil) != (held || len(plain) < 5) {
+			_, known := plain[k]
+			if err := r.Add(k.kind, k.name, until); (err == nil) != (known || len(plain) < 5) {
 				t.Fatalf("adding to %d: %v", len(plain), err)
 			} else if err == nil {
 				plain[k] = max(plain[k], until)
 			}
 			if r.Len() != len(plain) {
-				t.Fatalf("%d held, want %d", r.Len(), len(plain))
+				t.Fatalf("%d entries, want %d", r.Len(), len(plain))
 			}
 			for k := range plain {
 				if !r.Has(now, k.kind, k.name) {
--- a/internal/identity/tlslistener/tlslistener.go
+++ b/internal/identity/tlslistener/tlslistener.go
@@ -54,7 +54,7 @@
 	identify   ClientIdentity
 	adopt      func(conn net.Conn, caller identity.Caller) bool
 	log        func(event string, fields ...any)
-	listener   net.Listener
+	socket     net.Listener
 	tlsConfig  atomic.Pointer[tls.Config]
 	handshakes chan struct{} // one place each
 	open       atomic.Int64  // connections
@@ -70,7 +70,7 @@
 	adopt func(net.Conn, identity.Caller) bool,
 	log func(event string, fields ...any),
 ) (*Listener, error) {
-	l := &Listener{
+	listener := &Listener{
 		config:     config,
 		identify:   identify,
 		adopt:      adopt,
@@ -79,22 +79,22 @@
 		faults:     faultLimiter{loggedAt: map[string]time.Time{}},
 		stop:       make(chan struct{}),
 	}
-	if err := l.Reload(); err != nil {
+	if err := listener.Reload(); err != nil {
 		return nil, err
 	}
 	var err error
-	if l.listener, err = net.Listen("tcp", config.Listen); err != nil {
+	if listener.socket, err = net.Listen("tcp", config.Listen); err != nil {
 		return nil, fmt.Errorf("tls: %w", err)
 	}
-	go l.accept()
-	go l.rotateTicketKeys()
-	return l, nil
+	go listener.accept()
+	go listener.rotateTicketKeys()
+	return listener, nil
 }
 
 // Close ends the listener; connections stay.
 func (l *Listener) Close() {
 	close(l.stop)
-	_ = l.listener.Close()
+	_ = l.socket.Close()
 }
 
 // Reload reads the files again. Handshakes that have begun end by the old ones, and connections that stand go on;
@@ -140,7 +140,7 @@
 // accept takes connections in until the listener is closed.
 func (l *Listener) accept() {
 	for {
-		conn, err := l.listener.Accept()
+		conn, err := l.socket.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
