--- a/internal/bootstrap/digest.go
+++ b/internal/bootstrap/digest.go
@@ -19,17 +19,17 @@
 }
 
 // viewService combines this proxy's own contact with the advertisements of peers that poll.
-func (m *Machine) viewService(l *listState) serviceView {
+func (m *Machine) viewService(list *listState) serviceView {
 	maxAge := MaxMissedHeartbeats * m.heartbeatInterval()
 	var newest [Quorum]time.Duration // descending
 	pollers := 0
-	for i := range l.advertisements {
-		advertisement := &l.advertisements[i]
+	for i := range list.advertisements {
+		advertisement := &list.advertisements[i]
 		if !advertisement.isFromPoller() || m.now-advertisement.receivedAt > maxAge {
 			continue
 		}
 		pollers++
-		if l.current == nil || advertisement.Sum != l.current.Sum {
+		if list.current == nil || advertisement.Sum != list.current.Sum {
 			continue
 		}
 		seenAt := advertisement.receivedAt - advertisement.LastSeen
@@ -39,7 +39,7 @@
 			}
 		}
 	}
-	return serviceView{lastSeen: max(newest[Quorum-1], l.serviceSeenAt), pollers: pollers}
+	return serviceView{lastSeen: max(newest[Quorum-1], list.serviceSeenAt), pollers: pollers}
 }
 
 // heartbeatInterval is the time between two heartbeats of a poller.
--- a/internal/bootstrap/fetch.go
+++ b/internal/bootstrap/fetch.go
@@ -74,11 +74,11 @@
 
 // receivePart takes a part of what is fetched.
 func (m *Machine) receivePart(peer string, part *Part) {
-	l := m.list(part.List)
-	if !l.awaits(part.ListVersion, peer) {
+	list := m.list(part.List)
+	if !list.awaits(part.ListVersion, peer) {
 		return
 	}
-	f := l.fetch
+	f := list.fetch
 	if !f.fits(part, m.config.MaxEndpoints) {
 		m.distrust(part.List, peer, ChecksumMismatch)
 		return
@@ -92,7 +92,7 @@
 	}
 	f.deadline = m.now + FetchTimeout
 	if f.received == part.Total {
-		m.completeFetch(l, peer, slices.Concat(f.parts...))
+		m.completeFetch(list, peer, slices.Concat(f.parts...))
 	}
 }
 
@@ -109,8 +109,8 @@
 
 // receiveDelta applies a delta to the current list. One that does not start from it, or is too long, is ignored.
 func (m *Machine) receiveDelta(peer string, delta *Delta) {
-	l := m.list(delta.List)
-	if !l.awaits(delta.ListVersion, peer) || l.current == nil || l.current.Sum != delta.BaseSum {
+	list := m.list(delta.List)
+	if !list.awaits(delta.ListVersion, peer) || list.current == nil || list.current.Sum != delta.BaseSum {
 		return
 	}
 	if len(delta.Endpoints) > m.config.MaxEndpoints {
@@ -124,12 +124,12 @@
 		replaced[endpoint.ID] = true
 	}
 	endpoints := slices.Clone(delta.Endpoints)
-	for _, endpoint := range l.current.endpoints {
+	for _, endpoint := range list.current.endpoints {
 		if !replaced[endpoint.ID] {
 			endpoints = append(endpoints, endpoint)
 		}
 	}
-	m.completeFetch(l, peer, endpoints)
+	m.completeFetch(list, peer, endpoints)
 }
 
 // completeFetch ends a fetch and makes its content the candidate, if it has the checksum that was advertised.
--- a/internal/clock/tracker.go
+++ b/internal/clock/tracker.go
@@ -12,7 +12,7 @@
 // Invariants: Offset is the newest reading's, so that Monotonic and Unix undo one another; a step is reported once.
 type Tracker struct {
 	offset    time.Duration
-	reference time.Duration // the offset that the next step is measured from
+	reference time.Duration // the offset that the next step counts from
 	seen      bool
 }
 
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,5 +1,6 @@
 // Package eventlog writes the operators' log by zap: one event a line, a stable event word and then fields, as text
-// (event=endpoint-removed box=c1) or JSON, and at most so many lines a second, with the count of what was left out.
+// (event=endpoint-removed endpoint=c1) or JSON, and at most so many lines a second, with the count of what was left
+// out.
 package eventlog
 
 import (
@@ -30,7 +31,8 @@
 	"clock-stepped":         zap.ErrorLevel,
 	"reload-failed":         zap.ErrorLevel,
 	"log-rate-limited":      zap.WarnLevel,
-	"outlier-detection":     zap.WarnLevel,
+	"endpoint-ejected":      zap.WarnLevel,
+	"endpoint-readmitted":   zap.WarnLevel,
 	"policy-invalid-action": zap.ErrorLevel,
 	"invariant-violated":    zap.ErrorLevel,
 
@@ -120,8 +122,8 @@
 	since   time.Duration
 }
 
-// New makes a logger that writes to w what is at a level or above it.
-func New(w io.Writer, format, level string) (*Logger, error) {
+// New makes a logger that writes to output what is at a level or above it.
+func New(output io.Writer, format, level string) (*Logger, error) {
 	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, fmt.Errorf("log level: %w", err)
@@ -138,7 +140,7 @@
 	default:
 		return nil, fmt.Errorf("log format: expected one of %s, got %q", strings.Join(Formats, ", "), format)
 	}
-	return &Logger{zap: zap.New(zapcore.NewCore(encoder, zapcore.AddSync(w), minLevel))}, nil
+	return &Logger{zap: zap.New(zapcore.NewCore(encoder, zapcore.AddSync(output), minLevel))}, nil
 }
 
 const timeForm = "2006-01-02T15:04:05.000000Z"
--- a/internal/membership/changes.go
+++ b/internal/membership/changes.go
@@ -66,14 +66,14 @@
 
 // changeQueue has the records that are to be decided anew. What becomes more restricted overtakes the rest.
 type changeQueue struct {
-	restricting []*record
-	others      []*record
+	restricting []*endpointRecord
+	others      []*endpointRecord
 }
 
 func (q *changeQueue) len() int { return len(q.restricting) + len(q.others) }
 
 // push adds a record unless it is queued already.
-func (q *changeQueue) push(r *record) {
+func (q *changeQueue) push(r *endpointRecord) {
 	if r.queued {
 		return
 	}
@@ -83,13 +83,13 @@
 
 // pushRestricting adds a record before the others. One that is queued already then stands in the queue twice, and the
 // entry that comes first clears record.queued, by which the second is passed over.
-func (q *changeQueue) pushRestricting(r *record) {
+func (q *changeQueue) pushRestricting(r *endpointRecord) {
 	r.queued = true
 	q.restricting = append(q.restricting, r)
 }
 
 // pop removes the first entry of a queue that is not empty.
-func (q *changeQueue) pop() *record {
+func (q *changeQueue) pop() *endpointRecord {
 	from := &q.others
 	if len(q.restricting) > 0 {
 		from = &q.restricting
--- a/internal/membership/consul/config.go
+++ b/internal/membership/consul/config.go
@@ -80,8 +80,8 @@
 		c.TLS = &TLS{}
 		return c.TLS.section(), nil
 	})
-	section.Block("service", true, "a service whose instances are boxes", c.serviceSection)
-	section.Block("register", false, "the doorman's own registration", func([]string) (*config.Section, error) {
+	section.Block("service", true, "a service whose instances are endpoints", c.serviceSection)
+	section.Block("register", false, "the proxy's own registration", func([]string) (*config.Section, error) {
 		c.Registration = &Registration{TTL: defaultTTL}
 		return c.Registration.section(), nil
 	})
@@ -166,7 +166,7 @@
 	section.Words("tag", &s.Tags, nil, "tags that an instance must all have")
 	section.Text("filter", &s.Filter, nil, "filter expression of the API")
 	section.Text("id", &rules.ID, health.ValidateIDForm,
-		"where a box's id comes from: service, node, node/service or meta:KEY")
+		"where an endpoint's id comes from: service, node, node/service or meta:KEY")
 	section.Text("site", &rules.Zone, nil, "site of all instances, where the metadata does not tell it")
 	section.Text("site-key", &rules.ZoneKey, nil, "metadata that has the site")
 	section.Text("class", &rules.Kind, nil, "class of all instances, where the metadata does not tell it")
@@ -192,7 +192,7 @@
 func (r *Registration) section() *config.Section {
 	section := &config.Section{}
 	section.Text("service", &r.Service, pathSegment("service"), "name of the service")
-	section.Text("id", &r.ID, pathSegment("instance"), "of this doorman; its name without it")
+	section.Text("id", &r.ID, pathSegment("instance"), "of this proxy; its name without it")
 	section.Text("address", &r.Address, hostPort, "host:port to be told; where it listens without it")
 	section.Words("tag", &r.Tags, nil, "tags of the instance")
 	section.Duration("ttl", &r.TTL, time.Second, 10*time.Minute, "of the check")
--- a/internal/membership/due.go
+++ b/internal/membership/due.go
@@ -9,7 +9,7 @@
 type dueTime struct {
 	at       time.Duration
 	sequence uint64 // of being added, which decides between equal times
-	record   *record
+	record   *endpointRecord
 	source   int
 }
 
--- a/internal/membership/loss.go
+++ b/internal/membership/loss.go
@@ -20,64 +20,64 @@
 	loss        loss // lossOfMany or lossOfAll
 	since       time.Duration
 	nextRefetch time.Duration
-	lost        []*record
+	lost        []*endpointRecord
 }
 
 // applyLosses deals with the endpoints that a complete list lacks though its source had reported them.
-func (t *Table) applyLosses(u update, list List, pass listPass) {
-	s := &t.sources[u.source]
-	lost := t.unexplainedLosses(u, pass.added)
+func (t *Table) applyLosses(update sourceUpdate, list List, pass listPass) {
+	state := &t.sources[update.source]
+	lost := t.unexplainedLosses(update, pass.added)
 	total := len(lost) + len(pass.order) // endpoints that the list might have named
-	switch kind := t.judgeLoss(s, list, len(lost), total); kind {
+	switch kind := t.judgeLoss(state, list, len(lost), total); kind {
 	case lossNone:
-		t.refuteLoss(u.now, u.source)
+		t.refuteLoss(update.now, update.source)
 	case lossOfMany, lossOfAll:
-		t.suspect(u, kind, lost, total)
+		t.suspect(update, kind, lost, total)
 	case lossBelieved:
-		t.believeLoss(u, lost, total)
+		t.believeLoss(update, lost, total)
 	}
 }
 
 // unexplainedLosses withdraws the reports on endpoints that were renamed or reported as gone before, and gives the
 // other endpoints that the list lacks.
-func (t *Table) unexplainedLosses(u update, added []*record) (lost []*record) {
-	s := &t.sources[u.source]
-	addedAt := map[string]*record{} // by address
-	for _, r := range added {
-		addedAt[r.reports[u.source].endpoint.Address] = r
+func (t *Table) unexplainedLosses(update sourceUpdate, added []*endpointRecord) (lost []*endpointRecord) {
+	state := &t.sources[update.source]
+	addedAt := map[string]*endpointRecord{} // by address
+	for _, record := range added {
+		addedAt[record.reports[update.source].endpoint.Address] = record
 	}
-	for _, r := range s.order {
-		current := &r.reports[u.source]
-		if !current.present || current.generation == s.generation {
+	for _, record := range state.order {
+		current := &record.reports[update.source]
+		if !current.present || current.generation == state.generation {
 			continue
 		}
 		if successor := addedAt[current.endpoint.Address]; successor != nil {
 			// The same process under another ID, or another process in its place.
-			t.notes.add(Note{Kind: Renamed, Source: u.source, Endpoint: r.id, Other: successor.id})
-			t.withdraw(u.now, u.source, r)
+			t.notes.add(Note{Kind: Renamed, Source: update.source, Endpoint: record.id, Other: successor.id})
+			t.withdraw(update.now, update.source, record)
 			continue
 		}
 		if current.endpoint.State == Gone {
-			t.withdraw(u.now, u.source, r)
+			t.withdraw(update.now, update.source, record)
 			continue
 		}
-		lost = append(lost, r)
+		lost = append(lost, record)
 	}
 	return lost
 }
 
 // judgeLoss says how the loss of so many endpoints of a total is taken.
-func (t *Table) judgeLoss(s *sourceState, list List, lost, total int) loss {
+func (t *Table) judgeLoss(state *sourceState, list List, lost, total int) loss {
 	if lost == 0 {
 		return lossNone
 	}
-	if !s.ConfirmLosses {
+	if !state.ConfirmLosses {
 		return lossBelieved
 	}
 	if lost == total {
 		return lossOfAll
 	}
-	confirmed := s.suspicion != nil && list.Confirms
+	confirmed := state.suspicion != nil && list.Confirms
 	large := t.cfg.MaxLossShare > 0 && lost >= t.cfg.MinLoss && float64(lost) > t.cfg.MaxLossShare*float64(total)
 	if large && !confirmed {
 		return lossOfMany
@@ -86,47 +86,47 @@
 }
 
 // suspect keeps the reports on the endpoints that a list lacks, and has the source fetched again.
-func (t *Table) suspect(u update, kind loss, lost []*record, total int) {
-	s := &t.sources[u.source]
-	if s.suspicion == nil || s.suspicion.loss != kind {
-		s.suspicion = &suspicion{loss: kind, since: u.now}
-		t.notes.add(Note{Kind: LossSuspected, Source: u.source, Count: len(lost), Of: total})
-		t.scheduleRefetch(u.now, u.source)
+func (t *Table) suspect(update sourceUpdate, kind loss, lost []*endpointRecord, total int) {
+	state := &t.sources[update.source]
+	if state.suspicion == nil || state.suspicion.loss != kind {
+		state.suspicion = &suspicion{loss: kind, since: update.now}
+		t.notes.add(Note{Kind: LossSuspected, Source: update.source, Count: len(lost), Of: total})
+		t.scheduleRefetch(update.now, update.source)
 	}
-	s.suspicion.lost = lost
+	state.suspicion.lost = lost
 }
 
 // believeLoss withdraws the reports on the endpoints that a list lacks.
-func (t *Table) believeLoss(u update, lost []*record, total int) {
-	s := &t.sources[u.source]
-	if s.suspicion != nil {
+func (t *Table) believeLoss(update sourceUpdate, lost []*endpointRecord, total int) {
+	state := &t.sources[update.source]
+	if state.suspicion != nil {
 		t.notes.add(Note{
 			Kind:   LossConfirmed,
-			Source: u.source,
+			Source: update.source,
 			Count:  len(lost),
 			Of:     total,
-			For:    u.now - s.suspicion.since,
+			For:    update.now - state.suspicion.since,
 		})
-		s.suspicion = nil
+		state.suspicion = nil
 	}
-	for _, r := range lost {
-		t.withdraw(u.now, u.source, r)
+	for _, record := range lost {
+		t.withdraw(update.now, update.source, record)
 	}
 }
 
 // refuteLoss ends a suspicion, as nothing is missing any more.
 func (t *Table) refuteLoss(now time.Duration, source int) {
-	s := &t.sources[source]
-	if s.suspicion == nil {
+	state := &t.sources[source]
+	if state.suspicion == nil {
 		return
 	}
 	t.notes.add(Note{
 		Kind:   LossRefuted,
 		Source: source,
-		Count:  len(s.suspicion.lost),
-		For:    now - s.suspicion.since,
+		Count:  len(state.suspicion.lost),
+		For:    now - state.suspicion.since,
 	})
-	s.suspicion = nil
+	state.suspicion = nil
 }
 
 // stepSuspicion has a suspected source fetched again. An empty list is never believed, so that one fetch is enough.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -35,7 +35,7 @@
 type Table struct {
 	cfg       Config
 	sources   []sourceState
-	records   map[string]*record
+	records   map[string]*endpointRecord
 	addresses addressIndex
 	pending   changeQueue
 	due       dueTimes
@@ -53,8 +53,8 @@
 	cfg.Forget = cmp.Or(cfg.Forget, DefaultForget)
 	t := &Table{
 		cfg:       cfg,
-		records:   map[string]*record{},
-		addresses: addressIndex{records: map[string][]*record{}},
+		records:   map[string]*endpointRecord{},
+		addresses: addressIndex{records: map[string][]*endpointRecord{}},
 	}
 	for _, source := range cfg.Sources {
 		t.sources = append(t.sources, sourceState{Source: source})
@@ -69,60 +69,60 @@
 // ReplaceList takes a list of a source. What a complete list does not name the source has no report on any more, unless
 // the loss is suspected. An endpoint that is named twice counts once.
 func (t *Table) ReplaceList(now time.Duration, source int, list List) {
-	s := &t.sources[source]
+	state := &t.sources[source]
 	t.SourceSeen(now, source)
-	s.version = list.Version
-	u := update{now: now, source: source, initial: !s.hasReported}
-	before := s.endpoints
+	state.version = list.Version
+	update := sourceUpdate{now: now, source: source, initial: !state.hasReported}
+	before := state.endpoints
 	// An empty first answer may be that of an agent that has only just started: what comes next is not new for that.
-	s.hasReported = s.hasReported || !list.Part && len(list.Endpoints) > 0
-	pass := t.applyList(u, list.Endpoints)
+	state.hasReported = state.hasReported || !list.Part && len(list.Endpoints) > 0
+	pass := t.applyList(update, list.Endpoints)
 	complete := !list.Incomplete && !list.Part
 	if pass.known == before {
 		t.refuteLoss(now, source)
 	} else if complete {
-		t.applyLosses(u, list, pass)
+		t.applyLosses(update, list, pass)
 	}
-	if !complete || s.suspicion != nil {
-		pass.keepUnnamed(s, source)
+	if !complete || state.suspicion != nil {
+		pass.keepUnnamed(state, source)
 	}
-	s.spare, s.order = s.order, pass.order
+	state.spare, state.order = state.order, pass.order
 	t.noteLeftOut(source)
 }
 
 // ApplyDelta takes changes of a source. Of an endpoint that is gone only the ID is read.
 func (t *Table) ApplyDelta(now time.Duration, source int, version uint64, endpoints []Endpoint) {
-	s := &t.sources[source]
+	state := &t.sources[source]
 	t.SourceSeen(now, source)
-	u := update{now: now, source: source, initial: !s.hasReported}
-	s.hasReported = true
-	s.version = version
+	update := sourceUpdate{now: now, source: source, initial: !state.hasReported}
+	state.hasReported = true
+	state.version = version
 	for i := range endpoints {
-		t.applyChange(u, &endpoints[i])
+		t.applyChange(update, &endpoints[i])
 	}
 	t.noteLeftOut(source)
 }
 
 // SourceSeen says that a source answers, though it may have nothing new to report.
 func (t *Table) SourceSeen(now time.Duration, source int) {
-	s := &t.sources[source]
-	s.lastSeen = max(s.lastSeen, now)
-	if s.silent {
-		s.silent = false
+	state := &t.sources[source]
+	state.lastSeen = max(state.lastSeen, now)
+	if state.silent {
+		state.silent = false
 		t.reconsiderSource(now, source)
 	}
 }
 
 // SourceSilent says that a source does not answer. Its reports stay, subject to point 3 of the rule.
 func (t *Table) SourceSilent(now time.Duration, source int) {
-	s := &t.sources[source]
-	if s.silent {
+	state := &t.sources[source]
+	if state.silent {
 		return
 	}
-	s.silent = true
+	state.silent = true
 	t.reconsiderSource(now, source)
 	if t.cfg.MaxSilence > 0 {
-		t.due.add(dueTime{at: s.lastSeen + t.cfg.MaxSilence, source: source})
+		t.due.add(dueTime{at: state.lastSeen + t.cfg.MaxSilence, source: source})
 	}
 }
 
@@ -152,25 +152,25 @@
 func (t *Table) TakeChanges(now time.Duration, limit int) []Change {
 	var changes []Change
 	for len(changes) < limit && t.pending.len() > 0 {
-		r := t.pending.pop()
-		if !r.queued || t.records[r.id] != r {
+		record := t.pending.pop()
+		if !record.queued || t.records[record.id] != record {
 			continue
 		}
-		r.queued = false
-		d := t.decide(now, r)
-		if kind, changed := compare(r.published, d.endpoint); changed {
+		record.queued = false
+		d := t.decide(now, record)
+		if kind, changed := compare(record.published, d.endpoint); changed {
 			changes = append(changes, Change{
 				Kind:      kind,
 				Endpoint:  d.endpoint,
-				Previous:  r.published,
+				Previous:  record.published,
 				DecidedBy: d.by,
 				Reason:    d.reason,
 			})
 		}
-		r.published = d.endpoint
+		record.published = d.endpoint
 		if d.endpoint.State == Gone {
-			t.vacate(r)
-			t.forget(now, r)
+			t.vacate(record)
+			t.forget(now, record)
 		}
 	}
 	t.pending.trim()
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// record is all that is known of an endpoint.
-type record struct {
+// endpointRecord is all that is known of an endpoint.
+type endpointRecord struct {
 	id        string
 	reports   []report // by source
 	published Endpoint // as TakeChanges gave it last; Gone: not published, or published as gone
@@ -13,7 +13,7 @@
 }
 
 // reportedByOther says whether a source other than the given one has a report.
-func (r *record) reportedByOther(source int) bool {
+func (r *endpointRecord) reportedByOther(source int) bool {
 	for i := range r.reports {
 		if i != source && r.reports[i].present {
 			return true
@@ -46,18 +46,18 @@
 }
 
 // add makes a record; nil: the table is full.
-func (t *Table) add(id string) *record {
+func (t *Table) add(id string) *endpointRecord {
 	if len(t.records) >= t.cfg.MaxEndpoints {
 		t.leftOut++
 		return nil
 	}
-	r := &record{id: id, reports: make([]report, len(t.sources))}
+	r := &endpointRecord{id: id, reports: make([]report, len(t.sources))}
 	t.records[id] = r
 	return r
 }
 
 // forget drops a record on which no source has a report and whose penalties are spent.
-func (t *Table) forget(now time.Duration, r *record) {
+func (t *Table) forget(now time.Duration, r *endpointRecord) {
 	for i := range r.reports {
 		current := &r.reports[i]
 		if current.present {
@@ -75,7 +75,7 @@
 }
 
 // reconsider has an endpoint decided anew by the next TakeChanges.
-func (t *Table) reconsider(now time.Duration, r *record) {
+func (t *Table) reconsider(now time.Duration, r *endpointRecord) {
 	t.revision++
 	d := t.mergeReports(now, r)
 	if d.endpoint.Address != r.address && d.endpoint.State != Gone {
--- a/internal/membership/rule.go
+++ b/internal/membership/rule.go
@@ -19,7 +19,7 @@
 }
 
 // decide applies the complete rule.
-func (t *Table) decide(now time.Duration, r *record) decision {
+func (t *Table) decide(now time.Duration, r *endpointRecord) decision {
 	d := t.mergeReports(now, r)
 	if d.endpoint.State == Up && t.isReplaced(now, r) {
 		d.endpoint.State = Draining
@@ -29,7 +29,7 @@
 }
 
 // mergeReports applies points 1 to 4.
-func (t *Table) mergeReports(now time.Duration, r *record) decision {
+func (t *Table) mergeReports(now time.Duration, r *endpointRecord) decision {
 	var space [commonSources]int
 	counting := t.countingSources(space[:0], now, r)
 	verdict := judge(r, counting)
@@ -46,7 +46,7 @@
 }
 
 // judge is points 1 and 2.
-func judge(r *record, counting []int) verdict {
+func judge(r *endpointRecord, counting []int) verdict {
 	v := verdict{by: NoSource, reason: Unlisted}
 	for _, source := range counting {
 		current := &r.reports[source]
@@ -72,7 +72,7 @@
 )
 
 // standing is point 3.
-func (t *Table) standing(now time.Duration, r *record, source int) standing {
+func (t *Table) standing(now time.Duration, r *endpointRecord, source int) standing {
 	if !r.reports[source].present {
 		return noReport
 	}
@@ -97,7 +97,7 @@
 const commonSources = 8
 
 // countingSources appends the sources whose report on an endpoint counts, in their order.
-func (t *Table) countingSources(counting []int, now time.Duration, r *record) []int {
+func (t *Table) countingSources(counting []int, now time.Duration, r *endpointRecord) []int {
 	for source := range t.sources {
 		if t.standing(now, r, source) == counts {
 			counting = append(counting, source)
@@ -108,7 +108,7 @@
 
 // describe is point 4 but for the start: the report that says what the endpoint is. Where all that have an address say
 // "gone", it is the first of them; nil: none has an address.
-func describe(r *record, counting []int) *report {
+func describe(r *endpointRecord, counting []int) *report {
 	var description *report
 	for _, source := range counting {
 		current := &r.reports[source]
@@ -126,7 +126,7 @@
 }
 
 // latestStart is point 4 for the start.
-func latestStart(r *record, counting []int) time.Duration {
+func latestStart(r *endpointRecord, counting []int) time.Duration {
 	var latest time.Duration
 	for _, source := range counting {
 		latest = max(latest, r.reports[source].startedAt)
@@ -135,7 +135,7 @@
 }
 
 // isReplaced is point 5: whether an endpoint that is not gone came to the address later.
-func (t *Table) isReplaced(now time.Duration, r *record) bool {
+func (t *Table) isReplaced(now time.Duration, r *endpointRecord) bool {
 	atAddress := t.addresses.at(r.address)
 	for i := len(atAddress) - 1; i >= 0 && atAddress[i] != r; i-- {
 		if t.mergeReports(now, atAddress[i]).endpoint.State != Gone {
--- a/internal/membership/source.go
+++ b/internal/membership/source.go
@@ -9,10 +9,10 @@
 	hasReported bool // a report was received or restored
 	silent      bool
 	lastSeen    time.Duration
-	order       []*record // as the last list named them
-	spare       []*record // the memory of the order before, for the next one
-	generation  uint64    // of the last list
-	endpoints   int       // records with a report of this source
+	order       []*endpointRecord // as the last list named them
+	spare       []*endpointRecord // the memory of the order before, for the next one
+	generation  uint64            // of the last list
+	endpoints   int               // records with a report of this source
 	suspicion   *suspicion
 }
 
@@ -45,7 +45,7 @@
 }
 
 // removeFromOrder takes an endpoint out of the order of a source's endpoints, between lists.
-func (s *sourceState) removeFromOrder(r *record, source int) {
+func (s *sourceState) removeFromOrder(r *endpointRecord, source int) {
 	position := r.reports[source].position
 	last := len(s.order) - 1
 	if position > last || s.order[position] != r {
--- a/internal/membership/views.go
+++ b/internal/membership/views.go
@@ -57,7 +57,7 @@
 	return views
 }
 
-func (t *Table) endpointView(now time.Duration, r *record) EndpointView {
+func (t *Table) endpointView(now time.Duration, r *endpointRecord) EndpointView {
 	d := t.decide(now, r)
 	view := EndpointView{
 		Endpoint:  d.endpoint,
--- a/internal/peer/transport/codec.go
+++ b/internal/peer/transport/codec.go
@@ -68,7 +68,7 @@
 
 // Error gives the size and its bound.
 func (err *MetadataSizeError) Error() string {
-	return fmt.Sprintf("peers: what is told of this doorman has %d bytes, at most %d may be",
+	return fmt.Sprintf("peers: the metadata of this proxy has %d bytes, at most %d may be",
 		err.Bytes, maxMetadataBytes)
 }
 
--- a/internal/peer/transport/config.go
+++ b/internal/peer/transport/config.go
@@ -64,19 +64,19 @@
 func (c *Config) Section() *config.Section {
 	c.Pollers = defaultPollers
 	c.MaxMembers = defaultMaxMembers
-	s := &config.Section{}
-	s.Text("listen", &c.Listen, checkAddress, "where other doormans reach this one, by TCP and UDP")
-	s.Text("advertise", &c.Advertise, checkAddress, "the same as they see it, where it differs")
-	s.Words("seed", &c.Seeds, checkAddress, "addresses of some doormans; a few that start first will do")
-	s.Text("key-file", &c.KeyFile, nil,
+	section := &config.Section{}
+	section.Text("listen", &c.Listen, checkAddress, "where other proxies reach this one, by TCP and UDP")
+	section.Text("advertise", &c.Advertise, checkAddress, "the same as they see it, where it differs")
+	section.Words("seed", &c.Seeds, checkAddress, "addresses of some proxies; a few that start first will do")
+	section.Text("key-file", &c.KeyFile, nil,
 		"file with the fleet's keys, 16, 24 or 32 bytes in base64, a line each; the first encrypts")
-	s.Text("remember", &c.MembersFile, checkFolder,
+	section.Text("remember", &c.MembersFile, checkFolder,
 		"file, on a disk that lasts, of some addresses of others: seeds of the next start")
-	s.Int("askers", &c.Pollers, 1, 100, "doormans of a zone that ask the list service")
-	s.Int("fleet", &c.Fleet, 0, 100_000, "doormans that there are, for the time over which they ask where no peer "+
-		"is heard; 0: as the platform's settings tell")
-	s.Int("most", &c.MaxMembers, 1, 100_000, "other doormans that are remembered")
-	s.Check(func() error {
+	section.Int("askers", &c.Pollers, 1, 100, "proxies of a zone that poll the list service")
+	section.Int("fleet", &c.Fleet, 0, 100_000, "proxies that there are, for the time over which they poll "+
+		"where no peer is heard; 0: as the platform's settings tell")
+	section.Int("most", &c.MaxMembers, 1, 100_000, "other proxies that are remembered")
+	section.Check(func() error {
 		if c.Listen == "" || c.KeyFile == "" {
 			return errors.New("listen and key-file are needed")
 		}
@@ -84,7 +84,7 @@
 		c.keys, err = readKeys(c.KeyFile)
 		return err
 	})
-	return s
+	return section
 }
 
 func checkAddress(text string) error {
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -35,12 +35,13 @@
 
 // Section returns the directives of the block `contracts`, and what they say once it was read.
 func Section() (*config.Section, *Contracts) {
-	c := &Contracts{Root: &Spec{Name: installationName}, Instances: 1}
-	section := c.Root.section(oneRate)
-	section.Int("instances", &c.Instances, 1, maxInstances,
-		"doormen that these contracts are shared by; each has its part of every budget")
-	section.Block("retries", false, "how many repeated attempts there may be to first ones", c.retriesSection)
-	section.Block("adaptive", false, "a limit on all that is open, learned from how requests end", c.adaptiveSection)
+	contracts := &Contracts{Root: &Spec{Name: installationName}, Instances: 1}
+	section := contracts.Root.section(oneRate)
+	section.Int("instances", &contracts.Instances, 1, maxInstances,
+		"proxies that these contracts are shared by; each has its part of every budget")
+	section.Block("retries", false, "how many repeated attempts there may be to first ones", contracts.retriesSection)
+	section.Block("adaptive", false, "a limit on all that is open, learned from how requests end",
+		contracts.adaptiveSection)
 	named := map[string]bool{}
 	section.Block("team", true, "what one team has agreed to", func(words []string) (*config.Section, error) {
 		if len(words) != 1 {
@@ -52,11 +53,11 @@
 				name, maxNameLength)
 		}
 		named[name] = true
-		return c.tenantSection(name), nil
+		return contracts.tenantSection(name), nil
 	})
 	section.Block("others", false, "what all teams have that are not named, together; without it they are refused",
-		func([]string) (*config.Section, error) { return c.tenantSection(""), nil })
-	return section, c
+		func([]string) (*config.Section, error) { return contracts.tenantSection(""), nil })
+	return section, contracts
 }
 
 // Ledger returns the ledger of this instance's share of the contracts.
@@ -72,9 +73,9 @@
 	c.TeamRetries.Window = time.Second
 	section := &config.Section{}
 	section.Number("team-share", &c.TeamRetries.Share, 0, 5, "of one team; 0: no limit")
-	section.Rate("team-floor", &c.TeamRetries.Floor, 0, 1e6, "that one team has whatever its first tries")
-	section.Number("box-share", &c.EndpointRetries.Share, 0, 5, "to one box; 0: no limit")
-	section.Rate("box-floor", &c.EndpointRetries.Floor, 0, 1e6, "that one box gets whatever its first tries")
+	section.Rate("team-floor", &c.TeamRetries.Floor, 0, 1e6, "that one team has whatever its first attempts")
+	section.Number("box-share", &c.EndpointRetries.Share, 0, 5, "to one endpoint; 0: no limit")
+	section.Rate("box-floor", &c.EndpointRetries.Floor, 0, 1e6, "that one endpoint gets whatever its first attempts")
 	section.Duration("window", &c.TeamRetries.Window, 10*time.Millisecond, time.Minute,
 		"in which what lies unused melts to a third")
 	section.Check(func() error {
@@ -94,7 +95,7 @@
 	section.Number("most", &limit.Max, 1, 1e6, "and that may never be exceeded")
 	section.Number("start", &limit.Start, 1, 1e6, "what it begins with")
 	section.Number("late", &limit.MaxOverloadShare, 0.001, 0.9,
-		"share of requests, late or turned away by boxes, from which it is cut")
+		"share of requests, late or rejected by endpoints, from which it is cut")
 	section.Duration("window", &limit.Window, 10*time.Millisecond, 10*time.Second, "how often it is looked at")
 	section.Check(func() error {
 		if limit.Min > limit.Max {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -97,8 +97,8 @@
 			zoneKnown := 0 <= endpoint.Zone && endpoint.Zone < limits.Zones
 			kindKnown := 0 <= endpoint.Kind && endpoint.Kind < limits.Kinds
 			if !zoneKnown || !kindKnown {
-				return fmt.Errorf("%w: box %.64q has place %d and kind %d, which the settings do not have", ErrForeign,
-					endpoint.ID, endpoint.Zone, endpoint.Kind)
+				return fmt.Errorf("%w: endpoint %.64q has zone %d and kind %d, which the settings do not have",
+					ErrForeign, endpoint.ID, endpoint.Zone, endpoint.Kind)
 			}
 		}
 	}
