--- a/internal/broker/attempt.go
+++ b/internal/broker/attempt.go
@@ -92,7 +92,7 @@
 	}
 	return !slices.ContainsFunc(attempt.Request.attempts, func(other *Attempt) bool {
 		mayHaveRun := other.Written && other.state != attemptNotExecuted
-		return other != attempt && mayHaveRun && now-other.decidedAt > class.RetryWindow()
+		return other != attempt && mayHaveRun && !class.InRetryWindow(now-other.decidedAt)
 	})
 }
 
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -162,28 +162,26 @@
 
 // handle handles one event.
 func (b *Broker) handle(event Event) {
-	switch e := event.(type) {
+	switch event := event.(type) {
 	case RequestReceived:
-		b.receive(e.Request)
+		b.receive(event.Request)
 	case RequestCanceled:
-		b.cancel(e.Request)
+		b.cancel(event.Request)
 	case AttemptEnded:
-		b.endAttempt(e)
+		b.endAttempt(event)
 	case EndpointList:
-		b.members.ReplaceList(b.now, e.Source, e.List)
+		b.members.ReplaceList(b.now, event.Source, event.List)
 		b.followList()
 	case EndpointDelta:
-		b.members.ApplyDelta(b.now, e.Source, e.Version, e.Endpoints)
+		b.members.ApplyDelta(b.now, event.Source, event.Version, event.Endpoints)
 		b.followList()
 	case SourceStatus:
-		b.setSourceStatus(e)
+		b.setSourceStatus(event)
 	case SnapshotRestored:
-		b.log("snapshot-restored", "endpoints", b.members.Restore(b.now, e.Reports))
+		b.log("snapshot-restored", "endpoints", b.members.Restore(b.now, event.Reports))
 		b.followList()
 	case Purge:
-		b.purge(e)
-	case HealthChecked:
-		b.notify(policy.HealthCheckEvent{Endpoint: e.Endpoint, Status: e.Status, Elapsed: e.Elapsed})
+		b.purge(event)
 	case FailInFlight:
 		b.failInFlight()
 	}
@@ -211,23 +209,21 @@
 
 // apply carries out one action of the policy.
 func (b *Broker) apply(action policy.Action) {
-	switch a := action.(type) {
+	switch action := action.(type) {
 	case policy.SendAttempt:
-		b.sendAttempt(a)
+		b.sendAttempt(action)
 	case policy.Reject:
-		b.conclude(a.ID, Response{Kind: ResponseRejected, RetryAfter: a.RetryAfter, Reason: reasonRefused})
+		b.conclude(action.ID, Response{Kind: ResponseRejected, RetryAfter: action.RetryAfter, Reason: reasonRefused})
 	case policy.Fail:
-		b.conclude(a.ID, Response{Kind: ResponseFailed, Reason: reasonFailed})
+		b.conclude(action.ID, Response{Kind: ResponseFailed, Reason: reasonFailed})
 	case policy.CancelAttempt:
-		b.cancelAttempt(a)
+		b.cancelAttempt(action)
 	case policy.SetTimer:
-		b.timers.push(timer{at: a.At, kind: policyTimer, token: a.Token})
-	case policy.HealthCheck:
-		if endpoint := b.endpoints.byID[a.Endpoint]; endpoint != nil {
-			b.emit(HealthCheck{endpoint})
-		}
-	case policy.Log:
-		b.log("outlier-detection", "text", a.Text)
+		b.timers.push(timer{at: action.At, kind: policyTimer, token: action.Token})
+	case policy.EndpointEjected:
+		b.log("endpoint-ejected", "endpoint", b.endpoints.nameOf(action.Endpoint), "cause", action.Cause)
+	case policy.EndpointReadmitted:
+		b.log("endpoint-readmitted", "endpoint", b.endpoints.nameOf(action.Endpoint))
 	}
 }
 
--- a/internal/broker/effects.go
+++ b/internal/broker/effects.go
@@ -26,9 +26,6 @@
 	Restarted bool
 }
 
-// HealthCheck checks an endpoint; its result is a HealthChecked.
-type HealthCheck struct{ Endpoint *Endpoint }
-
 // RefetchList polls a source of endpoints for its complete list at once; its result is an EndpointList that confirms.
 type RefetchList struct{ Source int }
 
@@ -42,6 +39,5 @@
 func (CancelAttempt) isEffect()   {}
 func (Respond) isEffect()         {}
 func (EndpointChanged) isEffect() {}
-func (HealthCheck) isEffect()     {}
 func (RefetchList) isEffect()     {}
 func (LogEntry) isEffect()        {}
--- a/internal/broker/endpoints.go
+++ b/internal/broker/endpoints.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+	"strconv"
 	"strings"
 	"time"
 
@@ -69,6 +70,14 @@
 // named finds an endpoint by its name, without regard to case.
 func (x *endpointIndex) named(name string) *Endpoint { return x.byName[strings.ToLower(name)] }
 
+// nameOf is the name of an endpoint for the log; of one that was forgotten its id stands for it.
+func (x *endpointIndex) nameOf(id policy.EndpointID) string {
+	if endpoint := x.byID[id]; endpoint != nil {
+		return endpoint.Name
+	}
+	return strconv.FormatUint(uint64(id), 16)
+}
+
 // addressBlocked says whether an address is that of endpoints which take nothing new, or lately did.
 func (x *endpointIndex) addressBlocked(address string, now time.Duration) bool {
 	blocked := false
--- a/internal/broker/events.go
+++ b/internal/broker/events.go
@@ -64,7 +64,7 @@
 // ObjectZero stands for the object 0, since an Object of 0 means a group in a Purge.
 const ObjectZero = 1 << 63
 
-// HealthChecked is the result of a health check.
+// HealthChecked is the result of a health check. Nothing asks for one.
 type HealthChecked struct {
 	Endpoint policy.EndpointID
 	Status   policy.Status
--- a/internal/broker/outcome.go
+++ b/internal/broker/outcome.go
@@ -33,9 +33,9 @@
 	status policy.Status
 }
 
-// outcomes is the one place that maps ends to statuses of the policy. StatusAtCapacity, StatusConnectFailed,
-// StatusNotExecuted and StatusMiss promise that the attempt was not executed; so no End of an attempt of which a byte
-// was written may have one of them but by the endpoint's own word.
+// outcomes is the one place that maps ends to statuses of the policy. Some statuses promise that the attempt was not
+// executed (policy.Status.ProvesNotExecuted); so no End of an attempt of which a byte was written may have one of them
+// but by the endpoint's own word.
 var outcomes = [endCount]outcome{
 	Served:               {"served", policy.StatusOK},
 	NotModified:          {"unchanged", policy.StatusOK},
@@ -65,10 +65,4 @@
 func (e End) status() policy.Status { return outcomes[e].status }
 
 // provesNotExecuted says whether the end promises that the attempt had no effect.
-func (e End) provesNotExecuted() bool {
-	switch e.status() {
-	case policy.StatusAtCapacity, policy.StatusConnectFailed, policy.StatusNotExecuted, policy.StatusMiss:
-		return true
-	}
-	return false
-}
+func (e End) provesNotExecuted() bool { return e.status().ProvesNotExecuted() }
--- a/internal/broker/request.go
+++ b/internal/broker/request.go
@@ -11,19 +11,7 @@
 	"sloequay/internal/route"
 )
 
-const (
-	// responseMargin is taken off a client's time-out, which counts from the request's last byte: the loop may come to
-	// read it late, and to respond late. With 15 ms a request of a day at full load had its response too late by 58 ms.
-	responseMargin = 50 * time.Millisecond
-	// halfTimeMargin is taken off the half of a request's time-out, by which it is rejected if none of its attempts
-	// reached an endpoint: later that costs more, and a response would hardly come in time any more.
-	halfTimeMargin = 20 * time.Millisecond
-	// Of short time-outs the margins take no more than these parts.
-	responseMarginPart = 8
-	halfTimeMarginPart = 16
-
-	bytesPerKB = 1024
-)
+const bytesPerKB = 1024
 
 // Request is what a client requested. A frontend fills in the exported fields; the rest is the broker's.
 type Request struct {
@@ -82,7 +70,7 @@
 		request.state = requestEnded
 		return
 	}
-	request.deadline = request.ReceivedAt + request.Timeout - min(responseMargin, request.Timeout/responseMarginPart)
+	request.deadline = responseDeadline(request.ReceivedAt, request.Timeout)
 	if b.byClientID[request.ID] != nil {
 		// Endpoints and responses tell requests apart by this id: a second one could get the first one's response.
 		b.respond(request, Response{Kind: ResponseFailed, Reason: reasonDuplicateID})
@@ -110,7 +98,7 @@
 	request.grant = grant
 	b.open[request.id] = request
 	b.byClientID[request.ID] = request
-	halfTime := request.ReceivedAt + request.Timeout/2 - min(halfTimeMargin, request.Timeout/halfTimeMarginPart)
+	halfTime := rejectionDeadline(request.ReceivedAt, request.Timeout)
 	b.timers.push(timer{at: request.deadline, kind: deadlineTimer, request: request})
 	b.timers.push(timer{at: halfTime, kind: halfTimeTimer, request: request})
 	b.notify(policy.RequestEvent{
--- a/internal/broker/retries.go
+++ b/internal/broker/retries.go
@@ -1,19 +1,15 @@
 package broker
 
 import (
-	"time"
-
 	"sloequay/internal/policy"
 	"sloequay/internal/quota"
 	"sloequay/internal/retry"
+	"sloequay/internal/retryafter"
 )
 
 const (
 	// maxRetryBudgets bounds the retry budgets that are remembered, of tenants and of endpoints each.
 	maxRetryBudgets = 16384
-	// retryBudgetWait is the RetryAfter where a retry budget is used up: when the request itself comes again it is a
-	// new one, and welcome.
-	retryBudgetWait = 100 * time.Millisecond
 	// endpointNode begins the name that operators and clients read of an endpoint's budget.
 	endpointNode = "box "
 )
@@ -101,6 +97,6 @@
 		Kind:       quota.Retries,
 		Requested:  1,
 		Left:       left,
-		RetryAfter: retryBudgetWait,
+		RetryAfter: retryafter.RetryBudgetExhausted,
 	}
 }
--- a/internal/invalidation/invalidation.go
+++ b/internal/invalidation/invalidation.go
@@ -21,6 +21,9 @@
 	DefaultMaxPurges = 100_000
 	// AnyGroup is the group of a request that doesn't name one: it may be in any.
 	AnyGroup = -1
+
+	clockMargin = 5 * time.Millisecond // for the clock ticks of both sides
+	minMaxAge   = time.Millisecond     // 0 would mean "any age"
 )
 
 // Config bounds a Ledger.
@@ -83,6 +86,21 @@
 	return issued, issued > 0
 }
 
+// MaxAge returns the age of the oldest copy of an object that may be served now, at least 1 ms; 0: the object was not
+// purged, and the limit of its class is the only one. A class in which copies are fresh for freshFor asks for none that
+// is older; 0: it has no such limit.
+func (l *Ledger) MaxAge(now time.Duration, object uint64, group int, freshFor time.Duration) time.Duration {
+	issued, purged := l.Newest(object, group)
+	if !purged {
+		return 0
+	}
+	age := max(minMaxAge, now-issued-clockMargin)
+	if freshFor > 0 {
+		age = min(age, freshFor)
+	}
+	return age
+}
+
 // Expire drops what no copy can be older than any more.
 func (l *Ledger) Expire(now time.Duration) {
 	liveSince := l.liveSince(now)
--- a/internal/policy/actions.go
+++ b/internal/policy/actions.go
@@ -1,11 +1,15 @@
 package policy
 
-import "time"
+import (
+	"time"
+
+	"sloequay/internal/policy/outlier"
+)
 
 // Action is an output of an Engine: what its caller is to do.
 type Action interface{ isAction() }
 
-// SendAttempt sends an attempt. Attempts of a request are numbered from 0 in the order in which they are sent.
+// SendAttempt sends an attempt. Attempts of a request are numbered from 0 in the order of their sending.
 type SendAttempt struct {
 	ID           RequestID
 	Endpoint     EndpointID
@@ -40,24 +44,23 @@
 	At    time.Duration
 }
 
-// HealthCheck examines an endpoint.
-type HealthCheck struct{ Endpoint EndpointID }
-
 // Watch subscribes to changes of the list, or ends that.
 type Watch struct{ On bool }
 
-// FetchList asks once for the whole list.
-type FetchList struct{}
-
-// Log adds a line to the operators' report.
-type Log struct{ Text string }
-
-func (SendAttempt) isAction()   {}
-func (Reject) isAction()        {}
-func (Fail) isAction()          {}
-func (CancelAttempt) isAction() {}
-func (SetTimer) isAction()      {}
-func (HealthCheck) isAction()   {}
-func (Watch) isAction()         {}
-func (FetchList) isAction()     {}
-func (Log) isAction()           {}
+// EndpointEjected reports that an endpoint gets trial requests only until it is readmitted.
+type EndpointEjected struct {
+	Endpoint EndpointID
+	Cause    outlier.Cause
+}
+
+// EndpointReadmitted reports that an endpoint that was ejected takes ordinary requests again.
+type EndpointReadmitted struct{ Endpoint EndpointID }
+
+func (SendAttempt) isAction()        {}
+func (Reject) isAction()             {}
+func (Fail) isAction()               {}
+func (CancelAttempt) isAction()      {}
+func (SetTimer) isAction()           {}
+func (Watch) isAction()              {}
+func (EndpointEjected) isAction()    {}
+func (EndpointReadmitted) isAction() {}
--- a/internal/policy/aimd/aimd.go
+++ b/internal/policy/aimd/aimd.go
@@ -5,10 +5,8 @@
 // The limit rises by a part of a fill for each that comes in time while at least half of it is in use, and falls for
 // each that is slow. An origin that rejects nothing answers all that it gets, each later than the one before; what is
 // in flight to it beyond what it can do within the objective is lost, and so are the writes that share it. So the
-// decrease is steep: at 0.7 links instead of 2 days of mass purges and a slow origin lose 0.011 to 0.016 of G
-// (docs/MEASUREMENTS.md). Where a proxy has little of the links, as one of hundreds has, the same decrease would
-// halve the limit for one slow fill and nothing would raise it again for long; so no decrease takes more than a part
-// of it.
+// decrease is steep. Where a proxy has little of the links, one slow fill would halve its limit and nothing would
+// raise it again for long; so no decrease takes more than a part of it. docs/CAPACITY.md has what was measured.
 //
 // Invariants: the limit lies between MinLimit and twice InitialLimit, in multiples of the links; a decrease leaves at
 // least the limiter's part of it; what is full for a request is full for each of a lower weight.
@@ -69,7 +67,6 @@
 	l.Max = max(MinLimit, l.Max*max(l.minRemainder, 1-l.decreaseLinks/links))
 }
 
-// DecreaseFully lowers the limit as far as one decrease may: for a sure sign that what is behind is overloaded,
-// though no fill has ended yet. At an origin that rejects nothing, each write waited out its 3 s before its end was
-// counted, and the queue stood meanwhile.
+// DecreaseFully lowers the limit as far as one decrease may: for a sure sign that what is behind is overloaded, long
+// before a fill has ended.
 func (l *Limiter) DecreaseFully() { l.Max = max(MinLimit, l.Max*l.minRemainder) }
--- a/internal/policy/endpointset/endpoint.go
+++ b/internal/policy/endpointset/endpoint.go
@@ -12,7 +12,7 @@
 const (
 	averageHalfLife = 2 * time.Second // of the average of what is in flight to an endpoint
 	slownessWeight  = 0.04            // of a new answer in an endpoint's slowness
-	minSlowness     = 0.7             // links are reported roughly; less was measured to admit too much
+	minSlowness     = 0.7             // links are reported roughly: an endpoint is never taken for much faster
 )
 
 // Endpoint is an endpoint of the list with what is known of it.
--- a/internal/policy/endpointset/health.go
+++ b/internal/policy/endpointset/health.go
@@ -39,8 +39,7 @@
 
 // SilentCaches gives the caches of the proxy's zone that have been silent for too long, in the order of their
 // ranking, and forgets the silence that was added to each. The slice is valid until the next call. Only those that
-// silence was added to are looked at: a walk over 10,000 caches took 25 us at every tick, and this takes 0.3 us where
-// all are idle.
+// silence was added to are looked at, and never all caches.
 func (s *Set[A]) SilentCaches(now time.Duration) []*Endpoint[A] {
 	s.silent = s.silent[:0]
 	s.suspects = slices.DeleteFunc(s.suspects, func(endpoint *Endpoint[A]) bool {
--- a/internal/policy/events.go
+++ b/internal/policy/events.go
@@ -25,14 +25,6 @@
 	Retry     bool          // the client has made it before
 }
 
-// HeadersEvent says that a streamed response has begun.
-type HeadersEvent struct {
-	ID       RequestID
-	Endpoint EndpointID
-	Attempt  int
-	Elapsed  time.Duration
-}
-
 // ResponseEvent says how an attempt ended.
 type ResponseEvent struct {
 	ID        RequestID
@@ -52,20 +44,6 @@
 // TimerEvent says that the time of a SetTimer has come.
 type TimerEvent struct{ Token uint64 }
 
-// HealthCheckEvent is the result of a HealthCheck.
-type HealthCheckEvent struct {
-	Endpoint EndpointID
-	Status   Status
-	Elapsed  time.Duration
-	Load     []float64
-}
-
-// PeerEvent is a message from another proxy.
-type PeerEvent struct {
-	From int
-	Data []byte
-}
-
 // PurgeEvent says that older copies of an object, or of a whole group when Object is 0, are out of date.
 type PurgeEvent struct {
 	Object uint64
@@ -73,12 +51,14 @@
 	Age    time.Duration // since the purge
 }
 
-func (ListEvent) isEvent()        {}
-func (RequestEvent) isEvent()     {}
-func (HeadersEvent) isEvent()     {}
-func (ResponseEvent) isEvent()    {}
-func (ClientGoneEvent) isEvent()  {}
-func (TimerEvent) isEvent()       {}
-func (HealthCheckEvent) isEvent() {}
-func (PeerEvent) isEvent()        {}
-func (PurgeEvent) isEvent()       {}
+// ClockEvent only says that time has come to now. It stands for whatever a caller learns that no decision
+// needs: the first event of an Engine starts its timer, whichever it is.
+type ClockEvent struct{}
+
+func (ListEvent) isEvent()       {}
+func (RequestEvent) isEvent()    {}
+func (ResponseEvent) isEvent()   {}
+func (ClientGoneEvent) isEvent() {}
+func (TimerEvent) isEvent()      {}
+func (PurgeEvent) isEvent()      {}
+func (ClockEvent) isEvent()      {}
--- a/internal/policy/fairness/fairness.go
+++ b/internal/policy/fairness/fairness.go
@@ -1,11 +1,8 @@
 // Package fairness keeps the largest requests of a class from being the ones that are rejected whenever capacity is
 // short. A bound on what is in flight is a bound on sizes: below it all are admitted, above it none, and the same
-// large request is rejected as often as it comes (of the largest tenth 0.31 were answered where of all 0.91 were, at
-// half as much again as the caches could send). So the shares that are admitted of a class and of its largest
+// large request is rejected as often as it comes. So the shares that are admitted of a class and of its largest
 // requests are counted; while those are admitted less than MinAdmittedShare times as often as their class, they are
-// admitted by the size of the class's last request. Where they have their share nothing changes: to do so for two
-// thirds of all requests, without counting, cost 0.025 of G on days of restarts with hung caches, where large ones
-// had 0.85 of their class's share as it was.
+// admitted by the size of the class's last request. Where they have their share nothing changes.
 //
 // Invariants: an effective size is never above the request's own. Whatever bounds on sizes come, of the largest tenth
 // of a class's requests and of the next fifth at least MinAdmittedShare times as many are admitted as of the class in
--- a/internal/policy/guards.go
+++ b/internal/policy/guards.go
@@ -12,23 +12,21 @@
 // guards of the first four, and each attempt has the age that the fifth allows.
 
 const (
-	retryWindowPart = 8 // tenths of the window in which repeats are dropped
-
-	warmupBudgetPart = 0.7 // of the stated budget that is used: estimates are rough
-	// restartBudgetPart of it is used in the first window after this proxy's own start, for endpoints that
-	// started before it: what it sent them before a restart is in that window too. With 0.5 of 0.7 seven in
-	// ten proxies may restart at once, and the fleet stays within what is stated.
-	restartBudgetPart = 0.5
-	maxSkipTime       = 250 * time.Millisecond // of an endpoint without budget: costs change meanwhile
-
-	clockMargin    = 5 * time.Millisecond // for the clock ticks of both sides
-	minMaxAge      = time.Millisecond     // 0 would mean "any age"
-	joinFillsAfter = time.Second          // of a purge: most fills that began before it are over
+	// retryWindowShare of the time in which endpoints drop repeats is used: what is decided has yet to be
+	// written, sent and read.
+	retryWindowShare = 0.8
+
+	// warmupBudgetShare of the stated budget is used: estimates of cost are rough.
+	warmupBudgetShare = 0.7
+	// restartBudgetShare of that is used in the first window after this proxy's own start, for endpoints
+	// that started before it: what it sent them before a restart is in that window too. So seven in ten
+	// proxies may restart at once, and the fleet stays within the stated budget.
+	restartBudgetShare = 0.5
+	maxSkipTime        = 250 * time.Millisecond // of an endpoint without budget: costs change meanwhile
+
+	joinFillsAfter = time.Second // of a purge: most fills that began before it are over
 )
 
-// neverRan are the outcomes that prove that an attempt had no effect.
-var neverRan = []Status{StatusAtCapacity, StatusConnectFailed, StatusNotExecuted, StatusMiss}
-
 // guardsPass says whether an attempt breaks no rule and no limit of the settings. The budgets come last, as
 // they have an endpoint without one skipped.
 func (e *Engine) guardsPass(request *requestState, via route) bool {
@@ -56,7 +54,7 @@
 		}
 		isOutOfScope := class.DedupScope == DedupZone && attempt.endpoint.Zone != endpoint.Zone ||
 			class.DedupScope == DedupCell && attempt.endpoint.Cell != endpoint.Cell
-		if class.Idempotency == NotIdempotent || isOutOfScope || e.now-attempt.sentAt > class.RetryWindow() {
+		if class.Idempotency == NotIdempotent || isOutOfScope || !class.InRetryWindow(e.now-attempt.sentAt) {
 			return false
 		}
 	}
@@ -71,9 +69,10 @@
 		!slices.ContainsFunc(request.attempts, func(a attemptState) bool { return a.mayHaveRun })
 }
 
-// RetryWindow is how long after an attempt that may have run another one may be sent: endpoints drop repeats
-// for DedupWindow, and what is decided has yet to be written, sent and read.
-func (c *Class) RetryWindow() time.Duration { return c.DedupWindow * retryWindowPart / 10 }
+// InRetryWindow says whether endpoints still drop the repeat of an attempt that was decided on so long ago.
+func (c *Class) InRetryWindow(sinceAttempt time.Duration) bool {
+	return sinceAttempt <= time.Duration(retryWindowShare*float64(c.DedupWindow))
+}
 
 // bothReady keeps rule 3, draining done safely: neither endpoint nor source drains or is gone.
 func bothReady(via route) bool { return via.endpoint.State == Ready && via.source.State == Ready }
@@ -94,9 +93,9 @@
 		return true
 	}
 	window := e.cfg.OverloadWindow
-	budget := warmupBudgetPart * multiple * e.endpoints.Share(endpoint) * window.Seconds()
+	budget := warmupBudgetShare * multiple * e.endpoints.Share(endpoint) * window.Seconds()
 	if startedAt < e.startedAt && e.now-e.startedAt < window {
-		budget *= restartBudgetPart
+		budget *= restartBudgetShare
 	}
 	schedule := slowstart.Schedule{
 		InitialShare: initialShare, WarmupTime: warmupTime, FullBudget: budget, Window: window}
@@ -112,18 +111,10 @@
 	return false
 }
 
-// maxAge keeps rule 5, no purged copy: the oldest copy that will do is younger than the last purge. It says
-// also whether there was a purge; without one the age is 0, for the class's own limit.
-func (e *Engine) maxAge(request *requestState) (age time.Duration, isPurged bool) {
-	purgedAt, isPurged := e.purges.Newest(request.part.Object, request.group)
-	if !isPurged {
-		return 0, false
-	}
-	age = max(minMaxAge, e.now-purgedAt-clockMargin)
-	if request.class.FreshFor > 0 {
-		age = min(age, request.class.FreshFor)
-	}
-	return age, true
+// maxAge keeps rule 5, no purged copy: the oldest copy that will do is younger than the last purge. 0: there
+// was none, and the class's own limit is the only one.
+func (e *Engine) maxAge(request *requestState) time.Duration {
+	return e.purges.MaxAge(e.now, request.part.Object, request.group, request.class.FreshFor)
 }
 
 // isReachable says whether the settings allow a route.
--- a/internal/policy/health.go
+++ b/internal/policy/health.go
@@ -1,8 +1,6 @@
 package policy
 
 import (
-	"fmt"
-
 	"sloequay/internal/policy/endpointset"
 	"sloequay/internal/policy/outlier"
 )
@@ -133,13 +131,13 @@
 // eject takes an endpoint out of ordinary work, but for trials.
 func (e *Engine) eject(endpoint *endpointState, cause outlier.Cause) {
 	if !endpoint.Health.Ejected() {
-		e.emit(Log{fmt.Sprintf("ejected %x: %s", endpoint.ID, cause)})
+		e.emit(EndpointEjected{Endpoint: endpoint.ID, Cause: cause})
 	}
 	e.endpoints.Eject(e.now, endpoint, cause)
 }
 
 // readmit takes an endpoint back into ordinary work.
 func (e *Engine) readmit(endpoint *endpointState) {
-	e.emit(Log{fmt.Sprintf("trusted again %x", endpoint.ID)})
+	e.emit(EndpointReadmitted{Endpoint: endpoint.ID})
 	e.endpoints.Readmit(endpoint)
 }
--- a/internal/policy/outlier/health.go
+++ b/internal/policy/outlier/health.go
@@ -62,13 +62,10 @@
 	SlowFills          // its fills missed their objective, where others' did not
 )
 
-// String is the cause's word in the operators' report, which does not tell slow fills from failures.
-func (c Cause) String() string {
-	if c == Unresponsive {
-		return "silent"
-	}
-	return "failing"
-}
+var causeNames = [...]string{Failing: "failing", Unresponsive: "unresponsive", SlowFills: "slow-fills"}
+
+// String is the cause's word in the log.
+func (c Cause) String() string { return causeNames[c] }
 
 // Health is what is known of one endpoint, and whether it is ejected. The zero value is a sound endpoint.
 type Health struct {
--- a/internal/policy/placement.go
+++ b/internal/policy/placement.go
@@ -9,7 +9,8 @@
 	"sloequay/internal/policy/rendezvous"
 )
 
-// attemptsAfterLookups is how many attempts the lookups at siblings leave for the fill and its retries.
+// attemptsAfterLookups is how many of a request's MaxAttempts the lookups at siblings leave for the fill and
+// its retries.
 const attemptsAfterLookups = 4
 
 // ranking is endpoints by weighted rendezvous hash of a part: the loss of one moves its share only.
@@ -192,7 +193,8 @@
 // startAttempt books an attempt and emits its action.
 func (e *Engine) startAttempt(request *requestState, via route, limiter *aimd.Limiter) {
 	endpoint := via.endpoint
-	maxAge, isPurged := e.maxAge(request)
+	maxAge := e.maxAge(request)
+	isPurged := maxAge > 0
 	action := SendAttempt{
 		ID: request.id, Endpoint: endpoint.ID, Source: via.source.ID,
 		MaxAge: maxAge, CachedOnly: via.cachedOnly,
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -56,7 +56,7 @@
 		return nil, err
 	}
 	purges := invalidation.Config{Propagation: cfg.PurgePropagation, Slack: purgeSlack}
-	e := &Engine{
+	engine := &Engine{
 		cfg: cfg,
 		endpoints: endpointset.New[attemptRef](endpointset.Config{
 			Zone: cfg.Zone, Proxies: cfg.Instances, ZoneProxies: cfg.ZoneInstances,
@@ -73,9 +73,9 @@
 	}
 	for _, class := range cfg.Classes {
 		cost := classcost.New(max(class.LatencyObjective, minObjective).Seconds())
-		e.classes = append(e.classes, classState{Class: class, cost: cost})
+		engine.classes = append(engine.classes, classState{Class: class, cost: cost})
 	}
-	return e, nil
+	return engine, nil
 }
 
 // validate gives the first fault of the settings.
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -8,10 +8,11 @@
 	"sloequay/internal/policy/endpointset"
 	"sloequay/internal/policy/outlier"
 	"sloequay/internal/policy/rendezvous"
+	"sloequay/internal/retryafter"
 )
 
-// objectivePart is the part of a request's objective that its answer may take by the estimate.
-const objectivePart = 0.85
+// objectiveShare of a request's objective is what its answer may take by the estimate.
+const objectiveShare = 0.85
 
 // saysNothingOfSource are the outcomes that say nothing of what is behind a cache.
 var saysNothingOfSource = []Status{StatusCanceled, StatusNotExecuted, StatusConnectFailed, StatusReset}
@@ -26,13 +27,9 @@
 	e.finish(request)
 }
 
-// RetryAfter is how long a rejected client is asked to stay away: half of its class's latency objective, as
-// who comes back after the objective comes for nothing, and no longer than clients heed. 0: no advice.
+// RetryAfter is how long a client with a rejected request of a class is asked to stay away; 0: no advice.
 func (c *Config) RetryAfter(class *Class) time.Duration {
-	if class.LatencyObjective <= 0 {
-		return c.MaxRetryAfter
-	}
-	return min(c.MaxRetryAfter, class.LatencyObjective/2)
+	return retryafter.Advisor{Max: c.MaxRetryAfter}.Rejected(class.LatencyObjective)
 }
 
 // hasCapacity says whether an endpoint can answer in time beside what is in flight to it.
@@ -41,7 +38,7 @@
 		return true
 	}
 	seconds := request.effectiveSeconds
-	return seconds*e.endpoints.Load(e.now, endpoint) < objectivePart*request.objectiveSeconds(seconds)
+	return seconds*e.endpoints.Load(e.now, endpoint) < objectiveShare*request.objectiveSeconds(seconds)
 }
 
 // objectiveSeconds is the latency objective of a request that takes so many seconds to send.
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -1,7 +1,6 @@
 package policy
 
 import (
-	"slices"
 	"time"
 
 	"sloequay/internal/policy/aimd"
@@ -118,7 +117,7 @@
 	e.release(request, event.Attempt)
 	attempt.endpoint.Health.WaitFrom(e.now)
 	e.recordFill(request, attempt, event)
-	attempt.mayHaveRun = !slices.Contains(neverRan, event.Status)
+	attempt.mayHaveRun = !event.Status.ProvesNotExecuted()
 	e.recordOutcome(request, attempt, event)
 	if event.Status == StatusOK {
 		e.learn(request, attempt, event)
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -9,12 +9,19 @@
 )
 
 const (
-	minTimeLeft        = 20 * time.Millisecond // before the deadline: with less, a request is given up
-	lostAfter          = 2.0                   // sending times after which a copy's answer counts as lost
-	busySlowdown       = 1.5                   // of a busy endpoint's answers, over their sending time
-	minOvertaken       = 2                     // answers that overtook an attempt, before it counts as lost
-	rejectionTime      = 50 * time.Millisecond // a cache at capacity says so by then; later it is its source
-	writeObjectivePart = 0.6                   // of a write's objective; later the origin has too many fills
+	// minTimeLeft before its deadline a request is given up: no attempt would be answered in time.
+	minTimeLeft = 20 * time.Millisecond
+	// lostAfterSendingTimes, and rejectionTime more, an answer from a copy counts as lost, where hedging is
+	// allowed.
+	lostAfterSendingTimes = 2.0
+	// busySlowdown is how much longer than their sending time a busy endpoint's answers take.
+	busySlowdown = 1.5
+	// minOvertaken is how many answers must have overtaken an attempt before it counts as lost.
+	minOvertaken = 2
+	// rejectionTime is by when a cache at capacity has said so; a later rejection is that of its source.
+	rejectionTime = 50 * time.Millisecond
+	// writeObjectiveShare of a write's objective at the origin shows that the origin has too many fills.
+	writeObjectiveShare = 0.6
 )
 
 // advance sends the next attempt of a request that has none in flight, or gives the request up.
@@ -44,7 +51,7 @@
 	objective := request.objectiveSeconds(request.expectedSeconds)
 	elapsed := (e.now - attempt.sentAt).Seconds()
 	isOriginWrite := request.class.Write && attempt.endpoint.Role == endpointset.Origin
-	if isOriginWrite && elapsed > writeObjectivePart*objective {
+	if isOriginWrite && elapsed > writeObjectiveShare*objective {
 		attempt.slow = true
 		e.fillLimiter.DecreaseFully() // writes wait behind fills there, and have more weight
 		return
@@ -79,7 +86,8 @@
 		return
 	}
 	isEjected := attempt.endpoint.Health.Ejected() || attempt.source.Health.Ejected()
-	usualSeconds := lostAfter*request.expectedSeconds*max(1, attempt.load) + rejectionTime.Seconds()
+	sendingSeconds := request.expectedSeconds * max(1, attempt.load)
+	usualSeconds := lostAfterSendingTimes*sendingSeconds + rejectionTime.Seconds()
 	isExpired := (e.now - attempt.sentAt).Seconds() > usualSeconds
 	if !isEjected && (!isExpired || !request.sizeKnown || attempt.limiter != nil) {
 		return
--- a/internal/policy/slowstart/slowstart.go
+++ b/internal/policy/slowstart/slowstart.go
@@ -74,10 +74,10 @@
 	growth := schedule.growth(now, startedAt)
 	available := b.Available(now, startedAt, schedule) // at the time at, from which the loop goes on
 	at := now
-	for i := 0; ; i++ {
+	for expired := 0; ; expired++ {
 		next := warmAt
-		if i < len(b.expenses) {
-			next = min(next, b.expenses[i].at+schedule.Window+1)
+		if expired < len(b.expenses) {
+			next = min(next, b.expenses[expired].at+schedule.Window+1)
 		}
 		if cost <= available {
 			return at
@@ -87,10 +87,10 @@
 				return fits
 			}
 		}
-		if next >= warmAt || i >= len(b.expenses) {
+		if next >= warmAt || expired >= len(b.expenses) {
 			return max(now, warmAt)
 		}
-		available += growth*float64(next-at) + b.expenses[i].cost
+		available += growth*float64(next-at) + b.expenses[expired].cost
 		at = next
 	}
 }
--- a/internal/policy/types.go
+++ b/internal/policy/types.go
@@ -157,6 +157,15 @@
 	StatusMiss
 )
 
+// ProvesNotExecuted says whether an attempt that ended so had no effect for certain.
+func (s Status) ProvesNotExecuted() bool {
+	switch s {
+	case StatusAtCapacity, StatusConnectFailed, StatusNotExecuted, StatusMiss:
+		return true
+	}
+	return false
+}
+
 // Note says how a response came about, as far as Config.Detail goes.
 type Note int
 
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -339,8 +339,6 @@
 		e.Request.Frontend.Respond(e.Request, e.Response)
 	case broker.EndpointChanged:
 		p.depots.EndpointChanged(e.Endpoint, e.Restarted)
-	case broker.HealthCheck:
-		p.depots.CheckHealth(e.Endpoint)
 	case broker.RefetchList:
 		d.sources.confirm(e.Source)
 	case broker.LogEntry:
