--- a/internal/cli/try.go
+++ b/internal/cli/try.go
@@ -103,7 +103,7 @@
 // build starts the stand-ins and the doorman, and waits until it is ready.
 func (s *stage) build() error {
 	var err error
-	s.fleet, s.cluster = emulator.NewEndpoints(emulator.Caching("o1")), consul.NewCluster()
+	s.fleet, s.cluster = emulator.NewEndpoints(emulator.CachingResponder("o1")), consul.NewCluster()
 	for _, b := range []struct{ id, service, class, site string }{{"c1", "cache", "std", "edge"}, {"c2", "cache", "std", "edge"},
 		{"c3", "cache", "std", "edge"}, {"c4", "cache", "std", "edge"}, {"c5", "cache", "std", "edge"}, {"p1", "trunk", "parent", "hub"},
 		{"p2", "trunk", "parent", "hub"}, {"o1", "archive", "origin", "hub"}} {
--- a/internal/drill/soak.go
+++ b/internal/drill/soak.go
@@ -91,7 +91,7 @@
 	if closes {
 		_ = k.c.Conn.Close()
 	} else {
-		_ = k.c.Send(emulator.Withdrawal(msg))
+		_ = k.c.Send(emulator.Cancellation(msg))
 	}
 	at := c.w.now()
 	c.w.Record.add(func() { a.r.End, a.r.Left = "left", at })
--- a/internal/drill/world.go
+++ b/internal/drill/world.go
@@ -98,7 +98,7 @@
 		w.boxes[id] = b
 		w.order = append(w.order, b)
 		go w.fleet.Serve(id, &door{ln, b})
-		w.fleet.Put(id, ln)
+		w.fleet.Register(id, ln)
 		return nil
 	}
 	for z := range p.Plazas {
@@ -270,7 +270,7 @@
 	clear(b.held)
 	b.spent = nil
 	b.mu.Unlock()
-	w.fleet.Drop(b.id)
+	w.fleet.ResetConnections(b.id)
 }
 
 // use has a box do its part of a request, and gives how long that takes; not ok: it is down.
--- a/internal/emulator/authority.go
+++ b/internal/emulator/authority.go
@@ -14,53 +14,75 @@
 	"time"
 )
 
-// Authority is a stand-in for what signs certificates: it writes them to a folder as PEM files.
+// validity is how long before and after its making a certificate is valid.
+const validity = time.Hour
+
+// Authority signs certificates and writes them to a folder as PEM files.
 type Authority struct {
 	Dir  string
 	File string // its own certificate
 	Cert *x509.Certificate
-	key  *ecdsa.PrivateKey
-	next int64
+
+	key        *ecdsa.PrivateKey
+	lastSerial int64
 }
 
 // NewAuthority makes one with its own certificate in a folder.
 func NewAuthority(dir string) (*Authority, error) {
-	a := &Authority{Dir: dir}
+	authority := &Authority{Dir: dir}
 	var err error
-	a.File, _, err = a.Make("ca")
-	return a, err
+	authority.File, _, err = authority.Make("ca")
+	return authority, err
 }
 
-// Make writes NAME.pem and NAME-key.pem, for servers and clients alike, valid for an hour, with the names told.
-func (a *Authority) Make(name string, names ...string) (cert, key string, err error) {
-	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+// Make writes NAME.pem and NAME-key.pem, for servers and clients alike, with the DNS names given. The first one is the
+// authority's own.
+func (a *Authority) Make(name string, dnsNames ...string) (certFile, keyFile string, err error) {
+	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return "", "", err
 	}
-	a.next++
-	template := &x509.Certificate{SerialNumber: big.NewInt(a.next), Subject: pkix.Name{CommonName: name}, DNSNames: names,
-		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), KeyUsage: x509.KeyUsageDigitalSignature,
-		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
-	parent, signer := a.Cert, a.key
-	if parent == nil {
-		template.IsCA, template.BasicConstraintsValid, template.KeyUsage = true, true, x509.KeyUsageCertSign
-		parent, signer = template, k
+	certificate, err := a.sign(key, name, dnsNames)
+	if err != nil {
+		return "", "", err
 	}
-	der, err := x509.CreateCertificate(rand.Reader, template, parent, &k.PublicKey, signer)
+	keyBytes, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
 		return "", "", err
 	}
-	if a.Cert == nil {
-		a.key = k
-		if a.Cert, err = x509.ParseCertificate(der); err != nil {
-			return "", "", err
-		}
+	certFile = filepath.Join(a.Dir, name+".pem")
+	keyFile = filepath.Join(a.Dir, name+"-key.pem")
+	return certFile, keyFile, errors.Join(writePEM(certFile, "CERTIFICATE", certificate),
+		writePEM(keyFile, "EC PRIVATE KEY", keyBytes))
+}
+
+// sign makes a certificate for a key. The first one is signed by its own key, which is the authority's from then on.
+func (a *Authority) sign(key *ecdsa.PrivateKey, name string, dnsNames []string) ([]byte, error) {
+	a.lastSerial++
+	template := &x509.Certificate{
+		SerialNumber: big.NewInt(a.lastSerial),
+		Subject:      pkix.Name{CommonName: name},
+		DNSNames:     dnsNames,
+		NotBefore:    time.Now().Add(-validity),
+		NotAfter:     time.Now().Add(validity),
+		KeyUsage:     x509.KeyUsageDigitalSignature,
+		ExtKeyUsage:  []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
+	}
+	if a.Cert != nil {
+		return x509.CreateCertificate(rand.Reader, template, a.Cert, &key.PublicKey, a.key)
 	}
-	raw, err := x509.MarshalECPrivateKey(k)
+	template.IsCA = true
+	template.BasicConstraintsValid = true
+	template.KeyUsage = x509.KeyUsageCertSign
+	certificate, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
-		return "", "", err
+		return nil, err
 	}
-	cert, key = filepath.Join(a.Dir, name+".pem"), filepath.Join(a.Dir, name+"-key.pem")
-	return cert, key, errors.Join(os.WriteFile(cert, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), 0o600),
-		os.WriteFile(key, pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: raw}), 0o600))
+	a.key = key
+	a.Cert, err = x509.ParseCertificate(certificate)
+	return certificate, err
+}
+
+func writePEM(path, kind string, content []byte) error {
+	return os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: content}), 0o600)
 }
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -3,20 +3,21 @@
 import (
 	"bufio"
 	"fmt"
+	"maps"
 	"net"
 	"time"
 
 	"sloequay/internal/frontend/rpc/msgpack"
 )
 
-// Client is a stand-in for a client of the platform's front. Send and Read may be called from two goroutines.
+// Client plays a client of the platform's front. Send and Read may be called from two goroutines.
 type Client struct {
-	Conn net.Conn
-	r    *bufio.Reader
-	part []byte // of an answer that had not come whole when a Read gave up
+	Conn    net.Conn
+	reader  *bufio.Reader
+	partial []byte // of an answer that was not complete when a Read gave up
 }
 
-// Dial connects to a doorman.
+// Dial connects to a proxy.
 func Dial(address string) (*Client, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -26,7 +27,7 @@
 }
 
 // NewClient speaks on a connection that is up.
-func NewClient(conn net.Conn) *Client { return &Client{Conn: conn, r: bufio.NewReader(conn)} }
+func NewClient(conn net.Conn) *Client { return &Client{Conn: conn, reader: bufio.NewReader(conn)} }
 
 // Reply is an answer as the client reads it.
 type Reply struct {
@@ -34,31 +35,45 @@
 	Error  string // empty: served
 	Fields map[string]string
 	Body   string
-	Ready  bool // of status
+	Ready  bool // of the method status
 }
 
-// Withdrawal is the notice that nobody waits for the answer to a message any more.
-func Withdrawal(id uint64) []byte {
-	b := msgpack.AppendText(msgpack.AppendUint(msgpack.AppendArray(nil, 3), 2), "withdraw")
-	return msgpack.AppendUint(msgpack.AppendArray(b, 1), id)
+// The types of messages, as MessagePack-RPC has them.
+const (
+	messageRequest = 0
+	messageNotice  = 2
+)
+
+// statusMethod is the method that asks whether a proxy is ready.
+const statusMethod = "status"
+
+// Cancellation is the notice that nobody waits for the answer to a message any more.
+func Cancellation(id uint64) []byte {
+	frame := msgpack.AppendArray(nil, 3)
+	frame = msgpack.AppendUint(frame, messageNotice)
+	frame = msgpack.AppendText(frame, "withdraw")
+	frame = msgpack.AppendArray(frame, 1)
+	return msgpack.AppendUint(frame, id)
 }
 
 // Request builds a frame; fields override those of a sound request for object 7f3a9c21e0b4d655.
 func Request(id uint64, method string, fields map[string]string, body string) []byte {
+	frame := msgpack.AppendArray(nil, 4)
+	frame = msgpack.AppendUint(frame, messageRequest)
+	frame = msgpack.AppendUint(frame, id)
+	frame = msgpack.AppendText(frame, method)
+	if method == statusMethod {
+		return msgpack.AppendMap(msgpack.AppendArray(frame, 1), 0)
+	}
 	all := map[string]string{"txn": fmt.Sprintf("%016x", id), "limit": "2000", "item": "7f3a9c21e0b4d655", "nth": "0",
 		"batch": "3", "ram": "40"}
-	for k, v := range fields {
-		all[k] = v
+	maps.Copy(all, fields)
+	frame = msgpack.AppendMap(msgpack.AppendArray(frame, 2), len(all))
+	for name, value := range all {
+		frame = msgpack.AppendText(frame, name)
+		frame = msgpack.AppendText(frame, value)
 	}
-	b := msgpack.AppendText(msgpack.AppendUint(msgpack.AppendUint(msgpack.AppendArray(nil, 4), 0), id), method)
-	if method == "status" {
-		return msgpack.AppendMap(msgpack.AppendArray(b, 1), 0)
-	}
-	b = msgpack.AppendMap(msgpack.AppendArray(b, 2), len(all))
-	for k, v := range all {
-		b = msgpack.AppendText(msgpack.AppendText(b, k), v)
-	}
-	return msgpack.AppendBinary(b, []byte(body))
+	return msgpack.AppendBinary(frame, []byte(body))
 }
 
 // Send writes a frame.
@@ -71,73 +86,83 @@
 func (c *Client) Read(limit time.Duration) (Reply, error) {
 	_ = c.Conn.SetReadDeadline(time.Now().Add(limit))
 	for {
-		b, err := c.r.ReadByte()
+		next, err := c.reader.ReadByte()
 		if err != nil {
 			return Reply{}, err
 		}
-		c.part = append(c.part, b)
-		if a, ok := parseReply(c.part); ok {
-			c.part = c.part[:0]
-			return a, nil
+		c.partial = append(c.partial, next)
+		if reply, ok := parseReply(c.partial); ok {
+			c.partial = c.partial[:0]
+			return reply, nil
 		}
 	}
 }
 
-func parseReply(data []byte) (Reply, bool) {
-	r := msgpack.Reader{Data: data}
-	r.Array()
-	r.Uint()
-	a := Reply{ID: r.Uint(), Fields: map[string]string{}}
-	if r.Err != nil || r.Pos >= len(data) {
-		return a, false
+// The MessagePack forms by which the parts of an answer are told apart.
+const (
+	formNil   = 0xc0
+	formFalse = 0xc2
+	formTrue  = 0xc3
+)
+
+// The longest texts of an answer, in bytes.
+const (
+	maxErrorText = 100
+	maxFieldText = 1000
+	maxReplyBody = 1 << 20
+)
+
+// parseReply reads an answer; not ok: it is not complete.
+func parseReply(data []byte) (reply Reply, ok bool) {
+	reader := msgpack.Reader{Data: data}
+	reader.Array()
+	reader.Uint()
+	reply = Reply{ID: reader.Uint(), Fields: map[string]string{}}
+	if reader.Err != nil || reader.Pos >= len(data) {
+		return reply, false
 	}
-	failed := data[r.Pos] != 0xc0
+	failed := data[reader.Pos] != formNil
 	if !failed {
-		r.Skip()
+		reader.Skip()
 	}
-	r.Array()
+	reader.Array()
 	switch {
 	case failed:
-		a.Error = string(r.Text(100))
-	case r.Err == nil && r.Pos < len(data) && data[r.Pos]|1 == 0xc3:
-		a.Ready = data[r.Pos] == 0xc3
-		r.Skip()
+		reply.Error = string(reader.Text(maxErrorText))
+	case isBool(&reader):
+		reply.Ready = data[reader.Pos] == formTrue
+		reader.Skip()
 	default:
-		a.Body = string(r.Binary(1 << 20))
+		reply.Body = string(reader.Binary(maxReplyBody))
 	}
-	for n := r.Map(); n > 0 && r.Err == nil; n-- {
-		a.Fields[string(r.Text(1000))] = string(r.Text(1000))
+	for n := reader.Map(); n > 0 && reader.Err == nil; n-- {
+		reply.Fields[string(reader.Text(maxFieldText))] = string(reader.Text(maxFieldText))
 	}
 	if failed {
-		r.Skip()
+		reader.Skip()
 	}
-	return a, r.Err == nil
+	return reply, reader.Err == nil
 }
 
-// Ready asks a doorman for its status.
+// isBool says whether a truth value is next, as in the answer to status.
+func isBool(reader *msgpack.Reader) bool {
+	if reader.Err != nil || reader.Pos >= len(reader.Data) {
+		return false
+	}
+	form := reader.Data[reader.Pos]
+	return form == formFalse || form == formTrue
+}
+
+// Ready asks a proxy for its status.
 func Ready(address string) bool {
-	c, err := Dial(address)
+	client, err := Dial(address)
 	if err != nil {
 		return false
 	}
-	defer c.Conn.Close()
-	if c.Send(Request(1, "status", nil, "")) != nil {
+	defer client.Conn.Close()
+	if client.Send(Request(1, statusMethod, nil, "")) != nil {
 		return false
 	}
-	a, err := c.Read(time.Second)
-	return err == nil && a.Ready
+	reply, err := client.Read(time.Second)
+	return err == nil && reply.Ready
 }
-
-// Settings are the platform's settings for stand-ins: a class that is kept until it is purged, one that is kept for 20 s,
-// and keyed writes; the sites hub and edge, of which the doorman is at edge; the classes of boxes std, parent and origin.
-const Settings = `{"classes":[
-{"name":"footage","on-time-ms":500,"deadline-ms":6000,"worth":2,"aim-stretch":2,"idempotency":"repeatable"},
-{"name":"lookup","on-time-ms":250,"deadline-ms":3000,"worth":1,"aim-stretch":2,"idempotency":"repeatable"},
-{"name":"charge","on-time-ms":700,"deadline-ms":3000,"worth":3,"idempotency":"by_key","group":"all","window-ms":3000}],
-"n-instances":1,"ordinal":0,"zone":1,"dcs":["hub","edge"],"machine-types":["std","parent","origin"],"weights":"rough",
-"family-info":{"shield-kind":1,"master-kind":2,"max-age-ms":[0,20000,0],"stale-for-ms":[0,10000,0],
-"uncached":[false,false,true],"instances-by-zone":[0,1],"pass-through-ok":true,"peers-fill":"any","detail":"all",
-"one-flow-kb-per-s":9500,"purge-slack-ms":300,"purge-takes-ms":6000},
-"limits":{"attempts-cap":6,"cancelling":true,"may-probe":true,"second-copies":false,"streams-per-conn":32,"dial-timeout-ms":400,
-"conn-idle-ms":30000,"retry-after":true,"max-retry-after-ms":500,"open-cap":20000},
-"safety":{"drain-grace-ms":1000,"answer-slack-ms":8}}`
--- a/internal/emulator/consul/cluster.go
+++ b/internal/emulator/consul/cluster.go
@@ -1,6 +1,6 @@
-// Package consul is a stand-in for a cluster of Consul agents, written from the public pages of the HTTP API: health,
-// catalogue, KV, an agent's services and TTL checks, maintenance, blocking queries with index and wait, consistency modes,
-// tokens and their headers. Each agent can be made to fail in scripted ways.
+// Package consul emulates a cluster of Consul agents, written from the public pages of the HTTP API: health, catalogue,
+// KV, an agent's services and TTL checks, maintenance, blocking queries with index and wait, consistency modes, tokens
+// and their headers. Each agent can be made to fail in scripted ways.
 package consul
 
 import (
@@ -10,6 +10,33 @@
 	"time"
 )
 
+// The states of checks.
+const (
+	Passing  = "passing"
+	Warning  = "warning"
+	Critical = "critical"
+)
+
+// Maintenance is what Mark and MarkNode take to put something into maintenance; it is no state of a check.
+const Maintenance = "maintenance"
+
+// Ids of checks that Consul itself makes.
+const (
+	serviceCheckPrefix       = "service:"
+	serviceMaintenancePrefix = "_service_maintenance"
+	nodeMaintenanceCheck     = "_node_maintenance"
+	nodeCheck                = "serfHealth"
+)
+
+const (
+	// firstIndex is the index of an empty cluster.
+	firstIndex = 10
+	// maxSnapshots bounds how many states are kept for stale answers; beyond it the oldest half goes.
+	maxSnapshots = 512
+	// maxSnapshotInstances is the largest service whose states are kept.
+	maxSnapshotInstances = 200
+)
+
 // Instance is one instance of a service.
 type Instance struct {
 	Node, NodeAddress string
@@ -20,68 +47,67 @@
 	Meta              map[string]string
 	Weights           Weights
 	Checks            []Check
-	Create, Modify    uint64
+	Create, Modify    uint64 // indexes
 
 	agent *Agent // that it was registered at; nil: in the catalogue alone
 }
 
 // Weights are an instance's weights by health.
-type Weights struct{ Passing, Warning int }
+type Weights struct {
+	Passing int `json:"Passing"`
+	Warning int `json:"Warning"`
+}
 
 // Check is one check of an instance or its node.
 type Check struct {
-	Node, CheckID, Name, Status string
-	ServiceID                   string // empty: of the node
+	CheckID, Name, Status string
+	ServiceID             string // empty: of the node
 
-	ttl     time.Duration
+	ttl     time.Duration // 0: it does not expire
 	expires time.Time
 }
 
-// The states of checks.
-const (
-	Passing  = "passing"
-	Warning  = "warning"
-	Critical = "critical"
-)
-
-// moment is what the cluster held at a time, for answers that are stale.
-type moment struct {
+// snapshot is what the cluster held at a time, for answers that are stale.
+type snapshot struct {
 	at       time.Time
-	index    uint64
 	services map[string][]Instance
 	indexes  map[string]uint64
 }
 
-const momentsMost = 512
-
-// pair is one entry of the KV store.
-type pair struct {
+// keyValue is one entry of the KV store.
+type keyValue struct {
 	value          []byte
-	create, modify uint64
+	create, modify uint64 // indexes
 }
 
 // Cluster is what all agents share.
 type Cluster struct {
-	mu       sync.Mutex
-	index    uint64
-	services map[string][]*Instance
-	indexes  map[string]uint64 // by service: when it last changed
-	kv       map[string]pair
-	kvIndex  uint64
-	moments  []moment
-	changed  chan struct{} // closed and made anew with each change
-	tokens   map[string][]string
-	written  map[string]time.Time // when each instance last changed
-	agents   []*Agent
+	mu        sync.Mutex
+	index     uint64
+	services  map[string][]*Instance
+	indexes   map[string]uint64 // by service: when it last changed
+	kv        map[string]keyValue
+	kvIndex   uint64
+	snapshots []snapshot
+	changed   chan struct{} // closed and made anew with each change
+	tokens    map[string][]string
+	written   map[string]time.Time // when each instance last changed
 }
 
 // NewCluster makes an empty one.
 func NewCluster() *Cluster {
-	return &Cluster{index: 10, services: map[string][]*Instance{}, indexes: map[string]uint64{}, kv: map[string]pair{},
-		kvIndex: 10, changed: make(chan struct{}), written: map[string]time.Time{}}
+	return &Cluster{
+		index:    firstIndex,
+		services: map[string][]*Instance{},
+		indexes:  map[string]uint64{},
+		kv:       map[string]keyValue{},
+		kvIndex:  firstIndex,
+		changed:  make(chan struct{}),
+		written:  map[string]time.Time{},
+	}
 }
 
-// update runs a change under the lock and wakes whoever waits for it.
+// update runs a change of a service, or of keys if that is empty, under the lock and wakes whoever waits for it.
 func (c *Cluster) update(service string, change func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,64 +116,85 @@
 		c.indexes[service] = c.index
 	}
 	change()
-	c.remember()
+	c.takeSnapshot()
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// remember keeps the state of now for answers that are stale.
-func (c *Cluster) remember() {
-	m := moment{at: time.Now(), index: c.index, services: map[string][]Instance{}, indexes: map[string]uint64{}}
-	for name, list := range c.services {
-		if len(list) > 200 {
-			return // too large to keep; stale answers are for small fleets
+// takeSnapshot keeps the state of now, unless a service is too large: stale answers are for small fleets.
+func (c *Cluster) takeSnapshot() {
+	taken := snapshot{at: time.Now(), services: map[string][]Instance{}, indexes: map[string]uint64{}}
+	for name, instances := range c.services {
+		if len(instances) > maxSnapshotInstances {
+			return
 		}
-		m.services[name] = copies(list)
-		m.indexes[name] = c.indexes[name]
+		taken.services[name] = copyInstances(instances)
+		taken.indexes[name] = c.indexes[name]
 	}
-	if c.moments = append(c.moments, m); len(c.moments) > momentsMost {
-		c.moments = slices.Clone(c.moments[momentsMost/2:])
+	c.snapshots = append(c.snapshots, taken)
+	if len(c.snapshots) > maxSnapshots {
+		c.snapshots = slices.Clone(c.snapshots[maxSnapshots/2:])
 	}
 }
 
-func copies(list []*Instance) []Instance {
-	out := make([]Instance, len(list))
-	for i, in := range list {
-		out[i] = *in
-		out[i].Checks = slices.Clone(in.Checks)
+// staleInstances gives a service and its index as they were some time ago. The caller holds the lock.
+func (c *Cluster) staleInstances(service string, age time.Duration) ([]Instance, uint64) {
+	var instances []Instance
+	index := uint64(1)
+	for _, past := range c.snapshots {
+		if time.Since(past.at) >= age {
+			instances = past.services[service]
+			index = max(past.indexes[service], firstIndex)
+		}
 	}
-	return out
+	return instances, index
 }
 
-// Put registers an instance, or changes it. The same id registered anew has another create index only after it was gone.
-func (c *Cluster) Put(in Instance) {
-	c.update(in.Service, func() {
-		c.written[in.ID] = time.Now()
-		in.Modify = c.index
-		if len(in.Checks) == 0 {
-			in.Checks = []Check{{CheckID: "service:" + in.ID, Status: Passing, ServiceID: in.ID}}
-		}
-		list := c.services[in.Service]
-		if i := slices.IndexFunc(list, func(o *Instance) bool { return o.ID == in.ID && o.Node == in.Node }); i >= 0 {
-			in.Create = list[i].Create
-			*list[i] = in
+func copyInstances(instances []*Instance) []Instance {
+	copies := make([]Instance, len(instances))
+	for i, instance := range instances {
+		copies[i] = *instance
+		copies[i].Checks = slices.Clone(instance.Checks)
+	}
+	return copies
+}
+
+// withDefaultCheck gives an instance a check that passes if it has none.
+func (i *Instance) withDefaultCheck() {
+	if len(i.Checks) == 0 {
+		i.Checks = []Check{{CheckID: serviceCheckPrefix + i.ID, Status: Passing, ServiceID: i.ID}}
+	}
+}
+
+// Put registers an instance, or changes it. The same id registered anew has another create index only after it was
+// gone.
+func (c *Cluster) Put(instance Instance) {
+	c.update(instance.Service, func() {
+		c.written[instance.ID] = time.Now()
+		instance.Modify = c.index
+		instance.withDefaultCheck()
+		list := c.services[instance.Service]
+		isSame := func(other *Instance) bool { return other.ID == instance.ID && other.Node == instance.Node }
+		if i := slices.IndexFunc(list, isSame); i >= 0 {
+			instance.Create = list[i].Create
+			*list[i] = instance
 			return
 		}
-		in.Create = c.index
-		c.services[in.Service] = append(list, &in)
+		instance.Create = c.index
+		c.services[instance.Service] = append(list, &instance)
 	})
 }
 
-// PutAll registers many instances of one service in one change.
-func (c *Cluster) PutAll(service string, list []Instance) {
+// PutAll registers many instances of one service in one change, in place of those that it had.
+func (c *Cluster) PutAll(service string, instances []Instance) {
 	c.update(service, func() {
 		c.services[service] = nil
-		for _, in := range list {
-			in.Service, in.Create, in.Modify = service, c.index, c.index
-			if len(in.Checks) == 0 {
-				in.Checks = []Check{{CheckID: "service:" + in.ID, Status: Passing, ServiceID: in.ID}}
-			}
-			c.services[service] = append(c.services[service], &in)
+		for _, instance := range instances {
+			instance.Service = service
+			instance.Create = c.index
+			instance.Modify = c.index
+			instance.withDefaultCheck()
+			c.services[service] = append(c.services[service], &instance)
 		}
 	})
 }
@@ -158,37 +205,49 @@
 		for _, id := range ids {
 			c.written[id] = time.Now()
 		}
-		c.services[service] = slices.DeleteFunc(c.services[service], func(in *Instance) bool {
-			return slices.Contains(ids, in.ID)
+		c.services[service] = slices.DeleteFunc(c.services[service], func(instance *Instance) bool {
+			return slices.Contains(ids, instance.ID)
 		})
 	})
 }
 
-// Mark sets the status of an instance's own checks; "maintenance" puts it into maintenance, and any other takes it out.
+// Mark sets the status of an instance's own checks; Maintenance puts it into maintenance, and any other takes it out.
 func (c *Cluster) Mark(service, id, status string) {
 	c.update(service, func() {
-		for _, in := range c.services[service] {
-			if in.ID != id {
+		for _, instance := range c.services[service] {
+			if instance.ID != id {
 				continue
 			}
-			in.Modify = c.index
+			instance.Modify = c.index
 			c.written[id] = time.Now()
-			in.Checks = slices.DeleteFunc(in.Checks, func(k Check) bool { return strings.HasPrefix(k.CheckID, "_service_maintenance") })
-			if status == "maintenance" {
-				in.Checks = append(in.Checks, Check{CheckID: "_service_maintenance:" + id, Status: Critical, ServiceID: id})
-				continue
-			}
-			for i := range in.Checks {
-				if in.Checks[i].ServiceID == id {
-					in.Checks[i].Status = status
-				}
-			}
+			instance.mark(status)
 		}
 	})
 }
 
-// MarkNode sets the status of a node's check on all instances there; "maintenance" as in Mark.
+// mark sets the status of the instance's own checks, as Mark has it.
+func (i *Instance) mark(status string) {
+	i.Checks = slices.DeleteFunc(i.Checks, func(check Check) bool {
+		return strings.HasPrefix(check.CheckID, serviceMaintenancePrefix)
+	})
+	if status == Maintenance {
+		checkID := serviceMaintenancePrefix + ":" + i.ID
+		i.Checks = append(i.Checks, Check{CheckID: checkID, Status: Critical, ServiceID: i.ID})
+		return
+	}
+	for n := range i.Checks {
+		if i.Checks[n].ServiceID == i.ID {
+			i.Checks[n].Status = status
+		}
+	}
+}
+
+// MarkNode sets the status of a node's check on all instances there; Maintenance as in Mark.
 func (c *Cluster) MarkNode(node, status string) {
+	check := Check{CheckID: nodeCheck, Status: status}
+	if status == Maintenance {
+		check = Check{CheckID: nodeMaintenanceCheck, Status: Critical}
+	}
 	c.mu.Lock()
 	names := make([]string, 0, len(c.services))
 	for name := range c.services {
@@ -197,23 +256,23 @@
 	c.mu.Unlock()
 	for _, name := range names {
 		c.update(name, func() {
-			for _, in := range c.services[name] {
-				if in.Node != node {
-					continue
-				}
-				c.written[in.ID] = time.Now()
-				in.Modify = c.index
-				in.Checks = slices.DeleteFunc(in.Checks, func(k Check) bool { return k.ServiceID == "" })
-				if status == "maintenance" {
-					in.Checks = append(in.Checks, Check{CheckID: "_node_maintenance", Status: Critical})
-				} else {
-					in.Checks = append(in.Checks, Check{CheckID: "serfHealth", Status: status})
+			for _, instance := range c.services[name] {
+				if instance.Node == node {
+					c.written[instance.ID] = time.Now()
+					instance.Modify = c.index
+					instance.setNodeCheck(check)
 				}
 			}
 		})
 	}
 }
 
+// setNodeCheck puts a check in place of those of the node.
+func (i *Instance) setNodeCheck(check Check) {
+	i.Checks = slices.DeleteFunc(i.Checks, func(other Check) bool { return other.ServiceID == "" })
+	i.Checks = append(i.Checks, check)
+}
+
 // Written is when an instance last changed.
 func (c *Cluster) Written(id string) time.Time {
 	c.mu.Lock()
@@ -225,7 +284,7 @@
 func (c *Cluster) Instances(service string) []Instance {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return copies(c.services[service])
+	return copyInstances(c.services[service])
 }
 
 // SetKV writes a key; nil deletes it.
@@ -236,11 +295,11 @@
 			delete(c.kv, key)
 			return
 		}
-		p := pair{value: value, create: c.index, modify: c.index}
+		entry := keyValue{value: value, create: c.index, modify: c.index}
 		if old, ok := c.kv[key]; ok {
-			p.create = old.create
+			entry.create = old.create
 		}
-		c.kv[key] = p
+		c.kv[key] = entry
 	})
 }
 
@@ -252,15 +311,15 @@
 	c.tokens = tokens
 }
 
-// expire turns TTL checks critical that were not renewed in time.
-func (c *Cluster) expire() {
+// expireChecks turns TTL checks critical that were not renewed in time.
+func (c *Cluster) expireChecks() {
 	now := time.Now()
 	c.mu.Lock()
 	var due []string
-	for name, list := range c.services {
-		for _, in := range list {
-			for _, k := range in.Checks {
-				if k.ttl > 0 && k.Status != Critical && now.After(k.expires) {
+	for name, instances := range c.services {
+		for _, instance := range instances {
+			for _, check := range instance.Checks {
+				if check.isExpired(now) && check.Status != Critical {
 					due = append(due, name)
 				}
 			}
@@ -269,13 +328,20 @@
 	c.mu.Unlock()
 	for _, name := range due {
 		c.update(name, func() {
-			for _, in := range c.services[name] {
-				for i := range in.Checks {
-					if k := &in.Checks[i]; k.ttl > 0 && now.After(k.expires) {
-						k.Status = Critical
-					}
-				}
+			for _, instance := range c.services[name] {
+				instance.failExpired(now)
 			}
 		})
 	}
 }
+
+// isExpired says whether a TTL check was not renewed in time.
+func (k *Check) isExpired(now time.Time) bool { return k.ttl > 0 && now.After(k.expires) }
+
+func (i *Instance) failExpired(now time.Time) {
+	for n := range i.Checks {
+		if i.Checks[n].isExpired(now) {
+			i.Checks[n].Status = Critical
+		}
+	}
+}
--- a/internal/emulator/consul/consul_test.go
+++ b/internal/emulator/consul/consul_test.go
@@ -7,7 +7,7 @@
 	"github.com/hashicorp/consul/api"
 )
 
-// TestByTheOfficialClient holds the stand-in to what the API's own client expects of the pages it was written from.
+// TestByTheOfficialClient holds the emulator to what the API's own client expects of the pages it was written from.
 func TestByTheOfficialClient(t *testing.T) {
 	c := NewCluster()
 	a, err := c.NewAgent("n1")
@@ -45,7 +45,8 @@
 	if got != api.HealthPassing || next.LastIndex <= first.LastIndex {
 		t.Errorf("renewed: %s at %d, before %d", got, next.LastIndex, first.LastIndex)
 	}
-	if _, same := status(&api.QueryOptions{WaitIndex: next.LastIndex, WaitTime: 50 * time.Millisecond}); same.LastIndex != next.LastIndex {
+	shortWait := &api.QueryOptions{WaitIndex: next.LastIndex, WaitTime: 50 * time.Millisecond}
+	if _, same := status(shortWait); same.LastIndex != next.LastIndex {
 		t.Errorf("after a wait without a change the index is %d, want %d", same.LastIndex, next.LastIndex)
 	}
 	must(client.Agent().EnableServiceMaintenance("w1", ""))
@@ -69,7 +70,8 @@
 	if entries, _, err := client.Health().Service("web", "y", false, nil); err != nil || len(entries) != 0 {
 		t.Errorf("with a tag that it has not: %d entries, %v", len(entries), err)
 	}
-	if list, _, err := client.Catalog().Service("web", "", nil); err != nil || len(list) != 1 || list[0].ServicePort != 80 {
+	list, _, err := client.Catalog().Service("web", "", nil)
+	if err != nil || len(list) != 1 || list[0].ServicePort != 80 {
 		t.Errorf("the catalogue has %+v, %v", list, err)
 	}
 	if names, _, err := client.Catalog().Services(nil); err != nil || len(names["web"]) != 1 {
@@ -77,7 +79,8 @@
 	}
 	_, err = client.KV().Put(&api.KVPair{Key: "a/b", Value: []byte("1")}, nil)
 	must(err)
-	if pairs, meta, err := client.KV().List("a/", nil); err != nil || len(pairs) != 1 || string(pairs[0].Value) != "1" || meta.LastIndex == 0 {
+	pairs, meta, err := client.KV().List("a/", nil)
+	if err != nil || len(pairs) != 1 || string(pairs[0].Value) != "1" || meta.LastIndex == 0 {
 		t.Errorf("keys: %v %v", pairs, err)
 	}
 	_, err = client.KV().Delete("a/b", nil)
--- /dev/null
+++ b/internal/emulator/consul/kv.go
@@ -0,0 +1,61 @@
+package consul
+
+import (
+	"io"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// maxValue is the largest value of a key, in bytes.
+const maxValue = 512 << 10
+
+// kvEntry is one key in an answer of /v1/kv. Its fields are in the order of their names.
+type kvEntry struct {
+	CreateIndex uint64 `json:"CreateIndex"`
+	Key         string `json:"Key"`
+	ModifyIndex uint64 `json:"ModifyIndex"`
+	Value       []byte `json:"Value"`
+}
+
+// serveKV is /v1/kv/KEY.
+func (a *Agent) serveKV(w http.ResponseWriter, r *http.Request, key string) {
+	c := a.cluster
+	switch r.Method {
+	case http.MethodPut:
+		value, err := io.ReadAll(io.LimitReader(r.Body, maxValue))
+		if err == nil {
+			c.SetKV(key, value)
+		}
+		_, _ = io.WriteString(w, strconv.FormatBool(err == nil))
+		return
+	case http.MethodDelete:
+		c.SetKV(key, nil)
+		_, _ = io.WriteString(w, "true")
+		return
+	}
+	index := a.wait(r, func() uint64 { return c.kvIndex })
+	entries := c.kvEntries(key, r.URL.Query().Has("recurse"))
+	active := a.active()
+	if len(entries) == 0 {
+		w.Header().Set(indexHeader, strconv.FormatUint(index, 10))
+		w.WriteHeader(http.StatusNotFound)
+		return
+	}
+	a.write(w, entries, index, active)
+}
+
+// kvEntries gives a key, or with recurse all that begin with it, in their order.
+func (c *Cluster) kvEntries(key string, recurse bool) []kvEntry {
+	var entries []kvEntry
+	c.mu.Lock()
+	for name, pair := range c.kv {
+		if name == key || recurse && strings.HasPrefix(name, key) {
+			entries = append(entries, kvEntry{pair.create, name, pair.modify, pair.value})
+		}
+	}
+	c.mu.Unlock()
+	slices.SortFunc(entries, func(x, y kvEntry) int { return strings.Compare(x.Key, y.Key) })
+	return entries
+}
--- a/test/connections_test.go
+++ b/test/connections_test.go
@@ -48,7 +48,7 @@
 			a.Answer("ACK", "-", "again")
 		}
 	})
-	w.endpoints.StopReading(cut)
+	w.endpoints.IgnoreHealthChecks(cut)
 	w.start()
 	client := w.dial()
 	for id := range uint64(3) {
@@ -74,7 +74,7 @@
 		}
 	})
 	read := make(chan bool)
-	w.endpoints.StopReading(func(a *receivedRequest) bool {
+	w.endpoints.IgnoreHealthChecks(func(a *receivedRequest) bool {
 		if quits := w.cancellations(); len(quits) > 0 && a.Conn == quits[0].Conn {
 			time.Sleep(50 * time.Millisecond) // in which a next attempt that does not wait would come
 			same := func(a *receivedRequest) bool { return a.Word == "ASK" && a.ID == quits[0].ID }
--- a/test/dns_test.go
+++ b/test/dns_test.go
@@ -123,7 +123,7 @@
 	// c2 is listed by name. So is c3, and its name leads to the address of c1: a record that is out of date.
 	w.listAt("c2", strings.Replace(w.endpointAddress("c2"), "127.0.0.1", "c2.plaza.test", 1))
 	outOfDate := strings.Replace(w.endpointAddress("c1"), "127.0.0.1", "c3.plaza.test", 1)
-	w.enableDNS("resolver " + w.nameServer.Address())
+	w.enableDNS("resolver " + w.nameServer.address())
 	w.start()
 	w.waitListPoll()
 	resolver := w.dialDNS("udp")
@@ -181,7 +181,7 @@
 		}
 		ids[a.ID] = true
 	}
-	if !slices.Contains(w.nameServer.Queries(), "c3.plaza.test.") {
+	if !slices.Contains(w.nameServer.queries(), "c3.plaza.test.") {
 		t.Error("c3 was never looked up, so the case was not played")
 	}
 }
--- /dev/null
+++ b/test/emulators_test.go
@@ -0,0 +1,131 @@
+package test
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"strings"
+	"sync"
+
+	"github.com/miekg/dns"
+)
+
+// listServiceBuffer is how many lines and polls a list service takes without a reader.
+const listServiceBuffer = 64
+
+// listService emulates an endpoint list watch: it sends each line of feed to whoever is connected. The line "!" ends the
+// connection; what begins with "~" is sent without the end of its line.
+type listService struct {
+	feed     chan string
+	polls    chan string // what each connection asked for
+	listener net.Listener
+}
+
+// newListService starts one on a loopback port. It serves one connection at a time.
+func newListService() (*listService, error) {
+	return newListServiceAt("127.0.0.1:0")
+}
+
+// newListServiceAt starts one at an address.
+func newListServiceAt(address string) (*listService, error) {
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	s := &listService{
+		feed:     make(chan string, listServiceBuffer),
+		polls:    make(chan string, listServiceBuffer),
+		listener: listener,
+	}
+	go s.serve()
+	return s, nil
+}
+
+// address is where it listens.
+func (s *listService) address() string { return s.listener.Addr().String() }
+
+// close ends it.
+func (s *listService) close() { _ = s.listener.Close() }
+
+func (s *listService) serve() {
+	for {
+		conn, err := s.listener.Accept()
+		if err != nil {
+			return
+		}
+		line, err := bufio.NewReader(conn).ReadString('\n')
+		if err == nil {
+			s.polls <- strings.TrimSpace(line)
+			for text := range s.feed {
+				if text == "!" {
+					break
+				}
+				line, partial := strings.CutPrefix(text, "~")
+				if !partial {
+					line += "\n"
+				}
+				if _, err := io.WriteString(conn, line); err != nil {
+					break
+				}
+			}
+		}
+		_ = conn.Close()
+	}
+}
+
+// nameServer emulates a name server over UDP that has A records.
+type nameServer struct {
+	mu      sync.Mutex
+	records map[string]string
+	names   []string // of the queries
+	conn    net.PacketConn
+}
+
+// newNameServer starts one on a loopback port, with addresses by name.
+func newNameServer(records map[string]string) (*nameServer, error) {
+	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
+	if err != nil {
+		return nil, err
+	}
+	s := &nameServer{records: records, conn: conn}
+	go s.serve()
+	return s, nil
+}
+
+// address is where it listens.
+func (s *nameServer) address() string { return s.conn.LocalAddr().String() }
+
+// close ends it.
+func (s *nameServer) close() { _ = s.conn.Close() }
+
+// queries gives the names that it was asked for.
+func (s *nameServer) queries() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return append([]string(nil), s.names...)
+}
+
+func (s *nameServer) serve() {
+	packet := make([]byte, 2000)
+	for {
+		n, from, err := s.conn.ReadFrom(packet)
+		if err != nil {
+			return
+		}
+		q := &dns.Msg{}
+		if q.Unpack(packet[:n]) != nil || len(q.Question) != 1 {
+			continue
+		}
+		name := q.Question[0].Name
+		s.mu.Lock()
+		s.names = append(s.names, name)
+		address := s.records[name]
+		s.mu.Unlock()
+		m := new(dns.Msg).SetReply(q)
+		m.Answer = append(m.Answer, &dns.A{A: net.ParseIP(address),
+			Hdr: dns.RR_Header{Name: name, Rrtype: dns.TypeA, Class: dns.ClassINET}})
+		if out, err := m.Pack(); err == nil {
+			_, _ = s.conn.WriteTo(out, from)
+		}
+	}
+}
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -64,7 +64,7 @@
 		client: clientFaults{withdrawEvery: 4, disconnectAfter: 15, retries: 3},
 		beside: func(r *faultRun) {
 			r.sendFaultyLists()
-			r.testbed.endpoints.Drop("c1")
+			r.testbed.endpoints.ResetConnections("c1")
 		}, after: (*faultRun).sendSoundList, minServed: 0.02},
 }
 
@@ -133,7 +133,7 @@
 		case <-r.over:
 			return
 		case <-time.After(5 * time.Millisecond):
-			r.testbed.endpoints.Drop([]string{"c1", "c2", "p1", "o1"}[n%4])
+			r.testbed.endpoints.ResetConnections([]string{"c1", "c2", "p1", "o1"}[n%4])
 		}
 	}
 }
--- a/test/harness_endpoints_test.go
+++ b/test/harness_endpoints_test.go
@@ -35,7 +35,7 @@
 func (w *testbed) endpointAddress(id string) string { return w.listeners[id].Addr().String() }
 
 // setResponder sets how endpoints answer from now on; nil: as emulator.NewEndpoints does.
-func (w *testbed) setResponder(respond func(*receivedRequest)) { w.endpoints.Script(respond) }
+func (w *testbed) setResponder(respond func(*receivedRequest)) { w.endpoints.SetResponder(respond) }
 
 // answerDone serves an attempt.
 func answerDone(a *receivedRequest) { a.Answer("ACK", "tag=t1", "done") }
@@ -249,8 +249,8 @@
 func (w *testbed) startNameServer(records map[string]string) {
 	w.t.Helper()
 	var err error
-	if w.nameServer, err = emulator.NewNameServer(records); err != nil {
+	if w.nameServer, err = newNameServer(records); err != nil {
 		w.t.Fatal(err)
 	}
-	w.t.Cleanup(w.nameServer.Close)
+	w.t.Cleanup(w.nameServer.close)
 }
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -51,10 +51,10 @@
 	// The emulators.
 	endpoints    *emulator.Endpoints
 	listeners    map[string]net.Listener // of the endpoints, by id
-	listService  *emulator.ListService
+	listService  *listService
 	listFeed     chan string // lines for the list service to send
 	listPolls    chan string // what the program has asked the list service for
-	nameServer   *emulator.NameServer
+	nameServer   *nameServer
 	fullListener net.Listener // see listenWithFullBacklog
 }
 
@@ -84,11 +84,11 @@
 		}
 	}
 	var err error
-	if w.listService, err = emulator.NewListService(); err != nil {
+	if w.listService, err = newListService(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.listService.Close)
-	w.listFeed, w.listPolls = w.listService.Feed, w.listService.After
+	t.Cleanup(w.listService.close)
+	w.listFeed, w.listPolls = w.listService.feed, w.listService.polls
 	w.address = w.freeAddress()
 	var settings any
 	if err := json.Unmarshal([]byte(emulator.Settings), &settings); err != nil {
@@ -97,7 +97,7 @@
 	initial := map[string]any{"seq": 1, "whole": true, "hosts": w.listed}
 	w.config = map[string]any{"name": "n1", "listen": w.address, "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "settings": settings,
-		"bulletin": w.listService.Address(),
+		"bulletin": w.listService.address(),
 		"known":    map[string]any{"no": 1, "items": []any{map[string]any{"no": 1, "roster": initial}}}}
 	t.Cleanup(func() {
 		w.kill()
--- a/test/reload_test.go
+++ b/test/reload_test.go
@@ -6,8 +6,6 @@
 	"syscall"
 	"testing"
 	"time"
-
-	"sloequay/internal/emulator"
 )
 
 // TestReload: SIGHUP ended the program. It reads the configuration again: a bad one changes nothing, a good one has
@@ -60,20 +58,20 @@
 	w.writeConfig()
 	w.signal(syscall.SIGHUP)
 	w.waitLogged("event=endpoint-list-stale")
-	next, err := emulator.NewListServiceAt(later)
+	next, err := newListServiceAt(later)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(next.Close)
+	t.Cleanup(next.close)
 	select {
-	case after := <-next.After:
+	case after := <-next.polls:
 		if after != "after 2" {
 			t.Errorf("the new list service is asked for %q, want what comes after event 2", after)
 		}
 	case <-time.After(waitLimit):
 		t.Fatalf("the new list service is not asked within %v", waitLimit)
 	}
-	next.Feed <- w.listChange(3, "c1", "draining")
+	next.feed <- w.listChange(3, "c1", "draining")
 	w.expectDrained("c1")
 }
 
--- a/test/syscalls_test.go
+++ b/test/syscalls_test.go
@@ -36,7 +36,7 @@
 		}
 		_ = client.conn.Close()
 		for _, id := range []string{"c1", "c2", "p1", "o1"} {
-			w.endpoints.Drop(id)
+			w.endpoints.ResetConnections(id)
 		}
 	}
 	for _, fault := range []string{"ejected", "endpoints=0"} {
--- a/test/upstream_tls_test.go
+++ b/test/upstream_tls_test.go
@@ -82,7 +82,7 @@
 		t.Errorf("certificates shown by then: %v, want the first alone, as connections stand", counts)
 	}
 	stop()
-	w.endpoints.Drop("c1") // connections that stand go on by the old one; new ones show the new
+	w.endpoints.ResetConnections("c1") // connections that stand go on by the old one; new ones show the new
 	w.waitUntil("the new certificate is shown", func() bool {
 		ask()
 		return shown.counts()["doorman-2.test"] > 0
