--- a/test/pages/layers_test.go
+++ b/test/pages/layers_test.go
@@ -22,8 +22,8 @@
 		"snapshot/disk", "identity/keydir", "identity/tlslistener", "identity/tlsclient", "identity/files",
 		"platformconfig", "simwire", "emulator"},
 	{"broker"},
-	{"policy", "quota", "concurrency", "retry", "route", "invalidation", "membership", "identity", "bootstrap", "peer",
-		"snapshot", "shutdown", "frontend/connlimit", "frontend/rpc/pacing"},
+	{"policy", "quota", "concurrency", "retry", "retryafter", "route", "invalidation", "membership", "identity",
+		"bootstrap", "peer", "snapshot", "shutdown", "frontend/connlimit", "frontend/rpc/pacing"},
 	{"clock", "config", "eventlog", "eventloop", "expiry", "frontend/rpc/msgpack", "digesttest", "invariant",
 		"atomicfile"},
 }
