--- a/internal/frontend/dns/dns.go
+++ b/internal/frontend/dns/dns.go
@@ -15,6 +15,7 @@
 	"sloequay/internal/identity"
 	"sloequay/internal/identity/tsig"
 	"sloequay/internal/policy"
+	"sloequay/internal/retryafter"
 )
 
 const (
@@ -25,9 +26,6 @@
 	maxUDPBytes = 1232           // of an answer: what passes unfragmented nearly everywhere
 
 	tcpIdleTimeout = 10 * time.Second
-
-	// overloadRetryAfter is the Retry-After of a query for which there is no place.
-	overloadRetryAfter = 200 * time.Millisecond
 )
 
 // Options is what a Server is made of. All functions are called on the event loop.
@@ -44,8 +42,8 @@
 	Keys           func() *tsig.Keys                  // by which queries are signed; nil: none
 	Skew           time.Duration                      // of the callers' clocks
 
-	// MaxRetryAfter is the longest Retry-After that clients heed. Zero: none may be sent.
-	MaxRetryAfter time.Duration
+	// RetryAfter says how long rejected clients are asked to stay away, and whether they may be told at all.
+	RetryAfter retryafter.Advisor
 }
 
 // Server answers the queries of one zone. It belongs to the event loop.
--- a/internal/frontend/dns/response.go
+++ b/internal/frontend/dns/response.go
@@ -109,14 +109,14 @@
 
 // sendOverloaded answers a query for which there is no place.
 func (s *Server) sendOverloaded(query *pendingQuery) {
-	s.sendRejection(query, min(overloadRetryAfter, s.MaxRetryAfter), "")
+	s.sendRejection(query, s.RetryAfter.QueriesFull(), "")
 }
 
 // sendRejection answers REFUSED with the Retry-After, where one may be sent, and the budget that was used up, if it
 // was one.
 func (s *Server) sendRejection(query *pendingQuery, retryAfter time.Duration, budget string) {
 	var words []string
-	if s.MaxRetryAfter > 0 {
+	if s.RetryAfter.MayAdvise() {
 		words = append(words, textRetryAfter+strconv.FormatInt(max(1, retryAfter.Milliseconds()), 10))
 	}
 	if budget != "" {
--- a/internal/frontend/rpc/frame.go
+++ b/internal/frontend/rpc/frame.go
@@ -140,7 +140,7 @@
 	}
 	decision := c.openLimit.Decide(pacing.Load{Open: len(c.open), MemoryShort: c.server.MemoryShort()})
 	if decision != pacing.Admit {
-		c.sendRejection(messageID, broker.Response{RetryAfter: min(overloadRetryAfter, c.server.MaxRetryAfter)})
+		c.sendRejection(messageID, broker.Response{RetryAfter: c.server.RetryAfter.ConnectionFull()})
 		if decision == pacing.Close {
 			return &floodError{excess: c.openLimit.Excess()}
 		}
--- a/internal/frontend/rpc/protocol.go
+++ b/internal/frontend/rpc/protocol.go
@@ -29,9 +29,6 @@
 // smallBodyBytes is the size up to which a response is sent also while memory is short.
 const smallBodyBytes = 4096
 
-// overloadRetryAfter is the Retry-After of a request for which there is no place.
-const overloadRetryAfter = 100 * time.Millisecond
-
 // idleTimeout is longer than clients keep an idle connection, so that no request crosses the close.
 const idleTimeout = 6 * time.Second
 
--- a/internal/frontend/rpc/response.go
+++ b/internal/frontend/rpc/response.go
@@ -64,7 +64,7 @@
 // sendRejection says that a retry is harmless, when it is welcome, and which budget was used up.
 func (c *connection) sendRejection(messageID uint32, response broker.Response) {
 	var fields []broker.Field
-	if response.RetryAfter > 0 && c.server.MaxRetryAfter > 0 {
+	if response.RetryAfter > 0 && c.server.RetryAfter.MayAdvise() {
 		milliseconds := (response.RetryAfter + time.Millisecond - 1) / time.Millisecond
 		value := strconv.FormatInt(int64(milliseconds), 10)
 		fields = append(fields, broker.Field{Name: fieldRetryAfterMillis, Value: value})
--- a/internal/frontend/rpc/rpc.go
+++ b/internal/frontend/rpc/rpc.go
@@ -16,6 +16,7 @@
 	"sloequay/internal/identity"
 	"sloequay/internal/invariant"
 	"sloequay/internal/policy"
+	"sloequay/internal/retryafter"
 )
 
 // Config is what a Server is made of. All functions are called on the event loop.
@@ -28,8 +29,8 @@
 	MemoryShort    func() bool          // whether what clients have not read holds too much memory
 	Log            func(event string, fields ...any)
 
-	// MaxRetryAfter is the longest Retry-After that clients heed. Zero: none may be sent.
-	MaxRetryAfter time.Duration
+	// RetryAfter says how long rejected clients are asked to stay away, and whether they may be told at all.
+	RetryAfter retryafter.Advisor
 
 	// Monitor checks the frontend's invariants at run time; nil: nothing is checked.
 	Monitor *invariant.Monitor
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -18,6 +18,7 @@
 	"sloequay/internal/invariant"
 	"sloequay/internal/membership/listwatch"
 	"sloequay/internal/quota"
+	"sloequay/internal/retryafter"
 	"sloequay/internal/route"
 	"sloequay/internal/shutdown"
 	"sloequay/internal/upstream"
@@ -88,6 +89,7 @@
 	}
 	full := func() bool { return int64(d.loop.UnsentBytes()) > s.Memory/5 }
 	ready := func() bool { return !d.leaving.Begun() && d.knowsBoxes() }
+	advisor := retryafter.Advisor{Max: s.Control.MaxRetryAfter}
 	clients, listeners := s.Sockets/clientPart, []eventloop.Listener(nil)
 	if p.own.DNS != nil {
 		most := clients / 4
@@ -102,7 +104,7 @@
 			EndpointByName: d.box,
 			MaxConnections: most,
 			Seed:           s.Seed,
-			MaxRetryAfter:  s.Control.MaxRetryAfter,
+			RetryAfter:     advisor,
 		}
 		if cfg := p.own.Identity; cfg != nil {
 			options.Skew = cfg.Gate.Policy.Skew
@@ -125,7 +127,7 @@
 		Ready:          ready,
 		MemoryShort:    full,
 		Log:            d.log.Event,
-		MaxRetryAfter:  s.Control.MaxRetryAfter,
+		RetryAfter:     advisor,
 		Monitor:        &d.monitor,
 	})
 	listeners = append(listeners, eventloop.Listener{Network: "tcp", Address: s.Listen, Accept: d.front.Accept})
