--- /dev/null
+++ b/internal/simwire/batch.go
@@ -0,0 +1,98 @@
+package simwire
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"time"
+
+	"sloequay/internal/platformconfig"
+	"sloequay/internal/policy"
+)
+
+// readChunkSize is how many bytes of a batch are read at once.
+const readChunkSize = 1 << 16
+
+// Hello starts an instance.
+type Hello struct {
+	Seed   uint64
+	Config policy.Config
+}
+
+// Record is one record of a batch: one of Hello, Down and Event is set, or none where the policy needs nothing of it.
+type Record struct {
+	Instance uint32
+	Hello    *Hello
+	Down     bool
+	Event    policy.Event
+}
+
+// Batch is one frame from the simulator. Its records are decoded one by one.
+type Batch struct {
+	Now      time.Duration
+	Seq      uint32
+	Count    uint32 // of the records
+	data     []byte
+	position int    // of the next record in data
+	left     uint32 // records that are not decoded yet
+}
+
+// ReadBatch reads the next frame into a batch and reuses its buffer. It returns io.EOF at a clean end of input.
+func ReadBatch(input io.Reader, batch *Batch) error {
+	var header [batchHeaderSize]byte
+	if n, err := io.ReadFull(input, header[:]); err != nil {
+		if errors.Is(err, io.EOF) {
+			return io.EOF
+		}
+		return fmt.Errorf("batch header: got %d bytes, expected %d: %w", n, batchHeaderSize, err)
+	}
+	length := binary.LittleEndian.Uint32(header[8:])
+	if length < countedHeaderSize {
+		return fmt.Errorf("batch header: byte 8: length %d, expected %d or more", length, countedHeaderSize)
+	}
+	batch.Now = platformconfig.Milliseconds(math.Float64frombits(binary.LittleEndian.Uint64(header[0:])))
+	batch.Count = binary.LittleEndian.Uint32(header[12:])
+	batch.Seq = binary.LittleEndian.Uint32(header[16:])
+	batch.left = batch.Count
+	batch.position = 0
+	return batch.readBody(input, int(length)-countedHeaderSize)
+}
+
+// readBody reads the records. The buffer grows with what really comes, so that a false length allocates nothing.
+func (b *Batch) readBody(input io.Reader, length int) error {
+	b.data = b.data[:0]
+	for len(b.data) < length {
+		start := len(b.data)
+		b.data = append(b.data, make([]byte, min(length-start, readChunkSize))...)
+		n, err := io.ReadFull(input, b.data[start:])
+		if errors.Is(err, io.EOF) {
+			err = io.ErrUnexpectedEOF
+		}
+		if err != nil {
+			return fmt.Errorf("batch %d: body ends at byte %d, expected %d: %w", b.Seq, start+n, length, err)
+		}
+	}
+	return nil
+}
+
+// Next decodes the next record. It returns io.EOF after the last one, if nothing follows it.
+func (b *Batch) Next() (Record, error) {
+	if b.left == 0 {
+		if b.position != len(b.data) {
+			return Record{}, fmt.Errorf("batch %d: byte %d: %d bytes after the last of %d records, expected none",
+				b.Seq, b.position, len(b.data)-b.position, b.Count)
+		}
+		return Record{}, io.EOF
+	}
+	b.left--
+	fields := reader{data: b.data, start: b.position, position: b.position, name: "record"}
+	record := decodeRecord(&fields)
+	if fields.err != nil {
+		return Record{}, fmt.Errorf("batch %d, record %d of %d at byte %d: %w",
+			b.Seq, b.Count-b.left, b.Count, b.position, fields.err)
+	}
+	b.position = fields.position
+	return record, nil
+}
--- /dev/null
+++ b/internal/simwire/reader.go
@@ -0,0 +1,119 @@
+package simwire
+
+import (
+	"encoding/binary"
+	"fmt"
+	"math"
+	"time"
+
+	"sloequay/internal/platformconfig"
+	"sloequay/internal/policy"
+)
+
+// reader takes the fields of one record in their order. It keeps the first fault; after it all fields are zero.
+type reader struct {
+	data     []byte // of the batch
+	start    int    // of the record
+	position int    // of the next field
+	name     string // of the record
+	err      error
+}
+
+// take returns the next bytes of the record, or nil where too few are left.
+func (r *reader) take(size int, field string) []byte {
+	if r.err != nil {
+		return nil
+	}
+	if left := len(r.data) - r.position; size > left {
+		r.err = fmt.Errorf("%s: byte %d: %d bytes left, expected %d for %s",
+			r.name, r.position-r.start, left, size, field)
+		return nil
+	}
+	taken := r.data[r.position : r.position+size]
+	r.position += size
+	return taken
+}
+
+func (r *reader) u8(field string) uint8 {
+	if taken := r.take(1, field); taken != nil {
+		return taken[0]
+	}
+	return 0
+}
+
+func (r *reader) u16(field string) uint16 {
+	if taken := r.take(2, field); taken != nil {
+		return binary.LittleEndian.Uint16(taken)
+	}
+	return 0
+}
+
+func (r *reader) u32(field string) uint32 {
+	if taken := r.take(4, field); taken != nil {
+		return binary.LittleEndian.Uint32(taken)
+	}
+	return 0
+}
+
+func (r *reader) u64(field string) uint64 {
+	if taken := r.take(8, field); taken != nil {
+		return binary.LittleEndian.Uint64(taken)
+	}
+	return 0
+}
+
+func (r *reader) f32(field string) float64 {
+	return float64(math.Float32frombits(r.u32(field)))
+}
+
+// smallInteger takes an integer that is carried as a float32. One that is negative or too large becomes 0.
+func (r *reader) smallInteger(field string) int {
+	value := r.f32(field)
+	if value >= 0 && value < 1<<31 {
+		return int(value)
+	}
+	return 0
+}
+
+func (r *reader) time(field string) time.Duration {
+	return platformconfig.Milliseconds(math.Float64frombits(r.u64(field)))
+}
+
+// endpoint takes an IPv4 address and a port.
+func (r *reader) endpoint(field string) policy.EndpointID {
+	taken := r.take(6, field)
+	if taken == nil {
+		return 0
+	}
+	address := binary.BigEndian.Uint32(taken)
+	port := binary.LittleEndian.Uint16(taken[4:])
+	return policy.EndpointID(address)<<16 | policy.EndpointID(port)
+}
+
+func (r *reader) status(field string) policy.Status {
+	number := r.u16(field)
+	status, known := statuses[number]
+	if !known && r.err == nil {
+		r.err = fmt.Errorf("%s: byte %d: outcome %d, expected a known one",
+			r.name, r.position-r.start-2, number)
+	}
+	return status
+}
+
+// load takes the figures of a load report.
+func (r *reader) load() []float64 {
+	const field, figureSize = "load", 4
+	count := int(r.u8(field))
+	if r.err != nil || count == 0 {
+		return nil
+	}
+	if len(r.data)-r.position < figureSize*count {
+		r.take(figureSize*count, field)
+		return nil
+	}
+	figures := make([]float64, count)
+	for i := range figures {
+		figures[i] = r.f32(field)
+	}
+	return figures
+}
