--- a/internal/membership/consul/consul.go
+++ b/internal/membership/consul/consul.go
@@ -84,7 +84,7 @@
 	c.followers = append(c.followers, &follower{
 		catalogue: c,
 		feed:      feed,
-		watch:     blockingquery.NewWithAgents(config, agents),
+		watch:     blockingquery.New(config, agents),
 		clients:   clients,
 		cancels:   map[uint64]context.CancelFunc{},
 	})
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -72,8 +72,8 @@
 			t.Fatalf("left: %d records, %d addresses, %d published",
 				f.Len(), len(f.addresses.records), len(f.published))
 		}
-		if len(f.sources[0].order) != 0 || f.due.len() > 100 {
-			t.Fatalf("left: %d in the first source's order, %d due", len(f.sources[0].order), f.due.len())
+		if len(f.sources[0].order) != 0 || len(f.due.heap) > 100 {
+			t.Fatalf("left: %d in the first source's order, %d due", len(f.sources[0].order), len(f.due.heap))
 		}
 	})
 }
--- a/internal/policy/events.go
+++ b/internal/policy/events.go
@@ -8,7 +8,6 @@
 // ListEvent brings the list of endpoints or changes to it.
 type ListEvent struct {
 	Kind      ListKind
-	Version   uint64
 	Endpoints []Endpoint
 }
 
@@ -16,7 +15,6 @@
 type RequestEvent struct {
 	ID        RequestID
 	Class     int
-	Tenant    int
 	Object    uint64
 	Part      int
 	Group     int
@@ -28,14 +26,11 @@
 // ResponseEvent says how an attempt ended.
 type ResponseEvent struct {
 	ID        RequestID
-	Endpoint  EndpointID
 	Attempt   int
 	Elapsed   time.Duration // since the attempt was sent
 	Concluded bool          // the request has its end by it
 	Note      Note
-	FirstByte time.Duration
 	Status    Status
-	Load      []float64
 }
 
 // ClientGoneEvent says that a client has left.
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -99,7 +99,7 @@
 	if s.ends[id] == nil && status == StatusOK {
 		s.ends[id] = s.sent[id][n]
 	}
-	s.handle(ResponseEvent{ID: id, Endpoint: s.sent[id][n].Endpoint, Attempt: n, Elapsed: 50 * ms, Status: status,
+	s.handle(ResponseEvent{ID: id, Attempt: n, Elapsed: 50 * ms, Status: status,
 		Concluded: s.ends[id] != nil, Note: Note(s.random.Intn(11))})
 }
 
--- a/internal/policy/skipping_test.go
+++ b/internal/policy/skipping_test.go
@@ -154,7 +154,7 @@
 		StatusAtCapacity, StatusError, StatusTimeout, StatusConnectFailed, StatusReset, StatusNotExecuted,
 	}
 	fillNotes := []Note{NoteFilled, NoteFilledOrigin, NoteJoined, NoteSourceLost, NoteNoCapacity, NoteNone}
-	response := ResponseEvent{ID: sent.ID, Endpoint: sent.Endpoint, Attempt: day.attempts[sent.ID]}
+	response := ResponseEvent{ID: sent.ID, Attempt: day.attempts[sent.ID]}
 	day.attempts[sent.ID]++
 	response.Status = statuses[day.random.Intn(len(statuses))]
 	response.Note = NoteHit
