--- a/internal/frontend/rpc/rpc.go
+++ b/internal/frontend/rpc/rpc.go
@@ -16,6 +16,7 @@
 	"sloequay/internal/identity"
 	"sloequay/internal/invariant"
 	"sloequay/internal/policy"
+	"sloequay/internal/retryafter"
 )
 
 // Config is what a Server is made of. All functions are called on the event loop.
@@ -28,8 +29,8 @@
 	MemoryShort    func() bool          // whether what clients have not read holds too much memory
 	Log            func(event string, fields ...any)
 
-	// MaxRetryAfter is the longest Retry-After that clients heed. Zero: none may be sent.
-	MaxRetryAfter time.Duration
+	// RetryAfter says how long rejected clients are asked to stay away, and whether they may be told at all.
+	RetryAfter retryafter.Advisor
 
 	// Monitor checks the frontend's invariants at run time; nil: nothing is checked.
 	Monitor *invariant.Monitor
@@ -102,22 +103,22 @@
 	if unfinished := s.clients.Tick(now); unfinished > 0 {
 		s.Log("client-message-timeout", "front", "rpc", "connections", unfinished)
 	}
-	s.closeOverdue(now)
+	s.closeTimedOut(now)
 	s.paced.StartRound()
 	for turn := s.paced.Next(); turn != nil; turn = s.paced.Next() {
 		turn.Owner.conn.ReadAgain()
 	}
 }
 
-// closeOverdue rejects what rate-limited clients sent that could not be handled in time, and closes their
+// closeTimedOut rejects what rate-limited clients sent that could not be handled in time, and closes their
 // connections.
-func (s *Server) closeOverdue(now time.Duration) {
+func (s *Server) closeTimedOut(now time.Duration) {
 	for {
-		overdue, waited := s.paced.Overdue(now)
-		if overdue == nil {
+		timedOut, waited := s.paced.TimedOut(now)
+		if timedOut == nil {
 			return
 		}
-		c := overdue.Owner
+		c := timedOut.Owner
 		s.Log("client-rate-limited", "from", c.caller.Remote, "waited", waited)
 		c.rejectAll = true
 		c.conn.ReadAgain()
