--- a/cmd/chart/main.go
+++ b/cmd/chart/main.go
@@ -1,8 +1,10 @@
-// Command chart draws the time line that `sloequay drill --report DIR` leaves: DIR/timeline.json becomes DIR/timeline.svg.
+// Command chart draws the time line that `sloequay drill --report DIR` leaves: from DIR/timeline.json it makes
+// DIR/timeline.svg.
 package main
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -11,6 +13,12 @@
 	"sloequay/internal/drill/chart"
 )
 
+// The files in a report's folder.
+const (
+	timelineFile = "timeline.json"
+	chartFile    = "timeline.svg"
+)
+
 func main() {
 	if err := run(os.Args[1:]); err != nil {
 		fmt.Fprintln(os.Stderr, "chart:", err)
@@ -20,19 +28,20 @@
 
 func run(args []string) error {
 	if len(args) != 1 {
-		return fmt.Errorf("expected the folder of a report")
+		return errors.New("expected the folder of a report")
 	}
-	text, err := os.ReadFile(filepath.Join(args[0], "timeline.json"))
+	folder := args[0]
+	text, err := os.ReadFile(filepath.Join(folder, timelineFile))
 	if err != nil {
 		return err
 	}
-	var t drill.Timeline
-	if err := json.Unmarshal(text, &t); err != nil {
-		return fmt.Errorf("timeline.json: %w", err)
+	var timeline drill.Timeline
+	if err := json.Unmarshal(text, &timeline); err != nil {
+		return fmt.Errorf("%s: %w", timelineFile, err)
 	}
-	svg, err := chart.SVG(t)
+	svg, err := chart.SVG(timeline)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(filepath.Join(args[0], "timeline.svg"), svg, 0o600)
+	return os.WriteFile(filepath.Join(folder, chartFile), svg, 0o600)
 }
--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -64,7 +64,7 @@
 	} else if err = os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s: %d doormans, seed %d, %v\n", p.File, p.Proxies, seed, p.Lasts)
+	fmt.Fprintf(out, "%s: %d doormans, seed %d, %v\n", p.File, p.Proxies, seed, p.Duration)
 	r, err := drill.Run(p, self, dir, seed, out)
 	if err != nil {
 		return err
--- /dev/null
+++ b/internal/drill/audit_attempts.go
@@ -0,0 +1,103 @@
+package drill
+
+import (
+	"fmt"
+	"slices"
+	"time"
+)
+
+// Bounds of emulator.Settings that the audit holds the proxies to.
+const (
+	maxAttempts = 6               // of one request
+	keyedWindow = 3 * time.Second // in which a keyed request may be repeated
+)
+
+// checkRepeats looks at the attempts of each request: never two out together, none after a good end, no more than the
+// cap, and a keyed one that may have run is repeated within its window only.
+func (r *Record) checkRepeats(_ Invariant, found *findings) string {
+	byRequest := map[string][]*Attempt{}
+	for _, attempt := range r.Attempts {
+		byRequest[attempt.ID] = append(byRequest[attempt.ID], attempt)
+	}
+	for id, attempts := range byRequest {
+		slices.SortStableFunc(attempts, func(a, b *Attempt) int { return int(a.ReceivedAt - b.ReceivedAt) })
+		if len(attempts) > maxAttempts {
+			found.add("%s was sent %d times, at most %d are allowed", id, len(attempts), maxAttempts)
+		}
+		for i, attempt := range attempts[1:] {
+			checkRepeat(attempts[i], attempt, found)
+		}
+		checkKeyedRepeats(attempts, found)
+	}
+	return fmt.Sprintf("%d attempts", len(r.Attempts))
+}
+
+// checkRepeat looks at an attempt and the next one of the same request.
+func checkRepeat(before, next *Attempt, found *findings) {
+	if ended := before.endedAt(); ended == 0 || ended > next.ReceivedAt+socketSlack {
+		found.add("%s was out at %s since %.3f s when it was sent to %s at %.3f s", next.ID, before.Endpoint,
+			before.ReceivedAt.Seconds(), next.Endpoint, next.ReceivedAt.Seconds())
+	}
+	isAnswered := before.AnsweredAt > 0 && before.AnsweredAt+socketSlack < next.ReceivedAt
+	if isAnswered && before.Executed && before.CanceledAt == 0 && before.conn.ended() == 0 {
+		found.add("%s had a good answer of %s and was sent to %s", next.ID, before.Endpoint, next.Endpoint)
+	}
+}
+
+// checkKeyedRepeats looks at all attempts of one request, if it has a key.
+func checkKeyedRepeats(attempts []*Attempt, found *findings) {
+	first := attempts[0]
+	mayHaveRun := first.AnsweredAt == 0 || first.Executed
+	if first.Key == "" || !mayHaveRun {
+		return
+	}
+	for _, attempt := range attempts[1:] {
+		if after := attempt.ReceivedAt - first.ReceivedAt; after > keyedWindow+socketSlack {
+			found.add("%s may have run at %.2f s and was repeated %.2f s later", first.Key, first.ReceivedAt.Seconds(),
+				after.Seconds())
+		}
+	}
+}
+
+// checkDrains wants nothing new at an endpoint once the bound has passed since its drain was told.
+func (r *Record) checkDrains(invariant Invariant, found *findings) string {
+	limit := invariant.boundTime() + socketSlack
+	for _, drain := range r.Drains {
+		end := r.drainEnd(drain)
+		for _, attempt := range r.Attempts {
+			isForbidden := attempt.ReceivedAt > drain.At+limit && attempt.ReceivedAt < end
+			if attempt.Endpoint == drain.Endpoint && isForbidden {
+				found.add("%s drains since %.2f s, and was sent %s at %.2f s by %s", drain.Endpoint, drain.At.Seconds(),
+					attempt.ID, attempt.ReceivedAt.Seconds(), attempt.From)
+			}
+		}
+	}
+	return fmt.Sprintf("%d drains", len(r.Drains))
+}
+
+// drainEnd is when an endpoint was up again after a drain.
+func (r *Record) drainEnd(drain EndpointEvent) time.Duration {
+	end := forever
+	for _, undrain := range r.Undrains {
+		if undrain.Endpoint == drain.Endpoint && undrain.At > drain.At {
+			end = min(end, undrain.At)
+		}
+	}
+	return end
+}
+
+// checkDeadlines wants no endpoint to be given more time than the client has left and the bound.
+func (r *Record) checkDeadlines(invariant Invariant, found *findings) string {
+	sentAt := map[string]time.Duration{}
+	for _, request := range r.Requests {
+		sentAt[request.ID] = request.SentAt
+	}
+	excess := invariant.boundTime() + socketSlack
+	for _, attempt := range r.Attempts {
+		sent, ok := sentAt[attempt.ID]
+		if left := sent + r.clientLimit - attempt.ReceivedAt; ok && attempt.Timeout > left+excess {
+			found.add("%s was given %v by %s with %v left", attempt.ID, attempt.Timeout, attempt.From, left)
+		}
+	}
+	return fmt.Sprintf("%d attempts", len(r.Attempts))
+}
--- /dev/null
+++ b/internal/drill/audit_requests.go
@@ -0,0 +1,138 @@
+package drill
+
+import (
+	"fmt"
+	"time"
+)
+
+// forever stands for the end of what has none.
+const forever = time.Duration(1 << 62)
+
+// checkAnswers wants exactly one final answer for each request.
+func (r *Record) checkAnswers(invariant Invariant, found *findings) string {
+	total, excused := 0, 0
+	for _, request := range r.Requests {
+		if !invariant.covers(request.SentAt) {
+			continue
+		}
+		total++
+		switch {
+		case request.Answers > 1:
+			found.add("request %s had %d answers", request.ID, request.Answers)
+		case request.Outcome.isFinal() || request.Outcome == OutcomeCanceled:
+		case r.isExcused(request):
+			excused++
+		default:
+			found.add("request %s sent at %.2f s to proxy %d: %s", request.ID, request.SentAt.Seconds(), request.Proxy,
+				request.describeEnd())
+		}
+	}
+	for range r.UnexpectedAnswers {
+		found.add("an answer to nothing that was open")
+	}
+	if total == 0 {
+		found.add("nothing was asked")
+	}
+	return fmt.Sprintf("%d requests, %d of them with a proxy that was ended or stopped", total, excused)
+}
+
+func (r *Request) describeEnd() string {
+	switch r.Outcome {
+	case OutcomeDisconnected:
+		return fmt.Sprintf("its connection ended at %.2f s", r.EndedAt.Seconds())
+	case OutcomeUnanswered:
+		return "no answer came"
+	}
+	return "it is open still"
+}
+
+// isExcused says whether a request may be without a final answer: its proxy was killed or stopped by the plan while it
+// was open (one that was told to end has to answer first), or the clients' way to it was disturbed.
+func (r *Record) isExcused(request *Request) bool {
+	if request.Outcome.isFinal() {
+		return false
+	}
+	ended := request.EndedAt
+	if ended == 0 {
+		ended = forever
+	}
+	for _, disruption := range r.ClientDisruptions {
+		if disruption.overlaps(request.SentAt, ended) {
+			return true
+		}
+	}
+	for _, run := range r.ProcessRuns {
+		if run.Proxy == request.Proxy && run.excuses(request.SentAt, ended) {
+			return true
+		}
+	}
+	return false
+}
+
+// excuses says whether the process was killed or stood still while a request to it was open.
+func (p *ProcessRun) excuses(sent, ended time.Duration) bool {
+	if p.Killed && p.EndedAt > 0 && p.EndedAt >= sent && p.StartedAt <= sent {
+		return true
+	}
+	for _, pause := range p.Pauses {
+		if pause.overlaps(sent, ended) {
+			return true
+		}
+	}
+	return false
+}
+
+// checkServed wants a share of the requests served.
+func (r *Record) checkServed(invariant Invariant, found *findings) string {
+	outcomes := map[Outcome]int{}
+	total := 0
+	for _, request := range r.Requests {
+		if invariant.covers(request.SentAt) && !r.isExcused(request) {
+			total++
+			outcomes[request.Outcome]++
+		}
+	}
+	share := float64(outcomes[OutcomeServed]) / float64(max(1, total))
+	if total == 0 || share < invariant.bound {
+		found.add("%.4f of %d requests: %v", share, total, outcomes)
+	}
+	return fmt.Sprintf("%.4f of %d requests", share, total)
+}
+
+// checkLedger wants each charge that was answered as posted to be posted, and none twice.
+func (r *Record) checkLedger(_ Invariant, found *findings) string {
+	charges := 0
+	for _, request := range r.Requests {
+		if request.Key == "" {
+			continue
+		}
+		charges++
+		if request.Outcome == OutcomeServed && r.Executions[request.Key] == 0 {
+			found.add("%s was answered as posted and is not", request.Key)
+		}
+	}
+	for key, count := range r.Executions {
+		if count > 1 {
+			found.add("%s was posted %d times", key, count)
+		}
+	}
+	return fmt.Sprintf("%d charges, %d posted", charges, len(r.Executions))
+}
+
+// checkCancellations wants no attempt that begins longer than the bound after its client has canceled.
+func (r *Record) checkCancellations(invariant Invariant, found *findings) string {
+	canceledAt := map[string]time.Duration{}
+	for _, request := range r.Requests {
+		if request.CanceledAt > 0 {
+			canceledAt[request.ID] = request.CanceledAt
+		}
+	}
+	limit := invariant.boundTime() + socketSlack
+	for _, attempt := range r.Attempts {
+		if at, ok := canceledAt[attempt.ID]; ok && attempt.ReceivedAt > at+limit {
+			found.add("%s was sent to %s %v after its client had canceled", attempt.ID, attempt.Endpoint,
+				attempt.ReceivedAt-at)
+		}
+	}
+	return fmt.Sprintf("%d clients canceled", len(canceledAt))
+}
--- /dev/null
+++ b/internal/drill/byzantine.go
@@ -0,0 +1,174 @@
+package drill
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"sloequay/internal/bootstrap"
+	"sloequay/internal/membership"
+	"sloequay/internal/peer"
+	"sloequay/internal/peer/transport"
+)
+
+const (
+	byzantineEnd = "liar"
+	// lieInterval is how often the false list is told to everybody.
+	lieInterval = 200 * time.Millisecond
+	// inventedEndpoints is how many endpoints the longest false list has.
+	inventedEndpoints = 20_000
+	// versionLead puts a false list's version far ahead of any true one.
+	versionLead = 40 // bits
+	// callbackQueue is how many callbacks of the transport may wait for the peer's loop.
+	callbackQueue = 64
+)
+
+// falseLists are the lists that a byzantine peer tells, by the plan's word.
+var falseLists = map[string]func(c *Cluster) []membership.Endpoint{
+	"empty": func(*Cluster) []membership.Endpoint { return nil },
+	"dead":  allDraining,
+	"many":  manyInvented,
+}
+
+// allDraining has the true endpoints, all of them draining.
+func allDraining(c *Cluster) []membership.Endpoint {
+	var list []membership.Endpoint
+	for _, e := range c.endpointOrder {
+		list = append(list, membership.Endpoint{ID: e.id, Address: e.address, State: membership.Draining})
+	}
+	return list
+}
+
+// manyInvented has thousands of endpoints that share one true address.
+func manyInvented(c *Cluster) []membership.Endpoint {
+	var list []membership.Endpoint
+	for i := range inventedEndpoints {
+		list = append(list, membership.Endpoint{
+			ID:      fmt.Sprint("m", i),
+			Address: c.endpointOrder[0].address,
+			Zone:    1,
+			State:   membership.Up,
+			Weight:  1000,
+		})
+	}
+	return list
+}
+
+// byzantinePeer is a member of the fleet that has its key and tells all of a zone a false list. Its run loop owns
+// members and sends; the transport's callbacks are handed to it.
+type byzantinePeer struct {
+	number    int // of the byzantine peers, from 0
+	transport *transport.Transport
+	relay     *relay
+	endpoints []membership.Endpoint // of the false list, in order
+	members   []peer.Member
+	callbacks chan func()
+	closed    chan struct{}
+}
+
+// newByzantinePeer has one join the fleet as a proxy of a zone.
+func (c *Cluster) newByzantinePeer(zone int, lie string) (*byzantinePeer, error) {
+	ip := fmt.Sprintf("%s.%d.%d", c.subnet, byzantineSubnet, zone)
+	c.network.join(ip, byzantineEnd)
+	listen, err := freeAddress(ip)
+	if err != nil {
+		return nil, err
+	}
+	member := &byzantinePeer{
+		number:    len(c.byzantinePeers),
+		endpoints: bootstrap.SortEndpoints(falseLists[lie](c)),
+		callbacks: make(chan func(), callbackQueue),
+		closed:    make(chan struct{}),
+	}
+	relayIP := fmt.Sprintf("%s.%d.%d", c.subnet, byzantineRelaySubnet, zone)
+	if member.relay, err = c.network.newRelay(byzantineEnd, relayIP, listen); err != nil {
+		return nil, err
+	}
+	config, err := transport.NewConfig(listen, member.relay.address(), c.keyFile, c.peerSeeds())
+	if err != nil {
+		return nil, err
+	}
+	identity := transport.Identity{
+		Name:        fmt.Sprint(byzantineEnd, member.number),
+		Zone:        zoneName(zone),
+		Incarnation: rand.Uint64(),
+	}
+	if member.transport, err = transport.Open(config, identity, member); err != nil {
+		return nil, err
+	}
+	go member.run()
+	return member, nil
+}
+
+// run tells the false list to everybody, again and again, and serves it to whoever asks.
+func (p *byzantinePeer) run() {
+	var digest []bootstrap.Advertisement
+	for list := range len(serviceNames) {
+		version := bootstrap.VersionOf(list, uint64(p.number+1)<<versionLead, p.endpoints)
+		digest = append(digest, bootstrap.Advertisement{ListVersion: version})
+	}
+	tick := time.NewTicker(lieInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case callback := <-p.callbacks:
+			callback()
+		case <-tick.C:
+			for _, member := range p.members {
+				p.send(member.Name, bootstrap.Message{Digest: digest})
+			}
+		case <-p.closed:
+			return
+		}
+	}
+}
+
+func (p *byzantinePeer) send(to string, message bootstrap.Message) {
+	if body, err := transport.Encode(message); err == nil {
+		p.transport.Send(to, body)
+	}
+}
+
+// MembersChanged takes who is in the fleet.
+func (p *byzantinePeer) MembersChanged(members []peer.Member) {
+	p.callbacks <- func() { p.members = members }
+}
+
+// Log drops the transport's lines.
+func (p *byzantinePeer) Log(string, ...any) {}
+
+// MessageReceived serves the false list to who fetches it.
+func (p *byzantinePeer) MessageReceived(from string, body []byte) {
+	var message bootstrap.Message
+	if transport.Decode(body, &message) != nil || message.Fetch == nil {
+		return
+	}
+	version := message.Fetch.ListVersion
+	p.callbacks <- func() { p.sendParts(from, version) }
+}
+
+// sendParts sends the false list as the version that was asked for.
+func (p *byzantinePeer) sendParts(to string, version bootstrap.ListVersion) {
+	const size = bootstrap.EndpointsPerPart
+	count := len(p.endpoints)
+	total := max(1, (count+size-1)/size)
+	for number := range total {
+		part := bootstrap.Part{
+			ListVersion: version,
+			Number:      number,
+			Total:       total,
+			Endpoints:   p.endpoints[min(count, number*size):min(count, (number+1)*size)],
+		}
+		p.send(to, bootstrap.Message{Part: &part})
+	}
+}
+
+func (p *byzantinePeer) close() {
+	close(p.closed)
+	go func() { // callbacks that are under way must not wait for ever
+		for range p.callbacks {
+		}
+	}()
+	p.transport.Close()
+	p.relay.close()
+}
--- a/internal/drill/chart/chart.go
+++ b/internal/drill/chart/chart.go
@@ -1,5 +1,5 @@
-// Package chart draws the time line of a drill as SVG. It stands apart from the rig because the plot library with its fonts adds
-// 8 MB to a binary and 1 to 2 MB to the resident memory of a process that only links it.
+// Package chart draws the time line of a drill as SVG. It stands apart from the drill because the plot library with its
+// fonts adds 8 MB to a binary, and 1 to 2 MB to the resident memory of a process that only links it.
 package chart
 
 import (
@@ -15,38 +15,64 @@
 	"sloequay/internal/drill"
 )
 
-const width, height = 18 * vg.Centimeter, 5 * vg.Centimeter // of a panel
+// The size of a panel.
+const (
+	panelWidth  = 18 * vg.Centimeter
+	panelHeight = 5 * vg.Centimeter
+)
+
+// legendRoom is how much longer than its lines a panel is, so that their names have room.
+const legendRoom = 1.15
 
-// colours of the lines, told apart also by those who see no red and green.
-var colours = []color.Color{color.RGBA{0, 0, 0, 255}, color.RGBA{0, 114, 178, 255}, color.RGBA{230, 159, 0, 255}, color.RGBA{213, 94, 0, 255}}
+// colors of the lines, told apart also by those who see no red and green.
+var colors = []color.Color{
+	color.RGBA{0, 0, 0, 255},
+	color.RGBA{0, 114, 178, 255},
+	color.RGBA{230, 159, 0, 255},
+	color.RGBA{213, 94, 0, 255},
+}
 
 // SVG draws the panels below one another.
-func SVG(t drill.Timeline) ([]byte, error) {
-	canvas := vgsvg.New(width, height*vg.Length(len(t.Panels)))
+func SVG(timeline drill.Timeline) ([]byte, error) {
+	canvas := vgsvg.New(panelWidth, panelHeight*vg.Length(len(timeline.Panels)))
 	page := draw.New(canvas)
-	for i, panel := range t.Panels {
-		p := plot.New()
-		p.Title.Text, p.X.Label.Text, p.Y.Min, p.Legend.Top = panel.Title, "s", 0, true
-		if n := len(panel.Lines[0].Values); n > 0 {
-			p.X.Max = float64(n) * 1.15 // room for the names of the lines
+	for i, panel := range timeline.Panels {
+		drawn, err := plotPanel(panel)
+		if err != nil {
+			return nil, err
 		}
-		for k, l := range panel.Lines {
-			points := make(plotter.XYs, len(l.Values))
-			for x, y := range l.Values {
-				points[x].X, points[x].Y = float64(x), y
-			}
-			line, err := plotter.NewLine(points)
-			if err != nil {
-				return nil, err
-			}
-			line.Color = colours[k%len(colours)]
-			p.Add(line)
-			p.Legend.Add(l.Name, line)
-		}
-		top := height * vg.Length(len(t.Panels)-i)
-		p.Draw(draw.Canvas{Canvas: page.Canvas, Rectangle: vg.Rectangle{Min: vg.Point{X: 0, Y: top - height}, Max: vg.Point{X: width, Y: top}}})
+		top := panelHeight * vg.Length(len(timeline.Panels)-i)
+		place := vg.Rectangle{Min: vg.Point{X: 0, Y: top - panelHeight}, Max: vg.Point{X: panelWidth, Y: top}}
+		drawn.Draw(draw.Canvas{Canvas: page.Canvas, Rectangle: place})
 	}
 	var out bytes.Buffer
 	_, err := canvas.WriteTo(&out)
 	return out.Bytes(), err
 }
+
+// plotPanel plots the lines of one panel.
+func plotPanel(panel drill.Panel) (*plot.Plot, error) {
+	drawn := plot.New()
+	drawn.Title.Text = panel.Title
+	drawn.X.Label.Text = "s"
+	drawn.Y.Min = 0
+	drawn.Legend.Top = true
+	if seconds := len(panel.Lines[0].Values); seconds > 0 {
+		drawn.X.Max = float64(seconds) * legendRoom
+	}
+	for i, series := range panel.Lines {
+		points := make(plotter.XYs, len(series.Values))
+		for second, value := range series.Values {
+			points[second].X = float64(second)
+			points[second].Y = value
+		}
+		line, err := plotter.NewLine(points)
+		if err != nil {
+			return nil, err
+		}
+		line.Color = colors[i%len(colors)]
+		drawn.Add(line)
+		drawn.Legend.Add(series.Name, line)
+	}
+	return drawn, nil
+}
--- /dev/null
+++ b/internal/drill/endpoint.go
@@ -0,0 +1,165 @@
+package drill
+
+import (
+	"net"
+	"sync"
+	"time"
+)
+
+// The classes of endpoints, as emulator.Settings names them.
+const (
+	classCache  = "std"
+	classParent = "parent"
+	classOrigin = "origin"
+)
+
+// listedState is an endpoint's state as the list tells it.
+type listedState string
+
+// The states of the list.
+const (
+	listedUp       listedState = "up"
+	listedDraining listedState = "draining"
+)
+
+const (
+	// flowKBps is the pace of one answer in KB a second, as emulator.Settings has it.
+	flowKBps = 9500
+	// maxCached bounds how many objects an endpoint caches.
+	maxCached = 1 << 16
+)
+
+// endpoint is one cache, parent or origin: how it is listed, how much it can do, and what it has cached.
+type endpoint struct {
+	id, zone, class, address string
+
+	mu        sync.Mutex
+	state     listedState
+	startedAt time.Time // zero: long ago
+	downUntil time.Time
+	inFlight  int
+	recent    []workItem // of the overload window
+	cached    map[string]bool
+}
+
+// workItem is the cost of one request.
+type workItem struct {
+	at   time.Time
+	cost float64 // seconds of one flow
+}
+
+// endpointListener is an endpoint's listener: while the endpoint is down connections are reset.
+type endpointListener struct {
+	net.Listener
+	endpoint *endpoint
+}
+
+// Accept gives the next connection that finds the endpoint up.
+func (l *endpointListener) Accept() (net.Conn, error) {
+	for {
+		conn, err := l.Listener.Accept()
+		if err != nil {
+			return nil, err
+		}
+		if !l.endpoint.isDown() {
+			return conn, nil
+		}
+		resetConn(conn)
+	}
+}
+
+func (e *endpoint) isDown() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return time.Now().Before(e.downUntil)
+}
+
+// addWork books the cost of a request, and says whether the endpoint goes down by it. The caller holds the lock.
+func (e *endpoint) addWork(plan *Plan, cost float64) (overloaded bool) {
+	now := time.Now()
+	e.recent = append(e.recent, workItem{now, cost})
+	for len(e.recent) > 0 && now.Sub(e.recent[0].at) > plan.OverloadWindow {
+		e.recent = e.recent[1:]
+	}
+	isWarm := e.startedAt.IsZero() || now.Sub(e.startedAt) >= plan.WarmUp
+	if plan.OverloadFactor <= 0 || e.class == classOrigin || isWarm {
+		return false
+	}
+	warmUpShare := float64(now.Sub(e.startedAt)) / float64(plan.WarmUp)
+	capacity := plan.ColdCapacity + (1-plan.ColdCapacity)*warmUpShare
+	sum := 0.0
+	for _, item := range e.recent {
+		sum += item.cost
+	}
+	return sum > plan.OverloadFactor*capacity*plan.Weight*plan.OverloadWindow.Seconds()
+}
+
+// begin has an endpoint do its part of a request, and gives how long that takes; not ok: it is down. After ok the
+// caller calls finish.
+func (c *Cluster) begin(e *endpoint, cost float64) (took time.Duration, ok bool) {
+	e.mu.Lock()
+	if time.Now().Before(e.downUntil) {
+		e.mu.Unlock()
+		return 0, false
+	}
+	overloaded := e.addWork(c.Plan, cost)
+	e.inFlight++
+	slowdown := max(1, float64(e.inFlight)/c.Plan.Weight)
+	e.mu.Unlock()
+	if overloaded {
+		event := EndpointEvent{c.now(), e.id}
+		c.Record.update(func() { c.Record.Overloads = append(c.Record.Overloads, event) })
+		c.crash(e, c.Plan.OverloadDowntime)
+		return 0, false
+	}
+	return time.Duration(cost * slowdown * float64(time.Second)), true
+}
+
+func (e *endpoint) finish() {
+	e.mu.Lock()
+	e.inFlight--
+	e.mu.Unlock()
+}
+
+// crash has an endpoint lose its connections and what it has cached, and take nothing for a time. It is cold when it is
+// back.
+func (c *Cluster) crash(e *endpoint, downFor time.Duration) {
+	e.mu.Lock()
+	e.downUntil = time.Now().Add(downFor)
+	e.startedAt = e.downUntil
+	clear(e.cached)
+	e.recent = nil
+	e.mu.Unlock()
+	c.emulators.ResetConnections(e.id)
+}
+
+// has says whether the endpoint can answer with an object by itself.
+func (e *endpoint) has(object string) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.class == classOrigin || e.cached[object]
+}
+
+func (e *endpoint) cache(object string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if len(e.cached) < maxCached {
+		e.cached[object] = true
+	}
+}
+
+// setListedState has the list tell a new state of an endpoint.
+func (c *Cluster) setListedState(e *endpoint, state listedState) {
+	event := EndpointEvent{c.now(), e.id}
+	e.mu.Lock()
+	e.state = state
+	e.mu.Unlock()
+	c.list.endpointChanged(e)
+	c.Record.update(func() {
+		if state == listedDraining {
+			c.Record.Drains = append(c.Record.Drains, event)
+		} else {
+			c.Record.Undrains = append(c.Record.Undrains, event)
+		}
+	})
+}
--- /dev/null
+++ b/internal/drill/exchange.go
@@ -0,0 +1,212 @@
+package drill
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	"sloequay/internal/emulator"
+)
+
+const (
+	// sourceTimeout is how long an endpoint waits for a source that says nothing.
+	sourceTimeout = 300 * time.Millisecond
+	// sourceDelay is what it takes to fetch from the origin or a sibling, beside the pace of the answer.
+	sourceDelay = 20 * time.Millisecond
+)
+
+// The classes of requests that clients send, as emulator.Settings has them.
+const (
+	lookupClass = "lookup"
+	chargeClass = "charge" // keyed writes
+)
+
+// The fields and words of the endpoints' protocol that the emulated endpoints go by.
+const (
+	fieldRequest   = "replay" // the key of a keyed request
+	fieldClass     = "profile"
+	fieldObject    = "thing"
+	fieldPart      = "nth"
+	fieldSource    = "via"
+	fieldOptions   = "opts"
+	fieldTier      = "tier" // 0 or none: the object is not to be cached
+	fieldTimeout   = "max"  // milliseconds
+	optionHaveOnly = "have-only"
+	optionThrough  = "through" // the source does not cache what it fetches
+	wordRequest    = "ASK"
+	wordCancel     = "QUIT"
+	wordServed     = "ACK"
+	wordLacks      = "NOENT"
+	wordFailed     = "EIO"
+)
+
+// exchange is one attempt at one endpoint.
+type exchange struct {
+	cluster  *Cluster
+	endpoint *endpoint
+	received *emulator.ReceivedRequest
+	attempt  *Attempt
+}
+
+// serve answers an attempt as its endpoint does.
+func (c *Cluster) serve(received *emulator.ReceivedRequest) {
+	x := &exchange{
+		cluster:  c,
+		endpoint: c.endpoints[received.Endpoint],
+		received: received,
+		attempt:  c.recordAttempt(received),
+	}
+	took, ok := c.begin(x.endpoint, x.cost())
+	if !ok {
+		return
+	}
+	defer x.endpoint.finish()
+	object := received.Fields[fieldObject] + "." + received.Fields[fieldPart]
+	switch {
+	case x.attempt.Class == chargeClass:
+		x.serveCharge(took)
+	case x.endpoint.has(object):
+		time.Sleep(took)
+		x.answerServed("remark=hit")
+	default:
+		x.fill(object, took)
+	}
+}
+
+// recordAttempt notes an attempt as it comes.
+func (c *Cluster) recordAttempt(received *emulator.ReceivedRequest) *Attempt {
+	conn, _ := received.Conn.(*linkedConn)
+	attempt := &Attempt{
+		ID:         received.ID,
+		Key:        received.Fields[fieldRequest],
+		Class:      received.Fields[fieldClass],
+		Endpoint:   received.Endpoint,
+		From:       unknownEnd,
+		ReceivedAt: received.At.Sub(c.began),
+		conn:       conn,
+	}
+	if conn != nil {
+		attempt.From = conn.from
+	}
+	if timeout, err := strconv.ParseInt(received.Fields[fieldTimeout], 10, 64); err == nil {
+		attempt.Timeout = time.Duration(timeout) * time.Millisecond
+	}
+	c.Record.update(func() {
+		c.Record.Attempts = append(c.Record.Attempts, attempt)
+		c.Record.latest[attemptKey{received.ID, received.Endpoint}] = attempt
+	})
+	return attempt
+}
+
+// recordCancellation notes an attempt that the proxy gave up.
+func (c *Cluster) recordCancellation(received *emulator.ReceivedRequest) {
+	if received.Word != wordCancel {
+		return
+	}
+	at := c.now()
+	c.Record.update(func() {
+		if attempt := c.Record.latest[attemptKey{received.ID, received.Endpoint}]; attempt != nil {
+			attempt.CanceledAt = at
+		}
+	})
+}
+
+// cost is that of any answer, in seconds of one flow.
+func (x *exchange) cost() float64 { return x.cluster.Plan.SizeKB / flowKBps }
+
+// answer sends an answer, once the record has it.
+func (x *exchange) answer(word, fields string) {
+	at := x.cluster.now()
+	executed := word == wordServed
+	x.cluster.Record.update(func() { x.attempt.AnsweredAt, x.attempt.Executed = at, executed })
+	body := ""
+	if executed {
+		body = x.received.Fields[fieldObject]
+	}
+	x.received.Answer(word, fields, body)
+}
+
+// answerServed sends a good answer; more is further fields, if any.
+func (x *exchange) answerServed(more ...string) {
+	fields := append([]string{"tag=t1", fmt.Sprintf("minted=%d", time.Now().UnixMilli())}, more...)
+	x.answer(wordServed, strings.Join(fields, ","))
+}
+
+// serveCharge runs a keyed request. A cache lacks it unless it is told to pass it to the origin.
+func (x *exchange) serveCharge(took time.Duration) {
+	time.Sleep(took)
+	if x.endpoint.class != classOrigin && x.received.Fields[fieldSource] == "" {
+		x.answer(wordLacks, "-")
+		return
+	}
+	x.cluster.Record.addExecution(x.attempt.Key)
+	x.answerServed()
+}
+
+// fill answers with an object that the endpoint fetches from the source that the request names.
+func (x *exchange) fill(object string, took time.Duration) {
+	source := x.cluster.endpoints[x.received.Fields[fieldSource]]
+	if source == nil || source == x.endpoint {
+		x.answer(wordLacks, "-")
+		return
+	}
+	if x.isCutFrom(source) {
+		time.Sleep(sourceTimeout)
+		x.answer(wordFailed, "remark=src_broke")
+		return
+	}
+	remark := "filled"
+	switch source.class {
+	case classParent:
+		fetchTook, finish, ok := x.fetchFromParent(source, object)
+		if !ok {
+			return
+		}
+		defer finish()
+		took += fetchTook
+	case classOrigin:
+		remark = "via_origin"
+		took += sourceDelay
+	default:
+		took += sourceDelay
+	}
+	time.Sleep(took)
+	if tier := x.received.Fields[fieldTier]; tier != "" && tier != "0" {
+		x.endpoint.cache(object)
+	}
+	x.answerServed("remark="+remark, fmt.Sprintf("lag=%d", took.Milliseconds()))
+}
+
+// isCutFrom says whether a link between the endpoint and a source is cut, either way.
+func (x *exchange) isCutFrom(source *endpoint) bool {
+	own, other := endpointEnd(x.endpoint.id), endpointEnd(source.id)
+	to, from := x.cluster.network.faults(own, other), x.cluster.network.faults(other, own)
+	return to.cut || from.cut
+}
+
+// fetchFromParent has a parent do its part, which fetches from the origin what it lacks. Not ok: the attempt is
+// answered. After ok the caller calls finish once the attempt is answered.
+func (x *exchange) fetchFromParent(parent *endpoint, object string) (took time.Duration, finish func(), ok bool) {
+	options := x.received.Fields[fieldOptions]
+	isHit := parent.has(object)
+	if !isHit && strings.Contains(options, optionHaveOnly) {
+		x.answer(wordLacks, "remark=src_lacks")
+		return 0, nil, false
+	}
+	took, ok = x.cluster.begin(parent, x.cost())
+	if !ok {
+		x.answer(wordFailed, "remark=src_broke")
+		return 0, nil, false
+	}
+	if isHit {
+		return took, parent.finish, true
+	}
+	finish = func() {
+		if !strings.Contains(options, optionThrough) {
+			parent.cache(object)
+		}
+		parent.finish()
+	}
+	return took + sourceDelay, finish, true
+}
--- /dev/null
+++ b/internal/drill/invariants.go
@@ -0,0 +1,174 @@
+package drill
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// Invariant is one line `hold CHECK ...` of a plan: something that must hold.
+type Invariant struct {
+	Line string // as written
+
+	name     string // of the check
+	bound    float64
+	share    float64       // of the starts, for the check "ready"
+	from, to time.Duration // of the drill; to 0: to its end
+}
+
+// checkForm is a check and how it is written in a plan.
+type checkForm struct {
+	minWords, maxWords int // behind the check's own word
+	usage              string
+	// check adds what breaks the invariant to found, and says in figures what was looked at. The caller holds the
+	// record's lock.
+	check func(r *Record, invariant Invariant, found *findings) (summary string)
+}
+
+// checkForms has the checks by the word that a plan uses for them.
+var checkForms = map[string]checkForm{
+	"answers": {
+		usage: "each request has exactly one final answer, unless its proxy was killed or stopped",
+		check: (*Record).checkAnswers,
+	},
+	"repeats": {
+		usage: "never two attempts of a request out together, none after its end, no more than the class allows",
+		check: (*Record).checkRepeats,
+	},
+	"ledger": {
+		usage: "each charge that was answered as posted is posted, and none is twice",
+		check: (*Record).checkLedger,
+	},
+	"drains": {
+		minWords: 1,
+		maxWords: 1,
+		usage:    "TIME after a drain is told, nothing new goes to that endpoint",
+		check:    (*Record).checkDrains,
+	},
+	"left": {
+		minWords: 1,
+		maxWords: 1,
+		usage:    "no attempt begins longer than TIME after its client has canceled",
+		check:    (*Record).checkCancellations,
+	},
+	"deadlines": {
+		minWords: 1,
+		maxWords: 1,
+		usage:    "no endpoint is given more time than the client has left and TIME",
+		check:    (*Record).checkDeadlines,
+	},
+	"monitors": {
+		usage: "no proxy has found one of its own invariants violated",
+		check: (*Record).checkMonitors,
+	},
+	"upright": {
+		usage: "no endpoint went down by its load",
+		check: (*Record).checkOverloads,
+	},
+	"served": {
+		minWords: 1,
+		maxWords: 1,
+		usage:    "SHARE of the requests, at least",
+		check:    (*Record).checkServed,
+	},
+	"ready": {
+		minWords: 1,
+		maxWords: 2,
+		usage:    "TIME [SHARE]: so many of the proxies' starts are ready within it; all without SHARE",
+		check:    (*Record).checkReady,
+	},
+	"alive": {
+		usage: "no proxy ended by itself",
+		check: (*Record).checkAlive,
+	},
+	"list-calls": {
+		minWords: 1,
+		maxWords: 1,
+		usage:    "N calls to the list service at most",
+		check:    (*Record).checkListCalls,
+	},
+	"list-peak": {
+		minWords: 1,
+		maxWords: 1,
+		usage:    "N calls to the list service in any second at most",
+		check:    (*Record).checkListPeak,
+	},
+	"peer-bytes": {
+		minWords: 1,
+		maxWords: 1,
+		usage:    "N bytes a second that any one proxy sends to others, at most, as the mean of the time",
+		check:    (*Record).checkPeerBytes,
+	},
+	"box-connections": {
+		minWords: 1,
+		maxWords: 1,
+		usage:    "N new connections to any one endpoint in any second at most",
+		check:    (*Record).checkEndpointConnections,
+	},
+}
+
+// parseInvariant reads the words behind `hold`.
+func parseInvariant(words []string) (Invariant, error) {
+	invariant := Invariant{Line: strings.Join(words, " "), share: 1}
+	if len(words) == 0 {
+		return invariant, errors.New("expected a check")
+	}
+	invariant.name = words[0]
+	rest, err := invariant.parseSpan(words[1:])
+	if err != nil {
+		return invariant, err
+	}
+	form, ok := checkForms[invariant.name]
+	if !ok {
+		return invariant, fmt.Errorf("unknown check %.40q; there are %s", invariant.name, sortedNames(checkForms))
+	}
+	if len(rest) < form.minWords || len(rest) > form.maxWords {
+		return invariant, fmt.Errorf("%s takes: %s", invariant.name, form.usage)
+	}
+	if len(rest) > 0 {
+		if invariant.bound, err = parseBound(rest[0]); err != nil {
+			return invariant, fmt.Errorf("%s: %w", invariant.name, err)
+		}
+	}
+	if len(rest) > 1 {
+		invariant.share, _ = strconv.ParseFloat(rest[1], 64)
+	}
+	return invariant, nil
+}
+
+// parseSpan takes `from TIME` and `to TIME` off the end of a line, and gives the words before them.
+func (i *Invariant) parseSpan(words []string) ([]string, error) {
+	for n := len(words); n >= 2 && (words[n-2] == "from" || words[n-2] == "to"); n = len(words) {
+		at, err := time.ParseDuration(words[n-1])
+		if err != nil || at < 0 {
+			return nil, fmt.Errorf("expected a time behind %s, got %.40q", words[n-2], words[n-1])
+		}
+		if words[n-2] == "from" {
+			i.from = at
+		} else {
+			i.to = at
+		}
+		words = words[:n-2]
+	}
+	return words, nil
+}
+
+// parseBound reads a time, which it gives in seconds, or a number.
+func parseBound(word string) (float64, error) {
+	if span, err := time.ParseDuration(word); err == nil && span > 0 {
+		return span.Seconds(), nil
+	}
+	number, err := strconv.ParseFloat(word, 64)
+	if err != nil || !(number >= 0) {
+		return 0, fmt.Errorf("expected a number or a time, got %.40q", word)
+	}
+	return number, nil
+}
+
+// boundTime is the bound as a time.
+func (i Invariant) boundTime() time.Duration { return time.Duration(i.bound * float64(time.Second)) }
+
+// covers says whether the invariant is about a moment.
+func (i Invariant) covers(at time.Duration) bool { return at >= i.from && (i.to == 0 || at < i.to) }
--- /dev/null
+++ b/internal/drill/load.go
@@ -0,0 +1,261 @@
+package drill
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"sloequay/internal/emulator"
+)
+
+const (
+	// maxOpen is how many requests a connection carries, of 32 that the protocol allows.
+	maxOpen = 24
+	// crossingWindow is how long after its sending a request that meets the close of its connection is sent again once,
+	// as the protocol has it.
+	crossingWindow = 50 * time.Millisecond
+	// patience is how long after its limit an answer may still come, for what the machine itself is late.
+	patience = 2 * time.Second
+	// maxCancelDelay is how long after its request a client that cancels does so at the latest.
+	maxCancelDelay = 120 * time.Millisecond
+	// zoneSalt is added to a zone's number for the draws of its clients.
+	zoneSalt = 100
+	// zipfExponent and zipfOffset shape how often each object is asked for.
+	zipfExponent = 1.1
+	zipfOffset   = 8
+)
+
+// loadGenerator sends the clients' requests by open loop: they come when they come, whatever became of those before.
+type loadGenerator struct {
+	cluster *Cluster
+	stop    chan struct{}
+	senders sync.WaitGroup
+
+	mu    sync.Mutex
+	conns map[int][]*clientConn // by proxy
+}
+
+func newLoadGenerator(c *Cluster) *loadGenerator {
+	return &loadGenerator{cluster: c, stop: make(chan struct{}), conns: map[int][]*clientConn{}}
+}
+
+// start sends to the proxies of one zone until stop is closed.
+func (g *loadGenerator) start(zone int) {
+	g.senders.Add(1)
+	go func() {
+		defer g.senders.Done()
+		g.run(zone)
+	}()
+}
+
+func (g *loadGenerator) run(zone int) {
+	plan := g.cluster.Plan
+	rng := g.cluster.newRand(uint64(zone) + zoneSalt)
+	var proxies []*proxy
+	for _, p := range g.cluster.proxies {
+		if p.zone == zone {
+			proxies = append(proxies, p)
+		}
+	}
+	if len(proxies) == 0 {
+		return
+	}
+	objects := rand.NewZipf(rng, zipfExponent, zipfOffset, uint64(plan.Objects-1))
+	rate := plan.RequestRate * float64(len(proxies))
+	for next := time.Now(); ; {
+		next = next.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
+		select {
+		case <-g.stop:
+			return
+		case <-time.After(time.Until(next)):
+		}
+		serving := servingProxies(proxies)
+		if len(serving) == 0 {
+			continue
+		}
+		target := serving[rng.IntN(len(serving))]
+		object := objects.Uint64() + 1
+		class := lookupClass
+		if rng.Float64() < plan.ChargeShare {
+			class = chargeClass
+		}
+		g.send(target, g.newRequest(target, class, object, g.drawCancellation(rng)))
+	}
+}
+
+func servingProxies(proxies []*proxy) []*proxy {
+	var serving []*proxy
+	for _, p := range proxies {
+		if p.serving() {
+			serving = append(serving, p)
+		}
+	}
+	return serving
+}
+
+// cancellation is whether a client cancels before it has its answer, and how.
+type cancellation struct {
+	cancels bool
+	closes  bool // by closing a connection that the request has to itself, not by a notice
+	after   time.Duration
+}
+
+// drawCancellation draws one. Without the plan's share nothing is drawn, so that the other draws stay as they are.
+func (g *loadGenerator) drawCancellation(rng *rand.Rand) cancellation {
+	share := g.cluster.Plan.CancelShare
+	if share == 0 {
+		return cancellation{}
+	}
+	after := time.Duration(rng.Float64() * float64(maxCancelDelay))
+	return cancellation{cancels: rng.Float64() < share, closes: rng.IntN(2) == 0, after: after}
+}
+
+// pendingRequest is a request that waits for its answer.
+type pendingRequest struct {
+	record *Request
+	frame  func(messageID uint64) []byte
+	sentAt time.Time
+	cancellation
+}
+
+// ownsConn says whether the request has a connection to itself.
+func (p *pendingRequest) ownsConn() bool { return p.cancels && p.closes }
+
+// newRequest makes a request and records it.
+func (g *loadGenerator) newRequest(to *proxy, class string, object uint64, plan cancellation) *pendingRequest {
+	cluster := g.cluster
+	id := cluster.requestIDs.Add(1)
+	request := &Request{ID: fmt.Sprintf("%016x", id), Class: class, Proxy: to.number, SentAt: cluster.now()}
+	fields := map[string]string{
+		"txn":   request.ID,
+		"item":  fmt.Sprintf("%016x", object),
+		"ram":   fmt.Sprint(cluster.Plan.SizeKB),
+		"limit": fmt.Sprint(cluster.Plan.ClientLimit.Milliseconds()),
+	}
+	if class == chargeClass {
+		request.Key = fmt.Sprintf("k%d", id)
+		fields["unique"] = request.Key
+	}
+	cluster.Record.update(func() { cluster.Record.Requests = append(cluster.Record.Requests, request) })
+	frame := func(messageID uint64) []byte { return emulator.Request(messageID, request.Class, fields, "") }
+	return &pendingRequest{record: request, frame: frame, cancellation: plan}
+}
+
+// send puts a request out, and has it canceled later if it is to be.
+func (g *loadGenerator) send(to *proxy, pending *pendingRequest) {
+	conn, messageID := g.write(to, pending)
+	if pending.cancels && conn != nil {
+		go conn.cancelLater(messageID, pending)
+	}
+}
+
+// write writes a request to a connection with room, and gives that with the message's id; nil: none came up.
+func (g *loadGenerator) write(to *proxy, pending *pendingRequest) (*clientConn, uint64) {
+	conn, err := g.connFor(to, pending)
+	if err != nil {
+		g.recordOutcome(pending, OutcomeDisconnected)
+		return nil, 0
+	}
+	messageID := conn.add(pending)
+	// A write that fails is seen by the reader too, which ends all that is open.
+	_ = conn.client.Send(pending.frame(messageID))
+	return conn, messageID
+}
+
+// connFor finds a connection to a proxy that has room, or dials one, as for a request that has one to itself.
+func (g *loadGenerator) connFor(to *proxy, pending *pendingRequest) (*clientConn, error) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	shared := g.pruneConns(to)
+	if shared != nil && !pending.ownsConn() {
+		return shared, nil
+	}
+	inner, err := g.cluster.network.dial(clientsEnd, to.name, to.listen)
+	if err != nil {
+		return nil, err
+	}
+	conn := newClientConn(g, to, inner)
+	conn.exclusive = pending.ownsConn()
+	g.conns[to.number] = append(g.conns[to.number], conn)
+	go conn.read()
+	return conn, nil
+}
+
+// pruneConns drops the connections to a proxy that have ended, and gives one that others may share and that has room,
+// if there is any. The caller holds the lock.
+func (g *loadGenerator) pruneConns(to *proxy) *clientConn {
+	var shared *clientConn
+	alive := g.conns[to.number][:0]
+	for _, conn := range g.conns[to.number] {
+		isClosed, open := conn.state()
+		if isClosed {
+			continue
+		}
+		alive = append(alive, conn)
+		if open < maxOpen && !conn.exclusive {
+			shared = conn
+		}
+	}
+	g.conns[to.number] = alive
+	return shared
+}
+
+// recordOutcome ends a request for its client.
+func (g *loadGenerator) recordOutcome(pending *pendingRequest, outcome Outcome) {
+	at := g.cluster.now()
+	g.cluster.Record.update(func() {
+		pending.record.Answers++
+		pending.record.Outcome = outcome
+		pending.record.EndedAt = at
+	})
+}
+
+// finish sends nothing more and waits until what is open has its end.
+func (g *loadGenerator) finish() {
+	close(g.stop)
+	g.senders.Wait()
+	deadline := time.Now().Add(g.cluster.Plan.ClientLimit + 2*patience)
+	for g.openRequests() > 0 && time.Now().Before(deadline) {
+		time.Sleep(10 * time.Millisecond)
+	}
+}
+
+func (g *loadGenerator) openRequests() int {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	total := 0
+	for _, conns := range g.conns {
+		for _, conn := range conns {
+			_, open := conn.state()
+			total += open
+		}
+	}
+	return total
+}
+
+// isStopped says whether the drill is over.
+func (g *loadGenerator) isStopped() bool {
+	select {
+	case <-g.stop:
+		return true
+	default:
+		return false
+	}
+}
+
+// close ends all connections. What is open then is left out of the record.
+func (g *loadGenerator) close() {
+	if !g.isStopped() {
+		close(g.stop)
+	}
+	g.senders.Wait()
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for _, conns := range g.conns {
+		for _, conn := range conns {
+			_ = conn.client.Conn.Close()
+		}
+	}
+	clear(g.conns)
+}
--- /dev/null
+++ b/internal/drill/proxy.go
@@ -0,0 +1,266 @@
+package drill
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"sync"
+	"syscall"
+	"time"
+
+	"sloequay/internal/emulator"
+)
+
+const (
+	// readyPollInterval is how often a process that starts is asked whether it is ready.
+	readyPollInterval = 20 * time.Millisecond
+	// processorLimit keeps a process's collector threads few: hundreds of processes share one machine, and with as many
+	// threads each as it has cores they would get in each other's way.
+	processorLimit = "GOMAXPROCS=2"
+)
+
+// The files in a proxy's folder.
+const (
+	configurationFile = "config.json"
+	settingsFile      = "sloequay.conf"
+	logFile           = "log"
+)
+
+// proxy is one place for a process of the program: its address and folder stay, processes come and go.
+type proxy struct {
+	cluster     *Cluster
+	number      int // from 0
+	name        string
+	ip          string
+	listen      string
+	zone        int // from 1
+	dir, disk   string
+	clockOffset time.Duration // of its Unix clock, from its next start on
+	peerListen  string        // where it listens for other proxies
+	relay       *relay        // by which they reach it; nil: no peers
+
+	mu    sync.Mutex
+	cmd   *exec.Cmd // nil: none runs
+	run   *ProcessRun
+	ended chan struct{} // closed when the process has
+}
+
+func (c *Cluster) newProxy(number int) (*proxy, error) {
+	p := &proxy{
+		cluster: c,
+		number:  number,
+		name:    fmt.Sprintf("d%03d", number),
+		ip:      c.hostAddress(firstProxySubnet, number),
+		zone:    1 + number%c.Plan.Zones,
+	}
+	p.dir = filepath.Join(c.Dir, p.name)
+	p.disk = filepath.Join(p.dir, "disk")
+	if err := os.MkdirAll(p.disk, 0o700); err != nil {
+		return nil, err
+	}
+	c.network.join(p.ip, p.name)
+	var err error
+	p.listen, err = freeAddress(p.ip)
+	return p, err
+}
+
+// listenBoth listens on one port of an address for both TCP and UDP.
+func listenBoth(ip string) (tcp net.Listener, udp net.PacketConn, err error) {
+	for range portAttempts {
+		tcp, err = net.Listen("tcp", net.JoinHostPort(ip, "0"))
+		if err != nil {
+			return nil, nil, err
+		}
+		udp, err = net.ListenPacket("udp", tcp.Addr().String())
+		if err == nil {
+			return tcp, udp, nil
+		}
+		_ = tcp.Close()
+	}
+	return nil, nil, fmt.Errorf("%s has no port that is free for TCP and UDP", ip)
+}
+
+// freeAddress finds a port of an address that is free for TCP and UDP. The address belongs to one proxy, so that the
+// port stays free.
+func freeAddress(ip string) (string, error) {
+	tcp, udp, err := listenBoth(ip)
+	if err != nil {
+		return "", err
+	}
+	_ = tcp.Close()
+	return tcp.Addr().String(), udp.Close()
+}
+
+// start starts a process, if none runs, and returns once it is there; it need not be ready.
+func (p *proxy) start(disk diskMode) error {
+	p.mu.Lock()
+	running := p.cmd != nil
+	p.mu.Unlock()
+	if running {
+		return nil
+	}
+	if err := p.prepareDisk(disk); err != nil {
+		return err
+	}
+	if err := p.writeSettings(); err != nil {
+		return err
+	}
+	log, err := os.OpenFile(filepath.Join(p.dir, logFile), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if err != nil {
+		return err
+	}
+	defer log.Close()
+	cmd := exec.Command(p.cluster.Program, "serve", "--config", filepath.Join(p.dir, configurationFile),
+		"--conf", filepath.Join(p.dir, settingsFile))
+	cmd.Stderr = log
+	cmd.Env = append(append(os.Environ(), processorLimit), p.cluster.Plan.Environment...)
+	run := &ProcessRun{Proxy: p.number, StartedAt: p.cluster.now()}
+	if err := p.cluster.spawner.start(cmd); err != nil {
+		return err
+	}
+	// The network, endpoints and clients are in this process: they must not starve beside hundreds of others.
+	_ = syscall.Setpriority(syscall.PRIO_PROCESS, cmd.Process.Pid, 10)
+	ended := make(chan struct{})
+	p.mu.Lock()
+	p.cmd, p.run, p.ended = cmd, run, ended
+	p.mu.Unlock()
+	record := p.cluster.Record
+	record.update(func() { record.ProcessRuns = append(record.ProcessRuns, run) })
+	go p.recordEnd(cmd, run, ended)
+	go p.recordReady(run, ended)
+	return nil
+}
+
+// prepareDisk leaves on the disk what a mode says.
+func (p *proxy) prepareDisk(disk diskMode) error {
+	if disk == withDisk {
+		return nil
+	}
+	if err := os.RemoveAll(p.disk); err != nil {
+		return err
+	}
+	if err := os.MkdirAll(p.disk, 0o700); err != nil {
+		return err
+	}
+	if disk == oldDisk {
+		if err := os.CopyFS(p.disk, os.DirFS(p.savedDisk())); err != nil {
+			return fmt.Errorf("%s: no disk was kept: %w", p.name, err)
+		}
+	}
+	return nil
+}
+
+// recordEnd waits for the end of a process.
+func (p *proxy) recordEnd(cmd *exec.Cmd, run *ProcessRun, ended chan struct{}) {
+	err := cmd.Wait()
+	at := p.cluster.now()
+	p.cluster.Record.update(func() {
+		run.EndedAt = at
+		if err != nil && !run.EndRequested {
+			run.Error = err.Error()
+		}
+	})
+	p.mu.Lock()
+	p.cmd = nil
+	p.mu.Unlock()
+	close(ended)
+}
+
+// recordReady asks a process until it says that it is ready, or has ended.
+func (p *proxy) recordReady(run *ProcessRun, ended chan struct{}) {
+	for {
+		if emulator.Ready(p.listen) {
+			at := p.cluster.now()
+			p.cluster.Record.update(func() { run.ReadyAt = at })
+			return
+		}
+		select {
+		case <-ended:
+			return
+		case <-time.After(readyPollInterval):
+		}
+	}
+}
+
+// serving says whether clients are to send there.
+func (p *proxy) serving() bool {
+	p.mu.Lock()
+	run, running := p.run, p.cmd != nil
+	p.mu.Unlock()
+	if !running || run == nil {
+		return false
+	}
+	p.cluster.Record.mu.Lock()
+	defer p.cluster.Record.mu.Unlock()
+	return run.ReadyAt > 0 && !run.EndRequested
+}
+
+// signal sends a signal to the process, if one runs. It is to live on.
+func (p *proxy) signal(signal syscall.Signal) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.cmd != nil {
+		_ = p.cmd.Process.Signal(signal)
+	}
+}
+
+// end sends a signal by which the process, if one runs, is to end, and notes that it was told to.
+func (p *proxy) end(signal syscall.Signal) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.cmd == nil {
+		return
+	}
+	run := p.run
+	p.cluster.Record.update(func() {
+		run.EndRequested = true
+		run.Killed = run.Killed || signal == syscall.SIGKILL
+	})
+	_ = p.cmd.Process.Signal(signal)
+}
+
+// pause has the process stand still until resume.
+func (p *proxy) pause() {
+	at, run := p.cluster.now(), p.run
+	p.signal(syscall.SIGSTOP)
+	p.cluster.Record.update(func() { run.Pauses = append(run.Pauses, Span{From: at}) })
+}
+
+func (p *proxy) resume() {
+	at, run := p.cluster.now(), p.run
+	p.signal(syscall.SIGCONT)
+	p.cluster.Record.update(func() {
+		if n := len(run.Pauses); n > 0 {
+			run.Pauses[n-1].To = at
+		}
+	})
+}
+
+// keepDisk remembers the disk as it is now, for oldDisk.
+func (p *proxy) keepDisk() error {
+	_ = os.RemoveAll(p.savedDisk())
+	return os.CopyFS(p.savedDisk(), os.DirFS(p.disk))
+}
+
+func (p *proxy) savedDisk() string { return p.disk + ".kept" }
+
+// close ends the process, at once.
+func (p *proxy) close() {
+	p.end(syscall.SIGKILL)
+	p.wait()
+	if p.relay != nil {
+		p.relay.close()
+	}
+}
+
+// wait returns once no process runs there.
+func (p *proxy) wait() {
+	p.mu.Lock()
+	ended := p.ended
+	p.mu.Unlock()
+	if ended != nil {
+		<-ended
+	}
+}
--- /dev/null
+++ b/internal/drill/proxy_settings.go
@@ -0,0 +1,114 @@
+package drill
+
+import (
+	"encoding/base64"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+
+	"sloequay/internal/emulator"
+)
+
+// maxSeeds is how many proxies the others ask to be let into the fleet.
+const maxSeeds = 3
+
+// joinPeers gives each proxy a relay by which the others reach it, and all of them one key.
+func (c *Cluster) joinPeers() error {
+	key := fmt.Sprintf("%016x%016x", c.seed, c.seed+1)
+	c.keyFile = filepath.Join(c.Dir, "peers.key")
+	text := base64.StdEncoding.EncodeToString([]byte(key)) + "\n"
+	if err := os.WriteFile(c.keyFile, []byte(text), 0o600); err != nil {
+		return err
+	}
+	for number, p := range c.proxies {
+		var err error
+		if p.peerListen, err = freeAddress(p.ip); err != nil {
+			return err
+		}
+		ip := c.hostAddress(firstRelaySubnet, number)
+		if p.relay, err = c.network.newRelay(p.name, ip, p.peerListen); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// peerSeeds are the addresses by which a peer comes into the fleet.
+func (c *Cluster) peerSeeds() []string {
+	var seeds []string
+	for _, p := range c.proxies[:min(maxSeeds, len(c.proxies))] {
+		seeds = append(seeds, p.relay.address())
+	}
+	return seeds
+}
+
+// peerSettings is a proxy's settings for its peers.
+func (p *proxy) peerSettings() string {
+	if !p.cluster.Plan.Peers {
+		return ""
+	}
+	return fmt.Sprintf("peers {\nlisten %s\nadvertise %s\nseed %s\nkey-file %s\nremember %s\n}\n", p.peerListen,
+		p.relay.address(), strings.Join(p.cluster.peerSeeds(), " "), p.cluster.keyFile, filepath.Join(p.disk, "peers"))
+}
+
+// writeSettings puts a proxy's files into its folder.
+func (p *proxy) writeSettings() error {
+	platform, err := p.platformSettings()
+	if err != nil {
+		return err
+	}
+	configuration, settings := p.cluster.list.proxySettings()
+	configuration["name"] = p.name
+	configuration["listen"] = p.listen
+	configuration["seed"] = fmt.Sprintf("%x", p.cluster.seed+uint64(p.number))
+	configuration["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}
+	configuration["settings"] = platform
+	text, err := json.Marshal(configuration)
+	if err != nil {
+		return err
+	}
+	settings += "bind " + p.ip + "\n" + p.peerSettings()
+	if p.clockOffset != 0 {
+		settings += fmt.Sprintf("clock-ahead %v\n", p.clockOffset)
+	}
+	own := strings.NewReplacer("@{", "{", "@}", "}", "@dir", p.disk, "@ip", p.ip, "@name", p.name,
+		"@plaza", zoneName(p.zone))
+	for _, line := range p.cluster.Plan.Settings {
+		settings += own.Replace(line) + "\n"
+	}
+	return errors.Join(os.WriteFile(filepath.Join(p.dir, configurationFile), text, 0o600),
+		os.WriteFile(filepath.Join(p.dir, settingsFile), []byte(settings), 0o600))
+}
+
+// platformSettings is the platform's settings for a proxy: those of the emulator with the plan's zones and slow start.
+func (p *proxy) platformSettings() (map[string]any, error) {
+	var settings map[string]any
+	if err := json.Unmarshal([]byte(emulator.Settings), &settings); err != nil {
+		return nil, err
+	}
+	plan := p.cluster.Plan
+	zones := []string{hubZone}
+	proxiesByZone := []int{0}
+	for zone := range plan.Zones {
+		zones = append(zones, zoneName(zone+1))
+		proxiesByZone = append(proxiesByZone, (plan.Proxies-zone+plan.Zones-1)/plan.Zones)
+	}
+	settings["dcs"] = zones
+	settings["zone"] = p.zone
+	settings["n-instances"] = plan.Proxies
+	settings["ordinal"] = p.number
+	family := settings["family-info"].(map[string]any)
+	family["instances-by-zone"] = proxiesByZone
+	family["upper-cold-from"] = plan.ColdCapacity
+	family["upper-cold-ms"] = plan.WarmUp.Milliseconds()
+	family["upper-fall-multiple"] = plan.OverloadFactor
+	safety := settings["safety"].(map[string]any)
+	safety["cold-from"] = plan.ColdCapacity
+	safety["cold-ms"] = plan.WarmUp.Milliseconds()
+	safety["tip-multiple"] = plan.OverloadFactor
+	safety["overload-for-ms"] = plan.OverloadWindow.Milliseconds()
+	return settings, nil
+}
--- a/internal/drill/record.go
+++ b/internal/drill/record.go
@@ -5,110 +5,157 @@
 	"time"
 )
 
-// Record is what all ends saw, in times of the drill. The auditor reads it once the drill is over.
+// Record is what all ends saw, in times of the drill. It is audited once the drill is over.
 type Record struct {
 	mu          sync.Mutex
-	limit       time.Duration // that clients wait
-	Requests    []*Request
-	Attempts    []*Attempt
-	out         map[string]*Attempt // the last one of a request at a box
-	Calls       []Call              // to the list service
-	Made        []Made              // connections
-	ProcessRuns []*ProcessRun       // of doormans
-	Falls       []EndpointState     // boxes that fell over
-	Drains      []EndpointState     // told by the list
-	Back        []EndpointState     // drained boxes that are up again
-	Changes     []time.Duration
-	Upset       []Span           // times in which the clients' own way to a doorman was disturbed
-	Strays      int              // answers to nothing
-	Sent        map[string][]int // bytes that a doorman sent to others, by second
-	Violations  []string         // that the doormans found themselves
-	Posted      map[string]int   // charges by key, repeats within the window dropped
-	last        map[string]time.Time
+	clientLimit time.Duration // that clients wait
+
+	Requests          []*Request
+	Attempts          []*Attempt
+	ListCalls         []time.Duration // to the list service
+	Connections       []Connection
+	ProcessRuns       []*ProcessRun
+	Overloads         []EndpointEvent  // endpoints that went down by their load
+	Drains            []EndpointEvent  // as the list told them
+	Undrains          []EndpointEvent  // drained endpoints that are up again
+	ClientDisruptions []Span           // in which the clients' own way to a proxy was disturbed
+	UnexpectedAnswers int              // answers to nothing that was open
+	PeerBytes         map[string][]int // bytes that a proxy sent to others, by second
+	Violations        []string         // of invariants, that the proxies found themselves
+	Executions        map[string]int   // of keyed requests by key, repeats within the window dropped
+
+	lastExecution map[string]time.Time
+	latest        map[attemptKey]*Attempt
+}
+
+// attemptKey names the attempts of one request at one endpoint.
+type attemptKey struct{ request, endpoint string }
+
+func newRecord(clientLimit time.Duration) *Record {
+	return &Record{
+		clientLimit:   clientLimit,
+		PeerBytes:     map[string][]int{},
+		Executions:    map[string]int{},
+		lastExecution: map[string]time.Time{},
+		latest:        map[attemptKey]*Attempt{},
+	}
+}
+
+// Outcome is what became of a request for its client.
+type Outcome string
+
+// The outcomes. Of the first three the client has a final answer.
+const (
+	OutcomeOpen         Outcome = ""
+	OutcomeServed       Outcome = "served"
+	OutcomeRejected     Outcome = "rejected"
+	OutcomeFailed       Outcome = "failed"
+	OutcomeCanceled     Outcome = "canceled"     // by its client
+	OutcomeDisconnected Outcome = "disconnected" // its connection ended, or none came up
+	OutcomeUnanswered   Outcome = "unanswered"   // long after its time
+)
+
+// isFinal says whether the client has a final answer.
+func (o Outcome) isFinal() bool {
+	return o == OutcomeServed || o == OutcomeRejected || o == OutcomeFailed
 }
 
-// Request is one try of a client.
+// Request is one request of a client.
 type Request struct {
 	ID, Key, Class string
 	Proxy          int
-	Sent, Ended    time.Duration // Ended 0: never
+	SentAt         time.Duration
+	EndedAt        time.Duration // 0: never
 	Answers        int
-	End            string        // served, refused, failed, or broken: its connection ended
-	Left           time.Duration // when its client gave it up; 0: it did not
-	Repeats        bool          // it was sent a second time over a new connection, as the protocol allows
+	Outcome        Outcome
+	CanceledAt     time.Duration // by its client; 0: it was not
+	Resent         bool          // over a new connection, as the protocol allows once
 }
 
-// Attempt is one sending of a request to a box, as the box saw it.
+// Attempt is one sending of a request to an endpoint, as the endpoint saw it.
 type Attempt struct {
-	ID, Key, Class, Endpoint, From string
-	At, Ended                      time.Duration // Ended 0: not answered
-	Quit                           time.Duration // 0: not given up
-	Given                          time.Duration // that the doorman says it waits
-	Ran                            bool
-	conn                           *linked // by which it came; nil: not known
+	ID, Key, Class string // of the request
+	Endpoint, From string
+	ReceivedAt     time.Duration
+	AnsweredAt     time.Duration // 0: not answered
+	CanceledAt     time.Duration // 0: not canceled
+	Timeout        time.Duration // that the proxy says it waits
+	Executed       bool
+
+	conn *linkedConn // by which it came; nil: not known
 }
 
-// over is when the attempt was out no more: it was answered, given up, or its connection was closed. 0: it is out still.
-func (a *Attempt) over() time.Duration {
-	at := time.Duration(0)
-	for _, t := range []time.Duration{a.Ended, a.Quit, a.conn.over()} {
-		if t > 0 && (at == 0 || t < at) {
-			at = t
+// endedAt is when the attempt was out no more: it was answered or canceled, or its connection was closed. 0: it is out
+// still.
+func (a *Attempt) endedAt() time.Duration {
+	earliest := time.Duration(0)
+	for _, at := range []time.Duration{a.AnsweredAt, a.CanceledAt, a.conn.ended()} {
+		if at > 0 && (earliest == 0 || at < earliest) {
+			earliest = at
 		}
 	}
-	return at
+	return earliest
 }
 
-// Call is one question to the list service.
-type Call struct {
-	At   time.Duration
-	From string
-}
-
-// Made is one new connection.
-type Made struct {
-	At       time.Duration
-	From, To string
+// Connection is one new connection to an end of links.
+type Connection struct {
+	At time.Duration
+	To string
 }
 
-// EndpointState is something that was seen or said of a box.
-type EndpointState struct {
+// EndpointEvent is something that happened to an endpoint.
+type EndpointEvent struct {
 	At       time.Duration
 	Endpoint string
 }
 
-// ProcessRun is one process of a doorman from its start to its end.
+// ProcessRun is one process of a proxy from its start to its end.
 type ProcessRun struct {
 	Proxy        int
-	Start, Ready time.Duration // Ready 0: never
-	End          time.Duration // 0: it lived to the end of the drill
-	Ours         bool          // it was ended, or bidden to
-	Killed       bool          // it was ended at once
-	Stops        []Span
-	Versions     map[string]string // what it said of itself at the end
-	Error        string
+	StartedAt    time.Duration
+	ReadyAt      time.Duration // 0: never
+	EndedAt      time.Duration // 0: it lived to the end of the drill
+	EndRequested bool          // the plan killed it, or told it to end
+	Killed       bool          // by SIGKILL
+	Pauses       []Span
+	Error        string // of a process that ended by itself
 }
 
 // Span is a time from a moment to another; To 0: without end.
 type Span struct{ From, To time.Duration }
 
-// has says whether two times overlap.
-func (s Span) has(from, to time.Duration) bool { return s.From <= to && (s.To == 0 || from <= s.To) }
+// overlaps says whether two times have a moment in common.
+func (s Span) overlaps(from, to time.Duration) bool {
+	return s.From <= to && (s.To == 0 || from <= s.To)
+}
+
+// addPeerBytes counts bytes that a proxy sends to others.
+func (r *Record) addPeerBytes(at time.Duration, from string, count int) {
+	r.update(func() {
+		second := int(at / time.Second)
+		bySecond := r.PeerBytes[from]
+		for len(bySecond) <= second {
+			bySecond = append(bySecond, 0)
+		}
+		bySecond[second] += count
+		r.PeerBytes[from] = bySecond
+	})
+}
 
-// sent counts bytes of a doorman to others.
-func (r *Record) sent(at time.Duration, from string, n int) {
-	r.add(func() {
-		list := r.Sent[from]
-		for len(list) <= int(at/time.Second) {
-			list = append(list, 0)
+// addExecution counts a keyed request that ran. Endpoints drop repeats within the class's window.
+func (r *Record) addExecution(key string) {
+	now := time.Now()
+	r.update(func() {
+		if last, known := r.lastExecution[key]; !known || now.Sub(last) > keyedWindow {
+			r.Executions[key]++
 		}
-		list[at/time.Second] += n
-		r.Sent[from] = list
+		r.lastExecution[key] = now
 	})
 }
 
-func (r *Record) add(do func()) {
+// update runs a change under the lock.
+func (r *Record) update(change func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	do()
+	change()
 }
--- a/internal/drill/relay.go
+++ b/internal/drill/relay.go
@@ -1,98 +1,118 @@
 package drill
 
 import (
-	"errors"
 	"net"
 	"sync"
 	"time"
 )
 
-// Relay stands before an end that is a process of its own: who wants to speak to it is told the relay's address, by TCP and
-// UDP on one port. It sees both ends of what passes, since everyone binds its own address.
-type Relay struct {
-	fabric *Fabric
-	end    string
-	to     string // host:port, where the end listens
-	from   net.IP // the address that the relay dials from
-	tcp    net.Listener
-	udp    net.PacketConn
-	far    *net.UDPConn
-	done   chan struct{}
-	once   sync.Once
+const (
+	// reorderLag is how far, beyond twice the delay, a reordered datagram falls behind the next ones.
+	reorderLag       = 20 * time.Millisecond
+	maxDatagram      = 64 << 10 // bytes
+	portAttempts     = 20       // to find a port that is free for both TCP and UDP
+	relayDialTimeout = time.Second
+)
+
+// relay stands before an end that is a process of its own: who wants to speak to it is told the relay's address, by TCP
+// and UDP on one port. It sees both ends of what passes, since everyone binds its own address.
+type relay struct {
+	network *network
+	end     string
+	target  string // host:port, where the end listens
+	ip      net.IP // the address that the relay dials from
+	tcp     net.Listener
+	udp     net.PacketConn
+	out     *net.UDPConn // to the end
+	done    chan struct{}
+	once    sync.Once
 }
 
-// NewRelay starts one at an address with a free port, for an end that listens at to.
-func (f *Fabric) NewRelay(end, address, to string) (*Relay, error) {
-	for range 20 { // the port must be free for both
-		tcp, err := net.Listen("tcp", net.JoinHostPort(address, "0"))
-		if err != nil {
-			return nil, err
-		}
-		udp, err := net.ListenPacket("udp", tcp.Addr().String())
-		if err != nil {
-			_ = tcp.Close()
-			continue
-		}
-		target, err := net.ResolveUDPAddr("udp", to)
-		if err != nil {
-			return nil, err
-		}
-		far, err := net.DialUDP("udp", &net.UDPAddr{IP: net.ParseIP(address)}, target)
-		if err != nil {
-			return nil, err
-		}
-		r := &Relay{fabric: f, end: end, to: to, from: net.ParseIP(address), tcp: tcp, udp: udp, far: far, done: make(chan struct{})}
-		go r.streams()
-		go r.datagrams()
-		return r, nil
+// newRelay starts one at an IP address with a free port, for an end that listens at target.
+func (n *network) newRelay(end, ip, target string) (*relay, error) {
+	tcp, udp, err := listenBoth(ip)
+	if err != nil {
+		return nil, err
+	}
+	targetUDP, err := net.ResolveUDPAddr("udp", target)
+	if err != nil {
+		return nil, err
+	}
+	own := net.ParseIP(ip)
+	out, err := net.DialUDP("udp", &net.UDPAddr{IP: own}, targetUDP)
+	if err != nil {
+		return nil, err
+	}
+	r := &relay{
+		network: n,
+		end:     end,
+		target:  target,
+		ip:      own,
+		tcp:     tcp,
+		udp:     udp,
+		out:     out,
+		done:    make(chan struct{}),
 	}
-	return nil, errors.New("no port is free for both TCP and UDP")
+	go r.relayStreams()
+	go r.relayDatagrams()
+	return r, nil
 }
 
-// Address is where the relay listens.
-func (r *Relay) Address() string { return r.tcp.Addr().String() }
+// address is where the relay listens.
+func (r *relay) address() string { return r.tcp.Addr().String() }
 
-// Close ends it.
-func (r *Relay) Close() {
+// close ends it.
+func (r *relay) close() {
 	r.once.Do(func() {
 		close(r.done)
-		_, _, _ = r.tcp.Close(), r.udp.Close(), r.far.Close()
+		_ = r.tcp.Close()
+		_ = r.udp.Close()
+		_ = r.out.Close()
 	})
 }
 
-func (r *Relay) streams() {
-	ln := &listener{r.tcp, r.fabric, r.end}
+func (r *relay) relayStreams() {
+	listener := &linkedListener{r.tcp, r.network, r.end}
 	for {
-		near, err := ln.Accept()
+		near, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		go func() {
-			dialer := net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: r.from}}
-			far, err := dialer.Dial("tcp", r.to)
-			if err != nil {
-				_ = near.Close()
-				return
-			}
-			var both sync.WaitGroup
-			both.Add(2)
-			go func() { defer both.Done(); r.pump(far, near, near.(*linked).Source()) }()
-			go func() { defer both.Done(); r.pump(near, far, r.end) }()
-			both.Wait()
-		}()
+		go r.relayStream(near)
 	}
 }
 
-// pump copies what an end sends until either side ends, and ends both.
-func (r *Relay) pump(to, from net.Conn, sender string) {
+// relayStream connects a connection to the end, and copies both ways until either side ends.
+func (r *relay) relayStream(near net.Conn) {
+	dialer := net.Dialer{Timeout: relayDialTimeout, LocalAddr: &net.TCPAddr{IP: r.ip}}
+	far, err := dialer.Dial("tcp", r.target)
+	if err != nil {
+		_ = near.Close()
+		return
+	}
+	var both sync.WaitGroup
+	both.Add(2)
+	go func() {
+		defer both.Done()
+		r.copyStream(far, near, farEnd(near))
+	}()
+	go func() {
+		defer both.Done()
+		r.copyStream(near, far, r.end)
+	}()
+	both.Wait()
+}
+
+// copyStream copies what an end sends until either side ends, and ends both.
+func (r *relay) copyStream(to, from net.Conn, sender string) {
 	defer to.Close()
 	defer from.Close()
-	buffer := make([]byte, pieceMost)
+	buffer := make([]byte, maxSegment)
 	for {
-		n, err := from.Read(buffer)
-		if n > 0 {
-			r.fabric.passed(sender, n)
-			if _, err := to.Write(buffer[:n]); err != nil {
+		count, err := from.Read(buffer)
+		if count > 0 {
+			r.network.onPeerBytes(sender, count)
+			if _, err := to.Write(buffer[:count]); err != nil {
 				return
 			}
 		}
@@ -102,40 +122,45 @@
 	}
 }
 
-func (r *Relay) datagrams() {
-	buffer := make([]byte, 64<<10)
+func (r *relay) relayDatagrams() {
+	buffer := make([]byte, maxDatagram)
 	for {
-		n, from, err := r.udp.ReadFrom(buffer)
+		count, from, err := r.udp.ReadFrom(buffer)
 		if err != nil {
 			return
 		}
-		sender := r.fabric.who(from)
-		r.fabric.passed(sender, n)
-		l := r.fabric.link(sender, r.end)
-		if l.Cut || l.Refuse || r.fabric.chance(l.Loss) {
+		sender := r.network.endOf(from)
+		r.network.onPeerBytes(sender, count)
+		r.relayDatagram(sender, buffer[:count])
+	}
+}
+
+// relayDatagram sends a datagram on by the link's faults.
+func (r *relay) relayDatagram(sender string, datagram []byte) {
+	faults := r.network.faults(sender, r.end)
+	if faults.cut || faults.refuse || r.network.happens(faults.loss) {
+		return
+	}
+	copies := 1
+	if r.network.happens(faults.duplicate) {
+		copies = 2
+	}
+	delay := r.network.drawDelay(faults)
+	if r.network.happens(faults.reorder) {
+		delay += 2*faults.delay + reorderLag
+	}
+	data := append([]byte(nil), datagram...)
+	for range copies {
+		if delay == 0 {
+			_, _ = r.out.Write(data)
 			continue
 		}
-		times := 1
-		if r.fabric.chance(l.Twice) {
-			times = 2
-		}
-		late := r.fabric.late(l)
-		if r.fabric.chance(l.Swap) {
-			late += 2*l.Delay + 20*time.Millisecond
-		}
-		data := append([]byte(nil), buffer[:n]...)
-		for range times {
-			if late == 0 {
-				_, _ = r.far.Write(data)
-				continue
+		time.AfterFunc(delay, func() {
+			select {
+			case <-r.done:
+			default:
+				_, _ = r.out.Write(data)
 			}
-			time.AfterFunc(late, func() {
-				select {
-				case <-r.done:
-				default:
-					_, _ = r.far.Write(data)
-				}
-			})
-		}
+		})
 	}
 }
--- /dev/null
+++ b/internal/drill/selectors_test.go
@@ -0,0 +1,38 @@
+package drill
+
+import (
+	"fmt"
+	"testing"
+)
+
+// newTestCluster has ten proxies in two zones, a cache in each and the origin. Nothing of it runs.
+func newTestCluster() *Cluster {
+	c := &Cluster{seed: 1, endpoints: map[string]*endpoint{}, Record: newRecord(2 * sec)}
+	for n := range 10 {
+		c.proxies = append(c.proxies, &proxy{number: n, name: fmt.Sprint("d", n), zone: 1 + n%2})
+	}
+	for _, id := range []string{"c1-1", "c2-1"} {
+		e := &endpoint{id: id, zone: "p" + id[1:2]}
+		c.endpoints[id] = e
+		c.endpointOrder = append(c.endpointOrder, e)
+	}
+	c.endpointOrder = append(c.endpointOrder, &endpoint{id: "o1", zone: "hub"})
+	return c
+}
+
+// TestSelectors resolves selectors.
+func TestSelectors(t *testing.T) {
+	c := newTestCluster()
+	for text, want := range map[string]int{"doormans": 10, "doormans:0.3": 3, "doorman:9": 1, "plaza:1": 6, "hub": 1,
+		"boxes": 3, "box:c1-1": 1, "list": 1, "clients": 1, "plaza:1+list": 7} {
+		got, err := c.selectEnds(text)
+		if err != nil || len(got) != want {
+			t.Errorf("%s: %d ends, %v, want %d", text, len(got), err, want)
+		}
+	}
+	for _, text := range []string{"doorman:10", "doormans:2", "box:x", "everyone", ""} {
+		if got, err := c.selectEnds(text); err == nil {
+			t.Errorf("%s: %v, want an error", text, got)
+		}
+	}
+}
--- /dev/null
+++ b/internal/drill/steps_list.go
@@ -0,0 +1,138 @@
+package drill
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// maxSharedIDs bounds how many ids a plan may put at one address.
+const maxSharedIDs = 20000
+
+// listFaultAction has the list service fail.
+type listFaultAction struct{ fault listFault }
+
+// plainListFaults are the kinds that are written without a figure.
+var plainListFaults = []listFaultKind{listHangs, listRefuses, listIsEmpty, listIsWell}
+
+func parseListFault(words []string) (action, error) {
+	fault := listFault{kind: listFaultKind(words[0])}
+	var err error
+	switch {
+	case len(words) == 1 && slices.Contains(plainListFaults, fault.kind):
+	case len(words) == 2 && fault.kind == listIsStale:
+		fault.age, err = time.ParseDuration(words[1])
+	case len(words) == 2 && fault.kind == listIsLimited:
+		number, _ := strings.CutSuffix(words[1], "/s")
+		fault.rate, err = strconv.ParseFloat(number, 64)
+	default:
+		err = errUsage
+	}
+	return listFaultAction{fault}, err
+}
+
+func (a listFaultAction) prepare(c *Cluster, _ Step) (operation, error) {
+	set := func(fault listFault) func() error {
+		return func() error {
+			c.list.setFault(fault)
+			return nil
+		}
+	}
+	return operation{apply: set(a.fault), undo: set(listFault{kind: listIsWell})}, nil
+}
+
+// sameAddressAction has the list name many endpoints at the address of one.
+type sameAddressAction struct{ count int }
+
+func parseSameAddress(words []string) (action, error) {
+	count, err := parseCount(words[0], 1, maxSharedIDs)
+	return sameAddressAction{count}, err
+}
+
+func (a sameAddressAction) prepare(c *Cluster, _ Step) (operation, error) {
+	return operation{apply: func() error {
+		c.list.addEndpoints(a.count, c.endpointOrder[0].address)
+		return nil
+	}}, nil
+}
+
+// byzantineAction adds a peer to the fleet that tells a zone a false list.
+type byzantineAction struct {
+	zone int // from 1
+	lie  string
+}
+
+func parseByzantine(words []string) (action, error) {
+	zone, err := strconv.Atoi(words[0])
+	if err != nil || zone < 1 || falseLists[words[1]] == nil {
+		return nil, errUsage
+	}
+	return byzantineAction{zone: zone, lie: words[1]}, nil
+}
+
+func (a byzantineAction) prepare(c *Cluster, _ Step) (operation, error) {
+	var member *byzantinePeer
+	apply := func() (err error) {
+		if member, err = c.newByzantinePeer(a.zone, a.lie); err == nil {
+			c.byzantinePeers = append(c.byzantinePeers, member)
+		}
+		return err
+	}
+	undo := func() error {
+		isMember := func(other *byzantinePeer) bool { return other == member }
+		c.byzantinePeers = slices.DeleteFunc(c.byzantinePeers, isMember)
+		member.close()
+		return nil
+	}
+	return operation{apply: apply, undo: undo}, nil
+}
+
+// endpointAction does something to one endpoint.
+type endpointAction struct {
+	id    string
+	apply func(c *Cluster, e *endpoint, step Step)
+	undo  func(c *Cluster, e *endpoint) // nil: it stays
+}
+
+func parseDrain(words []string) (action, error) {
+	return endpointAction{
+		id:    endpointID(words[0]),
+		apply: func(c *Cluster, e *endpoint, _ Step) { c.setListedState(e, listedDraining) },
+		undo:  func(c *Cluster, e *endpoint) { c.setListedState(e, listedUp) },
+	}, nil
+}
+
+func parseUndrain(words []string) (action, error) {
+	return endpointAction{
+		id:    endpointID(words[0]),
+		apply: func(c *Cluster, e *endpoint, _ Step) { c.setListedState(e, listedUp) },
+	}, nil
+}
+
+// parseCrash reads a step in which an endpoint goes down and comes back by itself, after a second at least.
+func parseCrash(words []string) (action, error) {
+	return endpointAction{
+		id:    endpointID(words[0]),
+		apply: func(c *Cluster, e *endpoint, step Step) { c.crash(e, max(step.For, time.Second)) },
+	}, nil
+}
+
+func (a endpointAction) prepare(c *Cluster, step Step) (operation, error) {
+	target := c.endpoints[a.id]
+	if target == nil {
+		return operation{}, fmt.Errorf("there is no endpoint %.40q", a.id)
+	}
+	op := operation{apply: func() error {
+		a.apply(c, target, step)
+		return nil
+	}}
+	if a.undo != nil {
+		op.undo = func() error {
+			a.undo(c, target)
+			return nil
+		}
+	}
+	return op, nil
+}
--- a/internal/drill/timeline.go
+++ b/internal/drill/timeline.go
@@ -7,75 +7,83 @@
 
 // Timeline is what a drill's charts show: figures by second, in panels of lines.
 type Timeline struct {
-	Title  string
-	Panels []Panel
+	Title  string  `json:"Title"`
+	Panels []Panel `json:"Panels"`
 }
 
 // Panel is lines over one another.
 type Panel struct {
-	Title string
-	Lines []Series
+	Title string   `json:"Title"`
+	Lines []Series `json:"Lines"`
 }
 
 // Series is a figure for each second.
 type Series struct {
-	Name   string
-	Values []float64
+	Name   string    `json:"Name"`
+	Values []float64 `json:"Values"`
 }
 
 // JSON is the form in which it is kept in a report's folder.
 func (t Timeline) JSON() []byte {
-	text, _ := json.MarshalIndent(t, "", " ")
+	text, _ := json.MarshalIndent(t, "", " ") // it has no value that can't be encoded
 	return text
 }
 
-// Timeline counts the record by seconds: requests, calls to the list service, connections, and doormans that are ready.
+// Timeline counts the record by seconds: requests, calls to the list service, connections, and proxies that are ready.
 func (r *Result) Timeline() Timeline {
-	rec := r.Cluster.Record
-	rec.mu.Lock()
-	defer rec.mu.Unlock()
-	seconds := max(1, int(r.Cluster.Plan.Lasts/time.Second)) // whole ones: a part of one would look like a fall
-	count := func(name string, each func(add func(time.Duration))) Series {
-		l := Series{name, make([]float64, seconds)}
-		each(func(at time.Duration) {
-			if i := int(at / time.Second); i >= 0 && i < seconds {
-				l.Values[i]++
-			}
-		})
-		return l
+	record := r.Cluster.Record
+	record.mu.Lock()
+	defer record.mu.Unlock()
+	seconds := max(1, int(r.Cluster.Plan.Duration/time.Second)) // whole ones: a part of one would look like a fall
+	sent := newSeries("sent", seconds)
+	byOutcome := map[Outcome]Series{}
+	for _, outcome := range []Outcome{OutcomeServed, OutcomeRejected, OutcomeFailed} {
+		byOutcome[outcome] = newSeries(string(outcome), seconds)
 	}
-	requests := func(name, end string) Series {
-		return count(name, func(add func(time.Duration)) {
-			for _, q := range rec.Requests {
-				if end == "" || q.End == end {
-					add(q.Sent)
-				}
-			}
-		})
+	for _, request := range record.Requests {
+		sent.count(request.SentAt)
+		if series, ok := byOutcome[request.Outcome]; ok {
+			series.count(request.SentAt)
+		}
 	}
-	ready := Series{"ready", make([]float64, seconds)}
-	for i := range ready.Values {
-		at := time.Duration(i+1) * time.Second
-		for _, l := range rec.ProcessRuns {
-			if l.Ready > 0 && l.Ready <= at && (l.End == 0 || l.End > at) {
-				ready.Values[i]++
-			}
+	calls := newSeries("calls", seconds)
+	for _, at := range record.ListCalls {
+		calls.count(at)
+	}
+	connections := newSeries("connections", seconds)
+	for _, connection := range record.Connections {
+		if isEndpoint(connection.To) {
+			connections.count(connection.At)
 		}
 	}
+	requests := []Series{sent, byOutcome[OutcomeServed], byOutcome[OutcomeRejected], byOutcome[OutcomeFailed]}
 	return Timeline{r.Cluster.Plan.File, []Panel{
-		{"requests a second", []Series{requests("sent", ""), requests("served", "served"), requests("refused", "refused"), requests("failed", "failed")}},
-		{"calls to the list service a second", []Series{count("calls", func(add func(time.Duration)) {
-			for _, c := range rec.Calls {
-				add(c.At)
-			}
-		})}},
-		{"new connections to boxes a second", []Series{count("connections", func(add func(time.Duration)) {
-			for _, m := range rec.Made {
-				if toBox(m.To) {
-					add(m.At)
-				}
-			}
-		})}},
-		{"doormans ready", []Series{ready}},
+		{"requests a second", requests},
+		{"calls to the list service a second", []Series{calls}},
+		{"new connections to endpoints a second", []Series{connections}},
+		{"proxies ready", []Series{record.readySeries(seconds)}},
 	}}
 }
+
+func newSeries(name string, seconds int) Series { return Series{name, make([]float64, seconds)} }
+
+// count adds one to the second of a time, if the series has that.
+func (s Series) count(at time.Duration) {
+	if second := int(at / time.Second); second >= 0 && second < len(s.Values) {
+		s.Values[second]++
+	}
+}
+
+// readySeries counts the processes that are ready at the end of each second.
+func (r *Record) readySeries(seconds int) Series {
+	ready := newSeries("ready", seconds)
+	for second := range ready.Values {
+		at := time.Duration(second+1) * time.Second
+		for _, run := range r.ProcessRuns {
+			if run.ReadyAt > 0 && run.ReadyAt <= at && (run.EndedAt == 0 || run.EndedAt > at) {
+				ready.Values[second]++
+			}
+		}
+	}
+	return ready
+}
--- a/internal/emulator/consul/consul_test.go
+++ b/internal/emulator/consul/consul_test.go
@@ -34,8 +34,8 @@
 		}
 		return entries[0].Checks.AggregatedStatus(), meta
 	}
-	must(client.Agent().ServiceRegister(&api.AgentServiceRegistration{ID: "w1", Name: "web", Port: 80, Tags: []string{"x"},
-		Check: &api.AgentServiceCheck{CheckID: "ttl", TTL: "400ms"}}))
+	must(client.Agent().ServiceRegister(&api.AgentServiceRegistration{ID: "w1", Name: "web", Port: 80,
+		Tags: []string{"x"}, Check: &api.AgentServiceCheck{CheckID: "ttl", TTL: "400ms"}}))
 	got, first := status(nil)
 	if got != api.HealthCritical || first.LastIndex == 0 || !first.KnownLeader {
 		t.Errorf("registered without a renewal: %s, %+v", got, first)
--- a/internal/emulator/consul/kv.go
+++ b/internal/emulator/consul/kv.go
@@ -36,7 +36,11 @@
 		return
 	}
 	index := a.wait(r, func() uint64 { return c.kvIndex })
-	entries := c.kvEntries(key, r.URL.Query().Has("recurse"))
+	matches := func(name string) bool { return name == key }
+	if r.URL.Query().Has("recurse") {
+		matches = func(name string) bool { return strings.HasPrefix(name, key) }
+	}
+	entries := c.kvEntries(matches)
 	active := a.active()
 	if len(entries) == 0 {
 		w.Header().Set(indexHeader, strconv.FormatUint(index, 10))
@@ -46,12 +50,12 @@
 	a.write(w, entries, index, active)
 }
 
-// kvEntries gives a key, or with recurse all that begin with it, in their order.
-func (c *Cluster) kvEntries(key string, recurse bool) []kvEntry {
+// kvEntries gives the keys that match, in their order.
+func (c *Cluster) kvEntries(matches func(name string) bool) []kvEntry {
 	var entries []kvEntry
 	c.mu.Lock()
 	for name, pair := range c.kv {
-		if name == key || recurse && strings.HasPrefix(name, key) {
+		if matches(name) {
 			entries = append(entries, kvEntry{pair.create, name, pair.modify, pair.value})
 		}
 	}
--- a/test/emulators_test.go
+++ b/test/emulators_test.go
@@ -13,8 +13,8 @@
 // listServiceBuffer is how many lines and polls a list service takes without a reader.
 const listServiceBuffer = 64
 
-// listService emulates an endpoint list watch: it sends each line of feed to whoever is connected. The line "!" ends the
-// connection; what begins with "~" is sent without the end of its line.
+// listService emulates an endpoint list watch: it sends each line of feed to whoever is connected. The line "!" ends
+// the connection; what begins with "~" is sent without the end of its line.
 type listService struct {
 	feed     chan string
 	polls    chan string // what each connection asked for
