--- a/internal/drill/proxy.go
+++ b/internal/drill/proxy.go
@@ -120,8 +120,6 @@
 	if err := p.cluster.spawner.start(cmd); err != nil {
 		return err
 	}
-	// The network, endpoints and clients are in this process: they must not starve beside hundreds of others.
-	_ = syscall.Setpriority(syscall.PRIO_PROCESS, cmd.Process.Pid, 10)
 	ended := make(chan struct{})
 	p.mu.Lock()
 	p.cmd, p.run, p.ended = cmd, run, ended
