--- a/internal/drill/byzantine.go
+++ b/internal/drill/byzantine.go
@@ -68,7 +68,7 @@
 
 // newByzantinePeer has one join the fleet as a proxy of a zone.
 func (c *Cluster) newByzantinePeer(zone int, lie string) (*byzantinePeer, error) {
-	ip := fmt.Sprintf("%s.%d.%d", c.subnet, byzantineSubnet, zone)
+	ip := c.hostAddress(byzantineSubnet, zone-1)
 	c.network.join(ip, byzantineEnd)
 	listen, err := freeAddress(ip)
 	if err != nil {
@@ -80,7 +80,7 @@
 		callbacks: make(chan func(), callbackQueue),
 		closed:    make(chan struct{}),
 	}
-	relayIP := fmt.Sprintf("%s.%d.%d", c.subnet, byzantineRelaySubnet, zone)
+	relayIP := c.hostAddress(byzantineRelaySubnet, zone-1)
 	if member.relay, err = c.network.newRelay(byzantineEnd, relayIP, listen); err != nil {
 		return nil, err
 	}
--- a/internal/identity/keydir/keydir_test.go
+++ b/internal/identity/keydir/keydir_test.go
@@ -20,7 +20,7 @@
 	dir := t.TempDir()
 	var keys []identity.Key
 	for id, a := range map[string]identity.Algorithm{"k1": identity.EdDSA, "k2": identity.ES256} {
-		k, err := New(dir, id, a)
+		k, err := NewKeyPair(dir, id, a)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -33,21 +33,21 @@
 	return dir, keys
 }
 
-// TestRoundTrip: what is written is read as it was, tokens are signed and verified by it, and private halves are their
-// owner's alone.
+// TestRoundTrip: what is written is read as it was, tokens are signed and verified by it, and private halves are
+// their owner's alone.
 func TestRoundTrip(t *testing.T) {
 	dir, keys := made(t)
-	if err := Revoke(dir, now, Revocation{identity.Subject, "s1", now + time.Hour}); err != nil {
+	if err := Revoke(dir, now, Revocation{identity.RevokedSubject, "s1", now + time.Hour}); err != nil {
 		t.Fatal(err)
 	}
-	if err := Revoke(dir, now+2*time.Hour, Revocation{identity.Token, "t9", now + 3*time.Hour}); err != nil {
+	if err := Revoke(dir, now+2*time.Hour, Revocation{identity.RevokedToken, "t9", now + 3*time.Hour}); err != nil {
 		t.Fatal(err)
 	}
 	c, err := Read(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff([]Revocation{{identity.Token, "t9", now + 3*time.Hour}}, c.Revoked); diff != "" {
+	if diff := cmp.Diff([]Revocation{{identity.RevokedToken, "t9", now + 3*time.Hour}}, c.Revoked); diff != "" {
 		t.Errorf("revocations, without the one that has ended (-want +got):\n%s", diff)
 	}
 	for i := range keys {
@@ -55,11 +55,12 @@
 		if k.NotBefore != now || k.RetireAfter != now+time.Hour {
 			t.Errorf("times of %s: %+v", k.ID, k)
 		}
-		private, err := Private(dir, k)
+		private, err := ReadPrivateKey(dir, k)
 		if err != nil {
 			t.Fatal(err)
 		}
-		token, err := identity.Sign(identity.Claims{ID: "t1", Subject: "s1", Tenant: "lanes", Expires: now}, "", k.Algorithm, k.ID, private)
+		signed := identity.Claims{ID: "t1", Subject: "s1", Tenant: "lanes", Expires: now}
+		token, err := identity.Sign(signed, "", k.Algorithm, k.ID, private)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -71,24 +72,25 @@
 			t.Errorf("%s: %v, %v", k.ID, info.Mode(), err)
 		}
 	}
-	if _, err := New(dir, "k1", identity.EdDSA); err == nil {
+	if _, err := NewKeyPair(dir, "k1", identity.EdDSA); err == nil {
 		t.Error("a key is made over another")
 	}
 	other := c.Keys[0]
 	other.Public = ed25519.PublicKey(make([]byte, 32))
-	if _, err := Private(dir, &other); err == nil {
+	if _, err := ReadPrivateKey(dir, &other); err == nil {
 		t.Error("the private half of another key is taken")
 	}
 	path := filepath.Join(dir, "private", c.Keys[0].ID+".pem")
 	if err := os.Chmod(path, 0o640); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Private(dir, &c.Keys[0]); err == nil || !strings.Contains(err.Error(), "lets others read it") {
+	if _, err := ReadPrivateKey(dir, &c.Keys[0]); err == nil || !strings.Contains(err.Error(), "lets others read it") {
 		t.Errorf("a private key that others can read: %v", err)
 	}
 }
 
-// TestRefused: a directory that is not whole is refused with the file and the reason, at every length of a half-written set.
+// TestRefused: a directory that is not whole is refused with the file and the reason, at every length of a
+// half-written set.
 func TestRefused(t *testing.T) {
 	dir, _ := made(t)
 	path := filepath.Join(dir, "keys.json")
@@ -114,7 +116,8 @@
 		"a private key":       {strings.Replace(string(sound), `"kid"`, `"d": "AAAA", "kid"`, 1), 0o644, "private key"},
 		"an id with a path":   {strings.Replace(string(sound), `"k1"`, `"../k1"`, 1), 0o644, "key id"},
 		"an odd algorithm":    {strings.Replace(string(sound), `"EdDSA"`, `"HS256"`, 1), 0o644, "expected OKP"},
-		"an odd time":         {strings.Replace(string(sound), `"not_before": "2`, `"not_before": "x`, 1), 0o644, "not_before"},
+		"an odd time": {strings.Replace(string(sound), `"not_before": "2`, `"not_before": "x`, 1), 0o644,
+			"not_before"},
 		"something behind it": {string(sound) + "{}", 0o644, "something follows"},
 		"a point on no curve": {strings.Replace(string(sound), `"y": "`, `"y": "A`, 1), 0o644, "y: expected 32 bytes"},
 	} {
