--- a/internal/membership/consul/blockingquery/simulation_test.go
+++ b/internal/membership/consul/blockingquery/simulation_test.go
@@ -76,7 +76,7 @@
 	var all simulations
 	for range watchCount {
 		all = append(all, &simulation{
-			watch:    NewWithAgents(config, shared),
+			watch:    New(config, shared),
 			agents:   agents,
 			now:      start,
 			version:  10,
--- a/internal/policy/example_test.go
+++ b/internal/policy/example_test.go
@@ -30,7 +30,7 @@
 			fmt.Printf("request %d goes to cache %d, fill on a miss: %v\n", sent.ID, sent.Endpoint, isFill)
 		}
 	}
-	response := policy.ResponseEvent{ID: 7, Endpoint: 1, Status: policy.StatusOK, Concluded: true}
+	response := policy.ResponseEvent{ID: 7, Status: policy.StatusOK, Concluded: true}
 	engine.Handle(now+50*time.Millisecond, response)
 	// Output: request 7 goes to cache 1, fill on a miss: false
 }
--- a/internal/policy/harness_test.go
+++ b/internal/policy/harness_test.go
@@ -15,10 +15,10 @@
 func testConfig() Config {
 	return Config{
 		Instances: 2, Zone: 2, ZoneInstances: []int{0, 0, 1, 1}, ParentKind: 1, OriginKind: 2,
-		FlowKBps: 1000, WeightsReported: true, Siblings: ReachZone, Detail: DetailAll,
+		FlowKBps: 1000, WeightsReported: true, Siblings: ReachZone,
 		DirectFetch: true, JoinFills: true,
-		PurgeGrace: 500 * ms, PurgePropagation: 6 * sec, DrainGrace: sec,
-		ColdStartShare: 0.2, WarmupTime: 20 * sec, OverloadMultiple: 3, OverloadWindow: 2 * sec,
+		PurgePropagation: 6 * sec,
+		ColdStartShare:   0.2, WarmupTime: 20 * sec, OverloadMultiple: 3, OverloadWindow: 2 * sec,
 		ParentStartShare: 0.1, ParentWarmupTime: 20 * sec, ParentOverloadMultiple: 2,
 		MaxAttempts: 6, MayCancel: true, Hedging: true, MaxRetryAfter: sec,
 		Classes: []Class{
@@ -133,13 +133,13 @@
 	if status == StatusOK {
 		h.ends[id] = sent
 	}
-	h.handle(ResponseEvent{ID: id, Endpoint: sent.Endpoint, Attempt: len(h.sent[id]) - 1, Elapsed: 100 * ms,
+	h.handle(ResponseEvent{ID: id, Attempt: len(h.sent[id]) - 1, Elapsed: 100 * ms,
 		Concluded: status == StatusOK, Note: note, Status: status})
 }
 
 // hit is the response to a request's first attempt from a cached copy.
 func hit(sent SendAttempt, elapsed time.Duration) ResponseEvent {
-	return ResponseEvent{ID: sent.ID, Endpoint: sent.Endpoint, Elapsed: elapsed, Concluded: true, Note: NoteHit,
+	return ResponseEvent{ID: sent.ID, Elapsed: elapsed, Concluded: true, Note: NoteHit,
 		Status: StatusOK}
 }
 
--- a/internal/policy/simulation_test.go
+++ b/internal/policy/simulation_test.go
@@ -76,7 +76,7 @@
 		s.addEndpoint(policy.EndpointID(100+i), parentKind, i%2, 10+random.IntN(30))
 	}
 	s.addEndpoint(200, originKind, 0, 1)
-	s.handle(policy.ListEvent{Kind: policy.ListCached, Version: 1, Endpoints: s.endpoints})
+	s.handle(policy.ListEvent{Kind: policy.ListCached, Endpoints: s.endpoints})
 	return s
 }
 
@@ -196,7 +196,7 @@
 func (s *simulation) attempt(sent policy.SendAttempt) {
 	request := s.requests[sent.ID]
 	s.countSend(request, sent)
-	event := policy.ResponseEvent{ID: sent.ID, Endpoint: sent.Endpoint, Attempt: request.attempts}
+	event := policy.ResponseEvent{ID: sent.ID, Attempt: request.attempts}
 	request.attempts++
 	request.open++
 	event.Elapsed = time.Duration(request.call.SizeKB*float64(millisecond)) + s.milliseconds(30)
@@ -444,7 +444,7 @@
 	if kind == policy.ListFailed {
 		nodes = nil
 	}
-	s.handle(policy.ListEvent{Kind: kind, Version: uint64(s.agenda.Planned()), Endpoints: nodes})
+	s.handle(policy.ListEvent{Kind: kind, Endpoints: nodes})
 }
 
 // hostile tells what was never asked for.
