--- a/internal/frontend/connlimit/client.go
+++ b/internal/frontend/connlimit/client.go
@@ -22,13 +22,13 @@
 	element *list.Element
 }
 
-// Input is what a read of a connection brought.
+// Input describes what one read of a connection contained.
 type Input struct {
-	Complete bool // it completed one message or more
-	Partial  bool // it ends with a part of a message
+	Complete bool // at least one message was completed
+	Partial  bool // an incomplete message is left at the end
 }
 
-// Received notes what has been read from the client.
+// Received records what was read from the client.
 func (c *Client) Received(now time.Duration, input Input) {
 	if c.removed {
 		return
@@ -46,8 +46,7 @@
 	}
 }
 
-// SetOpen notes how many requests of the client are open. With none left its last responses may still be on their
-// way.
+// SetOpen records how many requests of the client are open. When the last one ends, its response may still be unsent.
 func (c *Client) SetOpen(now time.Duration, requests int) {
 	if c.removed {
 		return
@@ -64,7 +63,7 @@
 	c.requeue(now)
 }
 
-// Remove gives the client's place free. It may be called more than once.
+// Remove unregisters the client, which frees its place. Further calls have no effect.
 func (c *Client) Remove() {
 	if c.removed {
 		return
@@ -76,7 +75,7 @@
 	c.requeue(0)
 }
 
-// requeue puts the client at the end of the queue of its state.
+// requeue moves the client to the end of the queue of its current state.
 func (c *Client) requeue(now time.Duration) {
 	if c.queue != nil {
 		c.queue.Remove(c.element)
@@ -88,7 +87,7 @@
 	}
 }
 
-// nextQueue returns the queue of the client's state; nil: it has none.
+// nextQueue returns the queue of the client's current state, or nil if that state has none.
 func (c *Client) nextQueue() *list.List {
 	switch {
 	case c.removed || c.busy || c.limiter.unflushed[c]:
--- a/internal/frontend/connlimit/connlimit.go
+++ b/internal/frontend/connlimit/connlimit.go
@@ -9,9 +9,9 @@
 //
 // Clients are evicted for these reasons alone:
 //
-//   - Where all places are taken and another client connects, one makes way: the longest connected of the new ones if
-//     it has had firstMessageGrace, else the longest idle one, else the longest connected of the new ones. Where
-//     there are neither new nor idle clients the other one is not admitted.
+//   - The limit is reached and another client connects. The oldest new client is evicted if it has been connected for
+//     firstMessageGrace; otherwise the client that has been idle longest; otherwise the oldest new client. If there
+//     are neither new nor idle clients, the other client is not admitted.
 //   - A new client that has not sent a complete message within MessageTimeout.
 //   - A client that has begun a message and not completed it within MessageTimeout, unless it is busy or flushing.
 //   - A client that has been idle for the limiter's idle time-out.
@@ -19,7 +19,7 @@
 //   - With CloseIdle, each idle client that has not begun a message.
 //
 // Invariants: a busy client is never evicted, and a flushing one only in the case named above; there are never more
-// clients than the limiter was made for; each client is in at most one queue.
+// clients than the configured maximum; each client is in at most one queue.
 //
 // A limiter does no I/O and asks no clock: the frontend tells it the time and what was read, and closes a connection
 // when its evict function is called. It is not safe for concurrent use.
@@ -50,7 +50,7 @@
 	unflushed       map[*Client]bool // the flushing clients
 }
 
-// New returns a limiter of at most maxClients connections. A client is idle for at most idleTimeout.
+// New returns a limiter for at most maxClients connections, which evicts clients that have been idle for idleTimeout.
 func New(maxClients int, idleTimeout time.Duration) *Limiter {
 	return &Limiter{
 		maxClients:      maxClients,
@@ -62,11 +62,11 @@
 	}
 }
 
-// Admit takes a new connection in, evicting another one where there is no place. It returns nil where nobody can make
-// way.
+// Admit registers a new connection. If the limit is reached it evicts another one first, and returns nil if none may
+// be evicted.
 //
-// The limiter calls evict when the client has to go: it must close the connection and call Remove. unsent returns how
-// many bytes of the client's responses the system has not taken.
+// The limiter calls evict to evict the client: it must close the connection and call Remove. unsent returns how many
+// bytes of the client's responses the operating system has not accepted yet. Neither may block.
 func (l *Limiter) Admit(now time.Duration, evict func(), unsent func() int) *Client {
 	if l.count >= l.maxClients && !l.evictOne(now) {
 		return nil
@@ -80,7 +80,7 @@
 // Len returns the number of connections.
 func (l *Limiter) Len() int { return l.count }
 
-// evictOne makes a place, and reports whether it could.
+// evictOne evicts one client for a new one, and reports whether there was one to evict.
 func (l *Limiter) evictOne(now time.Duration) bool {
 	if l.idle.Len() == 0 {
 		l.checkUnflushed(now)
@@ -98,8 +98,8 @@
 	return true
 }
 
-// Tick evicts the clients whose time is over. It returns how many of them had not completed a message that they had
-// begun. The frontend calls it a few times a second.
+// Tick evicts the clients whose time-out has passed. It returns how many of them had an incomplete message. The
+// frontend calls it periodically.
 func (l *Limiter) Tick(now time.Duration) (unfinished int) {
 	for client := first(l.fresh); client != nil && now-client.since > MessageTimeout; client = first(l.fresh) {
 		client.evict()
@@ -118,7 +118,7 @@
 	return unfinished
 }
 
-// checkUnflushed looks at what the flushing clients have taken meanwhile.
+// checkUnflushed updates the flushing clients by how much of their responses has been sent since the last look.
 func (l *Limiter) checkUnflushed(now time.Duration) {
 	for client := range l.unflushed {
 		switch unsent := client.unsent(); {
--- a/internal/frontend/dns/dns.go
+++ b/internal/frontend/dns/dns.go
@@ -28,7 +28,7 @@
 	tcpIdleTimeout = 10 * time.Second
 )
 
-// Options is what a Server is made of. All functions are called on the event loop.
+// Options configures a Server. All functions are called on the event loop and must not block.
 type Options struct {
 	Config         *Config
 	Classes        []policy.Class
@@ -46,7 +46,7 @@
 	RetryAfter retryafter.Advisor
 }
 
-// Server answers the queries of one zone. It belongs to the event loop.
+// Server answers the queries of one zone. All methods must be called on the event loop.
 type Server struct {
 	Options
 
@@ -73,11 +73,11 @@
 // Clients returns the number of TCP connections.
 func (s *Server) Clients() int { return s.clients.Len() }
 
-// CloseIdle closes the TCP connections on which nothing is open, nothing of an answer is on its way and no query has
-// begun.
+// CloseIdle closes the idle TCP connections: no query is open, no answer is unsent and no message is incomplete.
 func (s *Server) CloseIdle() { s.clients.CloseIdle() }
 
-// Tick forgets finished requests whose time is over, and closes the TCP connections whose time is over.
+// Tick drops expired results and closes the TCP connections whose time-out has passed. It must be called
+// periodically.
 func (s *Server) Tick(now time.Duration) {
 	for key, joined := range s.byKey {
 		if joined.final != nil && now >= joined.keepUntil {
--- a/internal/frontend/dns/flight.go
+++ b/internal/frontend/dns/flight.go
@@ -18,7 +18,7 @@
 	signedTimeMargin = time.Second
 )
 
-// flight is one request with all the queries that wait for its response.
+// flight is one request with all queries that wait for its response.
 type flight struct {
 	target    target
 	caller    *identity.Caller
@@ -31,7 +31,7 @@
 	keepUntil time.Duration    // until when the final response is given again
 }
 
-// join has a query wait for the request of its key, or makes a request of it.
+// join adds a query to the request with the same key, or makes a new request for it.
 func (s *Server) join(query *pendingQuery, requested target, class int) {
 	now := s.Now()
 	caller := &s.unsigned
@@ -61,7 +61,8 @@
 	s.submit(opened)
 }
 
-// joinKnown answers a query by the request of its key, or has it wait for that request's response.
+// joinKnown answers a query by the result of a request with the same key, or adds it to those that wait for the
+// result.
 func (s *Server) joinKnown(query *pendingQuery, known *flight, requested target) {
 	switch {
 	case known.target.object != requested.object || known.target.part != requested.part:
@@ -80,7 +81,7 @@
 	s.pending[query.transaction] = query
 }
 
-// submit makes the broker's request of a flight.
+// submit makes the broker's request for a flight and emits it.
 func (s *Server) submit(opened *flight) {
 	s.requests++
 	now := s.Now()
@@ -148,7 +149,7 @@
 	return lifetime
 }
 
-// cancel takes back a request that nobody waits for any more.
+// cancel withdraws a request that no query waits for.
 func (s *Server) cancel(request *broker.Request) {
 	delete(s.byRequest, request)
 	request.Canceled = true
--- a/internal/frontend/dns/query.go
+++ b/internal/frontend/dns/query.go
@@ -19,7 +19,7 @@
 	flagAnswer  = 0x80
 )
 
-// pendingQuery is one query that was taken and is due one answer.
+// pendingQuery is a query that must get exactly one answer.
 type pendingQuery struct {
 	message     *dns.Msg
 	from        string // its client's address
@@ -36,13 +36,13 @@
 	text  string // for the client; empty: none
 }
 
-// Packet answers a query that came by UDP, or has it wait for its request. reply sends the answer.
+// Packet handles a query that came by UDP. reply sends the answer, during the call or later.
 func (s *Server) Packet(packet []byte, from net.Addr, reply func([]byte)) {
 	s.handle(packet, &pendingQuery{from: from.String(), reply: reply, maxBytes: minUDPBytes})
 }
 
-// handle reads a packet into a query of which sender and transport are known. It answers the query, or has it wait
-// for its request.
+// handle parses a packet into a query whose sender and transport are set. It answers the query at once, or when the
+// response to its request is there.
 func (s *Server) handle(packet []byte, query *pendingQuery) {
 	query.message = &dns.Msg{}
 	err := query.message.Unpack(packet)
@@ -119,7 +119,7 @@
 	return status{}, true
 }
 
-// dispatch answers a query by its name, or has it wait for its request.
+// dispatch answers a query whose name needs no request, and passes on the others.
 func (s *Server) dispatch(query *pendingQuery) {
 	question := &query.message.Question[0]
 	target, err := parseName(question.Name, s.Config.Zone)
--- a/internal/frontend/dns/response.go
+++ b/internal/frontend/dns/response.go
@@ -24,8 +24,8 @@
 // maxTextBytes is what one string of a TXT record holds.
 const maxTextBytes = 255
 
-// answer answers a query by the final response of its request. Whether the endpoint may be named is decided now, not
-// when it served.
+// answer sends the answer to a query by the final response of its request. Whether the endpoint may be named is
+// decided now: it may have begun to drain since it served.
 func (s *Server) answer(query *pendingQuery, final *broker.Response) {
 	switch final.Kind {
 	case broker.ResponseRejected:
@@ -84,7 +84,7 @@
 	s.send(query, message)
 }
 
-// records returns the records that name an endpoint, or nil where it may not be named or has no IPv4 address.
+// records returns the records that name an endpoint, or nil if it may not be named or has no IPv4 address.
 func (s *Server) records(name string, endpoint *broker.Endpoint, address string) (*dns.A, *dns.SRV) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil || endpoint == nil || endpoint.State != policy.Ready || !at.Addr().Unmap().Is4() {
@@ -107,7 +107,7 @@
 // clip cuts a text to what one string of a TXT record holds.
 func clip(text string) string { return text[:min(len(text), maxTextBytes)] }
 
-// sendOverloaded answers a query for which there is no place.
+// sendOverloaded rejects a query because too many are open.
 func (s *Server) sendOverloaded(query *pendingQuery) {
 	s.sendRejection(query, s.RetryAfter.QueriesFull(), "")
 }
@@ -156,7 +156,7 @@
 	return message
 }
 
-// send sends an answer; what is too long for UDP goes out empty and marked, and the client asks again by TCP.
+// send sends an answer. One that is too long for UDP is truncated, and the client repeats its query by TCP.
 func (s *Server) send(query *pendingQuery, message *dns.Msg) {
 	if len(message.Answer) == 0 && (message.Rcode == dns.RcodeSuccess || message.Rcode == dns.RcodeNameError) {
 		message.Ns = append(message.Ns, s.zoneAuthority())
@@ -193,7 +193,7 @@
 	return packet, err
 }
 
-// truncate takes all records off an answer but EDNS's own, and marks it.
+// truncate removes all records but EDNS's own from an answer, and sets its truncated flag.
 func truncate(message *dns.Msg) {
 	opt := message.IsEdns0()
 	message.Answer = nil
--- a/internal/frontend/dns/stream.go
+++ b/internal/frontend/dns/stream.go
@@ -21,7 +21,7 @@
 	closed bool
 }
 
-// Accept takes a new TCP connection in, and returns nil where there is no place for it.
+// Accept returns the handler of a new TCP connection, or nil if the connection limit is reached.
 func (s *Server) Accept(remote net.Addr) eventloop.Handler {
 	accepted := &stream{server: s, from: "tcp " + remote.String()}
 	accepted.client = s.clients.Admit(s.Now(), accepted.close, accepted.unsent)
@@ -32,13 +32,13 @@
 	return accepted
 }
 
-// Opened notes the connection.
+// Opened records the event loop's connection.
 func (c *stream) Opened(conn *eventloop.Conn) { c.conn = conn }
 
-// Closed gives up what the client waited for.
+// Closed cancels what only this client waited for.
 func (c *stream) Closed(*eventloop.Conn, error) { c.close() }
 
-// Received handles the messages that have come completely.
+// Received handles the messages that have arrived completely.
 func (c *stream) Received(conn *eventloop.Conn) {
 	used := c.handleMessages(conn.In)
 	if c.closed {
@@ -79,7 +79,7 @@
 	}
 }
 
-// answered notes that one query has its answer.
+// answered records that one query has its answer.
 func (c *stream) answered() {
 	c.open--
 	c.updateOpen()
@@ -88,7 +88,7 @@
 // updateOpen tells the limiter how much is open: a connection with an open query is not evicted.
 func (c *stream) updateOpen() { c.client.SetOpen(c.server.Now(), c.open) }
 
-// unsent returns how many bytes of the answers the client has not taken.
+// unsent returns how many bytes of answers the operating system has not accepted yet.
 func (c *stream) unsent() int {
 	if c.conn == nil {
 		return 0
@@ -96,8 +96,8 @@
 	return c.conn.Unsent()
 }
 
-// close ends the connection once what was sent is out, and cancels what only this client waited for. A keyed request
-// goes on: its result may be asked for again.
+// close closes the connection once all that was sent is written, and cancels requests that only this client waited
+// for. A keyed request goes on: its result may be requested again.
 func (c *stream) close() {
 	if c.closed {
 		return
@@ -113,7 +113,7 @@
 	}
 }
 
-// removeFrom takes the connection's queries off those that wait for a request.
+// removeFrom removes the connection's queries from those that wait for a request.
 func (c *stream) removeFrom(joined *flight) {
 	others := joined.waiting[:0]
 	for _, query := range joined.waiting {
--- a/internal/frontend/rpc/connection.go
+++ b/internal/frontend/rpc/connection.go
@@ -43,13 +43,13 @@
 	return c
 }
 
-// Opened notes the connection.
+// Opened records the event loop's connection.
 func (c *connection) Opened(conn *eventloop.Conn) { c.conn = conn }
 
 // Closed cancels all that is open.
 func (c *connection) Closed(*eventloop.Conn, error) { c.close() }
 
-// Received handles the messages that have come completely.
+// Received handles the messages that have arrived completely.
 func (c *connection) Received(conn *eventloop.Conn) {
 	c.openLimit.StartRead()
 	now := c.server.Now()
@@ -73,7 +73,7 @@
 		conn.DeferRead()
 		return
 	}
-	// What is left over of a rate-limited connection is complete, as far as is known.
+	// What is left over on a connection that must wait may be complete messages: it is not counted as a partial one.
 	c.client.Received(now, connlimit.Input{Complete: used > 0, Partial: len(conn.In) > 0 && !mustWait})
 	c.updateOpen()
 }
@@ -106,7 +106,7 @@
 	return !c.server.paced.Admit(now, &c.pace)
 }
 
-// rejectUnread rejects the complete requests in data, which were read, so that each is due a response.
+// rejectUnread rejects the complete requests in data: they were read, so each must get a response.
 func (c *connection) rejectUnread(data []byte) {
 	c.rejectAll = true
 	for len(data) > 0 {
@@ -121,7 +121,7 @@
 // updateOpen tells the limiter how much is open: a connection with an open request is not evicted.
 func (c *connection) updateOpen() { c.client.SetOpen(c.server.Now(), len(c.open)) }
 
-// unsent returns how many bytes of the answers the client has not taken.
+// unsent returns how many bytes of responses the operating system has not accepted yet.
 func (c *connection) unsent() int {
 	if c.conn == nil {
 		return 0
@@ -129,7 +129,7 @@
 	return c.conn.Unsent()
 }
 
-// close ends the connection once what was sent is out, and cancels what is open on it.
+// close closes the connection once all that was sent is written, and cancels the requests that are open on it.
 func (c *connection) close() {
 	if c.closed {
 		return
@@ -147,13 +147,13 @@
 	}
 }
 
-// cancel takes back a request that the client does not wait for any more.
+// cancel withdraws a request that the client no longer waits for.
 func (c *connection) cancel(request *broker.Request) {
 	request.Canceled = true
 	c.server.Emit(broker.RequestCanceled{Request: request})
 }
 
-// evict closes the connection of a client that has nothing open, for another client or at the end of its time.
+// evict closes the connection at the limiter's request. Nothing is open on it.
 func (c *connection) evict() {
 	if len(c.open) > 0 {
 		c.server.Monitor.Violated(invariant.NothingOpenAtClose, c.caller.Remote)
@@ -164,8 +164,8 @@
 	}
 }
 
-// failAndClose ends the connection of a client that breaks the protocol. What it requested before was well-formed and
-// is due a response. It is not served, as nobody can tell which answer such a client takes for which.
+// failAndClose ends the connection of a client that violates the protocol. Its open requests were well-formed and
+// must get a response, but are not served: such a client may match responses to the wrong requests.
 func (c *connection) failAndClose() {
 	for _, messageID := range slices.Sorted(maps.Keys(c.open)) {
 		c.sendError(messageID, errorFailed, nil)
--- a/internal/frontend/rpc/frame.go
+++ b/internal/frontend/rpc/frame.go
@@ -17,7 +17,7 @@
 	size      int            // of the whole frame, in bytes
 }
 
-// brokenRequestError is returned for a request that can't be read, but for its message id.
+// brokenRequestError is returned for a malformed request whose message id could be read.
 type brokenRequestError struct {
 	messageID uint32
 	err       error
@@ -39,7 +39,7 @@
 	return fmt.Sprintf("message id %d used twice", e.messageID)
 }
 
-// floodError is returned for one request too many beyond those that may be open.
+// floodError is returned when a client sends too many requests beyond those that may be open.
 type floodError struct {
 	excess int
 }
@@ -49,8 +49,8 @@
 	return fmt.Sprintf("%d requests beyond the %d that may be open", e.excess, maxOpenRequests)
 }
 
-// readFrame cuts one frame off the front of data. With msgpack.ErrShort it has not come completely yet; with any
-// other error the connection can't go on.
+// readFrame reads one frame from the front of data. It returns msgpack.ErrShort for a frame that has not arrived
+// completely; after any other error the connection must be closed.
 func readFrame(data []byte) (frame, error) {
 	reader := msgpack.Reader{Data: data, MaxBytes: maxFrameBytes, ValuesLeft: maxFrameValues}
 	elements := reader.Array()
@@ -66,7 +66,7 @@
 	return frame{}, fmt.Errorf("message of kind %d with %d elements", kind, elements)
 }
 
-// readRequestFrame reads on after the kind of a request.
+// readRequestFrame reads the rest of a request after its kind.
 func readRequestFrame(reader *msgpack.Reader) (frame, error) {
 	id := reader.Uint()
 	if reader.Err != nil {
@@ -83,7 +83,7 @@
 	return request, err
 }
 
-// readBody passes over method and parameters, which end a message.
+// readBody skips method and parameters, the last elements of a message, and records where they are.
 func readBody(reader *msgpack.Reader, head frame) (frame, error) {
 	start := reader.Pos
 	reader.Skip() // the method
@@ -96,8 +96,8 @@
 	return head, nil
 }
 
-// handleMessage handles one message from the front of data and returns its size in bytes. With msgpack.ErrShort it
-// has not come completely yet; with any other error the connection can't go on.
+// handleMessage handles one message from the front of data and returns its size in bytes. It returns msgpack.ErrShort
+// for a message that has not arrived completely; after any other error the connection must be closed.
 func (c *connection) handleMessage(data []byte) (size int, err error) {
 	message, err := readFrame(data)
 	if errors.Is(err, msgpack.ErrShort) {
@@ -118,7 +118,7 @@
 	return message.size, err
 }
 
-// handleRequest answers a request, or hands it to the broker. With an error the connection can't go on.
+// handleRequest answers a request or passes it to the broker. After an error the connection must be closed.
 func (c *connection) handleRequest(message *frame) error {
 	messageID := message.messageID
 	if c.rejectAll {
@@ -155,8 +155,7 @@
 	return nil
 }
 
-// handleNotice cancels the open request that a notice names. A notice is due no answer, and an unknown one does no
-// harm.
+// handleNotice cancels the open request that a notice names. Notices get no answer, and unknown ones are ignored.
 func (c *connection) handleNotice(body *msgpack.Reader) {
 	method := string(body.Text(maxTextBytes))
 	parameters := body.Array()
--- a/internal/frontend/rpc/pacing/pacing.go
+++ b/internal/frontend/rpc/pacing/pacing.go
@@ -92,17 +92,16 @@
 	return longest, now - longest.queuedAt
 }
 
-// TooMuchUnread reports whether so many bytes of one connection may not wait.
+// TooMuchUnread reports whether a connection with so many unread bytes must be closed.
 func (q *Queue[Owner]) TooMuchUnread(bytes int) bool { return bytes > q.limits.MaxUnreadBytes }
 
-// StartRound begins a round: those that wait now get a turn each, as far as the messages of a round go.
+// StartRound begins a round, in which each connection that waits now gets one turn while messages are left.
 func (q *Queue[Owner]) StartRound() {
 	q.turnsLeft = q.waiting.Len()
 	q.messagesLeft = q.limits.MessagesPerRound
 }
 
-// Next ends the turn of the last connection and returns the one whose turn it is now, which waits no longer; nil: the
-// round is over.
+// Next ends the current turn and returns the connection that has the next one, or nil at the end of the round.
 func (q *Queue[Owner]) Next() *Connection[Owner] {
 	q.endTurn()
 	next := q.first()
@@ -117,7 +116,7 @@
 	return next
 }
 
-// endTurn gives back what the last connection did not use of its turn.
+// endTurn returns the unused part of the last turn to the round.
 func (q *Queue[Owner]) endTurn() {
 	if q.current == nil {
 		return
@@ -136,8 +135,9 @@
 	return element.Value.(*Connection[Owner])
 }
 
-// EarliestArrival returns when the next messages may have come at the earliest, where new bytes came at readAt: as
-// long as older ones wait, nobody can tell which of them have been complete since when.
+// EarliestArrival returns the earliest time at which the next messages may have arrived, given that new bytes arrived
+// at readAt. While older messages are unread it is the time of the oldest, since message boundaries are not known
+// yet.
 func (c *Connection[Owner]) EarliestArrival(readAt time.Duration) time.Duration {
 	if c.unreadSince != 0 {
 		return min(readAt, c.unreadSince)
@@ -145,12 +145,12 @@
 	return readAt
 }
 
-// Unread notes that messages are left unread, the first of which may have come at arrival.
+// Unread records that messages are left unread, the first of which may have arrived at arrival.
 func (c *Connection[Owner]) Unread(arrival time.Duration) {
 	if c.unreadSince == 0 {
 		c.unreadSince = arrival
 	}
 }
 
-// AllRead notes that no complete message is left unread.
+// AllRead records that no complete message is left unread.
 func (c *Connection[Owner]) AllRead() { c.unreadSince = 0 }
--- a/internal/frontend/rpc/request.go
+++ b/internal/frontend/rpc/request.go
@@ -150,8 +150,8 @@
 	return len(text) == requestIDDigits
 }
 
-// isWord reports whether a text may stand in a line to an endpoint. An endpoint closes the connection for what it
-// can't read, which costs every other request on it.
+// isWord reports whether a text may be part of a line to an endpoint. An endpoint closes the connection after a line
+// that it can't parse, which fails every other request on it.
 func isWord(text string) bool {
 	for i := range len(text) {
 		c := text[i]
--- a/internal/frontend/rpc/response.go
+++ b/internal/frontend/rpc/response.go
@@ -26,7 +26,7 @@
 
 func (c *connection) sendResponse(messageID uint32, response broker.Response) {
 	if response.Kind == broker.ResponseServed && len(response.Body) > smallBodyBytes && c.server.MemoryShort() {
-		// Clients that do not read hold the memory. A short answer that says so is better than none at all.
+		// Clients that do not read their responses use up the memory. A short error is better than no response.
 		response.Kind = broker.ResponseFailed
 	}
 	switch response.Kind {
@@ -61,7 +61,8 @@
 	c.conn.Send(msgpack.AppendMap(answer, 0))
 }
 
-// sendRejection says that a retry is harmless, when it is welcome, and which budget was used up.
+// sendRejection sends the error for which a retry is harmless, with the Retry-After and the budget that was used up,
+// if there are any.
 func (c *connection) sendRejection(messageID uint32, response broker.Response) {
 	var fields []broker.Field
 	if response.RetryAfter > 0 && c.server.RetryAfter.MayAdvise() {
--- a/internal/frontend/rpc/rpc.go
+++ b/internal/frontend/rpc/rpc.go
@@ -1,8 +1,8 @@
 // Package rpc is the platform's frontend: MessagePack-RPC over TCP. It turns frames into requests of the broker and
-// its responses into frames. Which message of a rate-limited connection is handled when is decided by package pacing,
-// and which idle connection is closed by package connlimit.
+// its responses into frames. Package pacing decides when the messages of a rate-limited connection are handled,
+// package connlimit which connections are closed.
 //
-// The protocol's own words stand in protocol.go alone.
+// Only protocol.go contains the protocol's own names for methods, fields and errors.
 package rpc
 
 import (
@@ -19,7 +19,7 @@
 	"sloequay/internal/retryafter"
 )
 
-// Config is what a Server is made of. All functions are called on the event loop.
+// Config configures a Server. All functions are called on the event loop and must not block.
 type Config struct {
 	Classes        []policy.Class
 	MaxConnections int
@@ -36,7 +36,7 @@
 	Monitor *invariant.Monitor
 }
 
-// Server is all client connections. It belongs to the event loop.
+// Server handles all client connections. All methods must be called on the event loop.
 type Server struct {
 	Config
 
@@ -65,12 +65,12 @@
 // Clients returns the number of connections.
 func (s *Server) Clients() int { return s.clients.Len() }
 
-// Accept takes a new connection in, and returns nil where there is no place for it.
+// Accept returns the handler of a new connection, or nil if the connection limit is reached.
 func (s *Server) Accept(remote net.Addr) eventloop.Handler {
 	return s.AcceptFrom(remote, identity.Caller{Front: "rpc"})
 }
 
-// AcceptFrom is Accept for a caller of whom something is known already.
+// AcceptFrom is Accept for a caller that is identified in part already, such as by a TLS certificate.
 func (s *Server) AcceptFrom(remote net.Addr, caller identity.Caller) eventloop.Handler {
 	if s.Source != nil {
 		if caller.Remote == "" {
@@ -87,18 +87,18 @@
 	return c
 }
 
-// Abandon gives up a handler of Accept whose connection never came to be.
+// Abandon releases a handler from Accept whose connection was never opened.
 func Abandon(handler eventloop.Handler) {
 	if c, ok := handler.(*connection); ok {
 		c.close()
 	}
 }
 
-// CloseIdle closes the connections on which nothing is open, none of an answer is on its way and no request has
-// begun.
+// CloseIdle closes the idle connections: no request is open, no response is unsent and no message is incomplete.
 func (s *Server) CloseIdle() { s.clients.CloseIdle() }
 
-// Tick closes the connections whose time is over, and handles some of the messages of rate-limited ones.
+// Tick closes the connections whose time-out has passed, and handles some messages of rate-limited ones. It must be
+// called periodically.
 func (s *Server) Tick(now time.Duration) {
 	if unfinished := s.clients.Tick(now); unfinished > 0 {
 		s.Log("client-message-timeout", "front", "rpc", "connections", unfinished)
@@ -110,8 +110,7 @@
 	}
 }
 
-// closeTimedOut rejects what rate-limited clients sent that could not be handled in time, and closes their
-// connections.
+// closeTimedOut closes rate-limited connections whose messages could not be handled in time, after rejecting these.
 func (s *Server) closeTimedOut(now time.Duration) {
 	for {
 		timedOut, waited := s.paced.TimedOut(now)
