--- a/internal/identity/audit.go
+++ b/internal/identity/audit.go
@@ -8,9 +8,9 @@
 // auditInterval is how often a subject gets a line.
 const auditInterval = time.Second
 
-// Audit says which decisions get a line in the log, so that a flood of one subject can't hide another's: each subject
-// has a line a second and the count of those that had none. Subjects are bounded; the one that was quiet longest
-// makes way. It is not safe for concurrent use.
+// Audit decides which decisions are logged, so that a flood from one subject can't hide another's: each subject has
+// one line a second, with the number of decisions that were omitted. The number of subjects is bounded; the least
+// recently seen one is evicted. It is not safe for concurrent use.
 type Audit struct {
 	maxSubjects int
 	bySubject   map[string]*list.Element
@@ -23,7 +23,7 @@
 	omitted  int // decisions since then
 }
 
-// NewAudit returns an audit of at most so many subjects.
+// NewAudit returns an audit that remembers at most maxSubjects.
 func NewAudit(maxSubjects int) *Audit {
 	return &Audit{maxSubjects: maxSubjects, bySubject: map[string]*list.Element{}, recent: list.New()}
 }
@@ -47,7 +47,7 @@
 	return omitted, true
 }
 
-// add takes a subject in whose first line is written now.
+// add remembers a subject whose first line is logged now.
 func (a *Audit) add(now time.Duration, subject string) {
 	a.bySubject[subject] = a.recent.PushFront(&auditedSubject{subject: subject, loggedAt: now})
 	if a.recent.Len() > a.maxSubjects {
--- a/internal/identity/authenticator.go
+++ b/internal/identity/authenticator.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// queueFullWait is how long to stay away where all places of those that wait for a signature are taken.
+	// queueFullWait is the Retry-After while too many calls wait for a signature check.
 	queueFullWait = time.Second
-	// idempotencyKeysFullWait is how long to stay away where no more idempotency keys can be remembered.
+	// idempotencyKeysFullWait is the Retry-After while no more idempotency keys can be remembered.
 	idempotencyKeysFullWait = time.Second
 )
 
@@ -48,7 +48,7 @@
 	Data   any           // the user's own
 }
 
-// Outcome is what the authenticator decides of a call.
+// Outcome is the decision about a call.
 type Outcome struct {
 	Call    *Call
 	Reason  Reason
@@ -59,19 +59,20 @@
 	Wait    time.Duration // with Busy and IdempotencyKeysFull: how long to stay away
 }
 
-// SignatureJob is a signature to be checked, by Verify, wherever that does not block the event loop. What Verify
-// returns goes to Authenticator.SignatureChecked.
+// SignatureJob is a signature to be checked by Verify, outside of the event loop. The result of Verify is passed to
+// Authenticator.SignatureChecked.
 type SignatureJob struct {
 	Token string
 	Key   *Key
 	hash  tokenHash
 }
 
-// tokenHash tells tokens apart by their whole text.
+// tokenHash identifies a token by its complete text.
 type tokenHash [sha256.Size]byte
 
-// Authenticator decides who a caller is and whether it may do what it wants. It remembers tokens whose signature
-// holds, and has others checked within budgets, so that a flood of bad ones costs the sender's own connection first.
+// Authenticator identifies callers and decides whether they may do what they request. It caches tokens whose
+// signature was verified, and has others verified within budgets, so that a flood of bad tokens uses up the budget of
+// its sender's connection first.
 //
 // Invariants: at most one SignatureJob is out for a token; what is remembered and what waits is bounded; every Call
 // gets exactly one Outcome. It is not safe for concurrent use.
@@ -125,8 +126,8 @@
 // Waiting returns the number of calls that wait for a signature.
 func (a *Authenticator) Waiting() int { return a.waitingCalls }
 
-// Authenticate takes a call. Either its outcome comes back, or a job whose result decides it, or neither where it
-// waits for a job that is out already.
+// Authenticate starts the decision about a call. It returns the outcome, or a job whose result decides it, or neither
+// if the call waits for a job that was returned before.
 func (a *Authenticator) Authenticate(now time.Duration, call *Call) (*Outcome, *SignatureJob) {
 	a.revoked.Expire(now + a.clockOffset)
 	if call.Token == "" {
@@ -147,7 +148,7 @@
 	return a.startCheck(now, call, hash)
 }
 
-// cachedToken returns a token whose signature was found to hold, by a key that is still there; nil: there is none.
+// cachedToken returns a cached token, or nil. A token whose key is no longer in the key set is removed.
 func (a *Authenticator) cachedToken(hash tokenHash) *verifiedToken {
 	cached := a.cache.get(hash)
 	if cached == nil {
@@ -161,7 +162,7 @@
 	return cached
 }
 
-// decideCached decides about a call with a token whose signature holds.
+// decideCached decides about a call with a cached token.
 func (a *Authenticator) decideCached(now time.Duration, call *Call, cached *verifiedToken) *Outcome {
 	a.Hits++
 	a.cache.touch(cached)
@@ -173,8 +174,8 @@
 
 // startCheck has the signature of an unknown token checked, if its caller's budgets and its header allow it.
 func (a *Authenticator) startCheck(now time.Duration, call *Call, hash tokenHash) (*Outcome, *SignatureJob) {
-	// From here on a token costs more than a look-up, malformed ones too: a connection's budget is charged before
-	// they are read.
+	// From here on a token costs more than a look-up, even if it is malformed: the budgets are charged before it is
+	// parsed.
 	if wait, ok := a.chargeCaller(now, call.Caller); !ok {
 		call.Caller.rejectedForBudget(now)
 		return a.busy(call, wait), nil
@@ -199,8 +200,8 @@
 	return nil, &SignatureJob{Token: call.Token, Key: key, hash: hash}
 }
 
-// checkKey says why a key can't verify a token of an algorithm. A retired key can: a retry of an admitted request may
-// come by it.
+// checkKey returns why a key can't verify a token. A retired key can: its token may belong to a retry of an admitted
+// request.
 func (a *Authenticator) checkKey(now time.Duration, key *Key, id string, algorithm Algorithm) Reason {
 	unix := now + a.clockOffset
 	switch {
@@ -216,8 +217,8 @@
 	return Allowed
 }
 
-// chargeCaller charges one token that is more than a look-up to the caller's connection and to its source. It returns
-// how long to stay away where a budget is used up.
+// chargeCaller charges one token that is not cached to the budgets of the caller's connection and its source. If one
+// is used up it returns the Retry-After.
 func (a *Authenticator) chargeCaller(now time.Duration, caller *Caller) (wait time.Duration, ok bool) {
 	if wait, ok := caller.budget.take(now, a.config.ChecksPerConnection); !ok {
 		return wait, false
@@ -234,7 +235,7 @@
 	return &Outcome{Call: call, Reason: Busy, Rule: noRule, Wait: wait}
 }
 
-// SignatureChecked takes the result of a job, and returns the outcomes of all calls that waited for it.
+// SignatureChecked processes the result of a job and returns the outcomes of all calls that waited for it.
 func (a *Authenticator) SignatureChecked(
 	now time.Duration, job *SignatureJob, claims Claims, reason Reason,
 ) (outcomes []*Outcome) {
@@ -258,8 +259,8 @@
 	return outcomes
 }
 
-// Expire drops what has ended. Of the remembered tokens it looks at the maxTokens that were met longest ago: the
-// others are found as they are met.
+// Expire drops expired entries. Of the cached tokens it examines only the maxTokens least recently used; the others
+// are found when they are used.
 func (a *Authenticator) Expire(now time.Duration, maxTokens int) {
 	a.idempotencyKeys.expire(now)
 	unix := now + a.clockOffset
@@ -267,8 +268,8 @@
 	a.cache.expire(unix-a.config.Policy.Skew, maxTokens)
 }
 
-// decide joins who the caller is, what it may do, and the rule for idempotency keys. claims are those of a token
-// whose signature holds; nil: there is none. reason says whether they hold now.
+// decide combines the caller's identity, its rights and the rule for idempotency keys. claims are those of a verified
+// token, or nil; reason says whether they are valid now.
 func (a *Authenticator) decide(now time.Duration, call *Call, claims *Claims, reason Reason) *Outcome {
 	outcome := &Outcome{Call: call, Reason: reason, Rule: noRule}
 	if claims != nil {
@@ -290,7 +291,8 @@
 	return outcome
 }
 
-// identifyByToken takes the caller's identity from its token, which may be bound to the connection's certificate.
+// identifyByToken sets the caller's identity from its token, and checks that the token is bound to no other
+// certificate than the connection's.
 func identifyByToken(outcome *Outcome, claims *Claims) {
 	outcome.Tenant = claims.Tenant
 	outcome.Subject = claims.Subject
@@ -301,7 +303,8 @@
 	}
 }
 
-// identifyUnsigned takes the identity of a caller without a token from its certificate, or from the rights.
+// identifyUnsigned sets the identity of a caller without a token from its certificate, or from the tenant of unsigned
+// callers.
 func (a *Authenticator) identifyUnsigned(now time.Duration, outcome *Outcome) {
 	caller := outcome.Call.Caller
 	if caller.Tenant != "" {
--- a/internal/identity/caller.go
+++ b/internal/identity/caller.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// pacedAfterRejections is how many calls of a caller are rejected for want of a budget before what it sends is
-	// paced: read a part at a time, when the frontend's own clock ticks, so that a flood costs the loop no rounds.
+	// pacedAfterRejections is how many calls of a caller are rejected for lack of budget before its messages are
+	// paced: handled a few at a time on the frontend's tick, so that a flood causes no rounds of the event loop.
 	pacedAfterRejections = 32
 	maxRejections        = 4 * pacedAfterRejections
 	// rejectionMemory is how long rejections are remembered after the last of them.
@@ -29,8 +29,8 @@
 	proven     bool             // something of it was admitted by a credential
 }
 
-// Paced reports whether what a caller sends is to be read a part at a time: too many of its calls were rejected for
-// want of a budget, or, where nothing of it was admitted by a credential yet, too many of its source's.
+// Paced reports whether the caller's messages must be paced: too many of its calls were rejected for lack of budget,
+// or, until one of its calls has been admitted by a credential, too many of its source's calls.
 func (c *Caller) Paced(now time.Duration) bool {
 	if c.rejections.since(now) >= pacedAfterRejections {
 		return true
@@ -46,13 +46,13 @@
 	}
 }
 
-// admittedByCredential notes that a call was allowed by a token or a certificate.
+// admittedByCredential records that a call was allowed by a token or a certificate.
 func (c *Caller) admittedByCredential() {
 	c.proven = true
 	c.rejections.ease()
 }
 
-// goodSignature notes that a signature of the caller's holds.
+// goodSignature records that a signature of the caller was verified.
 func (c *Caller) goodSignature() {
 	c.budget.raise()
 	if c.Source != nil {
@@ -60,7 +60,7 @@
 	}
 }
 
-// badSignature notes that a signature of the caller's does not hold.
+// badSignature records that a signature of the caller was invalid.
 func (c *Caller) badSignature() {
 	c.budget.lower()
 	if c.Source != nil {
@@ -74,7 +74,7 @@
 	badSignatures int // lately; each lowers the rate
 }
 
-// take takes one token's worth out of the budget, or returns how long to stay away.
+// take charges one check to the budget, or returns the Retry-After.
 func (b *checkBudget) take(now time.Duration, perSecond float64) (wait time.Duration, ok bool) {
 	return b.bucket.take(now, perSecond/float64(1+b.badSignatures))
 }
@@ -94,8 +94,7 @@
 	r.lastAt = now
 }
 
-// since returns the count as it stands. A caller's now may be a little older than the last call's: both are of one
-// round.
+// since returns the count at a time, which may be a little before the last rejection: both are of one round.
 func (r *recentRejections) since(now time.Duration) int {
 	if now-r.lastAt > rejectionMemory {
 		return 0
@@ -103,5 +102,5 @@
 	return r.count
 }
 
-// ease takes a call into account that was allowed.
+// ease lowers the count after a call that was allowed.
 func (r *recentRejections) ease() { r.count = max(0, r.count-1) }
--- a/internal/identity/files/files.go
+++ b/internal/identity/files/files.go
@@ -1,5 +1,5 @@
-// Package files tells when files that operators replace in service may have changed. The system's notices come at
-// once where they come; a poll finds what they miss, such as a folder that was away.
+// Package files watches files that operators replace while the program runs. File system notifications arrive at once
+// but may be lost; polling finds what they miss, such as a folder that did not exist for a while.
 package files
 
 import (
@@ -18,8 +18,8 @@
 	settleTime   = 20 * time.Millisecond // after a notice: a writer may touch several files
 )
 
-// Fingerprint returns a text that changes when one of the files does, as far as size, times and mode tell. A path
-// that is empty or that leads nowhere is passed over.
+// Fingerprint returns a text that changes when the size, modification time or mode of one of the files does. Empty
+// paths and missing files are skipped.
 func Fingerprint(paths ...string) string {
 	fingerprint := ""
 	for _, path := range paths {
@@ -30,9 +30,9 @@
 	return fingerprint
 }
 
-// Watch calls changed whenever fingerprint returns something else than before, within a poll of a second at the
-// latest, until stop is closed. Where changed fails by an error of the system, as EIO, it is called again with the
-// next poll: the files may not change again. Notices come of folders, in which the files are. It blocks.
+// Watch calls changed when fingerprint returns another text than before, at the latest after pollInterval, until stop
+// is closed. If changed returns an error of the operating system, such as EIO, it is called again at the next poll,
+// since the files may not change again. folders are those with the files. Watch blocks.
 func Watch(stop <-chan struct{}, folders []string, fingerprint func() string, changed func() error) {
 	notices := newNotifier(folders)
 	defer notices.close()
@@ -58,13 +58,13 @@
 	}
 }
 
-// isSystemError reports whether an error comes from the system: another attempt may succeed.
+// isSystemError reports whether an error is one of the operating system, so that a retry may succeed.
 func isSystemError(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno)
 }
 
-// notifier gets the system's notices of folders. Where there is no such service its channels are nil.
+// notifier receives file system notifications for folders. If there is no such service its channels are nil.
 type notifier struct {
 	folders []string
 	watcher *fsnotify.Watcher // nil: there is no such service
@@ -80,7 +80,7 @@
 	return &notifier{folders: folders, watcher: watcher, events: watcher.Events, faults: watcher.Errors}
 }
 
-// watchFolders asks for the notices of all folders: one may have been away meanwhile.
+// watchFolders subscribes to all folders again: one may have been deleted and made anew.
 func (n *notifier) watchFolders() {
 	if n.watcher == nil {
 		return
@@ -98,7 +98,7 @@
 	}
 }
 
-// Folders returns the folders of files, each once. Empty paths are passed over.
+// Folders returns the folders of files, each once. Empty paths are skipped.
 func Folders(paths ...string) []string {
 	var folders []string
 	seen := map[string]bool{}
--- a/internal/identity/idempotency.go
+++ b/internal/identity/idempotency.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// IdempotencyKeys remembers who was admitted with which idempotency key, for the key's window. A retry is decided by
-// the authority that admitted the first attempt: it may come after its token has expired, and it may only come from
-// the same subject. What is remembered is bounded; when it is full, new keyed work is rejected, and nothing that is
-// out is forgotten.
+// IdempotencyKeys remembers which subject was admitted with which idempotency key, for the key's window. A retry is
+// admitted by the credentials of the first attempt: its token may have expired meanwhile, but it must come from the
+// same subject. The number of keys is bounded; at the limit new keyed requests are rejected, and no key is evicted
+// within its window.
 //
 // Invariant: between Admit and the end of its window a key belongs to one subject. It is not safe for concurrent use.
 type IdempotencyKeys struct {
@@ -34,7 +34,7 @@
 	Window  time.Duration // how long repeats of the key may come
 }
 
-// NewIdempotencyKeys returns an empty memory for at most so many keys.
+// NewIdempotencyKeys returns an empty set for at most maxKeys keys.
 func NewIdempotencyKeys(maxKeys int) *IdempotencyKeys {
 	return &IdempotencyKeys{maxKeys: maxKeys, byKey: map[string]*admittedKey{}}
 }
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -1,6 +1,7 @@
-// Package identity says who a caller is and what it may do. It does no I/O, asks no clock and starts nothing: keys,
-// tokens and revocations are handed to it, and signatures are checked where its user chooses to (see Authenticator).
+// Package identity identifies callers and decides what they may do. It does no I/O, reads no clock and starts no
+// goroutines: keys, tokens and revocations are passed in, and its user chooses where signatures are verified (see
+// Authenticator).
 //
-// A caller is a subject of a tenant. What a tenant may do stands in its rules: deny beats allow, and what no rule
-// allows is denied. Whatever is denied carries a Reason.
+// A caller is a subject of a tenant. A tenant's rules say what it may do: deny takes precedence over allow, and what
+// no rule allows is denied. Each denial has a Reason.
 package identity
--- a/internal/identity/keydir/keydir.go
+++ b/internal/identity/keydir/keydir.go
@@ -82,7 +82,7 @@
 	return fingerprint
 }
 
-// readFile reads a file that only its owner can write: anyone who can write it can let himself in.
+// readFile reads a file that only its owner can write: others could grant themselves access.
 func readFile(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/identity/keys.go
+++ b/internal/identity/keys.go
@@ -19,7 +19,7 @@
 	ES256 Algorithm = "ES256"
 )
 
-// KeyState is where a key stands between its publication and its end.
+// KeyState is the state of a key in its rotation.
 type KeyState uint8
 
 // The states of a key.
@@ -58,7 +58,7 @@
 	return KeyAccepted
 }
 
-// keyThumbprint tells keys apart by what they are, whatever they are called.
+// keyThumbprint identifies a key by its bytes, independently of its id.
 type keyThumbprint [sha256.Size]byte
 
 // thumbprint returns the key's thumbprint, or an error if it is no public key of its algorithm.
--- a/internal/identity/revocations.go
+++ b/internal/identity/revocations.go
@@ -26,13 +26,14 @@
 	name string
 }
 
-// Revocations is what was revoked, each until the last token that it names has ended. It is bounded: what there is no
-// place for is an error, since a revocation must not be lost in silence. It is not safe for concurrent use.
+// Revocations is a list of revocations, each kept until the last token that it names has expired. It is bounded:
+// adding one to a full list is an error, since a revocation must not be lost silently. It is not safe for concurrent
+// use.
 //
-// Invariant: an entry holds from Add until its time, and nothing is held after it once Expire has run.
+// Invariant: an entry is in force from Add until its time, and is dropped by the first Expire after that.
 type Revocations struct{ entries *expiry.Set[revocation] }
 
-// NewRevocations returns an empty list of at most so many.
+// NewRevocations returns an empty list for at most limit entries.
 func NewRevocations(limit int) *Revocations {
 	return &Revocations{entries: expiry.New[revocation](limit)}
 }
@@ -40,7 +41,7 @@
 // Len returns the number of entries.
 func (r *Revocations) Len() int { return r.entries.Len() }
 
-// Add revokes something until a time. An entry is never shortened.
+// Add adds an entry until a time on the Unix clock. It never shortens an entry.
 func (r *Revocations) Add(kind RevocationKind, name string, until time.Duration) error {
 	if !r.entries.Put(revocation{kind, name}, until) {
 		return fmt.Errorf("%d revocations are held, the most there may be", r.Len())
@@ -64,5 +65,5 @@
 		r.Has(now, RevokedToken, claims.ID)
 }
 
-// Expire drops what has ended, and looks at nothing else. An entry has ended at its time.
+// Expire drops the entries whose time has come, without examining the others.
 func (r *Revocations) Expire(now time.Duration) { r.entries.DropBefore(now + 1) }
--- a/internal/identity/rights.go
+++ b/internal/identity/rights.go
@@ -103,8 +103,8 @@
 	return append(spans, span{from, to}), nil
 }
 
-// covers reports whether a rule speaks of an access. A deny also covers what is not told: a request that hides its
-// group must not pass by a rule that forbids one.
+// covers reports whether a rule applies to an access. A deny also applies where site or group are not known: a
+// request must not evade it by leaving out its group.
 func (r *Rule) covers(access Access) bool {
 	return (slices.Contains(r.Classes, access.Class) || slices.Contains(r.Classes, anyClass)) &&
 		(len(r.Fronts) == 0 || slices.Contains(r.Fronts, access.Front)) &&
@@ -155,7 +155,7 @@
 	}
 }
 
-// Rights is all tenants. It does not change once it is in use: another takes its place.
+// Rights is the rules of all tenants. It is immutable: a change of the settings makes another.
 type Rights struct {
 	tenants  map[string]*Tenant
 	unsigned string // the tenant of callers without a token; empty: they are denied
--- a/internal/identity/source.go
+++ b/internal/identity/source.go
@@ -5,17 +5,17 @@
 	"net/netip"
 )
 
-// Source is where callers come from: an address, or a network of them where one host has as many as it likes. What
-// new connections from there may cost is counted together, so that a client that connects anew gains nothing by it.
+// Source is the origin of callers: an IPv4 address, or an IPv6 network, in which one host can have any number of
+// addresses. All connections of a source share a budget, so that a client gains nothing by reconnecting.
 type Source struct {
 	budget     checkBudget
 	rejections recentRejections // for want of a budget
 }
 
-// Sources remembers the sources that were met last.
+// Sources remembers the most recently seen sources.
 //
-// Invariant: it has at most the number it was made for; the one that was met longest ago makes way. Connections that
-// stand keep theirs.
+// Invariant: there are at most maxSources; the least recently seen one is evicted. Open connections keep their
+// Source.
 type Sources struct {
 	maxSources int
 	byPrefix   map[netip.Prefix]*list.Element
@@ -27,7 +27,7 @@
 	source *Source
 }
 
-// NewSources returns an empty set of at most so many.
+// NewSources returns an empty set for at most maxSources, and one at least.
 func NewSources(maxSources int) *Sources {
 	return &Sources{
 		maxSources: max(1, maxSources),
--- a/internal/identity/tlsclient/tlsclient.go
+++ b/internal/identity/tlsclient/tlsclient.go
@@ -16,7 +16,7 @@
 	"sloequay/internal/identity/files"
 )
 
-// maxSessions is how many far ends a session is remembered of, for a shorter handshake.
+// maxSessions is the number of servers whose TLS session is cached for a shorter handshake.
 const maxSessions = 256
 
 // othersMayUse is the permissions that the file of a key must not give.
@@ -30,7 +30,7 @@
 	Now        func() time.Time // the Unix clock; nil: the system's
 }
 
-// Files returns the files whose change asks for Dialer.Reload.
+// Files returns the files after whose change Dialer.Reload must be called.
 func (c Config) Files() []string { return []string{c.CA, c.Cert, c.Key} }
 
 // Load reads the files, and checks that they fit one another.
@@ -78,7 +78,7 @@
 	return pair, nil
 }
 
-// Dialer makes connections by the files as they were last found sound. It may be used by many goroutines at once.
+// Dialer makes connections with the last valid files. It is safe for concurrent use.
 type Dialer struct {
 	config  Config
 	current atomic.Pointer[tls.Config]
@@ -90,8 +90,8 @@
 	return dialer, dialer.Reload()
 }
 
-// Reload reads the files again. Connections that stand go on; sessions under the old files are not taken up again, so
-// that an authority that is trusted no more is not trusted by one. With a fault the old files stay in force.
+// Reload reads the files again. Open connections continue; cached sessions are dropped, so that none outlives the
+// trust in an authority. On an error the old files stay in force.
 func (d *Dialer) Reload() error {
 	next, err := d.config.Load()
 	if err != nil {
--- a/internal/identity/tlslistener/tlslistener.go
+++ b/internal/identity/tlslistener/tlslistener.go
@@ -1,6 +1,7 @@
-// Package tlslistener takes clients in by TLS 1.3 beside the event loop. Handshakes run on goroutines, bounded in
-// number and time. Decrypted bytes meet the loop by a pair of sockets, so that each side that is slow holds up the
-// other by the kernel's own buffers and nothing grows here. Certificates and authorities change in service.
+// Package tlslistener accepts clients by TLS 1.3 outside of the event loop. Handshakes run on goroutines, bounded in
+// number and time. Decrypted bytes reach the loop through a pair of sockets, so that the kernel's buffers apply
+// back-pressure in both directions and nothing is buffered here. Certificates and authorities can be replaced while
+// it runs.
 package tlslistener
 
 import (
@@ -62,8 +63,8 @@
 	stop       chan struct{}
 }
 
-// Open listens. adopt hands a connection to the loop, and reports whether it was taken; it and log are called from
-// goroutines.
+// Open starts a listener. adopt passes a connection to the event loop and reports whether it was accepted; adopt,
+// identify and log are called on goroutines of the listener.
 func Open(
 	config Config,
 	identify ClientIdentity,
@@ -97,14 +98,14 @@
 	_ = l.socket.Close()
 }
 
-// Reload reads the files again. Handshakes that have begun end by the old ones, and connections that stand go on;
-// with a fault the old ones stay in force.
+// Reload reads the files again. Handshakes that have begun use the old ones, and open connections continue. On an
+// error the old files stay in force.
 func (l *Listener) Reload() error {
 	next, err := Load(l.config)
 	if err != nil {
 		return err
 	}
-	// New keys for tickets: one that was made under other authorities must not stand in for a certificate.
+	// New ticket keys: a ticket that was issued under other authorities must not replace a certificate.
 	next.SetSessionTicketKeys([][32]byte{newTicketKey()})
 	l.tlsConfig.Store(next)
 	return nil
@@ -137,7 +138,7 @@
 	}
 }
 
-// accept takes connections in until the listener is closed.
+// accept accepts connections until the listener is closed.
 func (l *Listener) accept() {
 	for {
 		conn, err := l.socket.Accept()
@@ -157,7 +158,7 @@
 	}
 }
 
-// reserve takes a place for a handshake and one for a connection.
+// reserve reserves one of the places for handshakes and one for connections.
 func (l *Listener) reserve() error {
 	select {
 	case l.handshakes <- struct{}{}:
@@ -172,7 +173,7 @@
 	return nil
 }
 
-// serve shakes hands and then moves bytes both ways until either side ends.
+// serve does the handshake and then copies bytes in both directions until either side ends.
 func (l *Listener) serve(raw net.Conn) {
 	defer l.open.Add(-1)
 	conn := tls.Server(raw, l.tlsConfig.Load())
@@ -197,7 +198,7 @@
 		_ = conn.Close()
 		return
 	}
-	// A client that closes its side takes back what is open; the loop sees that by the end of its own socket.
+	// When the client closes its side, the loop sees the end of its own socket and cancels what is open.
 	bridge.Copy(conn, ours)
 }
 
@@ -219,7 +220,7 @@
 	return caller
 }
 
-// logFault logs what a source did wrong, once in a while for each.
+// logFault logs a failed handshake, rate-limited for each source.
 func (l *Listener) logFault(conn net.Conn, fault error) {
 	host, _, _ := net.SplitHostPort(conn.RemoteAddr().String())
 	if l.faults.shouldLog(time.Now(), host) {
--- a/internal/identity/token.go
+++ b/internal/identity/token.go
@@ -49,7 +49,7 @@
 	} `json:"cnf,omitzero"`
 }
 
-// Policy is what tokens are held to beside their signature.
+// Policy is the requirements on tokens besides a valid signature.
 type Policy struct {
 	Audience    string        // that tokens must be for; empty: any
 	Skew        time.Duration // of the callers' clocks, either way
@@ -81,8 +81,8 @@
 	return id, "", WrongAlgorithm
 }
 
-// Verify checks a token's signature by a key, and reads its claims. It costs what a signature costs, and may run
-// anywhere: it touches nothing but its arguments. Whether the claims hold at a time is Policy.Check's to say.
+// Verify verifies a token's signature with a key and returns its claims. It is expensive, uses nothing but its
+// arguments, and may run on any goroutine. Policy.Check decides whether the claims are valid at a time.
 func Verify(token string, key *Key) (Claims, Reason) {
 	var body tokenBody
 	// The algorithm is the key's, whatever the token says.
@@ -133,12 +133,12 @@
 	return jwt.NewNumericDate(time.Unix(0, int64(sinceEpoch)))
 }
 
-// Check says whether claims hold at a time: their own times and audience, their key, and what was revoked.
+// Check decides whether claims are valid at a time: by their own times and audience, their key and the revocations.
 func (p *Policy) Check(now time.Duration, claims *Claims, keys *Keys, revoked *Revocations) Reason {
 	return p.check(now, claims, keys, revoked, false)
 }
 
-// check is Check; wasValid says that key and token were valid before: a clock that is set back does not undo that.
+// check is Check; wasValid says that key and token were valid before, which setting the clock back must not undo.
 func (p *Policy) check(now time.Duration, claims *Claims, keys *Keys, revoked *Revocations, wasValid bool) Reason {
 	key := keys.Get(claims.KeyID)
 	switch {
@@ -188,7 +188,7 @@
 	return token.SignedString(key)
 }
 
-// ParseUnverified returns what a token says, whether or not its signature holds.
+// ParseUnverified returns a token's header and claims without verifying its signature.
 func ParseUnverified(token string) (header, claims map[string]any, err error) {
 	if len(token) > MaxTokenBytes {
 		return nil, nil, errors.New("the token is too long")
--- a/internal/identity/tokenbucket.go
+++ b/internal/identity/tokenbucket.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// newBucketTokens is what a bucket begins with: a client that connects anew for each burst is to gain nothing by it.
+// newBucketTokens is the initial level: a client must not gain a burst by reconnecting.
 const newBucketTokens = 32
 
-// tokenBucket is a rate limit. It holds what one second brings, and one at least.
+// tokenBucket is a rate limit with a burst of one second's tokens, and one token at least.
 type tokenBucket struct {
 	tokens  float64
 	updated time.Duration // 0: never
 }
 
-// take takes one token, or returns how long it takes until there is one.
+// take takes one token, or returns how long to wait until there is one.
 func (b *tokenBucket) take(now time.Duration, perSecond float64) (wait time.Duration, ok bool) {
 	if b.updated == 0 {
 		b.tokens = min(perSecond, newBucketTokens)
--- a/internal/identity/tokencache.go
+++ b/internal/identity/tokencache.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// verifiedToken is a token whose signature holds.
+// verifiedToken is a token whose signature was verified.
 type verifiedToken struct {
 	hash     tokenHash
 	claims   Claims
@@ -14,9 +14,9 @@
 	element  *list.Element
 }
 
-// tokenCache remembers verified tokens.
+// tokenCache is an LRU cache of verified tokens.
 //
-// Invariant: it has at most maxTokens; the one that was met longest ago makes way.
+// Invariant: there are at most maxTokens; the least recently used one is evicted.
 type tokenCache struct {
 	maxTokens int
 	byHash    map[tokenHash]*verifiedToken
@@ -27,13 +27,13 @@
 	return &tokenCache{maxTokens: maxTokens, byHash: map[tokenHash]*verifiedToken{}, recent: list.New()}
 }
 
-// get returns a token; nil: it is not remembered.
+// get returns a token, or nil if it is not cached.
 func (c *tokenCache) get(hash tokenHash) *verifiedToken { return c.byHash[hash] }
 
-// touch makes a remembered token the one that was met last.
+// touch makes a cached token the most recently used one.
 func (c *tokenCache) touch(token *verifiedToken) { c.recent.MoveToFront(token.element) }
 
-// add remembers a token, unless it is remembered already.
+// add caches a token, unless it is cached already.
 func (c *tokenCache) add(token *verifiedToken) {
 	if c.byHash[token.hash] != nil {
 		return
@@ -45,14 +45,13 @@
 	}
 }
 
-// remove forgets a remembered token.
+// remove removes a cached token.
 func (c *tokenCache) remove(token *verifiedToken) {
 	delete(c.byHash, token.hash)
 	c.recent.Remove(token.element)
 }
 
-// expire looks at the tokens that were met longest ago, at most maxLooks of them, and forgets those that had ended by
-// a time on the Unix clock.
+// expire removes those of the maxLooks least recently used tokens that had expired by a time on the Unix clock.
 func (c *tokenCache) expire(endedBy time.Duration, maxLooks int) {
 	element := c.recent.Back()
 	for ; element != nil && maxLooks > 0; maxLooks-- {
--- a/internal/identity/tsig/tsig.go
+++ b/internal/identity/tsig/tsig.go
@@ -13,13 +13,13 @@
 	"sloequay/internal/identity"
 )
 
-// ErrForm is returned for a TSIG record that stands where none may.
+// ErrForm is returned for a misplaced or malformed TSIG record.
 var ErrForm = errors.New("a TSIG record that is not the last, not the only one, or not of class ANY")
 
 const (
-	// maxTimeSigned is the latest time of a signature, in Unix seconds, that is looked at: it goes into a Duration.
+	// maxTimeSigned is the latest accepted time of a signature, in Unix seconds: as a Duration it does not overflow.
 	maxTimeSigned = 1 << 33
-	// timeGranularity is how exact the times of signatures are.
+	// timeGranularity is the resolution of the times of signatures.
 	timeGranularity = time.Second
 	// recordBytes is at most how long the record of a signature is, without its two names.
 	recordBytes = 160
@@ -34,8 +34,8 @@
 	record *dns.TSIG
 }
 
-// Check looks for a signature on a query; nil: it has none. skew is how far its time may be off, whatever the query
-// says; a query is to be answered alike as often as it comes within it.
+// Check checks the signature of a query; it returns nil if there is none. skew bounds how far its time may be off,
+// whatever the query itself allows. Within that time a replayed query passes, so it must get the same answer.
 func (k *Keys) Check(packet []byte, message *dns.Msg, now, skew time.Duration) (*Signed, error) {
 	if hasMisplacedRecord(message) {
 		return nil, ErrForm
@@ -90,7 +90,7 @@
 // timeSigned returns when the query was signed, on the Unix clock.
 func (s *Signed) timeSigned() time.Duration { return time.Duration(s.record.TimeSigned) * time.Second }
 
-// Caller returns whom the key stands for, as the authenticator knows it.
+// Caller returns the caller that the key identifies.
 func (s *Signed) Caller() *identity.Caller { return &s.key.caller }
 
 // Size returns at most how many bytes Sign adds to a message.
