--- a/internal/policy/restart_test.go
+++ b/internal/policy/restart_test.go
@@ -52,7 +52,7 @@
 		age := float64(sent[last]-list[3].StartedAt) / float64(cfg.WarmupTime)
 		share := cfg.ColdStartShare + (1-cfg.ColdStartShare)*age
 		allowed := cfg.OverloadMultiple * weight * share * cfg.OverloadWindow.Seconds() / cost
-		if got, most := float64(last-first+1), allowed+2*math.Sqrt(allowed)+2; got > most {
+		if got, limit := float64(last-first+1), allowed+2*math.Sqrt(allowed)+2; got > limit {
 			t.Fatalf("%.0f requests within a window, %v after the start, of %.0f that are allowed with the slack",
 				got, sent[last]-list[3].StartedAt, most)
 		}
--- a/internal/route/migration.go
+++ b/internal/route/migration.go
@@ -12,19 +12,19 @@
 	defaultMaxAttempts = 3
 	// maxResultsFactor times MinResults is the number of results at which a window is halved.
 	maxResultsFactor = 64
-	// maxBackoffDoublings bounds the pause after a step back.
+	// maxBackoffDoublings bounds the pause after a rollback of a step.
 	maxBackoffDoublings = 10
 	// faultyToleranceFactor times Tolerance is by how much a faulty pool fails more than the old one.
 	faultyToleranceFactor = 3
 	// maxSoundShare and maxFaultyShare keep the shares of failures, of a sound and of a faulty pool, below 1.
 	maxSoundShare  = 0.98
 	maxFaultyShare = 0.99
-	// noStep is the step of a migration that was taken back from its first one.
+	// noStep is the step of a migration that was rolled back from its first one.
 	noStep = -1
 )
 
 // faultEvidence is the logarithm of how much likelier the results must be by a faulty pool than by a sound one. With
-// it, looking after every result, a sound pool is taken back in one step of a thousand (Wald, Sequential Tests of
+// it, looking after every result, a sound pool is rolled back in one step of a thousand (Wald, Sequential Tests of
 // Statistical Hypotheses, 1945).
 var faultEvidence = math.Log(1000)
 
@@ -43,7 +43,7 @@
 // is not safe for concurrent use.
 //
 // Invariants: the share is one of the steps, or 0; it rises by one step at a time, after the step has stood for Hold
-// with at least MinResults results that speak for it, and falls at once; the pause after the nth step back is Hold
+// with at least MinResults results that speak for it, and falls at once; the pause after the nth rollback is Hold
 // times 2 to the n, so that a pool on the edge does not flap; after MaxAttempts steps back the migration is abandoned.
 type Migration struct {
 	config     MigrationConfig
@@ -61,7 +61,7 @@
 // The phases.
 const (
 	Advancing  Phase = iota // at a step, which is being judged
-	BackingOff              // a step was taken back, and the next attempt is waited for
+	BackingOff              // a step was rolled back, and the next attempt is waited for
 	Completed               // all is in the new pool, and the last step did well
 	Abandoned               // all is in the old pool, for good
 )
