--- a/internal/policy/restart_test.go
+++ b/internal/policy/restart_test.go
@@ -54,7 +54,7 @@
 		allowed := cfg.OverloadMultiple * weight * share * cfg.OverloadWindow.Seconds() / cost
 		if got, limit := float64(last-first+1), allowed+2*math.Sqrt(allowed)+2; got > limit {
 			t.Fatalf("%.0f requests within a window, %v after the start, of %.0f that are allowed with the slack",
-				got, sent[last]-list[3].StartedAt, most)
+				got, sent[last]-list[3].StartedAt, limit)
 		}
 	}
 	if len(sent) < 500 {
