--- a/internal/cli/contracts.go
+++ b/internal/cli/contracts.go
@@ -30,12 +30,12 @@
 			switch {
 			case explained && len(args) != 2:
 				return errors.New("--explain TEAM CLASS")
-			case (show || explained) && o.Control != "":
+			case (show || explained) && o.AdminSocket != "":
 				question := "contracts"
 				if explained {
 					question = strings.Join([]string{"contracts", args[0], args[1], service}, " ")
 				}
-				return admin.Ask(out, o.Control, question)
+				return admin.Query(out, o.AdminSocket, question)
 			case show:
 				return errors.New("the settings have no `control` by which a running doorman could be asked")
 			case explained:
@@ -74,10 +74,10 @@
 		if err != nil {
 			return err
 		}
-		if o.Control == "" {
+		if o.AdminSocket == "" {
 			return errors.New("the settings have no `control` by which a running doorman could be asked")
 		}
-		return admin.Ask(out, o.Control, question)
+		return admin.Query(out, o.AdminSocket, question)
 	}}
 	c.Flags().StringVar(&path, "conf", "", "our settings")
 	return c
--- a/internal/proxy/admin/admin.go
+++ b/internal/proxy/admin/admin.go
@@ -1,5 +1,6 @@
-// Package admin is the operators' socket: a line is asked, the answer is text up to the end of the connection. It is a file of
-// its owner's alone, so that who may read the doorman's settings may ask, and nobody on the network.
+// Package admin is the operators' socket: a command is one line, the answer is text up to the end of the connection.
+// The socket is a file of its owner's alone, so that those who may read the proxy's settings may send commands, and
+// nobody on the network.
 package admin
 
 import (
@@ -14,78 +15,104 @@
 )
 
 const (
-	most  = 4    // connections at once
-	word  = 1024 // bytes of a question
-	limit = 2 * time.Second
+	maxConnections = 4
+	// maxCommandSize is in bytes, the end of the line included.
+	maxCommandSize = 1024
+	// timeout bounds one exchange; who asks waits for twice as long.
+	timeout = 2 * time.Second
+	// ownerOnly is the umask by which the socket is its owner's alone.
+	ownerOnly = 0o177
+	// errorPrefix marks an answer that says why there is none.
+	errorPrefix = "error: "
 )
 
-// Listen opens the socket and answers beside the caller, until the program ends. answer gets a question's words on a goroutine of its
-// own, and puts the answer on the channel in its own time.
-func Listen(path string, answer func(words []string, to chan<- string)) error {
-	// What a killed doorman left is in the way; one that answers is in use.
-	if conn, err := net.DialTimeout("unix", path, limit); err == nil {
-		_ = conn.Close()
-		return errors.New("another process answers there")
-	} else if info, err2 := os.Lstat(path); err2 == nil && info.Mode()&os.ModeSocket != 0 && errors.Is(err, syscall.ECONNREFUSED) {
-		_ = os.Remove(path)
+// ErrInUse says that another process answers on the socket.
+var ErrInUse = errors.New("another process answers there")
+
+// Handler gets the words of a command on a goroutine of its own, and sends the answer, without blocking, when it has
+// it.
+type Handler func(words []string, answer chan<- string)
+
+// Listen opens the socket and answers beside the caller, until the process ends.
+func Listen(path string, handler Handler) error {
+	if err := removeStale(path); err != nil {
+		return err
 	}
-	old := syscall.Umask(0o177)
-	ln, err := net.Listen("unix", path)
-	syscall.Umask(old)
+	previous := syscall.Umask(ownerOnly)
+	listener, err := net.Listen("unix", path)
+	syscall.Umask(previous)
 	if err != nil {
 		return err
 	}
-	places := make(chan struct{}, most)
-	go func() {
-		for {
-			conn, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			select {
-			case places <- struct{}{}:
-				go func() {
-					defer func() { <-places }()
-					serve(conn, answer)
-				}()
-			default:
-				_ = conn.Close()
-			}
-		}
-	}()
+	go accept(listener, handler)
+	return nil
+}
+
+// removeStale removes the socket of a process that was killed.
+func removeStale(path string) error {
+	conn, dialErr := net.DialTimeout("unix", path, timeout)
+	if dialErr == nil {
+		_ = conn.Close()
+		return ErrInUse
+	}
+	info, err := os.Lstat(path)
+	if err == nil && info.Mode()&os.ModeSocket != 0 && errors.Is(dialErr, syscall.ECONNREFUSED) {
+		_ = os.Remove(path)
+	}
 	return nil
 }
 
-func serve(conn net.Conn, answer func([]string, chan<- string)) {
+// accept serves connections, and closes at once those beyond maxConnections.
+func accept(listener net.Listener, handler Handler) {
+	slots := make(chan struct{}, maxConnections)
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		select {
+		case slots <- struct{}{}:
+			go func() {
+				defer func() { <-slots }()
+				serve(conn, handler)
+			}()
+		default:
+			_ = conn.Close()
+		}
+	}
+}
+
+func serve(conn net.Conn, handler Handler) {
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(limit))
-	line, err := bufio.NewReader(io.LimitReader(conn, word)).ReadString('\n')
+	_ = conn.SetDeadline(time.Now().Add(timeout))
+	line, err := bufio.NewReader(io.LimitReader(conn, maxCommandSize)).ReadString('\n')
 	if err != nil {
 		return
 	}
-	to := make(chan string, 1)
-	answer(strings.Fields(line), to)
+	answer := make(chan string, 1) // so that an answer after the time-out blocks nobody
+	handler(strings.Fields(line), answer)
 	select {
-	case text := <-to:
+	case text := <-answer:
 		_, _ = io.WriteString(conn, text)
-	case <-time.After(limit):
+	case <-time.After(timeout):
 	}
 }
 
-// Ask puts a question to a running doorman, and writes its answer.
-func Ask(out io.Writer, path, question string) error {
-	conn, err := net.DialTimeout("unix", path, limit)
+// Query sends a command to a running proxy, and writes its answer to out. An answer that says why there is none
+// becomes the error.
+func Query(out io.Writer, path, command string) error {
+	conn, err := net.DialTimeout("unix", path, timeout)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(2 * limit))
-	if _, err := io.WriteString(conn, question+"\n"); err != nil {
+	_ = conn.SetDeadline(time.Now().Add(2 * timeout))
+	if _, err := io.WriteString(conn, command+"\n"); err != nil {
 		return err
 	}
 	text, err := io.ReadAll(conn)
-	if message, failed := strings.CutPrefix(string(text), "error: "); failed {
-		return errors.New(strings.TrimSpace(message))
+	if reason, failed := strings.CutPrefix(string(text), errorPrefix); failed {
+		return errors.New(strings.TrimSpace(reason))
 	}
 	_, _ = out.Write(text)
 	return err
--- /dev/null
+++ b/internal/proxy/admin_socket.go
@@ -0,0 +1,122 @@
+package proxy
+
+import (
+	"fmt"
+	"io"
+	"strings"
+	"time"
+
+	"sloequay/internal/proxy/admin"
+	"sloequay/internal/quota"
+)
+
+// maxTenantsShown is how many tenants are shown, the busiest first.
+const maxTenantsShown = 50
+
+// The answers to commands that cannot be carried out.
+const (
+	usageText          = "error: the questions are: state; peers; contracts; contracts TEAM CLASS [SERVICE]\n"
+	contractsUsageText = "error: contracts TEAM CLASS [SERVICE]\n"
+	noContractsText    = "error: no contracts are in force\n"
+	noFleetText        = "error: there is no list service that peers could spare\n"
+)
+
+// openAdminSocket opens the operators' socket. It hands commands to the loop, and waits there for the answers.
+func (s *server) openAdminSocket(path string) {
+	err := admin.Listen(path, func(words []string, answer chan<- string) {
+		s.loop.Post(func() { answer <- s.answerCommand(words) })
+	})
+	if err != nil {
+		s.log.Event("admin-socket-failed", "path", path, "error", err)
+	}
+}
+
+// answerCommand returns the answer to an operator's command.
+func (s *server) answerCommand(words []string) string {
+	var out strings.Builder
+	switch {
+	case len(words) == 1 && words[0] == "state":
+		s.writeState(&out)
+	case len(words) == 1 && words[0] == "peers":
+		if s.sources.fleet == nil {
+			return noFleetText
+		}
+		s.sources.fleet.writeStatus(&out)
+	case len(words) == 0 || words[0] != "contracts":
+		return usageText
+	case s.quotas == nil:
+		return noContractsText
+	case len(words) == 1:
+		s.writeUsage(&out)
+	case len(words) >= 3:
+		service := ""
+		if len(words) > 3 {
+			service = words[3]
+		}
+		Explain(&out, s.quotas, s.clock.Monotonic(), words[1], words[2], service)
+	default:
+		return contractsUsageText
+	}
+	return out.String()
+}
+
+// writeState prints how much this proxy holds, a kind a line. All of it must come back to what it was once a fault is
+// over.
+func (s *server) writeState(out io.Writer) {
+	fmt.Fprintf(out, "clients %d\nviolations %d\n", s.frontend.Clients(), s.monitor.Violations())
+	for i, pool := range s.pools {
+		held, sent := pool.broker.Sizes(), pool.connections.Sizes()
+		for _, line := range []struct {
+			kind  string
+			count int
+		}{
+			{"open", held.Open},
+			{"module", held.PolicyRequests},
+			{"timers", held.Timers},
+			{"boxes", held.Endpoints},
+			{"gone", held.GoneEndpoints},
+			{"purges", held.Purges},
+			{"spoken-to", sent.Endpoints},
+			{"connections", sent.Connections},
+			{"sent", sent.Open},
+			{"given-up", sent.Canceled},
+		} {
+			fmt.Fprintf(out, "pool.%d.%s %d\n", i, line.kind, line.count)
+		}
+	}
+}
+
+// writeUsage prints what the busiest tenants use of their budgets.
+func (s *server) writeUsage(out io.Writer) {
+	now := s.clock.Monotonic()
+	tenants, total := s.quotas.BusiestTenants(now, maxTenantsShown)
+	fmt.Fprintf(out, "version %d, %d open, %d of %d tenants in use shown\n",
+		s.quotas.Version, s.quotas.InFlight(), len(tenants), total)
+	if limit := s.quotas.ConcurrencyLimit(); limit != nil {
+		fmt.Fprintf(out, "capacity %.0f open, as learned; %d are\n", limit.Value(), limit.Open())
+	}
+	usages := s.quotas.InstallationUsage(now)
+	for _, tenant := range tenants {
+		usages = append(usages, tenant.Usages...)
+	}
+	_ = quota.WriteTable(out, usages)
+	for _, tenant := range tenants {
+		if tenant.InFlight > 0 {
+			fmt.Fprintf(out, "%s has %d open\n", tenant.Node, tenant.InFlight)
+		}
+	}
+}
+
+// Explain prints which budgets apply to a request, the nearest first, and what is left.
+func Explain(out io.Writer, quotas *quota.Ledger, now time.Duration, team, class, service string) {
+	usages, refusal := quotas.Explain(now, team, service, class)
+	if refusal != nil {
+		fmt.Fprintln(out, "refused:", refusal)
+		return
+	}
+	if len(usages) == 0 {
+		fmt.Fprintln(out, "no budget applies")
+		return
+	}
+	_ = quota.WriteTable(out, usages)
+}
--- /dev/null
+++ b/internal/proxy/descriptors/descriptors_test.go
@@ -0,0 +1,68 @@
+package descriptors
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+func TestPlan(t *testing.T) {
+	for _, c := range []struct {
+		demand Demand
+		want   Split
+	}{
+		{Demand{Total: 1024}, Split{RPC: 512, Endpoints: 488}},
+		{Demand{Total: 1024, DNS: true}, Split{RPC: 384, DNS: 128, Endpoints: 488}},
+		{Demand{Total: 1024, MaxTLSConnections: 64}, Split{RPC: 384, TLS: 64, Endpoints: 488}},
+		{Demand{Total: 1024, MaxTLSConnections: 100_000}, Split{RPC: 256, TLS: 128, Endpoints: 488}},
+		{Demand{Total: 1024, DNS: true, MaxTLSConnections: 100_000},
+			Split{RPC: 192, DNS: 128, TLS: 96, Endpoints: 488}},
+		{Demand{Total: 32, DNS: true, MaxTLSConnections: 64}, Split{RPC: 6, DNS: 4, TLS: 3, Endpoints: -8}},
+		{Demand{Total: 33}, Split{RPC: 16, Endpoints: -7}},
+	} {
+		if got := Plan(c.demand); got != c.want {
+			t.Errorf("%+v: got %+v, want %+v", c.demand, got, c.want)
+		}
+	}
+}
+
+func TestMaxConnections(t *testing.T) {
+	for _, c := range []struct {
+		endpoints int
+		share     float64
+		security  Security
+		want      int
+	}{
+		{488, 1, Plain, 488},
+		{488, 0.25, Plain, 122},
+		{488, 1, TLS, 162},
+		{488, 0.001, Plain, 1},
+		{488, 0.005, TLS, 1},
+		{-8, 1, Plain, 1},
+		{-8, 1, TLS, 1},
+	} {
+		split := Split{Endpoints: c.endpoints}
+		if got := split.MaxConnections(c.share, c.security); got != c.want {
+			t.Errorf("share %g of %d, security %d: got %d, want %d", c.share, c.endpoints, c.security, got, c.want)
+		}
+	}
+}
+
+// TestPlanNeverExceedsTheTotal: all descriptors that the parts may take together are there.
+func TestPlanNeverExceedsTheTotal(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		demand := Demand{
+			Total:             rapid.IntRange(2*ownDescriptors, 1<<20).Draw(t, "total"),
+			DNS:               rapid.Bool().Draw(t, "dns"),
+			MaxTLSConnections: rapid.IntRange(0, 100_000).Draw(t, "tls"),
+		}
+		split := Plan(demand)
+		used := split.RPC + split.DNS + tlsExtra*split.TLS + split.Endpoints + ownDescriptors
+		if used != demand.Total {
+			t.Fatalf("%+v uses %d of %d", split, used, demand.Total)
+		}
+		if min(split.RPC, split.DNS, split.TLS, split.Endpoints) < 0 || split.TLS > demand.MaxTLSConnections {
+			t.Fatalf("%+v of %+v", split, demand)
+		}
+	})
+}
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -26,10 +26,10 @@
 // running proxy.
 func PrintEndpoints(out io.Writer, plan *Plan, options EndpointsOptions) error {
 	poll := &endpointsPoll{plan: plan}
-	if plan.own.usesListWatch {
+	if plan.settings.usesListWatch {
 		poll.fetchWatched(options.Wait)
 	}
-	if plan.own.Catalogue != nil {
+	if plan.settings.Catalogue != nil {
 		ctx, cancel := context.WithTimeout(context.Background(), options.Wait)
 		defer cancel()
 		if err := poll.fetchCatalogue(ctx); err != nil {
@@ -88,7 +88,7 @@
 func (p *endpointsPoll) fetchWatched(wait time.Duration) {
 	plan := p.plan
 	p.apply(plan.initialEvents...)
-	address := plan.settings.ListAddress
+	address := plan.platform.ListAddress
 	if address == "" {
 		return
 	}
@@ -104,11 +104,11 @@
 func (p *endpointsPoll) fetchCatalogue(ctx context.Context) error {
 	plan := p.plan
 	catalogue := &consul.Catalogue{
-		Config:      plan.own.Catalogue,
+		Config:      plan.settings.Catalogue,
 		Names:       plan.decoder.Names,
 		FirstSource: plan.firstCatalogueSource,
 		Now:         plan.clock.Monotonic,
-		Seed:        plan.settings.Seed,
+		Seed:        plan.platform.Seed,
 		Publish:     p.apply,
 		Log: func(event string, fields ...any) {
 			p.remark(strings.TrimSpace(event + " " + fmt.Sprintln(fields...)))
@@ -126,13 +126,7 @@
 func (p *endpointsPoll) catalogueAnswered() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	sources := p.plan.members.Sources()
-	for i := range p.plan.own.Catalogue.Services {
-		if sources[p.plan.firstCatalogueSource+i].LastSeen == 0 {
-			return false
-		}
-	}
-	return true
+	return p.plan.catalogueSeen()
 }
 
 // writeEndpoints prints sources and endpoints as tables.
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -41,45 +41,53 @@
 
 // newFleet opens the transport and makes the machine.
 func newFleet(s *sources) *fleet {
-	f := &fleet{server: s.server}
-	p := f.server.plan
-	f.pending = make([]*membership.List, len(p.own.Catalogue.Services))
-	config := f.machineConfig()
-	if p.own.Peers != nil {
-		opened, err := transport.Open(*p.own.Peers, transport.Identity{
-			Name:        config.Name,
-			Zone:        config.Zone,
-			Program:     programVersion(),
-			Incarnation: config.Incarnation,
-			Fleet:       config.Fleet,
-			Bind:        p.own.from(),
-		}, f)
-		if err != nil {
-			// Peers help but are not needed: without them the proxy polls by itself.
-			f.server.log.Event("peer-transport-failed", "error", err)
-		}
-		config.Peers = err == nil
-		f.transport = opened
+	settings := s.server.plan.settings
+	created := &fleet{
+		server:  s.server,
+		pending: make([]*membership.List, len(settings.Catalogue.Services)),
+	}
+	config := created.machineConfig()
+	if settings.Peers != nil {
+		config.Peers = created.openTransport(config)
+	}
+	created.machine = bootstrap.New(created.now(), config)
+	return created
+}
+
+// openTransport opens the transport to the peers, and reports whether it could. Peers help but are not needed: without
+// them the proxy polls by itself.
+func (f *fleet) openTransport(config bootstrap.Config) bool {
+	settings := f.server.plan.settings
+	opened, err := transport.Open(*settings.Peers, transport.Identity{
+		Name:        config.Name,
+		Zone:        config.Zone,
+		Program:     programVersion(),
+		Incarnation: config.Incarnation,
+		Fleet:       config.Fleet,
+		Bind:        settings.bindAddress(),
+	}, f)
+	if err != nil {
+		f.server.log.Event("peer-transport-failed", "error", err)
 	}
-	f.machine = bootstrap.New(f.now(), config)
-	return f
+	f.transport = opened
+	return err == nil
 }
 
-// machineConfig combines the proxy's settings, the platform's and those of the block for peers.
+// machineConfig combines the platform's settings with those of the block for peers.
 func (f *fleet) machineConfig() bootstrap.Config {
-	p := f.server.plan
-	platform := p.settings.Control
+	plan := f.server.plan
+	control := plan.platform.Control
 	config := bootstrap.Config{
-		Name:        p.settings.Name,
+		Name:        plan.platform.Name,
 		Incarnation: rand.Uint64(),
-		Lists:       len(p.own.Catalogue.Services),
-		Fleet:       platform.Instances,
-		Seed:        p.settings.Seed,
+		Lists:       len(plan.settings.Catalogue.Services),
+		Fleet:       control.Instances,
+		Seed:        plan.platform.Seed,
 	}
-	if platform.Zone < len(platform.ZoneNames) {
-		config.Zone = platform.ZoneNames[platform.Zone]
+	if control.Zone < len(control.ZoneNames) {
+		config.Zone = control.ZoneNames[control.Zone]
 	}
-	if peers := p.own.Peers; peers != nil {
+	if peers := plan.settings.Peers; peers != nil {
 		config.Pollers = peers.Pollers
 		if peers.Fleet > 0 {
 			config.Fleet = peers.Fleet
@@ -214,7 +222,7 @@
 		case bootstrap.Adopt:
 			f.adopt(effect)
 		case bootstrap.SourceStatus:
-			f.server.emit(broker.SourceStatus{Source: f.source(effect.List), Silent: effect.Silent})
+			f.server.publish(broker.SourceStatus{Source: f.source(effect.List), Silent: effect.Silent})
 		case bootstrap.LogEntry:
 			f.logEntry(effect)
 		}
@@ -249,10 +257,10 @@
 	if len(adopted.Endpoints) > maxPartEndpoints {
 		for part := range slices.Chunk(adopted.Endpoints, maxPartEndpoints) {
 			list := membership.List{Version: adopted.Version, Endpoints: part, Part: true}
-			f.server.emit(broker.EndpointList{Source: source, List: list})
+			f.server.publish(broker.EndpointList{Source: source, List: list})
 		}
 	}
-	f.server.emit(broker.EndpointList{Source: source, List: membership.List{
+	f.server.publish(broker.EndpointList{Source: source, List: membership.List{
 		Version:    adopted.Version,
 		Endpoints:  adopted.Endpoints,
 		Confirms:   !adopted.Hint, // a quorum of peers has confirmed it, even where it lacks many endpoints
@@ -271,7 +279,9 @@
 	f.server.log.Event("bootstrap", fields...)
 }
 
-func (f *fleet) serviceName(list int) string { return f.server.plan.own.Catalogue.Services[list].Name }
+func (f *fleet) serviceName(list int) string {
+	return f.server.plan.settings.Catalogue.Services[list].Name
+}
 
 // announceShutdown tells the other members that this proxy leaves. It does not wait.
 func (f *fleet) announceShutdown() {
--- a/internal/proxy/layout_test.go
+++ b/internal/proxy/layout_test.go
@@ -11,7 +11,7 @@
 var belowTheLoop = []string{
 	"bootstrap", "broker", "clock", "concurrency", "config", "invalidation", "membership", "peer", "policy", "quota",
 	"retry", "route", "shutdown", "snapshot", "membership/consul/blockingquery", "membership/consul/health",
-	"membership/consul/registrar",
+	"membership/consul/registrar", "proxy/readiness", "proxy/deferral", "proxy/descriptors",
 }
 
 // TestArrowsGoDown: what stands below the event loop imports nothing that stands above, not by way of others either,
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -9,15 +9,16 @@
 	"sloequay/internal/membership"
 	"sloequay/internal/membership/listwatch"
 	"sloequay/internal/platformconfig"
+	"sloequay/internal/proxy/descriptors"
 )
 
-// Plan is what Serve runs by.
+// Plan is all that Serve runs by: the platform's configuration, our settings, and what both come to.
 type Plan struct {
 	clock                *clock.System
-	settings             *platformconfig.Settings
-	own                  *Settings
+	platform             *platformconfig.Settings
+	settings             *Settings
 	members              *membership.Table
-	firstCatalogueSource int // the place in members of the catalogue's first service
+	firstCatalogueSource int // the index in members of the catalogue's first service
 	decoder              listwatch.Decoder
 	initialEvents        []membership.SourceEvent // of the endpoint list watch, as the platform's settings have them
 	lastInitialEvent     int64                    // the number of the last of them
@@ -25,50 +26,64 @@
 	reload               func() (*Plan, error) // reads all files anew
 }
 
-// Print writes our settings in force, defaults marked.
-func (p *Plan) Print(out io.Writer) error { return p.own.Section.Print(out) }
+// Print writes our settings in force, with defaults marked.
+func (p *Plan) Print(out io.Writer) error { return p.settings.Section.Print(out) }
 
 // String says in a line what was read.
 func (p *Plan) String() string {
 	return fmt.Sprintf("the configuration of %s is sound: %d classes, %d boxes known",
-		p.settings.Name, len(p.settings.Control.Classes), p.initialEndpointCount)
+		p.platform.Name, len(p.platform.Control.Classes), p.initialEndpointCount)
 }
 
-// Load reads and checks all files: the platform's configuration and our settings, of which the second may be empty.
-func Load(system *clock.System, config, conf string) (*Plan, error) {
-	if config == "" {
+// Load reads and checks all files: the platform's configuration, and our settings, which may be left out.
+func Load(system *clock.System, configPath, settingsPath string) (*Plan, error) {
+	if configPath == "" {
 		return nil, errors.New("no configuration: set BALANCER_CONFIG or --config")
 	}
-	p := &Plan{clock: system, reload: func() (*Plan, error) { return Load(system, config, conf) }}
-	var err error
-	if p.settings, err = platformconfig.Load(config); err != nil {
+	platform, err := platformconfig.Load(configPath)
+	if err != nil {
 		return nil, err
 	}
-	if p.own, err = ReadSettings(system, conf); err != nil {
+	settings, err := ReadSettings(system, settingsPath)
+	if err != nil {
 		return nil, err
 	}
-	if p.own.UpstreamTLS != nil {
-		if err := p.own.UpstreamTLS.check(p.settings.Control.ZoneNames); err != nil {
-			return nil, err
-		}
+	p := &Plan{
+		clock:    system,
+		platform: platform,
+		settings: settings,
+		reload:   func() (*Plan, error) { return Load(system, configPath, settingsPath) },
 	}
-	if p.own.Services != nil {
-		if p.own.Snapshot != nil {
-			return nil, errors.New("services: a snapshot is of one pool; leave out one of the two blocks")
-		}
-		if _, err := p.own.Services.table(0, p.settings.Control.ZoneNames, p.settings.Control.KindNames); err != nil {
-			return nil, err
-		}
+	if err := p.validate(); err != nil {
+		return nil, err
 	}
 	return p, p.decode()
 }
 
+// validate checks our settings against the platform's configuration.
+func (p *Plan) validate() error {
+	control := p.platform.Control
+	if p.settings.UpstreamTLS != nil {
+		if err := p.settings.UpstreamTLS.checkZones(control.ZoneNames); err != nil {
+			return err
+		}
+	}
+	if p.settings.Services == nil {
+		return nil
+	}
+	if p.settings.Snapshot != nil {
+		return errors.New("services: a snapshot is of one pool; leave out one of the two blocks")
+	}
+	_, err := p.settings.Services.table(0, control.ZoneNames, control.KindNames)
+	return err
+}
+
 // decode reads the initial events, so that `sloequay check` finds faults in them too.
 func (p *Plan) decode() error {
-	control := p.settings.Control
-	p.members, p.decoder.Source, p.firstCatalogueSource = p.own.members()
+	control := p.platform.Control
+	p.members, p.decoder.Source, p.firstCatalogueSource = p.settings.membershipTable()
 	p.decoder.Names = membership.Names{Zones: control.ZoneNames, Kinds: control.KindNames}
-	last, events, err := p.decoder.DecodeInitial(p.settings.InitialList)
+	last, events, err := p.decoder.DecodeInitial(p.platform.InitialList)
 	if err != nil {
 		return err
 	}
@@ -77,3 +92,12 @@
 	p.initialEndpointCount = listwatch.CountEndpoints(events)
 	return nil
 }
+
+// descriptorDemand returns who shares the file descriptors.
+func (p *Plan) descriptorDemand() descriptors.Demand {
+	demand := descriptors.Demand{Total: p.platform.Sockets, DNS: p.settings.DNS != nil}
+	if identity := p.settings.Identity; identity != nil && identity.tls != nil {
+		demand.MaxTLSConnections = identity.tls.MaxConnections
+	}
+	return demand
+}
--- /dev/null
+++ b/internal/proxy/ready.go
@@ -0,0 +1,45 @@
+package proxy
+
+import (
+	"sloequay/internal/proxy/readiness"
+)
+
+// newStartup returns the startup of a proxy. Only one whose endpoints come from a catalogue has to wait for them.
+func newStartup(plan *Plan) readiness.Startup {
+	if plan.settings.Catalogue == nil {
+		return readiness.CompleteStartup()
+	}
+	return readiness.NewStartup(plan.platform.Control.Instances)
+}
+
+// isReady reports whether this proxy wants new clients.
+func (s *server) isReady() bool {
+	if s.shutdown.Begun() {
+		return false
+	}
+	if s.startup.Complete() {
+		return true
+	}
+	return s.startup.Observe(s.clock.Uptime(), s.sources.observed())
+}
+
+// observed returns what is known of the sources of endpoints.
+func (s *sources) observed() readiness.Sources {
+	observed := readiness.Sources{AllSeen: s.server.plan.catalogueSeen(), Restored: s.restored}
+	if s.fleet.transport != nil {
+		observed.HasPeers = true
+		observed.PeersAgree = s.fleet.machine.Ready()
+	}
+	return observed
+}
+
+// catalogueSeen reports whether each service of the catalogue has answered or was in the snapshot.
+func (p *Plan) catalogueSeen() bool {
+	sources := p.members.Sources()
+	for i := range p.settings.Catalogue.Services {
+		if sources[p.firstCatalogueSource+i].LastSeen == 0 {
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/proxy/reload.go
@@ -0,0 +1,20 @@
+package proxy
+
+// reload takes over what may change while the proxy runs. Files with a fault change nothing: operators replace files
+// under load, and the proxy must survive their mistakes.
+func (s *server) reload(next *Plan, err error) {
+	if err != nil {
+		s.log.Event("reload-failed", "error", err)
+		return
+	}
+	listWatch := s.sources.listWatch
+	listWatch.SwitchTo(next.platform.ListAddress)
+	if contracts := next.settings.Contracts; s.quotas != nil && contracts != nil {
+		s.quotas.Renew(s.clock.Monotonic(), contracts.Root.Share(contracts.Instances))
+		s.limitRetries(contracts)
+		s.log.Event("contracts-reloaded", "version", s.quotas.Version, "teams", len(contracts.Root.Children),
+			"open", s.quotas.InFlight())
+	}
+	s.log.Event("reloaded", "bulletin", next.platform.ListAddress, "after", listWatch.LastEvent)
+	s.loop.RequestRound()
+}
--- /dev/null
+++ b/internal/proxy/shutdown.go
@@ -0,0 +1,52 @@
+package proxy
+
+import (
+	"time"
+
+	"sloequay/internal/broker"
+	"sloequay/internal/shutdown"
+)
+
+// beginShutdown has the status say that this proxy is not ready, and goes on serving what is open or still comes.
+func (s *server) beginShutdown() {
+	if !s.shutdown.Begin(s.clock.Monotonic()) {
+		return
+	}
+	s.sources.beginShutdown() // first, so that clients look elsewhere
+	s.log.Event("draining", "open", s.openRequests())
+	s.loop.RequestRound()
+}
+
+// stepShutdown does what the shutdown needs next.
+func (s *server) stepShutdown(now time.Duration) {
+	load := shutdown.Load{
+		Open:    s.openRequests(),
+		Clients: s.frontend.Clients() + s.loop.PendingAccepts(),
+		Unsent:  s.loop.UnsentBytes(),
+		Blocked: !s.sources.shutdownDone(),
+	}
+	if s.dns != nil {
+		load.Clients += s.dns.Clients()
+	}
+	switch s.shutdown.Step(now, load) {
+	case shutdown.CloseIdle:
+		s.closeIdle()
+	case shutdown.FailInFlight:
+		for _, pool := range s.pools {
+			pool.publish(broker.FailInFlight{})
+		}
+		s.loop.RequestRound()
+	case shutdown.Exit:
+		s.stopped = true
+		s.log.Event("stopped", "open", load.Open, "clients", load.Clients, "unsent", load.Unsent)
+		s.loop.Stop()
+	}
+}
+
+// closeIdle closes the connections of clients without an open request.
+func (s *server) closeIdle() {
+	s.frontend.CloseIdle()
+	if s.dns != nil {
+		s.dns.CloseIdle()
+	}
+}
--- a/internal/proxy/signals.go
+++ b/internal/proxy/signals.go
@@ -6,34 +6,37 @@
 	"syscall"
 )
 
-// Signals receives the signals that the proxy heeds. The end and the reloads have channels of their own, each with
-// room for one: what comes while one waits says nothing new, and no number of reloads keeps the end out.
+// Signals receives the signals that the proxy handles. The shutdown and reloads have channels of their own, each with
+// room for one: a signal that comes while another waits says nothing new, and no number of reloads delays the
+// shutdown.
 type Signals struct {
-	end    chan os.Signal // SIGTERM, SIGINT
-	reload chan os.Signal // SIGHUP
+	shutdown chan os.Signal // SIGTERM, SIGINT
+	reload   chan os.Signal // SIGHUP
 }
 
 // ReceiveSignals takes the signals over. It has to be called before files are read: SIGHUP ends a process that has
 // not taken it over. Writes to a log that nobody reads any more fail instead of ending the process.
 func ReceiveSignals() *Signals {
-	s := &Signals{end: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
-	signal.Notify(s.end, syscall.SIGTERM, syscall.SIGINT)
+	s := &Signals{shutdown: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
+	signal.Notify(s.shutdown, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(s.reload, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE)
 	return s
 }
 
-// handleEnd takes the signals to end to the loop.
-func (d *server) handleEnd() {
-	for range d.signals.end {
-		d.loop.Post(d.leave)
+// handleShutdownSignals begins the shutdown at each signal for it. It runs on a goroutine of its own until the process
+// ends.
+func (s *server) handleShutdownSignals() {
+	for range s.signals.shutdown {
+		s.loop.Post(s.beginShutdown)
 	}
 }
 
-// handleReloads reads the files anew for each SIGHUP, beside the loop, and takes the result there.
-func (d *server) handleReloads() {
-	for range d.signals.reload {
-		next, err := d.plan.reload()
-		d.loop.Post(func() { d.reload(next, err) })
+// handleReloadSignals reads the files anew for each SIGHUP, on a goroutine of its own, and takes the result to the
+// loop. It runs until the process ends.
+func (s *server) handleReloadSignals() {
+	for range s.signals.reload {
+		next, err := s.plan.reload()
+		s.loop.Post(func() { s.reload(next, err) })
 	}
 }
--- a/internal/proxy/snapshots.go
+++ b/internal/proxy/snapshots.go
@@ -2,15 +2,47 @@
 
 import (
 	"errors"
+	"fmt"
 	"io/fs"
 	"math"
+	"os"
+	"path/filepath"
 	"time"
 
 	"sloequay/internal/broker"
+	"sloequay/internal/config"
 	"sloequay/internal/snapshot"
 	"sloequay/internal/snapshot/disk"
 )
 
+// snapshotSettings is the block `snapshot`.
+type snapshotSettings struct {
+	File     string
+	Interval time.Duration // the least between two writes
+	MaxAge   time.Duration // from which one is not used
+}
+
+// section returns the directives of the block.
+func (s *snapshotSettings) section() *config.Section {
+	section := &config.Section{}
+	section.Text("file", &s.File, func(path string) error {
+		folder := filepath.Dir(path)
+		if info, err := os.Stat(folder); err != nil || !info.IsDir() {
+			return fmt.Errorf("%s is no folder", folder)
+		}
+		return nil
+	}, "where it is written")
+	section.Duration("every", &s.Interval, 100*time.Millisecond, time.Hour, "least time between two")
+	section.Duration("oldest", &s.MaxAge, time.Second, 30*24*time.Hour, "age from which one is refused")
+	section.Check(func() error {
+		if s.File == "" {
+			return errors.New("file is missing")
+		}
+		return nil
+	})
+	return section
+}
+
 // refreshesPerMaxAge is how often an unchanged snapshot is written within its oldest usable age: how old it is must
 // not count from the last change.
 const refreshesPerMaxAge = 10
@@ -29,14 +61,14 @@
 // restore reads the snapshot and says whether there was one to use.
 func (w *snapshotWriter) restore() bool {
 	server := w.server
-	settings := server.plan.own.Snapshot
+	settings := server.plan.settings.Snapshot
 	if settings == nil {
 		return false
 	}
 	disk.Clean(settings.File)
-	control := server.plan.settings.Control
+	control := server.plan.platform.Control
 	limits := snapshot.Limits{
-		MaxAge: settings.Oldest,
+		MaxAge: settings.MaxAge,
 		Zones:  len(control.ZoneNames),
 		Kinds:  len(control.KindNames),
 	}
@@ -49,7 +81,7 @@
 		return false
 	}
 	server.log.Event("snapshot-loaded", "file", settings.File, "age", age.Round(time.Millisecond))
-	server.emit(broker.SnapshotRestored{Reports: reports})
+	server.publish(broker.SnapshotRestored{Reports: reports})
 	return true
 }
 
@@ -57,14 +89,14 @@
 // exit does not wait for it: the file holds the old snapshot or the new one, whenever the process ends.
 func (w *snapshotWriter) tick(now time.Duration) {
 	server := w.server
-	settings := server.plan.own.Snapshot
+	settings := server.plan.settings.Snapshot
 	if settings == nil || w.isWriting {
 		return
 	}
-	interval := settings.Every
+	interval := settings.Interval
 	revision := server.plan.members.Revision()
 	if revision == w.revision {
-		interval = max(interval, settings.Oldest/refreshesPerMaxAge)
+		interval = max(interval, settings.MaxAge/refreshesPerMaxAge)
 	}
 	if now-w.writtenAt < interval {
 		return
--- a/internal/proxy/sources.go
+++ b/internal/proxy/sources.go
@@ -14,6 +14,7 @@
 // peers (by way of fleet) and the snapshot. Its methods run on the loop, but for log and publish.
 type sources struct {
 	server      *server
+	listWatch   *listwatch.Watcher
 	fleet       *fleet            // nil: there is no catalogue
 	listConfig  *consul.Config    // what is polled while this proxy polls
 	catalogue   *consul.Catalogue // nil: this proxy does not poll it
@@ -31,7 +32,7 @@
 	s.snapshots.server = s.server
 	s.restored = s.snapshots.restore()
 	s.startListWatch()
-	if s.server.plan.own.Catalogue != nil {
+	if s.server.plan.settings.Catalogue != nil {
 		s.startCatalogue()
 	}
 }
@@ -43,9 +44,9 @@
 	for _, event := range plan.initialEvents {
 		s.publishWatched(event)
 	}
-	server.listWatch = &listwatch.Watcher{
+	s.listWatch = &listwatch.Watcher{
 		Loop:      server.loop,
-		Address:   plan.settings.ListAddress,
+		Address:   plan.platform.ListAddress,
 		Decoder:   plan.decoder,
 		LastEvent: plan.lastInitialEvent,
 		Publish:   s.publishWatched,
@@ -57,8 +58,8 @@
 // publishWatched takes an event of the endpoint list watch. Where the settings leave the watch out of the sources of
 // endpoints, it still brings purges.
 func (s *sources) publishWatched(event membership.SourceEvent) {
-	if _, isPurge := event.(membership.PurgeReceived); isPurge || s.server.plan.own.usesListWatch {
-		s.server.emit(brokerEvent(event))
+	if _, isPurge := event.(membership.PurgeReceived); isPurge || s.server.plan.settings.usesListWatch {
+		s.server.publish(brokerEvent(event))
 	}
 }
 
@@ -66,11 +67,11 @@
 // registered.
 func (s *sources) startCatalogue() {
 	plan := s.server.plan
-	if from := plan.own.from(); from != nil {
-		plan.own.Catalogue.Bind = from
+	if from := plan.settings.bindAddress(); from != nil {
+		plan.settings.Catalogue.Bind = from
 	}
-	lists := *plan.own.Catalogue
-	if plan.own.Peers != nil {
+	lists := *plan.settings.Catalogue
+	if plan.settings.Peers != nil {
 		// Peers take turns in polling lists; each proxy polls purges.
 		purges := lists
 		purges.Services = nil
@@ -82,7 +83,7 @@
 	s.listConfig = &lists
 	s.fleet = newFleet(s)
 	s.fleet.step(s.server.clock.Monotonic())
-	if plan.own.Catalogue.Registration != nil {
+	if plan.settings.Catalogue.Registration != nil {
 		s.keepRegistered()
 	}
 }
@@ -90,12 +91,12 @@
 // keepRegistered keeps the registration on a goroutine of its own, which ends once deregister is closed and the
 // registration is removed, or was attempted to be. The shutdown waits for it: see shutdownDone.
 func (s *sources) keepRegistered() {
-	settings := s.server.plan.settings
-	catalogue := s.newCatalogue(s.server.plan.own.Catalogue)
+	platform := s.server.plan.platform
+	catalogue := s.newCatalogue(s.server.plan.settings.Catalogue)
 	s.registrationActive.Store(true)
 	go func() {
 		defer s.registrationActive.Store(false)
-		if err := catalogue.KeepRegistered(s.deregister, settings.Name, settings.Listen); err != nil {
+		if err := catalogue.KeepRegistered(s.deregister, platform.Name, platform.Listen); err != nil {
 			s.log("catalogue-registration-failed", "error", err)
 		}
 		s.server.loop.Post(s.server.loop.RequestRound)
@@ -112,7 +113,7 @@
 		Publish:     s.publish,
 		Log:         s.log,
 		Now:         s.server.clock.Monotonic,
-		Seed:        plan.settings.Seed,
+		Seed:        plan.platform.Seed,
 	}
 }
 
@@ -166,7 +167,7 @@
 	taken := make(chan struct{})
 	s.server.loop.Post(func() {
 		for _, event := range events {
-			s.server.emit(brokerEvent(event))
+			s.server.publish(brokerEvent(event))
 			if s.fleet != nil {
 				s.fleet.observe(event)
 			}
--- a/test/harness_process_test.go
+++ b/test/harness_process_test.go
@@ -116,7 +116,7 @@
 func (w *testbed) stateCounts(socket string) map[string]int {
 	w.t.Helper()
 	var out bytes.Buffer
-	if err := admin.Ask(&out, socket, "state"); err != nil {
+	if err := admin.Query(&out, socket, "state"); err != nil {
 		w.t.Fatal(err)
 	}
 	state := map[string]int{}
--- a/test/pages/layers_test.go
+++ b/test/pages/layers_test.go
@@ -31,11 +31,15 @@
 // ioPackages are of the standard library, and not for what decides: its caller does the I/O.
 var ioPackages = []string{"os", "net", "net/http", "os/exec", "os/signal", "syscall"}
 
+// assemblyDecisions are the packages that decide among those of the assembly.
+var assemblyDecisions = []string{"proxy/readiness", "proxy/deferral", "proxy/descriptors"}
+
 // decides says whether a package decides and does no I/O: what stands in the layers of the broker and below it, but
-// for the last layer, and what the sources have decided by.
+// for the last layer, and what the sources and the assembly have decided by.
 func decides(name string) bool {
 	layer := layerOf(name)
-	return layer == len(layers)-2 || layer == len(layers)-3 || strings.HasPrefix(name, "membership/consul/")
+	return layer == len(layers)-2 || layer == len(layers)-3 || strings.HasPrefix(name, "membership/consul/") ||
+		slices.Contains(assemblyDecisions, name)
 }
 
 // layerOf is the place of a package's layer; -1: it has none.
