--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -71,14 +71,16 @@
 func TestParse(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"nothing", "", ""},
-		{"all kinds", "wait 1m\nopen 7 # seven\nshare 0.5\nmemory 64MiB\nrate 200/s\nprobe on\nname 'a b'\nmode stale\ntag x y\ntag z\n" +
+		{"all kinds", "wait 1m\nopen 7 # seven\nshare 0.5\nmemory 64MiB\nrate 200/s\nprobe on\nname 'a b'\n" +
+			"mode stale\ntag x y\ntag z\n" +
 			"team lanes {\n  open 3\n}\nteam \"the rest\" {\n}\n", ""},
 		{"windows lines", "open 7\r\nteam x {\r\n}\r\n", ""},
 		{"a duration", "\nwait fast", `f:2: wait: expected a duration of 1s to 10m, got "fast"`},
 		{"a duration out of bounds", "wait 11m", `f:1: wait: expected a duration of 1s to 10m, got "11m"`},
 		{"a number that is none", "share nan", `f:1: share: expected a number of 0 to 1, got "nan"`},
 		{"a size without unit", "memory 64", `f:1: memory: expected a size of 0B to 1GiB, got "64"`},
-		{"a size that overflows", "memory 99999999999GiB", `f:1: memory: expected a size of 0B to 1GiB, got "99999999999GiB"`},
+		{"a size that overflows", "memory 99999999999GiB",
+			`f:1: memory: expected a size of 0B to 1GiB, got "99999999999GiB"`},
 		{"a rate", "rate 7", `f:1: rate: expected a rate of 0/s to 1e+06/s, got "7"`},
 		{"a flag", "probe yes", `f:1: probe: expected on or off, got "yes"`},
 		{"a choice", "mode odd", `f:1: mode: expected one of default, stale, got "odd"`},
@@ -87,7 +89,8 @@
 		{"no word", "tag", `f:1: tag: expected at least one word`},
 		{"unknown", "opne 3", `f:1: opne: unknown directive; there is open`},
 		{"given twice", "open 1\nopen 2", `f:2: open: given twice, first at f:1`},
-		{"in a block", "team lanes {\n  open many\n}", `f:2: team.open: expected a whole number of 0 to 100, got "many"`},
+		{"in a block", "team lanes {\n  open many\n}",
+			`f:2: team.open: expected a whole number of 0 to 100, got "many"`},
 		{"a block's own check", "\nteam lanes {\n  open 13\n}", `f:2: team: open must not be 13`},
 		{"a block without a name", "team {\n}", `f:1: team: expected a name, got 0 words`},
 		{"a block that is none", "team lanes", `f:1: team: expected a block: end the line with {`},
@@ -132,11 +135,13 @@
 	}
 	write("teams-b.conf", "\nteam b {\n open x\n}\n")
 	err := new(all).section().Load(filepath.Join(dir, "main.conf"))
-	if want := filepath.Join(dir, "teams-b.conf") + ":3: team.open: "; err == nil || !strings.HasPrefix(err.Error(), want) {
+	want := filepath.Join(dir, "teams-b.conf") + ":3: team.open: "
+	if err == nil || !strings.HasPrefix(err.Error(), want) {
 		t.Errorf("got %v, want it to begin with %s", err, want)
 	}
 	write("loop.conf", "include loop.conf\n")
-	if err := new(all).section().Load(filepath.Join(dir, "loop.conf")); err == nil || !strings.Contains(err.Error(), "include each other") {
+	err = new(all).section().Load(filepath.Join(dir, "loop.conf"))
+	if err == nil || !strings.Contains(err.Error(), "include each other") {
 		t.Errorf("a file that includes itself: %v", err)
 	}
 }
@@ -175,8 +180,8 @@
 
 // FuzzParse: no text ends the program, an error names its line, and what is printed reads back as the same settings.
 func FuzzParse(f *testing.F) {
-	for _, seed := range []string{"open 7\n", "team 'a b' {\n open 3\n}\n", "name \"q\\\"'\"\n", "tag a '#' \\{ \n", "}\n{\n",
-		"memory 1GiB\nrate 1e3/s\n", "name ''\n", "include x\n"} {
+	for _, seed := range []string{"open 7\n", "team 'a b' {\n open 3\n}\n", "name \"q\\\"'\"\n", "tag a '#' \\{ \n",
+		"}\n{\n", "memory 1GiB\nrate 1e3/s\n", "name ''\n", "include x\n"} {
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -197,7 +202,8 @@
 		if err := again.Parse("f", []byte(once)); err != nil {
 			t.Fatalf("what was printed can't be read: %v\n%s", err, once)
 		}
-		if twice := printed(t, again); strings.ReplaceAll(twice, "  # default", "") != strings.ReplaceAll(once, "  # default", "") {
+		twice := printed(t, again)
+		if strings.ReplaceAll(twice, "  # default", "") != strings.ReplaceAll(once, "  # default", "") {
 			t.Fatalf("printed as\n%sand read back as\n%s", once, twice)
 		}
 	})
