--- a/internal/proxy/admin_socket.go
+++ b/internal/proxy/admin_socket.go
@@ -65,21 +65,22 @@
 func (s *server) writeState(out io.Writer) {
 	fmt.Fprintf(out, "clients %d\nviolations %d\n", s.frontend.Clients(), s.monitor.Violations())
 	for i, pool := range s.pools {
-		held, sent := pool.broker.Sizes(), pool.connections.Sizes()
+		requests := pool.broker.Sizes()
+		attempts := pool.connections.Sizes()
 		for _, line := range []struct {
 			kind  string
 			count int
 		}{
-			{"open", held.Open},
-			{"module", held.PolicyRequests},
-			{"timers", held.Timers},
-			{"boxes", held.Endpoints},
-			{"gone", held.GoneEndpoints},
-			{"purges", held.Purges},
-			{"spoken-to", sent.Endpoints},
-			{"connections", sent.Connections},
-			{"sent", sent.Open},
-			{"given-up", sent.Canceled},
+			{"open", requests.Open},
+			{"module", requests.PolicyRequests},
+			{"timers", requests.Timers},
+			{"boxes", requests.Endpoints},
+			{"gone", requests.GoneEndpoints},
+			{"purges", requests.Purges},
+			{"spoken-to", attempts.Endpoints},
+			{"connections", attempts.Connections},
+			{"sent", attempts.Open},
+			{"given-up", attempts.Canceled},
 		} {
 			fmt.Fprintf(out, "pool.%d.%s %d\n", i, line.kind, line.count)
 		}
--- a/internal/proxy/authenticator.go
+++ b/internal/proxy/authenticator.go
@@ -43,7 +43,7 @@
 
 // newAuthenticator makes the authenticator of a server whose loop runs, and opens the listener for TLS.
 func newAuthenticator(server *server, settings *identitySettings) *authenticator {
-	a := &authenticator{
+	created := &authenticator{
 		server:   server,
 		settings: settings,
 		machine:  identity.NewAuthenticator(settings.authenticator, settings.rights),
@@ -52,16 +52,16 @@
 		jobs:     make(chan *identity.Job, settings.authenticator.Waiting),
 	}
 	for range verifiers {
-		go a.verifySignatures()
+		go created.verifySignatures()
 	}
 	if settings.keyDirectory != "" {
-		a.replaceKeys(keydir.Read(settings.keyDirectory))
+		created.replaceKeys(keydir.Read(settings.keyDirectory))
 	}
 	if settings.tls != nil {
-		a.listenTLS()
+		created.listenTLS()
 	}
-	a.watchFiles()
-	return a
+	created.watchFiles()
+	return created
 }
 
 // verifySignatures checks signatures until the process ends. It runs on a goroutine of its own.
--- a/internal/proxy/pools.go
+++ b/internal/proxy/pools.go
@@ -4,6 +4,7 @@
 	"sloequay/internal/broker"
 	"sloequay/internal/proxy/descriptors"
 	"sloequay/internal/quota"
+	"sloequay/internal/route"
 	"sloequay/internal/upstream"
 )
 
@@ -18,14 +19,31 @@
 // publish gives the pool an event for the next round.
 func (p *pool) publish(event broker.Event) { p.events = append(p.events, event) }
 
-// newPools makes the pools that the settings name, or the one for all.
-func (s *server) newPools() error {
-	shares, err := s.poolShares()
-	if err != nil {
-		return err
+// newRoutes makes the table of routes that the settings name; nil: there is one pool for all.
+func newRoutes(plan *Plan) (*route.Table, error) {
+	if plan.settings.Services == nil {
+		return nil, nil
+	}
+	control := plan.platform.Control
+	return plan.settings.Services.table(plan.clock.Monotonic(), control.ZoneNames, control.KindNames)
+}
+
+// poolShares returns the share of each pool.
+func poolShares(routes *route.Table) []float64 {
+	if routes == nil {
+		return []float64{1}
+	}
+	var shares []float64
+	for _, pool := range routes.Pools() {
+		shares = append(shares, pool.Share)
 	}
+	return shares
+}
+
+// newPools makes the pools, each with its broker. Pools beside the first have a table of endpoints of their own.
+func (s *server) newPools() error {
 	platform := s.plan.platform
-	for i, share := range shares {
+	for i, share := range poolShares(s.routes) {
 		members := s.plan.members
 		if i > 0 {
 			members, _, _ = s.plan.settings.membershipTable()
@@ -41,35 +59,17 @@
 	return nil
 }
 
-// poolShares makes the table of routes, where the settings have any, and returns the share of each pool.
-func (s *server) poolShares() ([]float64, error) {
-	if s.plan.settings.Services == nil {
-		return []float64{1}, nil
-	}
-	control := s.plan.platform.Control
-	routes, err := s.plan.settings.Services.table(s.clock.Monotonic(), control.ZoneNames, control.KindNames)
-	if err != nil {
-		return nil, err
-	}
-	s.routes = routes
-	var shares []float64
-	for _, pool := range routes.Pools() {
-		shares = append(shares, pool.Share)
-	}
-	return shares, nil
-}
-
 // connect makes the pool's connections, once the loop runs.
-func (p *pool) connect(s *server) {
-	platform := s.plan.platform
+func (p *pool) connect(server *server) {
+	platform := server.plan.platform
 	control := platform.Control
 	p.connections = &upstream.Pool{
-		Loop:                s.loop,
+		Loop:                server.loop,
 		Emit:                p.publish,
-		Now:                 s.clock.Monotonic,
+		Now:                 server.clock.Monotonic,
 		MaySend:             p.broker.MaySend,
-		Log:                 s.log.Event,
-		Resolve:             s.resolver.Resolve,
+		Log:                 server.log.Event,
+		Resolve:             server.resolver.Resolve,
 		AddressBlocked:      p.broker.AddressBlocked,
 		Classes:             control.Classes,
 		DialTimeout:         platform.DialTimeout,
@@ -78,20 +78,20 @@
 		HealthChecksAllowed: control.HealthChecks,
 		CancelAllowed:       control.MayCancel,
 		FlowKBps:            control.FlowKBps,
-		MaxConnections:      s.descriptors.MaxConnections(p.share, descriptors.Plain),
+		MaxConnections:      server.descriptors.MaxConnections(p.share, descriptors.Plain),
 	}
-	if secure := s.plan.settings.UpstreamTLS; secure != nil {
+	if secure := server.plan.settings.UpstreamTLS; secure != nil {
 		p.connections.SecureDialer = secure.dialer(control.ZoneNames)
-		p.connections.MaxConnections = s.descriptors.MaxConnections(p.share, descriptors.TLS)
+		p.connections.MaxConnections = server.descriptors.MaxConnections(p.share, descriptors.TLS)
 	}
 }
 
 // round hands the gathered events to the pool's broker together, and carries out what it decides.
-func (p *pool) round(s *server) {
+func (p *pool) round(server *server) {
 	events := p.events
 	p.events = nil
-	for _, effect := range p.broker.Round(s.clock.Monotonic(), events) {
-		s.applyEffect(p, effect)
+	for _, effect := range p.broker.Round(server.clock.Monotonic(), events) {
+		server.applyEffect(p, effect)
 	}
 }
 
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -13,8 +13,7 @@
 	// the sockets' buffers.
 	heapNumerator   = 6
 	heapDenominator = 10
-	// gcPercent spaces collections out within the memory limit: at full load the default would collect several times
-	// a second.
+	// gcPercent spaces collections out; the memory limit bounds the heap all the same.
 	gcPercent = 300
 	// minProcessors is the least GOMAXPROCS. The loop never parks its goroutine, so that with one processor the dials
 	// beside it would wait for the scheduler's next preemption.
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -62,7 +62,7 @@
 
 // newServer assembles what does not need the loop.
 func newServer(plan *Plan, signals *Signals, log *eventlog.Logger) (*server, error) {
-	s := &server{
+	created := &server{
 		plan:        plan,
 		clock:       plan.clock,
 		log:         log,
@@ -71,23 +71,28 @@
 		startup:     newStartup(plan),
 		shutdown:    shutdown.Sequence{LongestDeadline: plan.platform.LongestDeadline()},
 	}
-	s.monitor.Report = func(rule invariant.Rule, subject string) {
-		s.log.Event("invariant-violated", "rule", rule, "subject", subject)
+	created.monitor.Report = func(rule invariant.Rule, subject string) {
+		created.log.Event("invariant-violated", "rule", rule, "subject", subject)
 	}
 	if contracts := plan.settings.Contracts; contracts != nil {
-		s.quotas = contracts.Ledger()
+		created.quotas = contracts.Ledger()
 	}
-	if err := s.newPools(); err != nil {
+	routes, err := newRoutes(plan)
+	if err != nil {
+		return nil, err
+	}
+	created.routes = routes
+	if err := created.newPools(); err != nil {
 		return nil, err
 	}
 	if contracts := plan.settings.Contracts; contracts != nil {
-		s.limitRetries(contracts)
+		created.limitRetries(contracts)
 	}
 	if plan.settings.DNS != nil {
-		s.dns = s.newDNSServer()
+		created.dns = created.newDNSServer()
 	}
-	s.frontend = s.newFrontend()
-	return s, nil
+	created.frontend = created.newFrontend()
+	return created, nil
 }
 
 // newFrontend makes the server of the clients' protocol.
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -58,7 +58,7 @@
 
 // NewSettings returns settings with everything off. Certificates are checked by the clock.
 func NewSettings(system *clock.System) *Settings {
-	s := &Settings{
+	created := &Settings{
 		Section:       &config.Section{},
 		clock:         system,
 		usesListWatch: true,
@@ -78,8 +78,8 @@
 			MaxSuppress:   20 * time.Second,
 		},
 	}
-	s.addDirectives()
-	return s
+	created.addDirectives()
+	return created
 }
 
 // ReadSettings reads the file of settings; without a path everything is off.
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -11,149 +11,149 @@
 const retryMark = 2
 
 // decodeRecord decodes one record. The names of the fields are the protocol's.
-func decodeRecord(r *reader) Record {
-	code := r.u8("code")
-	if r.err == nil && int(code) >= len(recordNames) {
-		r.err = fmt.Errorf("record: byte 0: code %d, expected 0 to %d", code, len(recordNames)-1)
+func decodeRecord(fields *reader) Record {
+	code := fields.u8("code")
+	if fields.err == nil && int(code) >= len(recordNames) {
+		fields.err = fmt.Errorf("record: byte 0: code %d, expected 0 to %d", code, len(recordNames)-1)
 	}
-	if r.err == nil {
-		r.name = recordNames[code]
+	if fields.err == nil {
+		fields.name = recordNames[code]
 	}
-	record := Record{Instance: r.u32("i")}
-	if r.err != nil {
+	record := Record{Instance: fields.u32("i")}
+	if fields.err != nil {
 		return record
 	}
 	switch code {
 	case codeHello:
-		record.Hello = decodeHello(r)
+		record.Hello = decodeHello(fields)
 	case codeDown:
 		record.Down = true
 	default:
-		record.Event = decodeEvent(r, code)
+		record.Event = decodeEvent(fields, code)
 	}
 	return record
 }
 
-func decodeHello(r *reader) *Hello {
-	hello := &Hello{Seed: r.u64("init-seed")}
-	size := int(r.u32("info count"))
-	offset := r.position - r.start
-	text := r.take(size, "info")
-	if r.err != nil {
+func decodeHello(fields *reader) *Hello {
+	hello := &Hello{Seed: fields.u64("init-seed")}
+	size := int(fields.u32("info count"))
+	offset := fields.position - fields.start
+	text := fields.take(size, "info")
+	if fields.err != nil {
 		return hello
 	}
 	var err error
 	if hello.Config, err = platformconfig.ParseControl(text); err != nil {
-		r.err = fmt.Errorf("%s: byte %d: %w", r.name, offset, err)
+		fields.err = fmt.Errorf("%s: byte %d: %w", fields.name, offset, err)
 	}
 	return hello
 }
 
 // decodeEvent returns nil for a record that the policy needs nothing of.
-func decodeEvent(r *reader, code uint8) policy.Event {
+func decodeEvent(fields *reader, code uint8) policy.Event {
 	switch code {
 	case codeList:
-		return decodeList(r)
+		return decodeList(fields)
 	case codeRequest:
-		return decodeRequest(r)
+		return decodeRequest(fields)
 	case codeResponse:
-		return decodeResponse(r)
+		return decodeResponse(fields)
 	case codeClientGone:
-		return policy.ClientGoneEvent{ID: policy.RequestID(r.u32("txn"))}
+		return policy.ClientGoneEvent{ID: policy.RequestID(fields.u32("txn"))}
 	case codeTimer:
-		return policy.TimerEvent{Token: r.u64("label")}
+		return policy.TimerEvent{Token: fields.u64("label")}
 	case codePurge:
 		return policy.PurgeEvent{
-			Object: r.u64("asset"),
-			Group:  int(r.u16("family-id")),
-			Age:    r.time("age-span-ms"),
+			Object: fields.u64("asset"),
+			Group:  int(fields.u16("family-id")),
+			Age:    fields.time("age-span-ms"),
 		}
 	}
-	skipUnused(r, code)
+	skipUnused(fields, code)
 	return nil
 }
 
 // skipUnused checks the fields of a record that the policy needs nothing of.
-func skipUnused(r *reader, code uint8) {
+func skipUnused(fields *reader, code uint8) {
 	switch code {
 	case codeHeaders:
-		r.u32("txn")
-		r.endpoint("node")
-		r.u8("round-no")
-		r.time("duration-ms")
+		fields.u32("txn")
+		fields.endpoint("node")
+		fields.u8("round-no")
+		fields.time("duration-ms")
 	case codeHealthCheck:
-		r.endpoint("node")
-		r.status("reason")
-		r.time("duration-ms")
-		r.load()
+		fields.endpoint("node")
+		fields.status("reason")
+		fields.time("duration-ms")
+		fields.load()
 	case codePeer:
-		r.u16("who")
-		r.take(int(r.u16("raw count")), "raw")
+		fields.u16("who")
+		fields.take(int(fields.u16("raw count")), "raw")
 	}
 }
 
-func decodeRequest(r *reader) policy.RequestEvent {
+func decodeRequest(fields *reader) policy.RequestEvent {
 	return policy.RequestEvent{
-		ID:        policy.RequestID(r.u32("txn")),
-		Class:     int(r.u16("type")),
-		Tenant:    int(r.u16("account")),
-		Object:    r.u64("asset"),
-		Remaining: r.time("ttl-ms"),
-		SizeKB:    r.f32("kbytes"),
-		Group:     r.smallInteger("tag"),
-		Part:      r.smallInteger("part"),
-		Retry:     r.u8("marks")&retryMark != 0,
+		ID:        policy.RequestID(fields.u32("txn")),
+		Class:     int(fields.u16("type")),
+		Tenant:    int(fields.u16("account")),
+		Object:    fields.u64("asset"),
+		Remaining: fields.time("ttl-ms"),
+		SizeKB:    fields.f32("kbytes"),
+		Group:     fields.smallInteger("tag"),
+		Part:      fields.smallInteger("part"),
+		Retry:     fields.u8("marks")&retryMark != 0,
 	}
 }
 
-func decodeResponse(r *reader) policy.ResponseEvent {
+func decodeResponse(fields *reader) policy.ResponseEvent {
 	return policy.ResponseEvent{
-		ID:        policy.RequestID(r.u32("txn")),
-		Elapsed:   r.time("duration-ms"),
-		Endpoint:  r.endpoint("node"),
-		Concluded: r.u8("settled") != 0,
-		Note:      policy.Note(r.u8("note")),
-		Attempt:   int(r.u8("round-no")),
-		FirstByte: r.time("first-byte-ms"),
-		Status:    r.status("reason"),
-		Load:      r.load(),
+		ID:        policy.RequestID(fields.u32("txn")),
+		Elapsed:   fields.time("duration-ms"),
+		Endpoint:  fields.endpoint("node"),
+		Concluded: fields.u8("settled") != 0,
+		Note:      policy.Note(fields.u8("note")),
+		Attempt:   int(fields.u8("round-no")),
+		FirstByte: fields.time("first-byte-ms"),
+		Status:    fields.status("reason"),
+		Load:      fields.load(),
 	}
 }
 
-func decodeList(r *reader) policy.ListEvent {
-	list := policy.ListEvent{Kind: policy.ListKind(r.u8("scope"))}
-	if r.err == nil && list.Kind > policy.ListFailed {
-		r.err = fmt.Errorf("%s: byte 5: scope %d, expected 0 to 3", r.name, list.Kind)
+func decodeList(fields *reader) policy.ListEvent {
+	list := policy.ListEvent{Kind: policy.ListKind(fields.u8("scope"))}
+	if fields.err == nil && list.Kind > policy.ListFailed {
+		fields.err = fmt.Errorf("%s: byte 5: scope %d, expected 0 to 3", fields.name, list.Kind)
 	}
-	list.Version = r.u64("seq-no")
-	count := int64(r.u32("nodes-list count"))
-	if r.err != nil {
+	list.Version = fields.u64("seq-no")
+	count := int64(fields.u32("nodes-list count"))
+	if fields.err != nil {
 		return list
 	}
-	if left := int64(len(r.data) - r.position); count*listEntrySize > left {
-		r.err = fmt.Errorf("%s: byte %d: %d bytes left, expected %d for %d entries",
-			r.name, r.position-r.start, left, count*listEntrySize, count)
+	if left := int64(len(fields.data) - fields.position); count*listEntrySize > left {
+		fields.err = fmt.Errorf("%s: byte %d: %d bytes left, expected %d for %d entries",
+			fields.name, fields.position-fields.start, left, count*listEntrySize, count)
 		return list
 	}
 	list.Endpoints = make([]policy.Endpoint, count)
 	for i := range list.Endpoints {
-		list.Endpoints[i] = decodeEndpoint(r)
+		list.Endpoints[i] = decodeEndpoint(fields)
 		if state := list.Endpoints[i].State; state > policy.Draining {
-			r.err = fmt.Errorf("%s: entry %d: byte 10: status %d, expected 0 to 2", r.name, i, state)
+			fields.err = fmt.Errorf("%s: entry %d: byte 10: status %d, expected 0 to 2", fields.name, i, state)
 			return list
 		}
 	}
 	return list
 }
 
-func decodeEndpoint(r *reader) policy.Endpoint {
+func decodeEndpoint(fields *reader) policy.Endpoint {
 	return policy.Endpoint{
-		ID:        r.endpoint("node"),
-		Zone:      int(r.u8("az")),
-		Kind:      int(r.u8("machine")),
-		Cell:      int(r.u16("cluster")),
-		State:     policy.State(r.u8("status")),
-		Weight:    r.f32("scale"),
-		StartedAt: r.time("since-ms"),
+		ID:        fields.endpoint("node"),
+		Zone:      int(fields.u8("az")),
+		Kind:      int(fields.u8("machine")),
+		Cell:      int(fields.u16("cluster")),
+		State:     policy.State(fields.u8("status")),
+		Weight:    fields.f32("scale"),
+		StartedAt: fields.time("since-ms"),
 	}
 }
