--- a/internal/proxy/authenticator.go
+++ b/internal/proxy/authenticator.go
@@ -34,7 +34,7 @@
 	machine       *identity.Authenticator
 	audit         *identity.Audit
 	sources       *identity.Sources
-	jobs          chan *identity.Job
+	jobs          chan *identity.SignatureJob
 	tsigKeys      *tsig.Keys            // of DNS
 	tls           *tlslistener.Listener // nil: none
 	keys          keydir.Content        // that is in force
@@ -49,7 +49,7 @@
 		machine:  identity.NewAuthenticator(settings.authenticator, settings.rights),
 		audit:    identity.NewAudit(maxAuditSubjects),
 		sources:  identity.NewSources(maxSources),
-		jobs:     make(chan *identity.Job, settings.authenticator.Waiting),
+		jobs:     make(chan *identity.SignatureJob, settings.authenticator.MaxWaiting),
 	}
 	for range verifiers {
 		go created.verifySignatures()
@@ -162,7 +162,7 @@
 			request.Team = outcome.Tenant
 		}
 		a.server.publish(broker.RequestReceived{Request: request})
-	case identity.Busy, identity.Full:
+	case identity.Busy, identity.IdempotencyKeysFull:
 		request.Frontend.Respond(request,
 			broker.Response{Kind: broker.ResponseRejected, RetryAfter: outcome.Wait, Reason: reason})
 	default:
@@ -176,7 +176,7 @@
 	if subject == "" {
 		subject = "-"
 	}
-	omitted, isDue := a.audit.Line(a.server.clock.Monotonic(), subject+" "+outcome.Reason.String())
+	omitted, isDue := a.audit.ShouldLog(a.server.clock.Monotonic(), subject+" "+outcome.Reason.String())
 	if !isDue {
 		return
 	}
@@ -241,7 +241,7 @@
 
 // revocationsInForce returns the revocations that have not ended.
 func (a *authenticator) revocationsInForce(revoked []keydir.Revocation) (*identity.Revocations, error) {
-	inForce := identity.NewRevocations(a.settings.authenticator.Revoked)
+	inForce := identity.NewRevocations(a.settings.authenticator.MaxRevocations)
 	for _, revocation := range revoked {
 		if revocation.Until <= a.server.clock.Unix() {
 			continue
@@ -260,13 +260,13 @@
 	if directory := a.settings.keyDirectory; directory != "" {
 		// The folder above reports a directory that is replaced as a whole.
 		folders := []string{directory, filepath.Dir(directory)}
-		signature := func() string { return keydir.Signature(directory) }
-		go files.Watch(never, folders, signature, a.reloadKeys)
+		fingerprint := func() string { return keydir.Fingerprint(directory) }
+		go files.Watch(never, folders, fingerprint, a.reloadKeys)
 	}
 	if a.tls != nil {
 		paths := []string{a.settings.tls.Cert, a.settings.tls.Key, a.settings.tls.ClientCA}
-		signature := func() string { return files.Signature(paths...) }
-		go files.Watch(never, files.Folders(paths...), signature, a.reloadCertificate)
+		fingerprint := func() string { return files.Fingerprint(paths...) }
+		go files.Watch(never, files.Folders(paths...), fingerprint, a.reloadCertificate)
 	}
 }
 
--- a/internal/proxy/identity_settings.go
+++ b/internal/proxy/identity_settings.go
@@ -51,11 +51,11 @@
 	i.addTokenDirectives(section)
 	section.Block("tls", false, "a listener for TLS 1.3", func([]string) (*config.Section, error) {
 		i.tls = &tlslistener.Config{
-			Now:              unixTime,
-			Handshakes:       64,
-			HandshakeTimeout: 3 * time.Second,
-			MaxConnections:   64,
-			Tickets:          time.Hour,
+			Now:               unixTime,
+			MaxHandshakes:     64,
+			HandshakeTimeout:  3 * time.Second,
+			MaxConnections:    64,
+			TicketKeyRotation: time.Hour,
 		}
 		return tlsListenerSection(i.tls), nil
 	})
@@ -74,12 +74,12 @@
 	section.Duration("skew", &policy.Skew, 0, 5*time.Minute, "of the callers' clocks, either way")
 	section.Duration("life-most", &policy.MaxLifetime, 0, 10*365*24*time.Hour, "longest life of a token; 0s: any")
 	section.Text("unsigned", &i.anonymousTenant, nil, "tenant of callers without a token; they are refused without it")
-	section.Rate("checks", &limits.Checks, 1, 1e6, "signatures checked a second")
-	section.Rate("checks-connection", &limits.PerConn, 1, 1e6, "for one connection")
-	section.Rate("checks-source", &limits.PerSource, 1, 1e6, "and for all connections from one address")
-	section.Int("tokens", &limits.Cached, 1, 10_000_000, "verified tokens remembered")
-	section.Int("keyed", &limits.Keyed, 1, 10_000_000, "idempotency keys remembered")
-	section.Int("revocations", &limits.Revoked, 1, 10_000_000, "revocations held")
+	section.Rate("checks", &limits.ChecksPerSecond, 1, 1e6, "signatures checked a second")
+	section.Rate("checks-connection", &limits.ChecksPerConnection, 1, 1e6, "for one connection")
+	section.Rate("checks-source", &limits.ChecksPerSource, 1, 1e6, "and for all connections from one address")
+	section.Int("tokens", &limits.MaxCachedTokens, 1, 10_000_000, "verified tokens remembered")
+	section.Int("keyed", &limits.MaxIdempotencyKeys, 1, 10_000_000, "idempotency keys remembered")
+	section.Int("revocations", &limits.MaxRevocations, 1, 10_000_000, "revocations held")
 }
 
 // addRuleDirectives adds the directives of rules.
@@ -189,10 +189,10 @@
 	section.Text("client-ca", &listener.ClientCA, nil,
 		"file of the authorities that sign clients; they show no certificates without it")
 	section.Flag("client-needed", &listener.RequireClientCert, "whether a client must show a certificate")
-	section.Int("handshakes", &listener.Handshakes, 1, 10_000, "handshakes at once")
+	section.Int("handshakes", &listener.MaxHandshakes, 1, 10_000, "handshakes at once")
 	section.Duration("limit", &listener.HandshakeTimeout, 10*time.Millisecond, time.Minute, "for one")
 	section.Int("connections", &listener.MaxConnections, 1, 100_000, "connections; each takes three descriptors")
-	section.Duration("tickets", &listener.Tickets, time.Second, 24*time.Hour,
+	section.Duration("tickets", &listener.TicketKeyRotation, time.Second, 24*time.Hour,
 		"how often the key of session tickets changes; three are taken")
 	section.Check(func() error {
 		if listener.Listen == "" {
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -98,11 +98,17 @@
 // newFrontend makes the server of the clients' protocol.
 func (s *server) newFrontend() *rpc.Server {
 	control := s.plan.platform.Control
-	frontend := rpc.New(control.Classes, s.descriptors.RPC, s.admit, s.clock.Monotonic, s.isReady, s.isMemoryShort,
-		s.log.Event)
-	frontend.Monitor = &s.monitor
-	frontend.MaxRetryAfter = control.MaxRetryAfter
-	return frontend
+	return rpc.New(rpc.Config{
+		Classes:        control.Classes,
+		MaxConnections: s.descriptors.RPC,
+		Emit:           s.admit,
+		Now:            s.clock.Monotonic,
+		Ready:          s.isReady,
+		MemoryShort:    s.isMemoryShort,
+		Log:            s.log.Event,
+		MaxRetryAfter:  control.MaxRetryAfter,
+		Monitor:        &s.monitor,
+	})
 }
 
 // isMemoryShort reports whether clients leave too much unread.
@@ -112,7 +118,7 @@
 
 func (s *server) newDNSServer() *dns.Server {
 	platform := s.plan.platform
-	server := &dns.Server{
+	options := dns.Options{
 		Config:         s.plan.settings.DNS,
 		Classes:        platform.Control.Classes,
 		Emit:           s.admit,
@@ -125,10 +131,10 @@
 		MaxRetryAfter:  platform.Control.MaxRetryAfter,
 	}
 	if identity := s.plan.settings.Identity; identity != nil {
-		server.Skew = identity.authenticator.Policy.Skew
-		server.Keys = func() *tsig.Keys { return s.authenticator.tsigKeys }
+		options.Skew = identity.authenticator.Policy.Skew
+		options.Keys = func() *tsig.Keys { return s.authenticator.tsigKeys }
 	}
-	return server
+	return dns.New(options)
 }
 
 // listeners returns where clients connect. That of TLS is the authenticator's.
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -49,7 +49,7 @@
 	return hello
 }
 
-// decodeEvent returns nil for a record that the policy needs nothing of.
+// decodeEvent decodes a record for the policy. Of some it needs no more than that time goes on.
 func decodeEvent(fields *reader, code uint8) policy.Event {
 	switch code {
 	case codeList:
@@ -70,10 +70,10 @@
 		}
 	}
 	skipUnused(fields, code)
-	return nil
+	return policy.ClockEvent{}
 }
 
-// skipUnused checks the fields of a record that the policy needs nothing of.
+// skipUnused checks the fields of a record that no decision uses.
 func skipUnused(fields *reader, code uint8) {
 	switch code {
 	case codeHeaders:
