--- a/internal/policy/health_test.go
+++ b/internal/policy/health_test.go
@@ -38,12 +38,10 @@
 // TestSlowRejectionIsTheSources: a dead parent shows as a cache at capacity after the dial time-out; caches
 // were skipped for it.
 func TestSlowRejectionIsTheSources(t *testing.T) {
-	cfg := testConfig()
-	cfg.Detail = DetailOff
-	h := newHarness(t, cfg)
+	h := newHarness(t, testConfig())
 	h.request(1, 0, 7)
 	first := h.passLookups(1)
-	h.handle(ResponseEvent{ID: 1, Endpoint: first.Endpoint, Attempt: len(h.sent[1]) - 1, Elapsed: 400 * ms,
+	h.handle(ResponseEvent{ID: 1, Attempt: len(h.sent[1]) - 1, Elapsed: 400 * ms,
 		Status: StatusAtCapacity})
 	if sent := h.lastSent(1); sent.Endpoint != first.Endpoint || sent.Source == first.Source {
 		t.Errorf("after a slow rejection: %+v, want cache %d with another source than %d",
--- a/internal/policy/sizes_test.go
+++ b/internal/policy/sizes_test.go
@@ -168,7 +168,7 @@
 		}
 		canceled := sendings[i]
 		s.sendings[endpoint] = slices.Delete(sendings, i, i+1)
-		s.handle(ResponseEvent{ID: canceled.id, Endpoint: endpoint, Attempt: canceled.attempt,
+		s.handle(ResponseEvent{ID: canceled.id, Attempt: canceled.attempt,
 			Elapsed: s.now - canceled.sentAt, Status: StatusCanceled})
 	}
 }
@@ -195,7 +195,7 @@
 		}
 		request.answered = true
 		delete(s.open, sending.id)
-		s.handle(ResponseEvent{ID: sending.id, Endpoint: endpoint.ID, Attempt: sending.attempt,
+		s.handle(ResponseEvent{ID: sending.id, Attempt: sending.attempt,
 			Elapsed: s.now - sending.sentAt, Status: StatusOK, Note: NoteHit, Concluded: true})
 	}
 }
--- a/internal/policy/types.go
+++ b/internal/policy/types.go
@@ -42,16 +42,6 @@
 	ReachAny
 )
 
-// Detail says which notes the responses carry.
-type Detail int
-
-// The degrees of detail.
-const (
-	DetailOff Detail = iota // none
-	DetailHit               // whether the copy was cached
-	DetailAll
-)
-
 // Class is a class of requests.
 type Class struct {
 	Name             string // for the log only
@@ -59,13 +49,9 @@
 	ObjectiveStretch float64 // added to the objective, in sending times of the answer
 	Deadline         time.Duration
 	PriorityWeight   float64 // of an answer within its objective
-	SlowWeight       float64 // of one after it
-	StaleWeight      float64 // of one from a stale copy
 	Idempotency      Idempotency
 	DedupScope       DedupScope
 	DedupWindow      time.Duration
-	Streamed         bool
-	Parts            bool
 	Write            bool          // its requests go to the origin
 	FreshFor         time.Duration // 0: a copy is fresh until it is purged
 	StaleFor         time.Duration // time past FreshFor in which a copy may still be served
@@ -78,26 +64,17 @@
 	ZoneNames          []string // for the log only
 	KindNames          []string // for the log only
 	Classes            []Class
-	Tick               time.Duration
-
-	ParentKind, OriginKind       int   // index of the kind in list entries; -1: none
-	ZoneInstances                []int // proxies by zone
-	ZoneRegion                   []int
-	ZoneLinkKBps                 []float64 // 0: not reported
-	FlowKBps                     float64   // full pace of one answer; the unit of Endpoint.Weight
-	WeightsReported              bool      // false: Endpoint.Weight says nothing
-	WeightsLive                  bool      // true: weights vary from list to list
-	Siblings                     Reach
-	Detail                       Detail
-	DirectFetch                  bool // requests may go straight to a parent or the origin
-	JoinFills                    bool // an attempt may wait for a fill that is in flight
-	PurgeGrace, PurgePropagation time.Duration
-
-	OriginOverloadMultiple float64
-	OriginOverloadWindow   time.Duration
-
-	DrainGrace             time.Duration
-	ResponseSlack          time.Duration
+
+	ParentKind, OriginKind int     // index of the kind in list entries; -1: none
+	ZoneInstances          []int   // proxies by zone
+	FlowKBps               float64 // full pace of one answer; the unit of Endpoint.Weight
+	WeightsReported        bool    // false: Endpoint.Weight says nothing
+	WeightsLive            bool    // true: weights vary from list to list
+	Siblings               Reach
+	DirectFetch            bool // requests may go straight to a parent or the origin
+	JoinFills              bool // an attempt may wait for a fill that is in flight
+	PurgePropagation       time.Duration
+
 	ColdStartShare         float64
 	WarmupTime             time.Duration
 	OverloadMultiple       float64
@@ -106,15 +83,12 @@
 	ParentWarmupTime       time.Duration
 	ParentOverloadMultiple float64
 
-	MaxAttempts     int
-	MayCancel       bool
-	Hedging         bool          // two attempts of a request may be in flight together
-	MaxRetryAfter   time.Duration // the longest that clients keep to; 0: no advice is allowed
-	HealthChecks    bool
-	HealthCheckCost float64
-	PollDiscovery   bool // the list has to be asked for
-	PollWithin      time.Duration
-	LoadNames       []string
+	MaxAttempts   int
+	MayCancel     bool
+	Hedging       bool          // two attempts of a request may be in flight together
+	MaxRetryAfter time.Duration // the longest that clients keep to; 0: no advice is allowed
+	HealthChecks  bool
+	PollDiscovery bool // the list has to be asked for
 }
 
 // State is what the list says of an endpoint.
@@ -166,7 +140,7 @@
 	return false
 }
 
-// Note says how a response came about, as far as Config.Detail goes.
+// Note says how a response came about, as far as the settings have endpoints say so.
 type Note int
 
 // The notes on a response.
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -16,6 +16,7 @@
 	"sloequay/internal/proxy/descriptors"
 	"sloequay/internal/proxy/readiness"
 	"sloequay/internal/quota"
+	"sloequay/internal/retryafter"
 	"sloequay/internal/route"
 	"sloequay/internal/shutdown"
 	"sloequay/internal/upstream/resolver"
@@ -106,11 +107,16 @@
 		Ready:          s.isReady,
 		MemoryShort:    s.isMemoryShort,
 		Log:            s.log.Event,
-		MaxRetryAfter:  control.MaxRetryAfter,
+		RetryAfter:     s.retryAfter(),
 		Monitor:        &s.monitor,
 	})
 }
 
+// retryAfter returns what clients that are rejected may be advised.
+func (s *server) retryAfter() retryafter.Advisor {
+	return retryafter.Advisor{Max: s.plan.platform.Control.MaxRetryAfter}
+}
+
 // isMemoryShort reports whether clients leave too much unread.
 func (s *server) isMemoryShort() bool {
 	return int64(s.loop.UnsentBytes()) > s.plan.platform.Memory/unsentDivisor
@@ -128,7 +134,7 @@
 		EndpointByName: s.endpointByName,
 		MaxConnections: s.descriptors.DNS,
 		Seed:           platform.Seed,
-		MaxRetryAfter:  platform.Control.MaxRetryAfter,
+		RetryAfter:     s.retryAfter(),
 	}
 	if identity := s.plan.settings.Identity; identity != nil {
 		options.Skew = identity.authenticator.Policy.Skew
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -49,7 +49,7 @@
 	return hello
 }
 
-// decodeEvent decodes a record for the policy. Of some it needs no more than that time goes on.
+// decodeEvent returns a policy.ClockEvent for a record that the policy needs nothing of but its time.
 func decodeEvent(fields *reader, code uint8) policy.Event {
 	switch code {
 	case codeList:
@@ -93,31 +93,33 @@
 }
 
 func decodeRequest(fields *reader) policy.RequestEvent {
-	return policy.RequestEvent{
-		ID:        policy.RequestID(fields.u32("txn")),
-		Class:     int(fields.u16("type")),
-		Tenant:    int(fields.u16("account")),
-		Object:    fields.u64("asset"),
-		Remaining: fields.time("ttl-ms"),
-		SizeKB:    fields.f32("kbytes"),
-		Group:     fields.smallInteger("tag"),
-		Part:      fields.smallInteger("part"),
-		Retry:     fields.u8("marks")&retryMark != 0,
+	request := policy.RequestEvent{
+		ID:    policy.RequestID(fields.u32("txn")),
+		Class: int(fields.u16("type")),
 	}
+	fields.u16("account")
+	request.Object = fields.u64("asset")
+	request.Remaining = fields.time("ttl-ms")
+	request.SizeKB = fields.f32("kbytes")
+	request.Group = fields.smallInteger("tag")
+	request.Part = fields.smallInteger("part")
+	request.Retry = fields.u8("marks")&retryMark != 0
+	return request
 }
 
 func decodeResponse(fields *reader) policy.ResponseEvent {
-	return policy.ResponseEvent{
-		ID:        policy.RequestID(fields.u32("txn")),
-		Elapsed:   fields.time("duration-ms"),
-		Endpoint:  fields.endpoint("node"),
-		Concluded: fields.u8("settled") != 0,
-		Note:      policy.Note(fields.u8("note")),
-		Attempt:   int(fields.u8("round-no")),
-		FirstByte: fields.time("first-byte-ms"),
-		Status:    fields.status("reason"),
-		Load:      fields.load(),
+	response := policy.ResponseEvent{
+		ID:      policy.RequestID(fields.u32("txn")),
+		Elapsed: fields.time("duration-ms"),
 	}
+	fields.endpoint("node")
+	response.Concluded = fields.u8("settled") != 0
+	response.Note = policy.Note(fields.u8("note"))
+	response.Attempt = int(fields.u8("round-no"))
+	fields.time("first-byte-ms")
+	response.Status = fields.status("reason")
+	fields.load()
+	return response
 }
 
 func decodeList(fields *reader) policy.ListEvent {
@@ -125,7 +127,7 @@
 	if fields.err == nil && list.Kind > policy.ListFailed {
 		fields.err = fmt.Errorf("%s: byte 5: scope %d, expected 0 to 3", fields.name, list.Kind)
 	}
-	list.Version = fields.u64("seq-no")
+	fields.u64("seq-no")
 	count := int64(fields.u32("nodes-list count"))
 	if fields.err != nil {
 		return list
