--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -69,7 +69,7 @@
 			e[record.Instance] = engine
 		case record.Down:
 			delete(e, record.Instance)
-		case record.Event != nil:
+		default:
 			e.handleEvent(batch, record, reply)
 		}
 	}
--- a/internal/proxy/layout_test.go
+++ b/internal/proxy/layout_test.go
@@ -10,8 +10,8 @@
 // belowTheLoop are the packages that do no I/O of the proxy's: state machines that their users step, and the sources.
 var belowTheLoop = []string{
 	"bootstrap", "broker", "clock", "concurrency", "config", "invalidation", "membership", "peer", "policy", "quota",
-	"retry", "retryafter", "route", "shutdown", "snapshot", "membership/consul/blockingquery", "membership/consul/health",
-	"membership/consul/registrar",
+	"retry", "retryafter", "route", "shutdown", "snapshot", "membership/consul/blockingquery",
+	"membership/consul/health", "membership/consul/registrar", "proxy/readiness", "proxy/deferral", "proxy/descriptors",
 }
 
 // TestArrowsGoDown: what stands below the event loop imports nothing that stands above, not by way of others either,
--- a/internal/simwire/batch.go
+++ b/internal/simwire/batch.go
@@ -21,7 +21,7 @@
 	Config policy.Config
 }
 
-// Record is one record of a batch: one of Hello, Down and Event is set, or none where the policy needs nothing of it.
+// Record is one record of a batch: exactly one of Hello, Down and Event is set.
 type Record struct {
 	Instance uint32
 	Hello    *Hello
