--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -59,11 +59,9 @@
 		r.begin(codeWatch, instance)
 		r.flags(action.On)
 	case policy.EndpointEjected:
-		r.begin(codeLog, instance)
-		r.text(fmt.Sprintf("ejected %x: %s", action.Endpoint, action.Cause))
+		r.log(instance, fmt.Sprintf("ejected %x: %s", action.Endpoint, action.Cause))
 	case policy.EndpointReadmitted:
-		r.begin(codeLog, instance)
-		r.text(fmt.Sprintf("readmitted %x", action.Endpoint))
+		r.log(instance, fmt.Sprintf("readmitted %x", action.Endpoint))
 	}
 }
 
@@ -78,6 +76,12 @@
 	r.flags(attempt.JoinFill, attempt.CachedOnly, attempt.BypassParent, attempt.Revalidate)
 }
 
+// log appends a line of the operators' report.
+func (r *Reply) log(instance uint32, line string) {
+	r.begin(codeLog, instance)
+	r.text(line)
+}
+
 func (r *Reply) begin(code uint8, instance uint32) {
 	r.count++
 	r.u8(code)
