--- a/internal/frontend/connlimit/connlimit_test.go
+++ b/internal/frontend/connlimit/connlimit_test.go
@@ -191,3 +191,50 @@
 		}
 	})
 }
+
+// TestAdmitEvicts: at the limit the oldest new client is evicted if it had its grace, else the client that has been
+// idle longest, else the oldest new one; busy ones never are.
+func TestAdmitEvicts(t *testing.T) {
+	const late = 10 * time.Second // when one more client connects
+	idle := func(client *Client, at time.Duration) { client.Received(at, Input{Complete: true}) }
+	busy := func(client *Client, at time.Duration) { client.SetOpen(at, 1) }
+	fresh := func(*Client, time.Duration) {}
+	type member struct {
+		name    string
+		at      time.Duration // when it connects
+		prepare func(client *Client, at time.Duration)
+	}
+	for name, c := range map[string]struct {
+		members []member
+		want    string // who is evicted; empty: nobody, and the client is not admitted
+	}{
+		"a new one after its grace": {
+			[]member{{"idle", 0, idle}, {"new", late - firstMessageGrace, fresh}, {"newer", late, fresh}}, "new",
+		},
+		"the longest idle one before that": {
+			[]member{{"idle", 0, idle}, {"idle later", time.Second, idle}, {"new", late - firstMessageGrace + 1, fresh}},
+			"idle",
+		},
+		"a new one where none is idle": {
+			[]member{{"busy", 0, busy}, {"new", late, fresh}, {"newer", late, fresh}}, "new",
+		},
+		"nobody": {
+			[]member{{"busy", 0, busy}, {"busy too", 0, busy}, {"busy as well", 0, busy}}, "",
+		},
+	} {
+		limiter := New(len(c.members), testIdleTimeout)
+		evicted := ""
+		for _, member := range c.members {
+			var client *Client
+			client = limiter.Admit(member.at, func() {
+				evicted += member.name
+				client.Remove()
+			}, func() int { return 0 })
+			member.prepare(client, member.at)
+		}
+		admitted := limiter.Admit(late, nil, nil)
+		if evicted != c.want || (admitted != nil) != (c.want != "") {
+			t.Errorf("%s: %q is evicted, admitted %v", name, evicted, admitted != nil)
+		}
+	}
+}
