--- a/test/pages/commands_test.go
+++ b/test/pages/commands_test.go
@@ -16,7 +16,7 @@
 	"`((?:go (?:test|run|build)|-run|-bench) [^`]+)`|(?m:^    (go (?:test|run|build) .*)$)")
 
 // flagsOfGo are flags of `go test` itself.
-var flagsOfGo = []string{"-run", "-bench", "-v", "-count", "-race", "-o", "-benchtime", "-timeout", "-print"}
+var flagsOfGo = []string{"-run", "-bench", "-v", "-count", "-race", "-o", "-benchtime", "-timeout", "-print", "-tags"}
 
 // commands gives what is wrong with the commands of Go's in a page. One without a folder is of the last one's.
 func (c *checker) commands(text string) (faults []string) {
--- a/tools/testgate/main.go
+++ b/tools/testgate/main.go
@@ -1,10 +1,17 @@
 // Testgate runs all tests of the module and passes over exactly the failures that KNOWN-RED.txt lists. It is called in
 // the root of the module. Without that file it runs the plain command of the README.
 //
-// Each line of the file is "TEST, cause, issue", at most three, with TEST as package.TestName or package.TestName/sub
-// and the package relative to the module. A listed test does not stand for its subtests. A test counts as failed by its
-// listed subtests alone if it wrote nothing by t.Log or t.Error; a bare t.Fail of such a test is not seen. A panic is
-// passed over only if it was in a listed test and kept no other test from running.
+// The file has at most three entries, each of five lines, with an empty line between two of them:
+//
+//	test: PACKAGE.TestName/sub, with the package relative to the module
+//	command: by which the failure was seen
+//	seed: that the command was run with, or none
+//	seen: what the test said
+//	issue: where the failure is followed
+//
+// A listed test does not stand for its subtests. A test counts as failed by its listed subtests alone if it wrote
+// nothing by t.Log or t.Error; a bare t.Fail of such a test is not seen. A panic is passed over only if it was in a
+// listed test and kept no other test from running.
 package main
 
 import (
@@ -54,9 +61,9 @@
 	if err != nil {
 		return err
 	}
-	list, err := parseKnown(string(text))
+	list, err := parseKnown(listFile, string(text))
 	if err != nil {
-		return fmt.Errorf("%s: %w", listFile, err)
+		return err
 	}
 	module, err := exec.Command("go", "list", "-m").Output()
 	if err != nil {
@@ -149,10 +156,10 @@
 // report prints what was passed over and returns what was not.
 func report(writer io.Writer, verdict Verdict) error {
 	for _, known := range verdict.PassedOver {
-		fmt.Fprintf(writer, "known red, passed over: %s, %s, %s\n", known.Test, known.Cause, known.Issue)
+		fmt.Fprintf(writer, "known red, passed over: %v\n", known)
 	}
 	for _, known := range verdict.Recovered {
-		fmt.Fprintf(writer, "known red, did not fail this time: %s, %s, %s\n", known.Test, known.Cause, known.Issue)
+		fmt.Fprintf(writer, "known red, did not fail this time: %v\n", known)
 	}
 	if len(verdict.Problems) > 0 {
 		return &NotPassedError{Problems: verdict.Problems}
--- a/tools/testgate/output_test.go
+++ b/tools/testgate/output_test.go
@@ -56,13 +56,14 @@
 func TestReport(t *testing.T) {
 	var text strings.Builder
 	verdict := Verdict{
-		PassedOver: []Known{{Test: inP("TestA"), Cause: "late", Issue: "#1"}},
-		Recovered:  []Known{{Test: inP("TestB"), Cause: "late", Issue: "#2"}},
+		PassedOver: []Known{{Test: inP("TestA"), Command: "go test ./p", Seed: "7", Seen: "late", Issue: "#1"}},
+		Recovered:  []Known{{Test: inP("TestB"), Command: "go test ./p", Seed: "8", Seen: "late", Issue: "#2"}},
 	}
 	if err := report(&text, verdict); err != nil {
 		t.Error(err)
 	}
-	want := "known red, passed over: p.TestA, late, #1\nknown red, did not fail this time: p.TestB, late, #2\n"
+	want := "known red, passed over: p.TestA: late (issue #1; go test ./p; seed 7)\n" +
+		"known red, did not fail this time: p.TestB: late (issue #2; go test ./p; seed 8)\n"
 	if text.String() != want {
 		t.Errorf("got %q, want %q", text.String(), want)
 	}
--- a/tools/testgate/verdict.go
+++ b/tools/testgate/verdict.go
@@ -16,7 +16,6 @@
 type Event struct {
 	Action      string
 	Package     string
-	ImportPath  string // of the package that a build's output is about
 	Test        string
 	Output      string
 	FailedBuild string // the package that could not be built
@@ -57,14 +56,14 @@
 	return fmt.Sprintf("%s did not run to its end", err.Test)
 }
 
-// UnknownTestError is a line of the list that names no test.
+// UnknownTestError is an entry of the list that names no test.
 type UnknownTestError struct {
 	Test Test
 }
 
 // Error names the test and says what to do.
 func (err *UnknownTestError) Error() string {
-	return fmt.Sprintf("%s is listed and no such test was run: mend or remove its line", err.Test)
+	return fmt.Sprintf("%s is listed and no such test was run: correct or remove its entry", err.Test)
 }
 
 // FailedPackageError is a failure of a package that no test explains.
--- a/tools/testgate/verdict_test.go
+++ b/tools/testgate/verdict_test.go
@@ -121,7 +121,7 @@
 	return map[string]decideCase{
 		"build failure": {
 			events: []Event{
-				{Action: "build-fail", ImportPath: "sloequay/p"},
+				{Action: "build-fail"},
 				{Action: "fail", Package: "sloequay/p", FailedBuild: "sloequay/p"},
 			},
 			goFailed: true, list: []string{"A"},
@@ -184,7 +184,7 @@
 	t.Helper()
 	known := func(names []string) (list []Known) {
 		for _, name := range names {
-			list = append(list, Known{Test: inP(name), Cause: "cause", Issue: "issue"})
+			list = append(list, Known{Test: inP(name), Command: "command", Seen: "seen", Issue: "issue"})
 		}
 		return list
 	}
