--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter plays many directors on the simulator's wire: batches on standard input, one reply each on
-// standard output. It decides nothing.
+// Command adapter runs many instances of the policy engine on the simulator's wire: batches on standard input, one
+// reply each on standard output. It decides nothing.
 package main
 
 import (
@@ -20,14 +20,17 @@
 	}
 }
 
+// inputBufferBytes is how much of the input is read at once.
+const inputBufferBytes = 1 << 20
+
 // run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	r := bufio.NewReaderSize(in, 1<<20)
-	directors := map[uint32]*policy.Engine{}
+	reader := bufio.NewReaderSize(in, inputBufferBytes)
+	engines := map[uint32]*policy.Engine{}
 	var batch simwire.Batch
 	var reply simwire.Reply
 	for {
-		err := simwire.ReadBatch(r, &batch)
+		err := simwire.ReadBatch(reader, &batch)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -35,7 +38,7 @@
 			return err
 		}
 		reply.Reset(batch.Seq)
-		if err := answer(&batch, &reply, directors); err != nil {
+		if err := answer(&batch, &reply, engines); err != nil {
 			return err
 		}
 		if _, err := out.Write(reply.Bytes()); err != nil {
@@ -45,9 +48,9 @@
 }
 
 // answer hands every record of the batch to its instance and collects the actions.
-func answer(batch *simwire.Batch, reply *simwire.Reply, directors map[uint32]*policy.Engine) error {
+func answer(batch *simwire.Batch, reply *simwire.Reply, engines map[uint32]*policy.Engine) error {
 	for {
-		rec, err := batch.Next()
+		record, err := batch.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -55,32 +58,33 @@
 			return err
 		}
 		switch {
-		case rec.Hello != nil:
-			d, err := policy.New(rec.Hello.Config, rec.Hello.Seed)
+		case record.Hello != nil:
+			engine, err := policy.New(record.Hello.Config, record.Hello.Seed)
 			if err != nil {
-				return fmt.Errorf("HELLO of instance %d: %w", rec.Instance, err)
+				return fmt.Errorf("HELLO of instance %d: %w", record.Instance, err)
 			}
-			directors[rec.Instance] = d
-		case rec.Down:
-			delete(directors, rec.Instance)
+			engines[record.Instance] = engine
+		case record.Down:
+			delete(engines, record.Instance)
 		default:
-			if d := directors[rec.Instance]; d != nil && !handle(d, batch, rec, reply) {
-				delete(directors, rec.Instance)
+			engine := engines[record.Instance]
+			if engine != nil && !handle(engine, batch, record, reply) {
+				delete(engines, record.Instance)
 			}
 		}
 	}
 }
 
-// handle passes one event on. A panic of the module becomes a FATAL of that instance and the result false.
-func handle(d *policy.Engine, batch *simwire.Batch, rec simwire.Record, reply *simwire.Reply) (ok bool) {
+// handle passes one event on. A panic of the engine becomes a FATAL of that instance and the result false.
+func handle(engine *policy.Engine, batch *simwire.Batch, record simwire.Record, reply *simwire.Reply) (ok bool) {
 	defer func() {
-		if p := recover(); p != nil {
-			reply.Fatal(rec.Instance, fmt.Sprint(p))
+		if cause := recover(); cause != nil {
+			reply.Fatal(record.Instance, fmt.Sprint(cause))
 			ok = false
 		}
 	}()
-	for _, a := range d.Handle(batch.Now, rec.Event) {
-		reply.Add(rec.Instance, a)
+	for _, action := range engine.Handle(batch.Now, record.Event) {
+		reply.Add(record.Instance, action)
 	}
 	return true
 }
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -57,7 +57,8 @@
 }
 
 func TestInstancesShareNothing(t *testing.T) {
-	together := play(t, batch(1000, 1, 4, hello(1), hello(2)), batch(1002, 2, 1, call(1, 7)), batch(1004, 3, 1, call(2, 7)))
+	together := play(t, batch(1000, 1, 4, hello(1), hello(2)),
+		batch(1002, 2, 1, call(1, 7)), batch(1004, 3, 1, call(2, 7)))
 	one := play(t, batch(1000, 1, 2, hello(1)), batch(1002, 2, 1, call(1, 7)))
 	two := play(t, batch(1000, 1, 2, hello(2)), batch(1004, 2, 1, call(2, 7)))
 	mixed, apart := actions(t, together), join(actions(t, one), actions(t, two))
@@ -83,7 +84,8 @@
 		t.Errorf("actions for an instance that was never started: %x", got)
 	}
 	down := join([]byte{9}, u32(1))
-	if got := actions(t, play(t, batch(1000, 1, 4, hello(1), down, call(1, 7)))); bytes.Contains(got, []byte{71, 1, 0, 0, 0}) {
+	got := actions(t, play(t, batch(1000, 1, 4, hello(1), down, call(1, 7))))
+	if bytes.Contains(got, []byte{71, 1, 0, 0, 0}) {
 		t.Errorf("a stopped instance acted: %x", got)
 	}
 }
@@ -93,7 +95,8 @@
 	if err == nil || !strings.Contains(err.Error(), "code 44") {
 		t.Errorf("unknown code: %v", err)
 	}
-	err = run(bytes.NewReader(batch(1000, 1, 1, join([]byte{0}, u32(1), u64(1), u32(2), []byte("{}")))), &bytes.Buffer{})
+	emptySettings := join([]byte{0}, u32(1), u64(1), u32(2), []byte("{}"))
+	err = run(bytes.NewReader(batch(1000, 1, 1, emptySettings)), &bytes.Buffer{})
 	if err == nil || !strings.Contains(err.Error(), "Classes") {
 		t.Errorf("settings without a class: %v", err)
 	}
--- a/cmd/chart/main.go
+++ b/cmd/chart/main.go
@@ -1,8 +1,10 @@
-// Command chart draws the time line that `sloequay drill --report DIR` leaves: DIR/timeline.json becomes DIR/timeline.svg.
+// Command chart draws the time line that `sloequay drill --report DIR` leaves: DIR/timeline.json becomes
+// DIR/timeline.svg.
 package main
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -18,21 +20,23 @@
 	}
 }
 
+// run draws the time line of the report's folder that the arguments name.
 func run(args []string) error {
 	if len(args) != 1 {
-		return fmt.Errorf("expected the folder of a report")
+		return errors.New("expected the folder of a report")
 	}
-	text, err := os.ReadFile(filepath.Join(args[0], "timeline.json"))
+	dir := args[0]
+	text, err := os.ReadFile(filepath.Join(dir, "timeline.json"))
 	if err != nil {
 		return err
 	}
-	var t drill.Timeline
-	if err := json.Unmarshal(text, &t); err != nil {
+	var timeline drill.Timeline
+	if err := json.Unmarshal(text, &timeline); err != nil {
 		return fmt.Errorf("timeline.json: %w", err)
 	}
-	svg, err := chart.SVG(t)
+	svg, err := chart.SVG(timeline)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(filepath.Join(args[0], "timeline.svg"), svg, 0o600)
+	return os.WriteFile(filepath.Join(dir, "timeline.svg"), svg, 0o600)
 }
--- a/internal/cli/contracts.go
+++ b/internal/cli/contracts.go
@@ -14,71 +14,73 @@
 	"sloequay/internal/quota"
 )
 
+// contractsOptions are the flags of `sloequay contracts`.
+type contractsOptions struct {
+	settings string
+	show     bool
+	explain  bool
+	service  string
+}
+
 // contractsCommand is `sloequay contracts`.
 func contractsCommand(out io.Writer, system *clock.System) *cobra.Command {
-	var path, service string
-	var check, show, explained bool
-	c := &cobra.Command{Use: "contracts", Short: "Check contracts, show how they stand, or explain what applies to a team's class",
-		Args: cobra.MaximumNArgs(2), RunE: func(_ *cobra.Command, args []string) error {
-			o, err := proxy.ReadSettings(system, path)
-			if err != nil {
-				return err
-			}
-			if o.Contracts == nil {
-				return errors.New("the settings have no block contracts")
-			}
-			switch {
-			case explained && len(args) != 2:
-				return errors.New("--explain TEAM CLASS")
-			case (show || explained) && o.Control != "":
-				question := "contracts"
-				if explained {
-					question = strings.Join([]string{"contracts", args[0], args[1], service}, " ")
-				}
-				return admin.Ask(out, o.Control, question)
-			case show:
-				return errors.New("the settings have no `control` by which a running doorman could be asked")
-			case explained:
-				fmt.Fprintln(out, "as written, nothing being used:")
-				proxy.Explain(out, o.Contracts.Ledger(), system.Monotonic(), args[0], args[1], service)
-				return nil
-			}
-			return checkContracts(out, o.Contracts)
-		}}
-	c.Flags().StringVar(&path, "conf", "", "our settings")
-	c.Flags().BoolVar(&check, "check", false, "say what is promised and can't be kept; this is what is done without a flag")
-	c.Flags().BoolVar(&show, "show", false, "ask the running doorman how its contracts stand")
-	c.Flags().BoolVar(&explained, "explain", false, "TEAM CLASS: which budgets apply, and what is left of them")
-	c.Flags().StringVar(&service, "service", "", "with --explain: of this service")
-	return c
+	var options contractsOptions
+	command := &cobra.Command{
+		Use:   "contracts [TEAM CLASS]",
+		Short: "Check contracts, show how they stand, or explain what applies to a team's class",
+		Example: "  sloequay contracts --conf deploy/sloequay.conf --check\n" +
+			"  sloequay contracts --conf deploy/sloequay.conf --show\n" +
+			"  sloequay contracts --conf deploy/sloequay.conf --explain lanes lookup",
+		Args: cobra.MaximumNArgs(2),
+		RunE: func(_ *cobra.Command, args []string) error { return contracts(out, system, options, args) },
+	}
+	addSettingsFlag(command, &options.settings)
+	command.Flags().Bool("check", false, "say what is promised and can't be kept; this is what is done without a flag")
+	command.Flags().BoolVar(&options.show, "show", false, "ask the running proxy how its contracts stand")
+	command.Flags().BoolVar(&options.explain, "explain", false,
+		"TEAM CLASS: which budgets apply, and what is left of them")
+	command.Flags().StringVar(&options.service, "service", "", "with --explain: of this service")
+	return command
 }
 
-// checkContracts tells over-commitment with figures, and fails by it.
-func checkContracts(out io.Writer, c *quota.Contracts) error {
-	faults := c.Root.Overcommitments()
-	for _, f := range faults {
-		fmt.Fprintln(out, f)
+// contracts does what the flags say. A running proxy is asked where the settings name its socket.
+func contracts(out io.Writer, system *clock.System, options contractsOptions, args []string) error {
+	settings, err := proxy.ReadSettings(system, options.settings)
+	if err != nil {
+		return err
 	}
-	if len(faults) > 0 {
-		return fmt.Errorf("%d budgets are promised more than once", len(faults))
+	if settings.Contracts == nil {
+		return errors.New("the settings have no block contracts")
 	}
-	fmt.Fprintf(out, "%d contracts, shared by %d doormen: what is guaranteed can be kept\n", len(c.Root.Children), c.Instances)
-	return nil
+	switch {
+	case options.explain && len(args) != 2:
+		return errors.New("--explain TEAM CLASS")
+	case options.explain && settings.Control != "":
+		question := strings.Join([]string{"contracts", args[0], args[1], options.service}, " ")
+		return admin.Ask(out, settings.Control, question)
+	case options.show && settings.Control != "":
+		return admin.Ask(out, settings.Control, "contracts")
+	case options.show:
+		return errNoControl
+	case options.explain:
+		fmt.Fprintln(out, "as written, nothing being used:")
+		ledger := settings.Contracts.Ledger()
+		proxy.Explain(out, ledger, system.Monotonic(), args[0], args[1], options.service)
+		return nil
+	}
+	return checkContracts(out, settings.Contracts)
 }
 
-// askCommand is a command that puts one question to the running doorman, as `sloequay state`.
-func askCommand(out io.Writer, system *clock.System, question, short string) *cobra.Command {
-	var path string
-	c := &cobra.Command{Use: question, Short: short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		o, err := proxy.ReadSettings(system, path)
-		if err != nil {
-			return err
-		}
-		if o.Control == "" {
-			return errors.New("the settings have no `control` by which a running doorman could be asked")
-		}
-		return admin.Ask(out, o.Control, question)
-	}}
-	c.Flags().StringVar(&path, "conf", "", "our settings")
-	return c
+// checkContracts prints over-commitment with figures, and fails by it.
+func checkContracts(out io.Writer, contracts *quota.Contracts) error {
+	overcommitments := contracts.Root.Overcommitments()
+	for _, overcommitment := range overcommitments {
+		fmt.Fprintln(out, overcommitment)
+	}
+	if len(overcommitments) > 0 {
+		return fmt.Errorf("%d budgets are promised more than once", len(overcommitments))
+	}
+	fmt.Fprintf(out, "%d contracts, shared by %d proxies: what is guaranteed can be kept\n",
+		len(contracts.Root.Children), contracts.Instances)
+	return nil
 }
--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -14,48 +14,77 @@
 	"sloequay/internal/drill"
 )
 
+var (
+	errNoPlan      = errors.New("either a plan's file or --draw")
+	errCheckFailed = errors.New("not all held")
+)
+
+// drillOptions are the flags of `sloequay drill`.
+type drillOptions struct {
+	seed      uint64
+	proxies   int // 0: the plan's number
+	reportDir string
+	draw      bool
+}
+
 // drillCommand is `sloequay drill`.
 func drillCommand(out io.Writer) *cobra.Command {
-	var seed uint64
-	var doormans int
-	var report string
-	var drawn bool
-	c := &cobra.Command{Use: "drill [FILE]", Short: "Start many doormans with faults between them by a plan, and say what held",
-		Args: cobra.MaximumNArgs(1), RunE: func(_ *cobra.Command, args []string) error {
-			var p *drill.Plan
-			var err error
-			switch {
-			case drawn && len(args) == 0:
-				if p, err = drill.Draw(seed); err == nil {
-					fmt.Fprint(out, p.Text, "\n")
-				}
-			case !drawn && len(args) == 1:
-				p, err = drill.Load(args[0])
-			default:
-				return errors.New("either a plan's file or --draw")
-			}
+	var options drillOptions
+	command := &cobra.Command{
+		Use:   "drill [FILE]",
+		Short: "Start many proxies with faults between them by a plan, and say what held",
+		Example: "  sloequay drill deploy/drill/cold-start.conf --proxies 30 --report /tmp/report\n" +
+			"  sloequay drill --draw --seed 7",
+		Args: cobra.MaximumNArgs(1),
+		RunE: func(_ *cobra.Command, args []string) error {
+			plan, err := options.plan(out, args)
 			if err != nil {
 				return err
 			}
-			if doormans > 0 {
-				p.Proxies = doormans
-			}
-			return runDrill(out, p, seed, report)
-		}}
-	c.Flags().Uint64Var(&seed, "seed", 1, "of everything that is drawn by lot")
-	c.Flags().IntVar(&doormans, "doormans", 0, "processes to start, instead of the plan's number")
-	c.Flags().StringVar(&report, "report", "", "folder for the logs of all processes and the time line as plots")
-	c.Flags().BoolVar(&drawn, "draw", false, "draw the plan by the seed; it is printed first, so that it can be saved")
-	return c
+			return runDrill(out, plan, options)
+		},
+	}
+	flags := command.Flags()
+	flags.Uint64Var(&options.seed, "seed", 1, "of everything that is drawn by lot")
+	flags.IntVar(&options.proxies, "proxies", 0, "processes to start, instead of the plan's number")
+	flags.IntVar(&options.proxies, "doormans", 0, "the name of --proxies in earlier releases")
+	_ = flags.MarkHidden("doormans")
+	flags.StringVar(&options.reportDir, "report", "", "folder for the logs of all processes and the time line as plots")
+	flags.BoolVar(&options.draw, "draw", false,
+		"draw the plan by the seed; it is printed first, so that it can be saved")
+	return command
+}
+
+// plan loads the plan that the arguments name, or draws and prints one.
+func (options drillOptions) plan(out io.Writer, args []string) (*drill.Plan, error) {
+	var plan *drill.Plan
+	var err error
+	switch {
+	case options.draw && len(args) == 0:
+		if plan, err = drill.Draw(options.seed); err == nil {
+			fmt.Fprint(out, plan.Text, "\n")
+		}
+	case !options.draw && len(args) == 1:
+		plan, err = drill.Load(args[0])
+	default:
+		return nil, errNoPlan
+	}
+	if err != nil {
+		return nil, err
+	}
+	if options.proxies > 0 {
+		plan.Proxies = options.proxies
+	}
+	return plan, nil
 }
 
 // runDrill plays a plan and prints what had to hold and did.
-func runDrill(out io.Writer, p *drill.Plan, seed uint64, report string) error {
+func runDrill(out io.Writer, plan *drill.Plan, options drillOptions) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	dir := report
+	dir := options.reportDir
 	if dir == "" {
 		if dir, err = os.MkdirTemp("", "sloequay-drill-"); err != nil {
 			return err
@@ -64,38 +93,51 @@
 	} else if err = os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s: %d doormans, seed %d, %v\n", p.File, p.Proxies, seed, p.Lasts)
-	r, err := drill.Run(p, self, dir, seed, out)
+	fmt.Fprintf(out, "%s: %d proxies, seed %d, %v\n", plan.File, plan.Proxies, options.seed, plan.Lasts)
+	result, err := drill.Run(plan, self, dir, options.seed, out)
 	if err != nil {
 		return err
 	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "\nHELD\tWHAT\tFOUND")
-	for _, v := range r.Checks {
-		held := "yes"
-		if !v.OK {
-			held = "NO"
-		}
-		fmt.Fprintf(w, "%s\t%s\t%s\n", held, v.Invariant.Line, v.Found)
-	}
-	if err := w.Flush(); err != nil {
+	if err := printChecks(out, result); err != nil {
 		return err
 	}
-	if report != "" {
-		if err := os.WriteFile(filepath.Join(dir, "timeline.json"), r.Timeline().JSON(), 0o600); err != nil {
+	if options.reportDir != "" {
+		if err := writeTimeline(out, result, self, dir); err != nil {
 			return err
 		}
-		fmt.Fprintln(out, "the logs and timeline.json are in", dir)
-		drawTimeline(out, filepath.Join(filepath.Dir(self), "chart"), dir)
 	}
-	if !r.OK() {
-		return errors.New("not all held")
+	if !result.OK() {
+		return errCheckFailed
+	}
+	return nil
+}
+
+// printChecks prints what had to hold as a table.
+func printChecks(out io.Writer, result *drill.Result) error {
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "\nHELD\tWHAT\tFOUND")
+	for _, check := range result.Checks {
+		verdict := "yes"
+		if !check.OK {
+			verdict = "NO"
+		}
+		fmt.Fprintf(table, "%s\t%s\t%s\n", verdict, check.Invariant.Line, check.Found)
+	}
+	return table.Flush()
+}
+
+// writeTimeline writes the time line into the report's folder and has it drawn.
+func writeTimeline(out io.Writer, result *drill.Result, self, dir string) error {
+	if err := os.WriteFile(filepath.Join(dir, "timeline.json"), result.Timeline().JSON(), 0o600); err != nil {
+		return err
 	}
+	fmt.Fprintln(out, "the logs and timeline.json are in", dir)
+	drawTimeline(out, filepath.Join(filepath.Dir(self), "chart"), dir)
 	return nil
 }
 
-// drawTimeline has the command chart, which is built beside this one, draw the time line. It is a program of its own since its
-// library would add to the memory of each doorman.
+// drawTimeline has the command chart, which is built beside this one, draw the time line. It is a program of its own
+// since its library would add to the memory of each proxy.
 func drawTimeline(out io.Writer, program, dir string) {
 	if _, err := os.Stat(program); err != nil {
 		fmt.Fprintf(out, "the time line is not drawn, as %s is not built: go run ./cmd/chart %s\n", program, dir)
--- /dev/null
+++ b/internal/cli/endpoints.go
@@ -0,0 +1,39 @@
+package cli
+
+import (
+	"io"
+
+	"github.com/spf13/cobra"
+
+	"sloequay/internal/clock"
+	"sloequay/internal/proxy"
+)
+
+// endpointsOptions are the flags of `sloequay endpoints`.
+type endpointsOptions struct {
+	files fileOptions
+	fetch proxy.EndpointsOptions
+}
+
+// endpointsCommand is `sloequay endpoints`.
+func endpointsCommand(out io.Writer, system *clock.System) *cobra.Command {
+	var options endpointsOptions
+	command := &cobra.Command{
+		Use:     "endpoints",
+		Aliases: []string{"boxes"}, // its name in earlier releases
+		Short:   "Ask the sources of endpoints once and print the merged view",
+		Example: "  sloequay endpoints --config config.json --conf deploy/sloequay.conf --wait 5s",
+		Args:    cobra.NoArgs,
+		RunE: func(*cobra.Command, []string) error {
+			plan, err := options.files.load(system)
+			if err != nil {
+				return err
+			}
+			return proxy.PrintEndpoints(out, plan, options.fetch)
+		},
+	}
+	options.files.addFlags(command)
+	command.Flags().DurationVar(&options.fetch.Wait, "wait", proxy.DefaultEndpointsWait,
+		"how long the sources are given")
+	return command
+}
--- /dev/null
+++ b/internal/cli/version.go
@@ -0,0 +1,38 @@
+package cli
+
+import (
+	"fmt"
+	"io"
+	"runtime/debug"
+
+	"github.com/spf13/cobra"
+)
+
+// versionCommand is `sloequay version`.
+func versionCommand(out io.Writer) *cobra.Command {
+	return &cobra.Command{
+		Use:     "version",
+		Short:   "Print what was built",
+		Example: "  sloequay version",
+		Args:    cobra.NoArgs,
+		RunE: func(*cobra.Command, []string) error {
+			_, err := fmt.Fprintln(out, "sloequay", version())
+			return err
+		},
+	}
+}
+
+// version is the commit that was built, where the build knows it.
+func version() string {
+	info, ok := debug.ReadBuildInfo()
+	if !ok {
+		return "unknown"
+	}
+	text := info.Main.Version
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" || setting.Key == "vcs.modified" && setting.Value == "true" {
+			text += " " + setting.Key + "=" + setting.Value
+		}
+	}
+	return text + " " + info.GoVersion
+}
--- a/test/commands_test.go
+++ b/test/commands_test.go
@@ -19,7 +19,7 @@
 	w.listFeed <- w.listChange(2, "c2", "removed")
 	w.listFeed <- "2"
 	view := func() string {
-		return mustRunProgram(t, "boxes", "--config", w.configPath, "--conf", w.settingsPath, "--wait", "1s")
+		return mustRunProgram(t, "endpoints", "--config", w.configPath, "--conf", w.settingsPath, "--wait", "1s")
 	}
 	out := view()
 	for _, want := range []string{
--- a/test/standstill_test.go
+++ b/test/standstill_test.go
@@ -46,8 +46,8 @@
 			t.Errorf("the request whose time was over was sent with max=%d", given)
 			continue
 		}
-		if most := limit - standstill + deadlineSlack; time.Duration(given)*time.Millisecond > most {
-			t.Errorf("max=%d after %v of %v, want %v at the most", given, standstill, limit, most)
+		if maxGiven := limit - standstill + deadlineSlack; time.Duration(given)*time.Millisecond > maxGiven {
+			t.Errorf("max=%d after %v of %v, want %v at the most", given, standstill, limit, maxGiven)
 		}
 	}
 }
@@ -60,8 +60,10 @@
 		t.Helper()
 		for _, a := range w.attempts() {
 			given, err := strconv.Atoi(a.Fields["max"])
-			if most := limit - waited + deadlineSlack; err != nil || time.Duration(given)*time.Millisecond > most {
-				t.Errorf("max=%s (%v) after %v of %v, want %v at the most", a.Fields["max"], err, waited, limit, most)
+			maxGiven := limit - waited + deadlineSlack
+			if err != nil || time.Duration(given)*time.Millisecond > maxGiven {
+				t.Errorf("max=%s (%v) after %v of %v, want %v at the most",
+					a.Fields["max"], err, waited, limit, maxGiven)
 			}
 		}
 	}
