--- a/internal/cli/key_new.go
+++ b/internal/cli/key_new.go
@@ -33,7 +33,7 @@
 	if id == "" {
 		id = randomID("k")
 	}
-	return keydir.New(directory, id, identity.Algorithm(options.algorithm))
+	return keydir.NewKeyPair(directory, id, identity.Algorithm(options.algorithm))
 }
 
 // newCommand is `sloequay key new`.
--- a/internal/cli/key_tsig.go
+++ b/internal/cli/key_tsig.go
@@ -19,7 +19,7 @@
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			secret.Name = args[0]
-			made, err := keydir.NewTSIG(keys.directory, secret)
+			made, err := keydir.AddTSIGKey(keys.directory, secret)
 			if err != nil {
 				return err
 			}
--- a/internal/cli/token.go
+++ b/internal/cli/token.go
@@ -31,7 +31,7 @@
 		Example: "  sloequay token show TOKEN",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			header, claims, err := identity.Unchecked(args[0])
+			header, claims, err := identity.ParseUnverified(args[0])
 			if err != nil {
 				return err
 			}
--- a/internal/cli/token_sign.go
+++ b/internal/cli/token_sign.go
@@ -55,7 +55,7 @@
 	if key == nil {
 		return errNoSigner
 	}
-	private, err := keydir.Private(keys.directory, key)
+	private, err := keydir.ReadPrivateKey(keys.directory, key)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/token_verify.go
+++ b/internal/cli/token_verify.go
@@ -50,7 +50,7 @@
 
 // checkSignature returns what a token says if the key that it names has signed it.
 func checkSignature(set *identity.Keys, token string) (identity.Claims, identity.Reason) {
-	keyID, algorithm, reason := identity.Head(token)
+	keyID, algorithm, reason := identity.ParseHeader(token)
 	if reason != identity.Allowed {
 		return identity.Claims{}, reason
 	}
--- a/internal/cli/try_environment.go
+++ b/internal/cli/try_environment.go
@@ -116,7 +116,7 @@
 
 // startEmulators starts the endpoints and the Consul that lists them.
 func (environment *tryEnvironment) startEmulators() error {
-	environment.endpoints = emulator.NewEndpoints(emulator.Caching("o1"))
+	environment.endpoints = emulator.NewEndpoints(emulator.CachingResponder("o1"))
 	environment.cluster = consul.NewCluster()
 	for _, endpoint := range tryEndpoints {
 		listener, err := environment.endpoints.Add(endpoint.id, "127.0.0.1:0")
