--- a/internal/cli/key_revoke.go
+++ b/internal/cli/key_revoke.go
@@ -42,7 +42,7 @@
 
 // parseRevocationKind reads the operator's word for what is revoked.
 func parseRevocationKind(text string) (identity.RevocationKind, error) {
-	for _, kind := range []identity.RevocationKind{identity.RevokedToken, identity.RevokedSubject, identity.RevokedKey} {
+	for kind := identity.RevokedToken; kind <= identity.RevokedKey; kind++ {
 		if kind.String() == text {
 			return kind, nil
 		}
