--- a/test/cancellation_test.go
+++ b/test/cancellation_test.go
@@ -14,13 +14,13 @@
 // and a late answer is not taken for that of another attempt.
 func TestCanceledAttempts(t *testing.T) {
 	pending := make(chan *receivedRequest, 8)
-	w := newTestbed(t, func(a *receivedRequest) { pending <- a })
-	w.start()
+	bed := newTestbed(t, func(attempt *receivedRequest) { pending <- attempt })
+	bed.start()
 	waitCancellations := func(count int) {
 		t.Helper()
-		w.waitUntil(fmt.Sprint(count, " QUIT lines came"), func() bool { return len(w.cancellations()) == count })
+		bed.waitUntil(fmt.Sprint(count, " QUIT lines came"), func() bool { return len(bed.cancellations()) == count })
 	}
-	one, two := w.dial(), w.dial()
+	one, two := bed.dial(), bed.dial()
 	patient := map[string]string{"limit": "60000"} // or the deadline would call the attempts off
 	one.send(request(1, "footage", patient, ""))
 	first := <-pending
@@ -45,31 +45,31 @@
 func TestCancelNotSentWhereForbidden(t *testing.T) {
 	for _, c := range []struct {
 		name, limit string
-		ends        func(w *testbed, c *client)
+		ends        func(bed *testbed, c *client)
 	}{
 		{"the client takes it back", "1500", func(_ *testbed, c *client) {
 			c.send(withdrawal(1))
 			c.awaitRound(9)
 		}},
 		{"the client goes", "1500", func(_ *testbed, c *client) { _ = c.conn.Close() }},
-		{"its time is up", "400", func(w *testbed, c *client) {
-			if a := c.mustRead(); a.Error == "" {
-				w.t.Errorf("%+v, want an error", a)
+		{"its time is up", "400", func(bed *testbed, c *client) {
+			if answer := c.mustRead(); answer.Error == "" {
+				bed.t.Errorf("%+v, want an error", answer)
 			}
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			pending := make(chan *receivedRequest, 100)
-			w := newTestbed(t, func(a *receivedRequest) { pending <- a }, "c2")
-			limits := w.platformLimits()
+			bed := newTestbed(t, func(attempt *receivedRequest) { pending <- attempt }, "c2")
+			limits := bed.platformLimits()
 			limits["cancelling"], limits["streams-per-conn"] = false, 1
-			w.start()
-			client := w.dial()
+			bed.start()
+			client := bed.dial()
 			client.send(request(1, "lookup", map[string]string{"limit": c.limit}, ""))
 			first := nextReceived(t, pending)
-			c.ends(w, client)
-			other := w.dial()
+			c.ends(bed, client)
+			other := bed.dial()
 			other.send(request(2, "lookup", map[string]string{"limit": "3000"}, ""))
 			second := nextReceived(t, pending)
 			if first.Conn == second.Conn && c.limit != "400" {
@@ -77,13 +77,13 @@
 			}
 			first.Answer("ACK", "tag=t1", "late") // nobody waits for it
 			answerDone(second)
-			if a := other.mustRead(); a.Body != "done" {
-				t.Errorf("%+v, want it served", a)
+			if answer := other.mustRead(); answer.Body != "done" {
+				t.Errorf("%+v, want it served", answer)
 			}
 			// An answer for each further connection shows that all before was read.
-			w.setResponder(answerDone)
+			bed.setResponder(answerDone)
 			other.ask(3, "lookup", nil)
-			if quits := w.cancellations(); len(quits) > 0 {
+			if quits := bed.cancellations(); len(quits) > 0 {
 				t.Errorf("%d QUIT went out, want none", len(quits))
 			}
 		})
@@ -94,20 +94,20 @@
 type waitingRequest struct {
 	name string
 	// wait brings the request to where it waits, and gives what ends that wait.
-	wait func(w *testbed, c *client, pending chan *receivedRequest) (release func())
+	wait func(bed *testbed, c *client, pending chan *receivedRequest) (release func())
 	sent int // attempts for it that were sent by then
 }
 
 var waitingRequests = []waitingRequest{
-	{"for a dial", func(w *testbed, c *client, _ chan *receivedRequest) func() {
+	{"for a dial", func(bed *testbed, c *client, _ chan *receivedRequest) func() {
 		c.send(request(1, "lookup", map[string]string{"limit": "3000"}, ""))
 		c.awaitRound(2)
-		return func() { go w.endpoints.Serve("c1", w.fullListener) }
+		return func() { go bed.endpoints.Serve("c1", bed.fullListener) }
 	}, 0},
-	{"for its answer", func(w *testbed, c *client, pending chan *receivedRequest) func() {
+	{"for its answer", func(bed *testbed, c *client, pending chan *receivedRequest) func() {
 		c.send(request(1, "lookup", nil, ""))
-		a := nextReceived(w.t, pending)
-		return func() { a.Answer("NOENT", "-", "") } // at which it would go on elsewhere
+		attempt := nextReceived(bed.t, pending)
+		return func() { attempt.Answer("NOENT", "-", "") } // at which it would go on elsewhere
 	}, 1},
 }
 
@@ -119,30 +119,34 @@
 			t.Run(c.name+", by "+way.name, func(t *testing.T) {
 				t.Parallel()
 				pending := make(chan *receivedRequest, 100)
-				w := newTestbed(t, func(a *receivedRequest) { pending <- a }, "c2")
+				bed := newTestbed(t, func(attempt *receivedRequest) { pending <- attempt }, "c2")
 				if c.sent == 0 {
-					w.listAt("c1", w.listenWithFullBacklog())
-					w.platformLimits()["dial-timeout-ms"] = 60000
+					bed.listAt("c1", bed.listenWithFullBacklog())
+					bed.platformLimits()["dial-timeout-ms"] = 60000
 				}
-				w.start()
-				client := w.dial()
-				release := c.wait(w, client, pending)
+				bed.start()
+				client := bed.dial()
+				release := c.wait(bed, client, pending)
 				way.abandon(client, 1)
 				if c.sent > 0 {
-					w.waitUntil("its attempt is called off", func() bool { return len(w.cancellations()) > 0 })
+					bed.waitUntil("its attempt is called off", func() bool { return len(bed.cancellations()) > 0 })
 				} else {
-					w.waitUntil("its leaving is noticed", func() bool { return abandonNoticed(w, client, way.name) })
+					bed.waitUntil("its leaving is noticed", func() bool {
+						return abandonNoticed(bed, client, way.name)
+					})
 				}
 				release()
 				// Requests of another client, by the same ways, show that what had to come for the first one would
 				// have come.
-				w.setResponder(answerDone)
-				other, id := w.dial(), uint64(100)
-				w.waitUntil("another client is served", func() bool {
+				bed.setResponder(answerDone)
+				other, id := bed.dial(), uint64(100)
+				bed.waitUntil("another client is served", func() bool {
 					id++
 					return other.ask(id, "lookup", map[string]string{"item": hexID(id)}).Error == ""
 				})
-				sent := w.received(func(a *receivedRequest) bool { return a.Word == "ASK" && a.ID == hexID(1) })
+				sent := bed.received(func(attempt *receivedRequest) bool {
+					return attempt.Word == "ASK" && attempt.ID == hexID(1)
+				})
 				if len(sent) != c.sent {
 					t.Errorf("%d attempts were sent for the client that left, want %d", len(sent), c.sent)
 				}
@@ -155,16 +159,16 @@
 // their clients leave meanwhile, and it comes up 0.4 s later. None of theirs is forwarded, and one that stayed is
 // served.
 func TestClientsAbandonRequestsDuringDial(t *testing.T) {
-	w := newTestbed(t, nil, "c2")
-	w.listAt("c1", w.listenWithFullBacklog())
-	limits := w.platformLimits()
+	bed := newTestbed(t, nil, "c2")
+	bed.listAt("c1", bed.listenWithFullBacklog())
+	limits := bed.platformLimits()
 	limits["dial-timeout-ms"], limits["streams-per-conn"] = 60000, 1000
-	w.start()
+	bed.start()
 	const clientCount, each = 20, 20
 	attemptID := func(client int, id uint64) string { return fmt.Sprintf("%08x%08x", client, id) }
 	var clients []*client
 	for n := range clientCount {
-		c := w.dial()
+		c := bed.dial()
 		clients = append(clients, c)
 		for id := range uint64(each) {
 			c.send(request(id+1, "lookup", map[string]string{"limit": "60000", "ram": "0.01",
@@ -185,15 +189,15 @@
 		}
 	}
 	time.Sleep(400 * time.Millisecond) // the case's own time, in which the clients' leaving is read
-	go w.endpoints.Serve("c1", w.fullListener)
+	go bed.endpoints.Serve("c1", bed.fullListener)
 	stayed, served := clients[0], false
 	for deadline := time.Now().Add(waitLimit); !served && time.Now().Before(deadline); {
-		a, err := stayed.read()
-		served = err == nil && a.Error == ""
+		answer, err := stayed.read()
+		served = err == nil && answer.Error == ""
 	}
-	attempts, forwarded := w.attempts(), 0
-	for _, a := range attempts {
-		if left[a.ID] {
+	attempts, forwarded := bed.attempts(), 0
+	for _, attempt := range attempts {
+		if left[attempt.ID] {
 			forwarded++
 		}
 	}
@@ -209,17 +213,17 @@
 // way in which they can. When it goes on it reads both at once, and nothing is forwarded for any of them; who stayed
 // is served.
 func TestClientsAbandonRequestsWhileProxyIsStopped(t *testing.T) {
-	w := newTestbed(t, nil)
-	w.start()
+	bed := newTestbed(t, nil)
+	bed.start()
 	const each, requests = 40, 4
 	var clients []*client
 	for range len(abandonWays)*each + 1 {
-		c := w.dial()
+		c := bed.dial()
 		c.awaitRound(9) // so that it was let in
 		clients = append(clients, c)
 	}
 	stayed := clients[0]
-	w.standStill()
+	bed.standStill()
 	stayed.send(request(1, "lookup", map[string]string{"limit": "60000"}, ""))
 	for n, c := range clients[1:] {
 		for id := range uint64(requests) {
@@ -231,16 +235,18 @@
 		}
 	}
 	time.Sleep(400 * time.Millisecond) // until the system has passed all on; the program can't tell
-	w.signal(syscall.SIGCONT)
-	if a := stayed.mustRead(); a.Error != "" {
-		t.Errorf("%+v, want it served", a)
+	bed.signal(syscall.SIGCONT)
+	if answer := stayed.mustRead(); answer.Error != "" {
+		t.Errorf("%+v, want it served", answer)
 	}
 	// What is sent now comes later than all that was written before.
-	w.waitUntil("the others' ends were read", func() bool {
-		return len(w.received(func(a *receivedRequest) bool { return a.ID == hexID(1) })) == 1
+	bed.waitUntil("the others' ends were read", func() bool {
+		return len(bed.received(func(attempt *receivedRequest) bool { return attempt.ID == hexID(1) })) == 1
 	})
 	stayed.ask(2, "lookup", nil)
-	forwarded := w.received(func(a *receivedRequest) bool { return a.Word == "ASK" && strings.HasPrefix(a.ID, "aa") })
+	forwarded := bed.received(func(attempt *receivedRequest) bool {
+		return attempt.Word == "ASK" && strings.HasPrefix(attempt.ID, "aa")
+	})
 	if len(forwarded) > 0 {
 		t.Errorf("%d of %d requests whose clients had left were forwarded, want none", len(forwarded),
 			len(abandonWays)*each*requests)
--- a/test/catalogue_outage_test.go
+++ b/test/catalogue_outage_test.go
@@ -22,33 +22,33 @@
 	}{{"hangs", consul.Hang}, {"refuses", consul.Refuse}, {"resets", consul.Reset}, {"says 500", consul.Status500}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := newCatalogueTestbed(t, answerFilled, "c3")
-			cluster, agents := w.enableCatalogue(1, "")
-			w.start()
-			w.waitEndpointsKnown(5)
-			load := w.startLookups()
-			w.waitInUse("c1")
+			bed := newCatalogueTestbed(t, answerFilled, "c3")
+			cluster, agents := bed.enableCatalogue(1, "")
+			bed.start()
+			bed.waitEndpointsKnown(5)
+			load := bed.startLookups()
+			bed.waitInUse("c1")
 			agents[0].SetFault(c.fault, 0)
 			cluster.Mark("archive", "o1", consul.Passing) // so that what blocks is answered, and fails
 			cluster.Mark("trunk", "p1", consul.Passing)
 			cluster.Mark("cache", "c2", consul.Passing)
-			w.waitLoggedTimes("event=catalogue-unreachable", 3)
+			bed.waitLoggedTimes("event=catalogue-unreachable", 3)
 			before, from := agents[0].Requests(), time.Now()
 			time.Sleep(*outageFor) // the case's own length
 			cluster.Mark("cache", "c1", "maintenance")
-			w.waitInUse("c1") // nobody can know
+			bed.waitInUse("c1") // nobody can know
 			polls, took := agents[0].Requests()-before, time.Since(from)
 			agents[0].SetFault(consul.None, 0)
 			back := time.Now()
-			w.waitUnused("c1", back, 1500*time.Millisecond)
+			bed.waitUnused("c1", back, 1500*time.Millisecond)
 			load.stopAllServed(t)
 			if limit := int(took/time.Second) + 2; c.fault != consul.Refuse && polls > limit {
 				t.Errorf("the agent was asked %d times in %v, want at most %d", polls, took, limit)
 			}
-			if w.logged("event=endpoint-removed") {
+			if bed.logged("event=endpoint-removed") {
 				t.Error("an endpoint was removed, want all kept")
 			}
-			if n := w.timesLogged("event=catalogue-reachable"); n != 3 {
+			if n := bed.timesLogged("event=catalogue-reachable"); n != 3 {
 				t.Errorf("the agent's return is logged %d times, want once for each of 3 services", n)
 			}
 		})
@@ -74,38 +74,38 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := newCatalogueTestbed(t, answerFilled, "c3", "c4", "c5")
-			cluster, agents := w.enableCatalogue(1, "limit 500ms")
-			w.start()
-			w.waitEndpointsKnown(7)
-			load := w.startLookups()
+			bed := newCatalogueTestbed(t, answerFilled, "c3", "c4", "c5")
+			cluster, agents := bed.enableCatalogue(1, "limit 500ms")
+			bed.start()
+			bed.waitEndpointsKnown(7)
+			load := bed.startLookups()
 			// A change, so that what blocks is answered, and time for the answer.
 			change := func() {
 				cluster.Mark("cache", "c2", consul.Passing)
 				time.Sleep(20 * time.Millisecond)
 			}
 			agents[0].SetFault(c.fault, c.by)
-			w.waitUntil("the odd answer is noted", func() bool {
+			bed.waitUntil("the odd answer is noted", func() bool {
 				change()
-				return w.logged(c.log)
+				return bed.logged(c.log)
 			})
 			for range 20 {
 				change()
 			}
 			agents[0].SetFault(consul.None, 0)
 			for _, event := range []string{"event=endpoint-removed", "event=endpoint-draining"} {
-				if w.logged(event) {
+				if bed.logged(event) {
 					t.Errorf("%q is logged, want no endpoint lost", event)
 				}
 			}
-			w.waitUntil("the true list is believed again", func() bool {
+			bed.waitUntil("the true list is believed again", func() bool {
 				cluster.Mark("cache", "c2", "maintenance")
-				return w.logged("event=endpoint-draining endpoint=c2")
+				return bed.logged("event=endpoint-draining endpoint=c2")
 			})
 			cluster.Remove("cache", "c1", "c2", "c3", "c4")
-			w.waitUnused("c3", cluster.Written("c3"), time.Second)
-			w.waitUnused("c1", cluster.Written("c1"), time.Second)
-			if !w.logged("event=list-loss-confirmed") {
+			bed.waitUnused("c3", cluster.Written("c3"), time.Second)
+			bed.waitUnused("c1", cluster.Written("c1"), time.Second)
+			if !bed.logged("event=list-loss-confirmed") {
 				t.Error("the real loss was not suspected and confirmed")
 			}
 			load.stopAllServed(t)
@@ -116,18 +116,18 @@
 // TestCatalogueAgentFailover: the agent in use dies between a change and its answer.
 func TestCatalogueAgentFailover(t *testing.T) {
 	t.Parallel()
-	w := newCatalogueTestbed(t, answerFilled)
-	cluster, agents := w.enableCatalogue(2, "")
-	w.start()
-	load := w.startLookups()
-	w.waitInUse("c1")
+	bed := newCatalogueTestbed(t, answerFilled)
+	cluster, agents := bed.enableCatalogue(2, "")
+	bed.start()
+	load := bed.startLookups()
+	bed.waitInUse("c1")
 	agents[0].SetFault(consul.Refuse, 0)
 	cluster.Mark("cache", "c1", consul.Critical)
-	w.waitUnused("c1", cluster.Written("c1"), time.Second)
-	if !w.logged("event=catalogue-agent-changed") {
+	bed.waitUnused("c1", cluster.Written("c1"), time.Second)
+	if !bed.logged("event=catalogue-agent-changed") {
 		t.Error("the change of agents is not in the log")
 	}
-	if w.logged("event=catalogue-unreachable") {
+	if bed.logged("event=catalogue-unreachable") {
 		t.Error("the catalogue counts as unreachable, want the other agent used")
 	}
 	load.stopAllServed(t)
@@ -136,15 +136,15 @@
 // TestStartFromSnapshot: a start while no source answers, with a snapshot that is sound, torn, or of a newer version.
 func TestStartFromSnapshot(t *testing.T) {
 	t.Parallel()
-	w := newCatalogueTestbed(t, nil)
-	_, agents := w.enableCatalogue(1, "")
+	bed := newCatalogueTestbed(t, nil)
+	_, agents := bed.enableCatalogue(1, "")
 	path := filepath.Join(t.TempDir(), "list")
-	w.addSettings("snapshot {", "file "+path, "every 100ms", "}")
-	w.start()
-	serves := func() bool { return w.dial().ask(1, "footage", nil).Error == "" }
-	w.waitUntil("it serves", serves)
+	bed.addSettings("snapshot {", "file "+path, "every 100ms", "}")
+	bed.start()
+	serves := func() bool { return bed.dial().ask(1, "footage", nil).Error == "" }
+	bed.waitUntil("it serves", serves)
 	var sound string
-	w.waitUntil("the snapshot has all endpoints", func() bool {
+	bed.waitUntil("the snapshot has all endpoints", func() bool {
 		text, _ := os.ReadFile(path)
 		sound = string(text)
 		return strings.Count(sound, `"id"`) == 4
@@ -158,33 +158,33 @@
 		{"torn", sound[:len(sound)/2], "event=snapshot-rejected", false},
 		{"newer", strings.Replace(sound, "list 1 ", "list 2 ", 1), "another version", false},
 	} {
-		w.kill()
-		w.log.reset()
+		bed.kill()
+		bed.log.reset()
 		writeFile(t, path, c.text)
-		w.start()
-		if got := serves(); got != c.served || !w.logged(c.log) {
+		bed.start()
+		if got := serves(); got != c.served || !bed.logged(c.log) {
 			t.Errorf("%s: served %v, want %v and %q in the log", c.name, got, c.served, c.log)
 		}
 	}
 	agents[0].SetFault(consul.None, 0)
-	w.waitUntil("it serves once the catalogue answers", serves)
+	bed.waitUntil("it serves once the catalogue answers", serves)
 }
 
 // TestNotReadyWithoutEndpoints: while the catalogue has not answered, clients are not taken in; once they are, the
 // endpoints are known.
 func TestNotReadyWithoutEndpoints(t *testing.T) {
 	t.Parallel()
-	w := newCatalogueTestbed(t, nil)
-	_, agents := w.enableCatalogue(1, "")
+	bed := newCatalogueTestbed(t, nil)
+	_, agents := bed.enableCatalogue(1, "")
 	agents[0].SetFault(consul.Refuse, 0)
 	go func() {
-		for !w.logged("event=catalogue-unreachable") {
+		for !bed.logged("event=catalogue-unreachable") {
 			time.Sleep(time.Millisecond)
 		}
 		agents[0].SetFault(consul.None, 0)
 	}()
-	w.start()
-	if n := w.timesLogged("event=endpoint-added"); n != 4 {
+	bed.start()
+	if n := bed.timesLogged("event=endpoint-added"); n != 4 {
 		t.Errorf("%d endpoints were known when it was ready, want 4", n)
 	}
 }
--- a/test/catalogue_test.go
+++ b/test/catalogue_test.go
@@ -17,34 +17,34 @@
 // TestCatalogueStatusStopsTraffic: what the catalogue says of an endpoint holds, under load, as target and as source.
 func TestCatalogueStatusStopsTraffic(t *testing.T) {
 	t.Parallel()
-	w := newCatalogueTestbed(t, answerFilled, "c3", "p2")
-	cluster, _ := w.enableCatalogue(1, "")
-	w.addSettings("list {", "flap-cut 0", "}")
-	w.start()
-	w.waitEndpointsKnown(6)
-	load := w.startLookups()
+	bed := newCatalogueTestbed(t, answerFilled, "c3", "p2")
+	cluster, _ := bed.enableCatalogue(1, "")
+	bed.addSettings("list {", "flap-cut 0", "}")
+	bed.start()
+	bed.waitEndpointsKnown(6)
+	load := bed.startLookups()
 	for _, id := range []string{"c1", "p1"} {
 		service, _, _ := placement(id)
 		for _, status := range []string{"maintenance", consul.Critical} {
-			w.waitInUse(id)
+			bed.waitInUse(id)
 			cluster.Mark(service, id, status)
-			w.waitUnused(id, cluster.Written(id), time.Second)
+			bed.waitUnused(id, cluster.Written(id), time.Second)
 			cluster.Mark(service, id, consul.Passing)
 		}
-		w.waitInUse(id)
+		bed.waitInUse(id)
 		cluster.MarkNode("node-"+id, consul.Critical)
-		w.waitUnused(id, cluster.Written(id), time.Second)
+		bed.waitUnused(id, cluster.Written(id), time.Second)
 		cluster.MarkNode("node-"+id, consul.Passing)
-		w.waitInUse(id)
+		bed.waitInUse(id)
 		instances := cluster.Instances(service)
 		cluster.Remove(service, id)
-		w.waitUnused(id, cluster.Written(id), time.Second)
+		bed.waitUnused(id, cluster.Written(id), time.Second)
 		for _, instance := range instances {
 			if instance.ID == id {
 				cluster.Put(instance)
 			}
 		}
-		w.waitInUse(id)
+		bed.waitInUse(id)
 	}
 	load.stopAllServed(t)
 }
@@ -54,46 +54,46 @@
 func TestCriticalEndpointReleasesWaitingAttempts(t *testing.T) {
 	t.Parallel()
 	fills := make(chan *receivedRequest, 1000) // from p1, that are under way
-	w := newCatalogueTestbed(t, func(a *receivedRequest) {
-		if a.Fields["via"] == "p1" {
-			fills <- a
+	bed := newCatalogueTestbed(t, func(attempt *receivedRequest) {
+		if attempt.Fields["via"] == "p1" {
+			fills <- attempt
 			return
 		}
-		answerFilled(a)
+		answerFilled(attempt)
 	})
-	cluster, _ := w.enableCatalogue(1, "")
-	cluster.Put(w.catalogueInstance("c1", w.listenWithFullBacklog())) // no connection to c1 comes up
-	w.platformLimits()["dial-timeout-ms"] = 60000
-	w.start()
-	w.waitEndpointsKnown(4)
-	client := w.dial()
+	cluster, _ := bed.enableCatalogue(1, "")
+	cluster.Put(bed.catalogueInstance("c1", bed.listenWithFullBacklog())) // no connection to c1 comes up
+	bed.platformLimits()["dial-timeout-ms"] = 60000
+	bed.start()
+	bed.waitEndpointsKnown(4)
+	client := bed.dial()
 	for id := range uint64(20) {
 		fields := map[string]string{"limit": "60000", "item": hexID(id + 1), "ram": "1"}
 		client.send(request(id, "footage", fields, ""))
 	}
-	w.waitFirstAttempt() // attempts wait for c1: c2 has no copies, and c1 is next
+	bed.waitFirstAttempt() // attempts wait for c1: c2 has no copies, and c1 is next
 	cluster.Mark("cache", "c1", consul.Critical)
-	w.waitLogged("event=endpoint-removed endpoint=c1")
-	w.waitUntil("a fill is under way", func() bool { return len(fills) > 0 })
+	bed.waitLogged("event=endpoint-removed endpoint=c1")
+	bed.waitUntil("a fill is under way", func() bool { return len(fills) > 0 })
 	fill := <-fills
 	cluster.Mark("trunk", "p1", consul.Critical)
-	w.waitLogged("event=endpoint-removed endpoint=p1")
+	bed.waitLogged("event=endpoint-removed endpoint=p1")
 	marked := time.Now()
 	go func() { // the fills that are under way end well
-		for a := fill; ; a = <-fills {
-			a.Answer("ACK", "tag=t1,minted=1,remark=filled,lag=1", a.Fields["thing"])
+		for attempt := fill; ; attempt = <-fills {
+			attempt.Answer("ACK", "tag=t1,minted=1,remark=filled,lag=1", attempt.Fields["thing"])
 		}
 	}()
 	for range 20 {
-		if a := client.mustRead(); a.Error != "" {
-			t.Errorf("%+v, want it served", a)
+		if answer := client.mustRead(); answer.Error != "" {
+			t.Errorf("%+v, want it served", answer)
 		}
 	}
 	for id := uint64(100); id < 140; id++ {
 		client.ask(id, "footage", map[string]string{"item": hexID(id + 1), "ram": "1"})
 	}
 	for _, id := range []string{"c1", "p1"} {
-		if uses := w.usesSince(id, marked); len(uses) > 0 {
+		if uses := bed.usesSince(id, marked); len(uses) > 0 {
 			t.Errorf("%s was used after it was gone: %+v", id, uses[0])
 		}
 	}
@@ -101,17 +101,17 @@
 
 // startHeartbeats has the list service say that it is there, until the test ends. The returned number is that of the
 // last event.
-func (w *testbed) startHeartbeats() *atomic.Int64 {
+func (bed *testbed) startHeartbeats() *atomic.Int64 {
 	last := &atomic.Int64{}
 	last.Store(1)
 	over := make(chan struct{})
-	w.t.Cleanup(func() { close(over) })
+	bed.t.Cleanup(func() { close(over) })
 	go func() {
 		for {
 			select {
 			case <-over:
 				return
-			case w.listFeed <- fmt.Sprint(last.Load()):
+			case bed.listFeed <- fmt.Sprint(last.Load()):
 				time.Sleep(400 * time.Millisecond)
 			}
 		}
@@ -123,61 +123,62 @@
 // silent.
 func TestListServiceAndCatalogueDisagree(t *testing.T) {
 	t.Parallel()
-	w := newTestbed(t, answerFilled)
-	cluster, agents := w.enableCatalogue(1, "")
-	w.addSettings("list {", "flap-cut 0", "}")
-	w.start()
-	w.waitListPoll()
-	last := w.startHeartbeats()
+	bed := newTestbed(t, answerFilled)
+	cluster, agents := bed.enableCatalogue(1, "")
+	bed.addSettings("list {", "flap-cut 0", "}")
+	bed.start()
+	bed.waitListPoll()
+	last := bed.startHeartbeats()
 	tell := func(number int, health string) {
 		last.Store(int64(number))
-		w.listFeed <- w.listChange(number, "c1", health)
+		bed.listFeed <- bed.listChange(number, "c1", health)
 	}
-	load := w.startLookups()
-	w.waitInUse("c1")
+	load := bed.startLookups()
+	bed.waitInUse("c1")
 	cluster.Mark("cache", "c1", consul.Critical) // the list service has it up
-	w.waitUnused("c1", cluster.Written("c1"), time.Second)
+	bed.waitUnused("c1", cluster.Written("c1"), time.Second)
 	cluster.Mark("cache", "c1", consul.Passing)
-	w.waitInUse("c1")
+	bed.waitInUse("c1")
 	tell(2, "draining") // the catalogue has it up
-	w.waitUnused("c1", time.Now(), time.Second)
+	bed.waitUnused("c1", time.Now(), time.Second)
 	agents[0].SetFault(consul.Refuse, 0)
-	w.waitLoggedTimes("event=catalogue-unreachable", 3)
+	bed.waitLoggedTimes("event=catalogue-unreachable", 3)
 	tell(3, "up") // and the catalogue's last word is up
-	w.waitInUse("c1")
+	bed.waitInUse("c1")
 	agents[0].SetFault(consul.None, 0)
-	w.waitLoggedTimes("event=catalogue-reachable", 3)
+	bed.waitLoggedTimes("event=catalogue-reachable", 3)
 	cluster.Mark("cache", "c1", consul.Critical)
-	w.waitUnused("c1", cluster.Written("c1"), time.Second)
+	bed.waitUnused("c1", cluster.Written("c1"), time.Second)
 	agents[0].SetFault(consul.Refuse, 0)
-	w.waitLoggedTimes("event=catalogue-unreachable", 6)
+	bed.waitLoggedTimes("event=catalogue-unreachable", 6)
 	tell(4, "draining")
 	tell(5, "up") // said after the catalogue fell silent: it overrules its last word
-	w.waitInUse("c1")
+	bed.waitInUse("c1")
 	load.stopAllServed(t)
 }
 
 // TestEndpointRegisteredAtNewAddress: an id comes back within 100 ms on another port, under another registration.
 func TestEndpointRegisteredAtNewAddress(t *testing.T) {
 	t.Parallel()
-	w := newCatalogueTestbed(t, answerFilled)
-	cluster, _ := w.enableCatalogue(1, "")
-	w.start()
-	load := w.startLookups()
-	w.waitInUse("c1")
-	oldAddress := w.endpointAddress("c1")
+	bed := newCatalogueTestbed(t, answerFilled)
+	cluster, _ := bed.enableCatalogue(1, "")
+	bed.start()
+	load := bed.startLookups()
+	bed.waitInUse("c1")
+	oldAddress := bed.endpointAddress("c1")
 	cluster.Remove("cache", "c1")
-	w.addEndpoint("c1")
-	newAddress := w.endpointAddress("c1")
+	bed.addEndpoint("c1")
+	newAddress := bed.endpointAddress("c1")
 	time.Sleep(80 * time.Millisecond) // the case's own time
-	cluster.Put(w.catalogueInstance("c1", newAddress))
+	cluster.Put(bed.catalogueInstance("c1", newAddress))
 	sentTo := func(address string, since time.Time) []*receivedRequest {
-		return w.received(func(a *receivedRequest) bool {
-			return sentOrSourced("c1")(a) && a.Endpoint == "c1" && a.Conn.LocalAddr().String() == address &&
-				a.At.After(since)
+		return bed.received(func(attempt *receivedRequest) bool {
+			return sentOrSourced("c1")(attempt) && attempt.Endpoint == "c1" &&
+				attempt.Conn.LocalAddr().String() == address &&
+				attempt.At.After(since)
 		})
 	}
-	w.waitUntil("the new address is in use", func() bool { return len(sentTo(newAddress, time.Time{})) > 3 })
+	bed.waitUntil("the new address is in use", func() bool { return len(sentTo(newAddress, time.Time{})) > 3 })
 	if stale := sentTo(oldAddress, cluster.Written("c1").Add(time.Second)); len(stale) > 0 {
 		t.Errorf("the old address was sent %d attempts a second after the new registration, want none", len(stale))
 	}
@@ -192,11 +193,11 @@
 // endpoint is down when it is marked down for good.
 func TestFlappingCheckIsDamped(t *testing.T) {
 	t.Parallel()
-	w := newCatalogueTestbed(t, answerFilled)
-	cluster, _ := w.enableCatalogue(1, "")
-	w.start()
-	load := w.startLookups()
-	w.waitInUse("c1")
+	bed := newCatalogueTestbed(t, answerFilled)
+	cluster, _ := bed.enableCatalogue(1, "")
+	bed.start()
+	load := bed.startLookups()
+	bed.waitInUse("c1")
 	for range 150 {
 		cluster.Mark("cache", "c1", consul.Critical)
 		time.Sleep(5 * time.Millisecond)
@@ -204,8 +205,8 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	cluster.Mark("cache", "c1", consul.Critical)
-	w.waitUnused("c1", cluster.Written("c1"), time.Second)
-	if n := w.timesLogged("endpoint=c1"); n > 30 {
+	bed.waitUnused("c1", cluster.Written("c1"), time.Second)
+	if n := bed.timesLogged("endpoint=c1"); n > 30 {
 		t.Errorf("%d lines of an endpoint that flapped, want at most 30", n)
 	}
 	load.stopAllServed(t)
@@ -215,32 +216,32 @@
 // the token is read again for each question.
 func TestUnusableCatalogueInstances(t *testing.T) {
 	t.Parallel()
-	w := newCatalogueTestbed(t, nil)
+	bed := newCatalogueTestbed(t, nil)
 	token := filepath.Join(t.TempDir(), "token")
 	writeFile(t, token, "wrong\n")
-	cluster, _ := w.enableCatalogue(1, "token-file "+token)
+	cluster, _ := bed.enableCatalogue(1, "token-file "+token)
 	cluster.SetTokens(map[string][]string{"right": {"cache", "trunk", "archive"}})
-	withoutPort := w.catalogueInstance("c9", "127.0.0.1:1")
+	withoutPort := bed.catalogueInstance("c9", "127.0.0.1:1")
 	withoutPort.Port = 0
 	cluster.Put(withoutPort)
-	unknownSite := w.catalogueInstance("c8", "127.0.0.1:1")
+	unknownSite := bed.catalogueInstance("c8", "127.0.0.1:1")
 	unknownSite.Meta["site"] = "nowhere"
 	cluster.Put(unknownSite)
-	w.start()
-	w.waitLogged("reason=filtered") // for want of rights
+	bed.start()
+	bed.waitLogged("reason=filtered") // for want of rights
 	writeFile(t, token, "right\n")
-	w.waitEndpointsKnown(4)
+	bed.waitEndpointsKnown(4)
 	for range 10 { // each change is an answer
 		cluster.Mark("cache", "c2", consul.Warning)
 		cluster.Mark("cache", "c2", consul.Passing)
 		time.Sleep(30 * time.Millisecond)
 	}
 	for _, want := range []string{`instance=node-c9/c9 error="c9: port 0"`, `site \"nowhere\" is not in the settings`} {
-		if n := w.timesLogged(want); n != 1 {
+		if n := bed.timesLogged(want); n != 1 {
 			t.Errorf("%q is logged %d times, want once", want, n)
 		}
 	}
-	if w.logged("right") && w.logged("wrong") {
+	if bed.logged("right") && bed.logged("wrong") {
 		t.Error("a token is in the log")
 	}
 }
@@ -249,28 +250,28 @@
 // logged once.
 func TestCatalogueInvalidations(t *testing.T) {
 	t.Parallel()
-	w := newTestbed(t, nil)
-	cluster, _ := w.enableCatalogue(1, "purges our/purges")
-	w.start()
+	bed := newTestbed(t, nil)
+	cluster, _ := bed.enableCatalogue(1, "purges our/purges")
+	bed.start()
 	cluster.SetKV("our/purges/object/7f3a9c21e0b4d655", fmt.Append(nil, time.Now().UnixMilli()))
 	cluster.SetKV("our/purges/object/nonsense", []byte("1"))
-	client := w.dial()
+	client := bed.dial()
 	id := uint64(0)
 	asksForFresh := func(fields map[string]string) bool {
 		id++
 		client.ask(id, "footage", fields)
-		return w.lastAttempt().Fields["fresh"] != ""
+		return bed.lastAttempt().Fields["fresh"] != ""
 	}
-	w.waitUntil("the purge holds", func() bool { return asksForFresh(nil) })
+	bed.waitUntil("the purge holds", func() bool { return asksForFresh(nil) })
 	if asksForFresh(map[string]string{"item": "00000000000000aa"}) {
 		t.Error("another object is asked for as if it were purged")
 	}
-	w.waitLogged("event=catalogue-purge-key-rejected")
+	bed.waitLogged("event=catalogue-purge-key-rejected")
 	cluster.SetKV("our/purges/group/3", fmt.Append(nil, time.Now().UnixMilli()))
-	w.waitUntil("a purge of the group holds for others of it", func() bool {
+	bed.waitUntil("a purge of the group holds for others of it", func() bool {
 		return asksForFresh(map[string]string{"item": "00000000000000ab"})
 	})
-	if n := w.timesLogged("event=catalogue-purge-key-rejected"); n != 1 {
+	if n := bed.timesLogged("event=catalogue-purge-key-rejected"); n != 1 {
 		t.Errorf("the odd key is logged %d times, want once", n)
 	}
 }
@@ -279,35 +280,35 @@
 // takes itself out first thing at its end.
 func TestCatalogueRegistration(t *testing.T) {
 	t.Parallel()
-	w := newTestbed(t, nil)
-	cluster, agents := w.enableCatalogue(1, "register {\nservice doorman\nttl 1s\n}")
-	w.start()
+	bed := newTestbed(t, nil)
+	cluster, agents := bed.enableCatalogue(1, "register {\nservice doorman\nttl 1s\n}")
+	bed.start()
 	registered := func() bool {
 		instances := cluster.Instances("doorman")
 		return len(instances) == 1 && instances[0].ID == "n1" &&
 			instances[0].Checks[0].Status == consul.Passing &&
-			fmt.Sprint(instances[0].Address, ":", instances[0].Port) == w.address
+			fmt.Sprint(instances[0].Address, ":", instances[0].Port) == bed.address
 	}
-	w.waitUntil("it is registered", registered)
+	bed.waitUntil("it is registered", registered)
 	agents[0].Restart()
-	w.waitUntil("it is registered again", registered)
+	bed.waitUntil("it is registered again", registered)
 	time.Sleep(1200 * time.Millisecond) // longer than the TTL
 	if !registered() {
 		t.Errorf("it is not kept: %+v", cluster.Instances("doorman"))
 	}
-	client := w.dial()
-	w.setResponder(func(a *receivedRequest) {
+	client := bed.dial()
+	bed.setResponder(func(attempt *receivedRequest) {
 		time.Sleep(300 * time.Millisecond)
-		a.Answer("ACK", "tag=t1", "late")
+		attempt.Answer("ACK", "tag=t1", "late")
 	})
 	client.send(request(1, "footage", nil, ""))
-	w.waitFirstAttempt()
-	w.signal(syscall.SIGTERM)
-	w.waitUntil("it has taken itself out", func() bool { return len(cluster.Instances("doorman")) == 0 })
-	if a := client.mustRead(); a.Body != "late" {
-		t.Errorf("%+v, want the open request served after that", a)
+	bed.waitFirstAttempt()
+	bed.signal(syscall.SIGTERM)
+	bed.waitUntil("it has taken itself out", func() bool { return len(cluster.Instances("doorman")) == 0 })
+	if answer := client.mustRead(); answer.Body != "late" {
+		t.Errorf("%+v, want the open request served after that", answer)
 	}
-	w.waitExit()
+	bed.waitExit()
 }
 
 var (
@@ -319,17 +320,17 @@
 // over seeded changes under 150 requests a second. -drains sets how many.
 func TestDrainLatency(t *testing.T) {
 	t.Parallel()
-	w := newCatalogueTestbed(t, answerFilled, "c3", "c4", "c5", "c6", "p2")
-	cluster, _ := w.enableCatalogue(1, "")
-	w.addSettings("list {", "flap-cut 0", "}")
-	w.start()
-	load := w.startLookups()
+	bed := newCatalogueTestbed(t, answerFilled, "c3", "c4", "c5", "c6", "p2")
+	cluster, _ := bed.enableCatalogue(1, "")
+	bed.addSettings("list {", "flap-cut 0", "}")
+	bed.start()
+	load := bed.startLookups()
 	random := rand.New(rand.NewSource(*drainSeed))
 	var latencies []time.Duration
 	for range *drains {
 		id := []string{"c1", "c2", "c3", "c4", "c5", "c6", "p1", "p2"}[random.Intn(8)]
 		service, _, _ := placement(id)
-		w.waitInUse(id)
+		bed.waitInUse(id)
 		time.Sleep(time.Duration(random.Intn(250)) * time.Millisecond)
 		removed := false
 		switch random.Intn(3) {
@@ -342,11 +343,11 @@
 			removed = true
 		}
 		marked := cluster.Written(id)
-		w.waitUnused(id, marked, time.Second)
-		uses := w.received(sentOrSourced(id))
+		bed.waitUnused(id, marked, time.Second)
+		uses := bed.received(sentOrSourced(id))
 		latencies = append(latencies, max(0, uses[len(uses)-1].At.Sub(marked)))
 		if removed {
-			cluster.Put(w.catalogueInstance(id, w.endpointAddress(id)))
+			cluster.Put(bed.catalogueInstance(id, bed.endpointAddress(id)))
 		} else {
 			cluster.Mark(service, id, consul.Passing)
 		}
--- a/test/clients_test.go
+++ b/test/clients_test.go
@@ -21,8 +21,8 @@
 // TestMalformedFrames: what can't be read ends its connection, after an error answer where the id is known, and the
 // program goes on.
 func TestMalformedFrames(t *testing.T) {
-	w := newTestbed(t, nil)
-	w.start()
+	bed := newTestbed(t, nil)
+	bed.start()
 	answered := []reply{{ID: 9, Error: "Malformed", Fields: map[string]string{}}}
 	for _, c := range []struct {
 		name, frame string
@@ -34,12 +34,12 @@
 		{"nested without end", "\x94\x00\x09\xa1m\x91\x91\x91\x91\x91\x91\x91\x91\x91\x91", answered},
 		{"an answer instead of a request", "\x94\x01\x09\xc0\xc0", nil},
 	} {
-		client := w.dial()
+		client := bed.dial()
 		client.send([]byte(c.frame))
 		var got []reply
-		a, err := client.read()
-		for ; err == nil; a, err = client.read() {
-			got = append(got, a)
+		answer, err := client.read()
+		for ; err == nil; answer, err = client.read() {
+			got = append(got, answer)
 		}
 		if !errors.Is(err, io.EOF) {
 			t.Errorf("%s: %v, want the end of the connection", c.name, err)
@@ -48,9 +48,9 @@
 			t.Errorf("%s (-want +got):\n%s", c.name, diff)
 		}
 	}
-	client := w.dial()
-	if a := client.ask(1, "footage", nil); a.Error != "" {
-		t.Errorf("after all that: %+v, want it served", a)
+	client := bed.dial()
+	if answer := client.ask(1, "footage", nil); answer.Error != "" {
+		t.Errorf("after all that: %+v, want it served", answer)
 	}
 }
 
@@ -93,27 +93,27 @@
 // reading, and is never served; nothing of it reaches an endpoint.
 func TestMalformedClients(t *testing.T) {
 	const object = "7f3a9c21e0b4d655" // that requests ask for, unless they name another
-	w := newTestbed(t, func(a *receivedRequest) {
-		if a.Fields["thing"] == object {
-			a.Answer("ACK", "-", "served")
+	bed := newTestbed(t, func(attempt *receivedRequest) {
+		if attempt.Fields["thing"] == object {
+			attempt.Answer("ACK", "-", "served")
 		}
 	})
-	w.start()
+	bed.start()
 	open := map[string]string{"item": "00000000000000aa", "limit": "60000"}
-	w.dial().send(request(77, "footage", open, ""))
-	w.waitAttempts(1)
+	bed.dial().send(request(77, "footage", open, ""))
+	bed.waitAttempts(1)
 	for name, frame := range malformedFrames() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			client := w.dial()
+			client := bed.dial()
 			go func() { _, _ = client.conn.Write(frame) }()
 			for {
-				a, err := client.read()
+				answer, err := client.read()
 				if errors.Is(err, os.ErrDeadlineExceeded) {
 					t.Errorf("neither an answer nor a close came within %v", waitLimit)
 				}
-				if err == nil && a.Error == "" {
-					t.Errorf("%+v, want an error", a)
+				if err == nil && answer.Error == "" {
+					t.Errorf("%+v, want an error", answer)
 				}
 				if err != nil || !strings.HasPrefix(name, "hundreds") {
 					break
@@ -123,7 +123,7 @@
 	}
 	t.Cleanup(func() {
 		// What comes with the same read as its end is not taken up at all; of the flood a part may come before.
-		sent := w.received(func(a *receivedRequest) bool { return a.Fields["thing"] == object })
+		sent := bed.received(func(attempt *receivedRequest) bool { return attempt.Fields["thing"] == object })
 		if len(sent) > 0 {
 			t.Errorf("%d attempts of malformed clients reached endpoints, want none", len(sent))
 		}
@@ -150,29 +150,29 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			pending := make(chan *receivedRequest, 100)
-			w := newTestbed(t, func(a *receivedRequest) { pending <- a })
-			w.start()
-			client := w.dial()
+			bed := newTestbed(t, func(attempt *receivedRequest) { pending <- attempt })
+			bed.start()
+			client := bed.dial()
 			client.send(request(1, "lookup", map[string]string{"limit": "9000"}, ""))
 			attempt := nextReceived(t, pending)
 			client.send(c.then)
 			if c.want == "" { // longer than a half may wait by itself: another client's is closed meanwhile
-				other := w.dial()
+				other := bed.dial()
 				other.send(half)
-				if a, err := other.read(); !errors.Is(err, io.EOF) {
-					t.Errorf("%+v, %v: want the half alone to be closed", a, err)
+				if answer, err := other.read(); !errors.Is(err, io.EOF) {
+					t.Errorf("%+v, %v: want the half alone to be closed", answer, err)
 				}
 				answerDone(attempt)
 			}
 			var got *reply // to the sound request
-			a, err := client.read()
-			for ; err == nil; a, err = client.read() {
+			answer, err := client.read()
+			for ; err == nil; answer, err = client.read() {
 				switch {
-				case a.ID == 1 && got == nil:
-					first := a
+				case answer.ID == 1 && got == nil:
+					first := answer
 					got = &first
-				case a.ID == 1 || a.Error != "Malformed":
-					t.Errorf("%+v came besides", a)
+				case answer.ID == 1 || answer.Error != "Malformed":
+					t.Errorf("%+v came besides", answer)
 				}
 			}
 			if !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
@@ -181,7 +181,7 @@
 			if got == nil || got.Error != c.want || c.want == "" && got.Body != "done" {
 				t.Errorf("the sound request: %+v, want it answered, with the error %q", got, c.want)
 			}
-			w.waitLogged(c.log)
+			bed.waitLogged(c.log)
 		})
 	}
 }
@@ -190,27 +190,27 @@
 // rejected. Now the silent ones and then the longest idle ones make way, and one that waits for an answer never does.
 func TestIdleClientsAreEvicted(t *testing.T) {
 	release := make(chan struct{})
-	w := newTestbed(t, func(a *receivedRequest) {
-		if a.Fields["nth"] == "1" {
+	bed := newTestbed(t, func(attempt *receivedRequest) {
+		if attempt.Fields["nth"] == "1" {
 			<-release
 		}
-		a.Answer("ACK", "-", a.ID)
+		attempt.Answer("ACK", "-", attempt.ID)
 	})
-	w.config["limits"] = map[string]any{"cores": 1, "memory_mb": 32, "sockets": 64}
-	w.start()
-	patient := w.dial()
+	bed.config["limits"] = map[string]any{"cores": 1, "memory_mb": 32, "sockets": 64}
+	bed.start()
+	patient := bed.dial()
 	patient.send(request(9999, "footage", map[string]string{"nth": "1", "limit": "60000"}, ""))
-	w.waitAttempts(1)
+	bed.waitAttempts(1)
 	for id := range uint64(200) {
-		w.dial() // and says nothing
-		client := w.dial()
-		if a := client.ask(id+1, "footage", nil); a.Error != "" {
-			t.Fatalf("client %d: %+v, want it served", id, a)
+		bed.dial() // and says nothing
+		client := bed.dial()
+		if answer := client.ask(id+1, "footage", nil); answer.Error != "" {
+			t.Fatalf("client %d: %+v, want it served", id, answer)
 		}
 	}
 	close(release)
-	if a := patient.mustRead(); a.Error != "" {
-		t.Errorf("the one that waited: %+v, want it served", a)
+	if answer := patient.mustRead(); answer.Error != "" {
+		t.Errorf("the one that waited: %+v, want it served", answer)
 	}
 }
 
@@ -234,34 +234,34 @@
 // TestCorruptedMessages spoils sound messages at random places on every socket. Whatever comes, the program goes on.
 func TestCorruptedMessages(t *testing.T) {
 	messages := &corruptor{random: rand.New(rand.NewSource(1))}
-	w := newTestbed(t, func(a *receivedRequest) {
-		line := fmt.Sprintf("%s ACK tag=t1,minted=1,remark=hit,lag=2 5\r\nbytes\r\n", a.ID)
-		_, _ = a.Conn.Write(messages.corrupt([]byte(line)))
+	bed := newTestbed(t, func(attempt *receivedRequest) {
+		line := fmt.Sprintf("%s ACK tag=t1,minted=1,remark=hit,lag=2 5\r\nbytes\r\n", attempt.ID)
+		_, _ = attempt.Conn.Write(messages.corrupt([]byte(line)))
 	})
-	w.enableDNS("")
-	w.start()
-	w.waitListPoll()
-	resolver := w.dialDNS("udp")
+	bed.enableDNS("")
+	bed.start()
+	bed.waitListPoll()
+	resolver := bed.dialDNS("udp")
 	listLine := []byte(listEvent(2, false, listEntry("c9", "127.0.0.1:1", "edge", "std", "draining", 0)))
 	for id := uint64(1); id <= 400; id++ {
-		client := w.dial()
+		client := bed.dial()
 		_, _ = client.conn.Write(request(id, "footage", map[string]string{"limit": "200"}, "body"))
 		charge := request(id+1, "charge", map[string]string{"unique": "k1"}, "body")
 		_, _ = client.conn.Write(messages.corrupt(charge))
 		query, _ := new(dns.Msg).SetQuestion("k-1.n0.00000000000000aa.charge._."+zone, dns.TypeSRV).Pack()
 		_, _ = resolver.conn.Write(messages.corrupt(query))
 		if id%20 == 0 {
-			w.listFeed <- string(bytes.ReplaceAll(messages.corrupt(listLine), []byte("\n"), nil))
+			bed.listFeed <- string(bytes.ReplaceAll(messages.corrupt(listLine), []byte("\n"), nil))
 		}
 		if id%3 == 0 {
 			_ = client.conn.Close()
 		}
 	}
-	w.setResponder(func(a *receivedRequest) { a.Answer("ACK", "tag=t1", "bytes") })
-	client, id := w.dial(), uint64(0)
-	w.waitUntil("sound requests are served again", func() bool {
+	bed.setResponder(func(attempt *receivedRequest) { attempt.Answer("ACK", "tag=t1", "bytes") })
+	client, id := bed.dial(), uint64(0)
+	bed.waitUntil("sound requests are served again", func() bool {
 		id++
 		return client.ask(id, "footage", nil).Error == ""
 	})
-	w.expectRunning()
+	bed.expectRunning()
 }
--- a/test/clock_test.go
+++ b/test/clock_test.go
@@ -11,60 +11,60 @@
 // late; what goes by stamps, tokens, revocations and purges, goes by the clock as it is.
 func TestClockSteps(t *testing.T) {
 	t.Parallel()
-	w := newTestbed(t, nil)
-	keys := w.enableIdentity("")
-	w.addSettings("snapshot {", "file "+filepath.Join(t.TempDir(), "list"), "every 100ms", "}")
+	bed := newTestbed(t, nil)
+	keys := bed.enableIdentity("")
+	bed.addSettings("snapshot {", "file "+filepath.Join(t.TempDir(), "list"), "every 100ms", "}")
 	var err error
-	if w.program, err = clockstepProgram(); err != nil {
+	if bed.program, err = clockstepProgram(); err != nil {
 		t.Fatal(err)
 	}
 	driftFile, nextDrift := filepath.Join(t.TempDir(), "drift"), filepath.Join(t.TempDir(), "next")
-	w.env = append(w.env, "SLOEQUAY_CLOCK="+driftFile)
-	w.start()
+	bed.env = append(bed.env, "SLOEQUAY_CLOCK="+driftFile)
+	bed.start()
 	steps := 0
 	setDrift := func(drift time.Duration) {
 		t.Helper()
 		writeFile(t, nextDrift, fmt.Sprint(int64(drift)))
 		replaceFile(t, nextDrift, driftFile)
 		steps++
-		w.waitLoggedTimes("event=clock-stepped", steps)
+		bed.waitLoggedTimes("event=clock-stepped", steps)
 	}
 	valid, stolen := keys.token("lane-1", "lanes", 2*time.Hour), keys.token("lane-2", "lanes", 2*time.Hour)
 	keys.must("key", "revoke", "subject", "lane-2", "--for", "3h")
-	client, id := w.dial(), uint64(0)
+	client, id := bed.dial(), uint64(0)
 	lookup := func(token string) reply {
 		id++
 		return client.ask(id, "lookup", map[string]string{"token": token})
 	}
-	w.waitUntil("the stolen token is revoked", func() bool { return lookup(stolen).Fields["reason"] == "revoked" })
+	bed.waitUntil("the stolen token is revoked", func() bool { return lookup(stolen).Fields["reason"] == "revoked" })
 	expectServed := func(when string) {
 		t.Helper()
 		for range 20 {
-			if a := lookup(valid); a.Error != "" {
-				t.Fatalf("%s: %+v, want it served", when, a)
+			if answer := lookup(valid); answer.Error != "" {
+				t.Fatalf("%s: %+v, want it served", when, answer)
 			}
 		}
 	}
 	expectReason := func(when, token, want string) {
 		t.Helper()
-		if a := lookup(token); a.Fields["reason"] != want {
-			t.Errorf("%s: %+v, want it rejected for the reason %q", when, a, want)
+		if answer := lookup(token); answer.Fields["reason"] != want {
+			t.Errorf("%s: %+v, want it rejected for the reason %q", when, answer, want)
 		}
 	}
 	expectServed("before the first step")
 	pending := make(chan *receivedRequest, 1)
 	hold := func() {
-		w.setResponder(func(a *receivedRequest) { pending <- a })
+		bed.setResponder(func(attempt *receivedRequest) { pending <- attempt })
 		id++
 		client.send(request(id, "lookup", map[string]string{"token": valid, "limit": "5000"}, ""))
 	}
 	release := func(when string) {
 		t.Helper()
-		a := <-pending
-		w.setResponder(nil)
-		answerDone(a)
-		if a := client.mustRead(); a.Error != "" || a.ID != id {
-			t.Errorf("the request that was open %s: %+v, want it served", when, a)
+		attempt := <-pending
+		bed.setResponder(nil)
+		answerDone(attempt)
+		if answer := client.mustRead(); answer.Error != "" || answer.ID != id {
+			t.Errorf("the request that was open %s: %+v, want it served", when, answer)
 		}
 	}
 	hold()
@@ -80,13 +80,13 @@
 	setDrift(0)
 	expectServed("back at the right time")
 	expectReason("a token whose revocation had ended a day ahead", stolen, "revoked")
-	w.listFeed <- invalidateObject(2, "7f3a9c21e0b4d655", time.Now().UnixMilli())
-	w.waitUntil("a purge holds", func() bool {
+	bed.listFeed <- invalidateObject(2, "7f3a9c21e0b4d655", time.Now().UnixMilli())
+	bed.waitUntil("a purge holds", func() bool {
 		lookup(valid)
-		return w.lastAttempt().Fields["fresh"] != ""
+		return bed.lastAttempt().Fields["fresh"] != ""
 	})
 	for _, fault := range []string{"snapshot-write-failed", "event=keys-rejected"} {
-		if w.logged(fault) {
+		if bed.logged(fault) {
 			t.Errorf("%q is logged, want the steps to break nothing", fault)
 		}
 	}
--- a/test/commands_test.go
+++ b/test/commands_test.go
@@ -12,14 +12,14 @@
 // TestEndpointsCommand: the command prints the merged view, with who decided.
 func TestEndpointsCommand(t *testing.T) {
 	t.Parallel()
-	w := newTestbed(t, nil)
-	cluster, agents := w.enableCatalogue(1, "")
+	bed := newTestbed(t, nil)
+	cluster, agents := bed.enableCatalogue(1, "")
 	cluster.Mark("cache", "c1", "maintenance")
-	w.writeConfig()
-	w.listFeed <- w.listChange(2, "c2", "removed")
-	w.listFeed <- "2"
+	bed.writeConfig()
+	bed.listFeed <- bed.listChange(2, "c2", "removed")
+	bed.listFeed <- "2"
 	view := func() string {
-		return mustRunProgram(t, "endpoints", "--config", w.configPath, "--conf", w.settingsPath, "--wait", "1s")
+		return mustRunProgram(t, "endpoints", "--config", bed.configPath, "--conf", bed.settingsPath, "--wait", "1s")
 	}
 	out := view()
 	for _, want := range []string{
@@ -34,8 +34,8 @@
 		}
 	}
 	agents[0].SetFault(consul.Refuse, 0)
-	w.listFeed <- "!"
-	w.listFeed <- "2"
+	bed.listFeed <- "!"
+	bed.listFeed <- "2"
 	out = view()
 	for _, want := range []string{"consul:cache +unheard", "# catalogue-unreachable"} {
 		if !matches(want, out) {
@@ -62,13 +62,13 @@
 func TestContractsCommand(t *testing.T) {
 	t.Parallel()
 	pending := make(chan *receivedRequest, 10)
-	w := newTestbed(t, func(a *receivedRequest) { pending <- a })
+	bed := newTestbed(t, func(attempt *receivedRequest) { pending <- attempt })
 	socket := filepath.Join(t.TempDir(), "s")
-	w.addSettings("control "+socket, "contracts {", "requests 100/s", "adaptive {", "}",
+	bed.addSettings("control "+socket, "contracts {", "requests 100/s", "adaptive {", "}",
 		"team lanes {", "requests 60/s 90/s", "open 7", "for lookup {", "requests 50/s", "}", "}",
 		"team other {", "requests 50/s", "}", "}")
 	run := func(args ...string) (string, error) {
-		return runProgram(append([]string{"contracts", "--conf", w.settingsPath}, args...)...)
+		return runProgram(append([]string{"contracts", "--conf", bed.settingsPath}, args...)...)
 	}
 	expect := func(out string, err error, wants ...string) {
 		t.Helper()
@@ -85,10 +85,10 @@
 	if out, err := run("--show"); err == nil {
 		t.Errorf("--show while no proxy runs: no error, and it printed\n%s", out)
 	}
-	w.start()
-	client := w.dial()
+	bed.start()
+	client := bed.dial()
 	client.send(request(1, "lookup", map[string]string{"team": "lanes", "limit": "60000"}, ""))
-	a := <-pending
+	attempt := <-pending
 	out, err := run("--show")
 	expect(out, err, "version 1, 1 open, 1 of 1 tenants", "capacity 200 open", "lanes +open +- +7 +6 +-",
 		"installation +requests +100/s", "lanes has 1 open")
@@ -99,10 +99,10 @@
 	if info, err := os.Stat(socket); err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("the operators' socket: %v, %v, want it for its owner alone", info, err)
 	}
-	answerDone(a)
+	answerDone(attempt)
 	client.mustRead()
-	w.kill()
-	w.start() // the socket that a killed proxy left is no hindrance
+	bed.kill()
+	bed.start() // the socket that a killed proxy left is no hindrance
 	out, err = run("--show")
 	expect(out, err, "version 1, 0 open")
 }
--- a/test/connections_test.go
+++ b/test/connections_test.go
@@ -15,24 +15,24 @@
 // full load that took longer than the wanted time. Here new ones never come up, and the old one must do.
 func TestBusyConnectionTakesAttempts(t *testing.T) {
 	release := make(chan struct{})
-	w := newTestbed(t, func(a *receivedRequest) {
+	bed := newTestbed(t, func(attempt *receivedRequest) {
 		<-release
-		a.Answer("ACK", "-", a.Endpoint)
+		attempt.Answer("ACK", "-", attempt.Endpoint)
 	}, "c2")
-	w.start()
-	client := w.dial()
+	bed.start()
+	client := bed.dial()
 	client.send(request(1, "footage", nil, ""))
-	w.waitAttempts(1)
-	_ = w.listeners["c1"].Close()
+	bed.waitAttempts(1)
+	_ = bed.listeners["c1"].Close()
 	const count = 30
 	for id := uint64(2); id <= count; id++ {
 		client.send(request(id, "footage", map[string]string{"ram": "1"}, ""))
 	}
-	w.waitAttempts(count)
+	bed.waitAttempts(count)
 	close(release)
 	for range count {
-		if a := client.mustRead(); a.Body != "c1" {
-			t.Errorf("%+v, want it from c1", a)
+		if answer := client.mustRead(); answer.Body != "c1" {
+			t.Errorf("%+v, want it from c1", answer)
 		}
 	}
 }
@@ -41,25 +41,25 @@
 // until its deadline, and a QUIT on it does not arrive. It is found by a NOOP and closed, and its requests go out on
 // another.
 func TestUnresponsiveConnection(t *testing.T) {
-	w := newTestbed(t, nil, "c2")
-	cut := func(a *receivedRequest) bool { return a.Conn == w.attempts()[0].Conn }
-	w.setResponder(func(a *receivedRequest) {
-		if !cut(a) {
-			a.Answer("ACK", "-", "again")
+	bed := newTestbed(t, nil, "c2")
+	cut := func(attempt *receivedRequest) bool { return attempt.Conn == bed.attempts()[0].Conn }
+	bed.setResponder(func(attempt *receivedRequest) {
+		if !cut(attempt) {
+			attempt.Answer("ACK", "-", "again")
 		}
 	})
-	w.endpoints.IgnoreHealthChecks(cut)
-	w.start()
-	client := w.dial()
+	bed.endpoints.IgnoreHealthChecks(cut)
+	bed.start()
+	client := bed.dial()
 	for id := range uint64(3) {
 		client.send(request(id, "footage", map[string]string{"limit": "60000"}, ""))
 	}
 	for range 3 {
-		if a := client.mustRead(); a.Body != "again" {
-			t.Errorf("%+v, want it from another connection", a)
+		if answer := client.mustRead(); answer.Body != "again" {
+			t.Errorf("%+v, want it from another connection", answer)
 		}
 	}
-	if !w.logged("upstream-unresponsive") {
+	if !bed.logged("upstream-unresponsive") {
 		t.Error("the unresponsive connection is not in the log")
 	}
 }
@@ -67,37 +67,37 @@
 // TestLostResponse: one answer never comes, on a connection that lives. Its attempt is called off once later ones for
 // more have come, and the next one is sent only when the endpoint has read the QUIT: it answers the NOOP behind it.
 func TestLostResponse(t *testing.T) {
-	w := newTestbed(t, nil, "c2")
-	w.setResponder(func(a *receivedRequest) {
-		if first := w.attempts()[0]; a != first {
-			a.Answer("ACK", "-", a.Fields["nth"])
+	bed := newTestbed(t, nil, "c2")
+	bed.setResponder(func(attempt *receivedRequest) {
+		if first := bed.attempts()[0]; attempt != first {
+			attempt.Answer("ACK", "-", attempt.Fields["nth"])
 		}
 	})
 	read := make(chan bool)
-	w.endpoints.IgnoreHealthChecks(func(a *receivedRequest) bool {
-		if quits := w.cancellations(); len(quits) > 0 && a.Conn == quits[0].Conn {
+	bed.endpoints.IgnoreHealthChecks(func(attempt *receivedRequest) bool {
+		if quits := bed.cancellations(); len(quits) > 0 && attempt.Conn == quits[0].Conn {
 			time.Sleep(50 * time.Millisecond) // in which a next attempt that does not wait would come
-			same := func(a *receivedRequest) bool { return a.Word == "ASK" && a.ID == quits[0].ID }
-			if sent := w.received(same); len(sent) > 1 {
+			same := func(attempt *receivedRequest) bool { return attempt.Word == "ASK" && attempt.ID == quits[0].ID }
+			if sent := bed.received(same); len(sent) > 1 {
 				t.Errorf("%d attempts went out before the QUIT was read for certain, want the first alone", len(sent))
 			}
 			close(read)
 		}
 		return false
 	})
-	w.start()
-	client := w.dial()
+	bed.start()
+	client := bed.dial()
 	patient := func(nth, size string) map[string]string {
 		return map[string]string{"nth": nth, "ram": size, "limit": "60000"}
 	}
 	client.send(request(1, "footage", patient("1", "40"), ""))
-	w.waitAttempts(1)
+	bed.waitAttempts(1)
 	for id := uint64(2); id <= 4; id++ {
 		client.ask(id, "footage", patient(strconv.FormatUint(id, 10), "80"))
 	}
 	<-read
-	if a := client.mustRead(); a.ID != 1 || a.Body != "1" {
-		t.Errorf("%+v, want the answer of the second attempt", a)
+	if answer := client.mustRead(); answer.ID != 1 || answer.Body != "1" {
+		t.Errorf("%+v, want the answer of the second attempt", answer)
 	}
 }
 
@@ -112,22 +112,24 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			// At the second attempt the answer is one more to that before; the second itself is being worked on.
-			w := newTestbed(t, func(a *receivedRequest) { a.Answer(c.word, c.fields, "") }, "c2")
-			w.start()
-			client := w.dial()
+			bed := newTestbed(t, func(attempt *receivedRequest) { attempt.Answer(c.word, c.fields, "") }, "c2")
+			bed.start()
+			client := bed.dial()
 			client.ask(1, c.class, map[string]string{"unique": "k1", "limit": "1500"})
 			var out *receivedRequest // the attempt that is out for all that its endpoint said
 			seen := map[string]bool{}
-			for _, a := range w.received(func(a *receivedRequest) bool { return a.ID == hexID(1) }) {
-				switch key := fmt.Sprint(a.Endpoint, a.Conn.LocalAddr(), a.Conn.RemoteAddr()); {
-				case a.Word == "QUIT":
-					if out != nil && out.Conn == a.Conn {
+			ofRequest := func(line *receivedRequest) bool { return line.ID == hexID(1) }
+			for _, line := range bed.received(ofRequest) {
+				switch key := fmt.Sprint(line.Endpoint, line.Conn.LocalAddr(), line.Conn.RemoteAddr()); {
+				case line.Word == "QUIT":
+					if out != nil && out.Conn == line.Conn {
 						out = nil
 					}
 				case out != nil:
-					t.Fatalf("an attempt to %s went out beside one at %s, want one at a time", a.Endpoint, out.Endpoint)
+					t.Fatalf("an attempt to %s went out beside one at %s, want one at a time",
+						line.Endpoint, out.Endpoint)
 				case seen[key]:
-					out = a
+					out = line
 				default:
 					seen[key] = true
 				}
@@ -139,9 +141,9 @@
 // TestResetNewConnectionsDoNotEject: two connections that were reset as they came up had the endpoint ejected for
 // seconds, as each request that waited for them was held against it.
 func TestResetNewConnectionsDoNotEject(t *testing.T) {
-	w := newTestbed(t, nil, "c2")
-	listener := w.listenOn("127.0.0.1:0")
-	w.listAt("c1", listener.Addr().String())
+	bed := newTestbed(t, nil, "c2")
+	listener := bed.listenOn("127.0.0.1:0")
+	bed.listAt("c1", listener.Addr().String())
 	sound := make(chan net.Conn)
 	go func() {
 		for n := 0; ; n++ {
@@ -157,18 +159,18 @@
 			sound <- conn
 		}
 	}()
-	go w.endpoints.Serve("c1", channelListener{listener, sound})
-	w.start()
-	client := w.dial()
+	go bed.endpoints.Serve("c1", channelListener{listener, sound})
+	bed.start()
+	client := bed.dial()
 	for id := range uint64(4) {
 		client.send(request(id, "footage", nil, ""))
 	}
 	for range 4 {
-		if a := client.mustRead(); a.Error != "" {
-			t.Errorf("%+v, want it served", a)
+		if answer := client.mustRead(); answer.Error != "" {
+			t.Errorf("%+v, want it served", answer)
 		}
 	}
-	if w.logged("ejected") {
+	if bed.logged("ejected") {
 		t.Error("the endpoint was ejected")
 	}
 }
@@ -189,16 +191,17 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := newTestbed(t, func(a *receivedRequest) {
+			bed := newTestbed(t, func(attempt *receivedRequest) {
 				time.Sleep(c.takes)
-				a.Answer("ACK", "-", "sound")
+				attempt.Answer("ACK", "-", "sound")
 			}, "c2")
-			w.start()
-			client := w.dial()
-			if a := client.ask(1, "footage", map[string]string{"ram": "2000", "limit": "60000"}); a.Body != "sound" {
-				t.Fatalf("%+v, want it served", a)
+			bed.start()
+			client := bed.dial()
+			answer := client.ask(1, "footage", map[string]string{"ram": "2000", "limit": "60000"})
+			if answer.Body != "sound" {
+				t.Fatalf("%+v, want it served", answer)
 			}
-			if n := len(w.received(hasWord("NOOP"))); n < c.min || n > c.max {
+			if n := len(bed.received(hasWord("NOOP"))); n < c.min || n > c.max {
 				t.Errorf("%d NOOPs, want %d to %d", n, c.min, c.max)
 			}
 		})
@@ -214,25 +217,25 @@
 }
 
 // respond is for newTestbed.
-func (r *trickle) respond(a *receivedRequest) {
-	if a.ID != hexID(1) {
-		if conn := r.first.Load(); conn == nil || a.Conn != *conn {
-			answerDone(a)
+func (r *trickle) respond(attempt *receivedRequest) {
+	if attempt.ID != hexID(1) {
+		if conn := r.first.Load(); conn == nil || attempt.Conn != *conn {
+			answerDone(attempt)
 		}
-		r.pending <- a
+		r.pending <- attempt
 		return
 	}
-	if !r.first.CompareAndSwap(nil, &a.Conn) {
-		answerDone(a)
+	if !r.first.CompareAndSwap(nil, &attempt.Conn) {
+		answerDone(attempt)
 		return
 	}
-	_, err := fmt.Fprintf(a.Conn, "%s ACK tag=t1 200000\r\n", a.ID)
-	for r.pending <- a; err == nil; {
+	_, err := fmt.Fprintf(attempt.Conn, "%s ACK tag=t1 200000\r\n", attempt.ID)
+	for r.pending <- attempt; err == nil; {
 		select {
 		case <-r.over:
 			return
 		case <-time.After(10 * time.Millisecond):
-			_, err = io.WriteString(a.Conn, "x")
+			_, err = io.WriteString(attempt.Conn, "x")
 		}
 	}
 }
@@ -243,10 +246,10 @@
 func TestTrickledResponseReleasesWaiting(t *testing.T) {
 	responder := &trickle{pending: make(chan *receivedRequest, 100), over: make(chan struct{})}
 	t.Cleanup(func() { close(responder.over) })
-	w := newTestbed(t, responder.respond, "c2")
-	w.platformLimits()["attempts-cap"] = 6
-	w.start()
-	client := w.dial()
+	bed := newTestbed(t, responder.respond, "c2")
+	bed.platformLimits()["attempts-cap"] = 6
+	bed.start()
+	client := bed.dial()
 	client.send(request(1, "lookup", map[string]string{"limit": "2000"}, ""))
 	nextReceived(t, responder.pending)
 	began := time.Now()
@@ -255,17 +258,17 @@
 		t.Fatal("the second request went by another connection: nothing is tried")
 	}
 	time.Sleep(time.Until(began.Add(1200 * time.Millisecond))) // longer than anything new is put behind it
-	other := w.dial()
-	a := other.ask(3, "lookup", map[string]string{"limit": "9000"})
-	if a.Body != "done" || nextReceived(t, responder.pending).Conn == *responder.first.Load() {
-		t.Errorf("%+v, want it served by another connection", a)
+	other := bed.dial()
+	answer := other.ask(3, "lookup", map[string]string{"limit": "9000"})
+	if answer.Body != "done" || nextReceived(t, responder.pending).Conn == *responder.first.Load() {
+		t.Errorf("%+v, want it served by another connection", answer)
 	}
-	if a := client.mustRead(); a.ID != 1 || a.Error == "" {
-		t.Errorf("%+v, want the first request failed when its time is up", a)
+	if answer := client.mustRead(); answer.ID != 1 || answer.Error == "" {
+		t.Errorf("%+v, want the first request failed when its time is up", answer)
 	}
-	a = client.mustRead()
-	if took := time.Since(began); a.ID != 2 || a.Body != "done" || took > 6*time.Second {
-		t.Errorf("%+v after %v, want the second request served soon after that", a, took)
+	answer = client.mustRead()
+	if took := time.Since(began); answer.ID != 2 || answer.Body != "done" || took > 6*time.Second {
+		t.Errorf("%+v after %v, want the second request served soon after that", answer, took)
 	}
 }
 
@@ -276,21 +279,22 @@
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
 			var n atomic.Int64
-			w := newTestbed(t, func(a *receivedRequest) {
+			bed := newTestbed(t, func(attempt *receivedRequest) {
 				if n.Add(1)%2 == 1 {
-					_ = a.Conn.(*net.TCPConn).CloseWrite()
+					_ = attempt.Conn.(*net.TCPConn).CloseWrite()
 					return
 				}
-				answerDone(a)
+				answerDone(attempt)
 			}, "c2")
-			w.start()
-			client := w.dial()
+			bed.start()
+			client := bed.dial()
 			for id := range uint64(10) {
-				if a := client.ask(id+1, class, map[string]string{"unique": fmt.Sprint("k", id)}); a.Body != "done" {
-					t.Fatalf("%+v, want it served", a)
+				answer := client.ask(id+1, class, map[string]string{"unique": fmt.Sprint("k", id)})
+				if answer.Body != "done" {
+					t.Fatalf("%+v, want it served", answer)
 				}
 			}
-			if attempts := w.attempts(); len(attempts) != 20 {
+			if attempts := bed.attempts(); len(attempts) != 20 {
 				t.Errorf("%d attempts went out for ten requests, want two for each", len(attempts))
 			}
 		})
@@ -300,25 +304,29 @@
 // TestEndpointClosesAsNextRequestArrives: an endpoint ends a connection with its answer, and the client's next
 // request comes as that end does, in both orders.
 func TestEndpointClosesAsNextRequestArrives(t *testing.T) {
-	for _, reset := range []bool{false, true} {
-		t.Run(fmt.Sprint("by reset ", reset), func(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		reset bool
+	}{{"closed", false}, {"reset", true}} {
+		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := newTestbed(t, func(a *receivedRequest) {
-				answerDone(a)
-				if reset {
+			bed := newTestbed(t, func(attempt *receivedRequest) {
+				answerDone(attempt)
+				if c.reset {
 					time.Sleep(time.Millisecond) // or it would take the answer with it
-					_ = a.Conn.(*net.TCPConn).SetLinger(0)
+					_ = attempt.Conn.(*net.TCPConn).SetLinger(0)
 				}
-				_ = a.Conn.Close()
+				_ = attempt.Conn.Close()
 			}, "c2")
-			w.start()
-			client := w.dial()
+			bed.start()
+			client := bed.dial()
 			for id := range uint64(200) {
 				class := []string{"lookup", "charge"}[id%2]
-				if a := client.ask(id+1, class, map[string]string{"unique": fmt.Sprint("k", id)}); a.Body != "done" {
-					t.Fatalf("request %d: %+v, want it served", id, a)
+				answer := client.ask(id+1, class, map[string]string{"unique": fmt.Sprint("k", id)})
+				if answer.Body != "done" {
+					t.Fatalf("request %d: %+v, want it served", id, answer)
 				}
-				if reset {
+				if c.reset {
 					time.Sleep(time.Duration(id%8) * 300 * time.Microsecond) // round the moment of the reset
 				}
 			}
@@ -338,32 +346,32 @@
 		{"one connection beyond that, and no word that it lives may be asked for", false, 1000},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newTestbed(t, nil, "c1", "c2", "p1")
-			limits := w.platformLimits()
+			bed := newTestbed(t, nil, "c1", "c2", "p1")
+			limits := bed.platformLimits()
 			limits["may-probe"], limits["streams-per-conn"] = c.checks, c.streams
-			expectUnreadAttemptsDropped(t, w)
+			expectUnreadAttemptsDropped(t, bed)
 		})
 	}
 }
 
 // expectUnreadAttemptsDropped has the origin read nothing while clients send large requests and leave. It fails
 // unless, of each connection that the program closed, the origin reads no more than its own socket holds.
-func expectUnreadAttemptsDropped(t *testing.T, w *testbed) {
+func expectUnreadAttemptsDropped(t *testing.T, bed *testbed) {
 	t.Helper()
-	address, read := w.listenWithoutReading()
-	w.listAt("o1", address)
-	w.start()
+	address, read := bed.listenWithoutReading()
+	bed.listAt("o1", address)
+	bed.start()
 	const requests, each = 150, 25
 	body := strings.Repeat("x", 48000)
 	var clients []*client
 	for n := range uint64(requests) {
 		if n%each == 0 {
-			clients = append(clients, w.dial())
+			clients = append(clients, bed.dial())
 		}
 		fields := map[string]string{"unique": fmt.Sprint("k", n), "limit": "3000", "item": hexID(n + 1)}
 		clients[len(clients)-1].send(request(n+1, "charge", fields, body))
 	}
-	w.waitLogged("event=upstream-unresponsive")
+	bed.waitLogged("event=upstream-unresponsive")
 	for _, c := range clients {
 		_ = c.conn.Close()
 	}
@@ -377,7 +385,7 @@
 			within++
 		}
 	}
-	if closed := w.timesLogged("event=upstream-unresponsive"); within < closed {
+	if closed := bed.timesLogged("event=upstream-unresponsive"); within < closed {
 		t.Errorf("%d connections were closed, and of its connections the endpoint read %v complete attempts later, "+
 			"want at most %d on as many as were closed", closed, got, holds)
 	}
--- a/test/cpu_test.go
+++ b/test/cpu_test.go
@@ -27,8 +27,8 @@
 	if *cpuProgram != "" {
 		program = *cpuProgram
 	}
-	w, client, token := newCPUTestbed(t)
-	before := w.cpuTicks()
+	bed, client, token := newCPUTestbed(t)
+	before := bed.cpuTicks()
 	for id := range *cpuRequests {
 		fields := map[string]string{"item": hexID(id%5000 + 1), "ram": "1", "token": token(id)}
 		client.send(request(uint64(id), "lookup", fields, ""))
@@ -37,17 +37,17 @@
 		}
 	}
 	const microsecondsPerTick = 10_000
-	each := float64(w.cpuTicks()-before) * microsecondsPerTick / float64(*cpuRequests)
+	each := float64(bed.cpuTicks()-before) * microsecondsPerTick / float64(*cpuRequests)
 	t.Logf("%d requests by %s, %.1f us of CPU each", *cpuRequests, *cpuBy, each)
 }
 
 // cpuTicks is the processor time that the program has used, its own and the system's for it, in hundredths of a
 // second.
-func (w *testbed) cpuTicks() int {
-	w.t.Helper()
-	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", w.cmd.Process.Pid))
+func (bed *testbed) cpuTicks() int {
+	bed.t.Helper()
+	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", bed.cmd.Process.Pid))
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
 	fields := statFields(string(stat))
 	var user, system int
@@ -62,34 +62,34 @@
 	t.Helper()
 	noToken := func(int) string { return "" }
 	if *cpuBy == "tls" {
-		w := newTLSTestbed(t, nil)
-		w.start()
-		return w.testbed, w.dialTLS(w.clientConfig("lane3.lanes.test")), noToken
+		bed := newTLSTestbed(t, nil)
+		bed.start()
+		return bed.testbed, bed.dialTLS(bed.clientConfig("lane3.lanes.test")), noToken
 	}
-	w := newTestbed(t, nil)
+	bed := newTestbed(t, nil)
 	switch *cpuBy {
 	case "plain":
 	case "unsigned":
-		w.enableIdentity("unsigned staff")
+		bed.enableIdentity("unsigned staff")
 	case "box-tls":
 		authority := newAuthority(t)
-		for id := range w.listeners {
-			w.serveTLS(authority, id, id+".boxes.test", func(string) {})
+		for id := range bed.listeners {
+			bed.serveTLS(authority, id, id+".boxes.test", func(string) {})
 		}
 		cert, key := makeCertificateFiles(t, authority, "doorman", "doorman.test")
-		w.addSettings("box-tls {", "ca "+authority.File, "cert "+cert, "key "+key, "suffix .boxes.test", "}")
+		bed.addSettings("box-tls {", "ca "+authority.File, "cert "+cert, "key "+key, "suffix .boxes.test", "}")
 	default:
-		keys := w.enableIdentity("checks 1000000/s\nchecks-connection 1000000/s\nchecks-source 1000000/s")
-		w.start()
+		keys := bed.enableIdentity("checks 1000000/s\nchecks-connection 1000000/s\nchecks-source 1000000/s")
+		bed.start()
 		if *cpuBy == "token" {
 			token := keys.token("lane-1", "lanes", time.Hour)
-			return w, w.dial(), func(int) string { return token }
+			return bed, bed.dial(), func(int) string { return token }
 		}
 		tokens := signTokens(t, keys, *cpuRequests)
-		return w, w.dial(), func(id int) string { return tokens[id] }
+		return bed, bed.dial(), func(id int) string { return tokens[id] }
 	}
-	w.start()
-	return w, w.dial(), noToken
+	bed.start()
+	return bed, bed.dial(), noToken
 }
 
 // signTokens makes as many tokens, each with an id of its own.
--- a/test/dns_test.go
+++ b/test/dns_test.go
@@ -15,23 +15,23 @@
 // TestDNSQueries asks one question each.
 func TestDNSQueries(t *testing.T) {
 	const full, silent = "00000000000000ff", "00000000000000fe" // objects that endpoints reject, or never answer for
-	w := newTestbed(t, func(a *receivedRequest) {
-		switch a.Fields["thing"] {
+	bed := newTestbed(t, func(attempt *receivedRequest) {
+		switch attempt.Fields["thing"] {
 		case full:
-			a.Answer("AGAIN", "-", "")
+			attempt.Answer("AGAIN", "-", "")
 		case silent:
 		default:
-			a.Answer("ACK", "tag=t1,remark=hit", "bytes")
+			attempt.Answer("ACK", "tag=t1,remark=hit", "bytes")
 		}
 	}, "c1")
-	w.enableDNS("limit 300ms")
-	w.addSettings("contracts {", "team lanes {", "class lookup", "}", "others {", "}", "}")
-	w.start()
-	port := w.listeners["c2"].Addr().(*net.TCPAddr).Port
+	bed.enableDNS("limit 300ms")
+	bed.addSettings("contracts {", "team lanes {", "class lookup", "}", "others {", "}", "}")
+	bed.start()
+	port := bed.listeners["c2"].Addr().(*net.TCPAddr).Port
 	served := func(names ...string) dnsAnswer { return dnsAnswer{Rcode: "NOERROR", Names: names} }
 	failed := func(rcode, text string) dnsAnswer { return dnsAnswer{Rcode: rcode, Text: text} }
 	for _, network := range []string{"udp", "tcp"} {
-		resolver := w.dialDNS(network)
+		resolver := bed.dialDNS(network)
 		for i, c := range []struct {
 			name  string
 			qtype uint16
@@ -57,10 +57,10 @@
 			}
 		}
 	}
-	resolver := w.dialDNS("udp")
+	resolver := bed.dialDNS("udp")
 	_ = resolver.conn.WriteMsg(new(dns.Msg).SetQuestion("www.example.org.", dns.TypeA))
-	if a := resolver.mustRead(); a.Rcode != "REFUSED" {
-		t.Errorf("another zone: %+v, want it REFUSED", a)
+	if answer := resolver.mustRead(); answer.Rcode != "REFUSED" {
+		t.Errorf("another zone: %+v, want it REFUSED", answer)
 	}
 	for _, raw := range []string{
 		"x",
@@ -69,8 +69,8 @@
 	} {
 		_, _ = resolver.conn.Write([]byte(raw))
 	}
-	if a := resolver.mustRead(); a.Rcode != "FORMERR" || a.ID != 7 {
-		t.Errorf("what can't be read: %+v, want FORMERR to query 7", a)
+	if answer := resolver.mustRead(); answer.Rcode != "FORMERR" || answer.ID != 7 {
+		t.Errorf("what can't be read: %+v, want FORMERR to query 7", answer)
 	}
 	resolver.expectNoMore()
 }
@@ -79,16 +79,16 @@
 // answer to each query that was taken, and the same result again within the key's window.
 func TestDNSRetransmitsAreIdempotent(t *testing.T) {
 	release := make(chan struct{})
-	w := newTestbed(t, func(a *receivedRequest) {
+	bed := newTestbed(t, func(attempt *receivedRequest) {
 		<-release
-		a.Answer("ACK", "remark=hit", "")
+		attempt.Answer("ACK", "remark=hit", "")
 	})
-	w.enableDNS("")
-	w.start()
+	bed.enableDNS("")
+	bed.start()
 	const name = "k-5c0f.n0.00000000000000aa.charge.lanes"
-	first, retry, tcp := w.dialDNS("udp"), w.dialDNS("udp"), w.dialDNS("tcp")
+	first, retry, tcp := bed.dialDNS("udp"), bed.dialDNS("udp"), bed.dialDNS("tcp")
 	first.query(1, name, dns.TypeTXT)
-	w.waitAttempts(1)
+	bed.waitAttempts(1)
 	first.query(1, name, dns.TypeTXT) // a retransmit
 	retry.query(2, strings.ToUpper(name), dns.TypeTXT)
 	tcp.query(3, name, dns.TypeTXT)
@@ -109,7 +109,7 @@
 	if diff := cmp.Diff(dnsAnswer{ID: 4, Rcode: "NOERROR", Names: served}, retry.mustRead()); diff != "" {
 		t.Errorf("asked again (-want +got):\n%s", diff)
 	}
-	if attempts := w.attempts(); len(attempts) != 1 || attempts[0].Endpoint != "o1" {
+	if attempts := bed.attempts(); len(attempts) != 1 || attempts[0].Endpoint != "o1" {
 		t.Errorf("%d attempts, want one at the origin", len(attempts))
 	}
 }
@@ -118,34 +118,34 @@
 // must not be named, and nothing may be sent to it after 1 s.
 func TestDNSDrainingEndpoint(t *testing.T) {
 	pending := make(chan *receivedRequest, 64)
-	w := newTestbed(t, nil)
-	w.startNameServer(map[string]string{"c2.plaza.test.": "127.0.0.1", "c3.plaza.test.": "127.0.0.1"})
+	bed := newTestbed(t, nil)
+	bed.startNameServer(map[string]string{"c2.plaza.test.": "127.0.0.1", "c3.plaza.test.": "127.0.0.1"})
 	// c2 is listed by name. So is c3, and its name leads to the address of c1: a record that is out of date.
-	w.listAt("c2", strings.Replace(w.endpointAddress("c2"), "127.0.0.1", "c2.plaza.test", 1))
-	outOfDate := strings.Replace(w.endpointAddress("c1"), "127.0.0.1", "c3.plaza.test", 1)
-	w.enableDNS("resolver " + w.nameServer.address())
-	w.start()
-	w.waitListPoll()
-	resolver := w.dialDNS("udp")
+	bed.listAt("c2", strings.Replace(bed.endpointAddress("c2"), "127.0.0.1", "c2.plaza.test", 1))
+	outOfDate := strings.Replace(bed.endpointAddress("c1"), "127.0.0.1", "c3.plaza.test", 1)
+	bed.enableDNS("resolver " + bed.nameServer.address())
+	bed.start()
+	bed.waitListPoll()
+	resolver := bed.dialDNS("udp")
 	id := 0
 	query := func(qtype uint16) {
 		id++
 		resolver.query(uint16(id), fmt.Sprintf("n0.%s.lookup._", hexID(0x1000+id)), qtype)
 	}
-	w.waitUntil("both endpoints have been named", func() bool {
+	bed.waitUntil("both endpoints have been named", func() bool {
 		query(dns.TypeTXT)
 		resolver.mustRead()
-		return len(w.attemptsAt("c1")) > 0 && len(w.attemptsAt("c2")) > 0
+		return len(bed.attemptsAt("c1")) > 0 && len(bed.attemptsAt("c2")) > 0
 	})
-	w.setResponder(func(a *receivedRequest) {
-		if a.Endpoint == "c1" {
-			pending <- a // its answer comes half a second after the endpoint began to drain
+	bed.setResponder(func(attempt *receivedRequest) {
+		if attempt.Endpoint == "c1" {
+			pending <- attempt // its answer comes half a second after the endpoint began to drain
 			return
 		}
-		a.Answer("ACK", "remark=hit", "")
+		attempt.Answer("ACK", "remark=hit", "")
 	})
 	var out *receivedRequest
-	w.waitUntil("an attempt is out at c1", func() bool {
+	bed.waitUntil("an attempt is out at c1", func() bool {
 		query(dns.TypeSRV)
 		select {
 		case out = <-pending:
@@ -154,34 +154,38 @@
 		}
 		return out != nil
 	})
-	namesC2 := func(a dnsAnswer) bool { return len(a.Names) == 1 && strings.HasPrefix(a.Names[0], "c2:") }
+	namesC2 := func(answer dnsAnswer) bool {
+		return len(answer.Names) == 1 && strings.HasPrefix(answer.Names[0], "c2:")
+	}
 	began := time.Now()
-	w.listFeed <- listEvent(2, false, w.entry("c1", "draining"), listEntry("c3", outOfDate, "edge", "std", "up", 0))
+	bed.listFeed <- listEvent(2, false, bed.entry("c1", "draining"), listEntry("c3", outOfDate, "edge", "std", "up", 0))
 	time.Sleep(500 * time.Millisecond) // the case's own half second
 	out.Answer("ACK", "remark=hit", "")
-	if a := resolver.mustRead(); a.Rcode != "NOERROR" || !namesC2(a) {
-		t.Errorf("the answer to the attempt that was out: %+v, want c2 named", a)
+	if answer := resolver.mustRead(); answer.Rcode != "NOERROR" || !namesC2(answer) {
+		t.Errorf("the answer to the attempt that was out: %+v, want c2 named", answer)
 	}
 	for time.Since(began) < 1500*time.Millisecond {
 		query(dns.TypeSRV)
-		if a := resolver.mustRead(); !namesC2(a) {
-			t.Fatalf("query %d: %+v, want c2 named", id, a)
+		if answer := resolver.mustRead(); !namesC2(answer) {
+			t.Fatalf("query %d: %+v, want c2 named", id, answer)
 		}
 	}
 	resolver.expectNoMore()
 	drained := began.Add(time.Second)
-	after := w.received(func(a *receivedRequest) bool { return a.Endpoint == "c1" && a.At.After(drained) })
+	after := bed.received(func(attempt *receivedRequest) bool {
+		return attempt.Endpoint == "c1" && attempt.At.After(drained)
+	})
 	if len(after) > 0 {
 		t.Errorf("%d lines reached the drained endpoint after 1 s, the first %+v, want none", len(after), after[0])
 	}
 	ids := map[string]bool{}
-	for _, a := range w.attempts() {
-		if ids[a.ID] && a.Endpoint == "c1" {
-			t.Errorf("request %s went to c1 twice", a.ID)
+	for _, attempt := range bed.attempts() {
+		if ids[attempt.ID] && attempt.Endpoint == "c1" {
+			t.Errorf("request %s went to c1 twice", attempt.ID)
 		}
-		ids[a.ID] = true
+		ids[attempt.ID] = true
 	}
-	if !slices.Contains(w.nameServer.queries(), "c3.plaza.test.") {
+	if !slices.Contains(bed.nameServer.queries(), "c3.plaza.test.") {
 		t.Error("c3 was never looked up, so the case was not played")
 	}
 }
--- a/test/drill_test.go
+++ b/test/drill_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"flag"
+	"fmt"
 	"path/filepath"
 	"testing"
 
@@ -49,7 +50,7 @@
 	}
 	for _, path := range paths {
 		for seed := range uint64(*drillSeeds) {
-			t.Run(filepath.Base(path), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, seed %d", filepath.Base(path), seed+1), func(t *testing.T) {
 				plan, err := drill.Load(path)
 				if err != nil {
 					t.Fatal(err)
@@ -63,7 +64,7 @@
 // TestDrawnDrills plays plans drawn by lot.
 func TestDrawnDrills(t *testing.T) {
 	for seed := range uint64(*drillSeeds) {
-		t.Run("drawn", func(t *testing.T) {
+		t.Run(fmt.Sprint("seed ", seed+1), func(t *testing.T) {
 			plan, err := drill.Draw(seed + 1)
 			if err != nil {
 				t.Fatal(err)
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -28,9 +28,9 @@
 // faultCase is one kind of bad input.
 type faultCase struct {
 	name      string
-	respond   func(n int64, a *receivedRequest) // what the nth attempt of the case meets; nil: it is served
-	beside    func(r *faultRun)                 // runs beside a round, until over is closed; nil: nothing
-	after     func(r *faultRun)                 // puts right what beside has left; nil: nothing
+	respond   func(n int64, attempt *receivedRequest) // what the nth attempt of the case meets; nil: it is served
+	beside    func(r *faultRun)                       // runs beside a round, until over is closed; nil: nothing
+	after     func(r *faultRun)                       // puts right what beside has left; nil: nothing
 	client    clientFaults
 	minServed float64 // of the requests that were not taken back, the share that is to be served
 }
@@ -69,61 +69,61 @@
 }
 
 // respondServed answers with the object that was asked for.
-func respondServed(a *receivedRequest) {
-	a.Answer("ACK", fmt.Sprintf("tag=t1,minted=%d,remark=hit", time.Now().UnixMilli()), a.Fields["thing"])
+func respondServed(attempt *receivedRequest) {
+	attempt.Answer("ACK", fmt.Sprintf("tag=t1,minted=%d,remark=hit", time.Now().UnixMilli()), attempt.Fields["thing"])
 }
 
 // respondMalformed answers one attempt after another in each of the ways that the operators' page lists.
-func respondMalformed(n int64, a *receivedRequest) {
-	raw := func(format string, args ...any) { _, _ = fmt.Fprintf(a.Conn, format, args...) }
+func respondMalformed(n int64, attempt *receivedRequest) {
+	raw := func(format string, args ...any) { _, _ = fmt.Fprintf(attempt.Conn, format, args...) }
 	switch n % 36 {
 	case 0:
-		_, _ = a.Conn.Write([]byte{0x00, 0xff, 0x0d, 0x0a, 0x93, 0x0d, 0x0a})
+		_, _ = attempt.Conn.Write([]byte{0x00, 0xff, 0x0d, 0x0a, 0x93, 0x0d, 0x0a})
 	case 1:
-		raw("%s ACK %s", a.ID, strings.Repeat("x", 3<<10)) // a line that does not end
+		raw("%s ACK %s", attempt.ID, strings.Repeat("x", 3<<10)) // a line that does not end
 	case 2:
-		raw("%s ACK - 3000000000\r\n%s", a.ID, strings.Repeat("x", 1<<10))
+		raw("%s ACK - 3000000000\r\n%s", attempt.ID, strings.Repeat("x", 1<<10))
 	case 3:
-		raw("%s ACK tag=t1 16\r\nhalf", a.ID)
-		_ = a.Conn.Close()
+		raw("%s ACK tag=t1 16\r\nhalf", attempt.ID)
+		_ = attempt.Conn.Close()
 	case 4:
-		raw("%s ACK tag=t1 -7\r\n", a.ID)
+		raw("%s ACK tag=t1 -7\r\n", attempt.ID)
 	case 5:
 		raw("ffffffffffffffff ACK tag=t1,minted=1 3\r\nbad\r\n")
-		respondServed(a)
+		respondServed(attempt)
 	case 6:
-		respondServed(a)
-		respondServed(a)
+		respondServed(attempt)
+		respondServed(attempt)
 	case 7: // never comes
 	case 8:
-		raw("%s ACK tag=t1 16\r\n7f3a9c21e0b4d655 and more\r\n", a.ID)
+		raw("%s ACK tag=t1 16\r\n7f3a9c21e0b4d655 and more\r\n", attempt.ID)
 	default:
-		respondServed(a)
+		respondServed(attempt)
 	}
 }
 
 // respondOrClose closes each ninth attempt's connection once the attempt was read.
-func respondOrClose(n int64, a *receivedRequest) {
+func respondOrClose(n int64, attempt *receivedRequest) {
 	if n%9 == 0 {
-		_ = a.Conn.Close()
+		_ = attempt.Conn.Close()
 		return
 	}
-	respondServed(a)
+	respondServed(attempt)
 }
 
 // respondSlowly takes up to six milliseconds.
-func respondSlowly(n int64, a *receivedRequest) {
+func respondSlowly(n int64, attempt *receivedRequest) {
 	time.Sleep(time.Duration(n%4) * 2 * time.Millisecond)
-	respondServed(a)
+	respondServed(attempt)
 }
 
 // respondOrReject serves each third attempt.
-func respondOrReject(n int64, a *receivedRequest) {
+func respondOrReject(n int64, attempt *receivedRequest) {
 	if n%3 == 0 {
-		respondServed(a)
+		respondServed(attempt)
 		return
 	}
-	a.Answer("AGAIN", "-", "")
+	attempt.Answer("AGAIN", "-", "")
 }
 
 // resetConnections resets those of one endpoint after another, whether new, idle or under a request.
@@ -141,7 +141,7 @@
 // sendFaultyLists has the list service tell what can't be used, then what takes all endpoints away, and break off in
 // between.
 func (r *faultRun) sendFaultyLists() {
-	w := r.testbed
+	bed := r.testbed
 	for {
 		next := r.listVersion + 1
 		for _, line := range []string{
@@ -156,10 +156,10 @@
 			strconv.Itoa(next),
 			listEvent(1, false, listEntry("c9", "127.0.0.1:1", "edge", "std", "up", 0)), // old
 			strconv.Itoa(next + 5), // five were missed, it says
-			listEvent(next+1, true, w.listed[0], w.listed[0], w.listed[1], w.listed[2], w.listed[3]),
+			listEvent(next+1, true, bed.listed[0], bed.listed[0], bed.listed[1], bed.listed[2], bed.listed[3]),
 		} {
 			select {
-			case w.listFeed <- line:
+			case bed.listFeed <- line:
 			case <-r.over:
 			}
 		}
@@ -174,27 +174,27 @@
 
 // sendSoundList has the list service tell the complete list, and waits until an endpoint serves again.
 func (r *faultRun) sendSoundList() {
-	w := r.testbed
-	standing := w.dial()
+	bed := r.testbed
+	standing := bed.dial()
 	standing.awaitRound(1)
-	w.waitUntil("an endpoint serves again", func() bool {
+	bed.waitUntil("an endpoint serves again", func() bool {
 		// Numbers that the program has already, or that skip some, have it ask again: then the next one will do.
 		r.listVersion++
-		for _, line := range []string{listEvent(r.listVersion, true, w.listed...), "!"} {
+		for _, line := range []string{listEvent(r.listVersion, true, bed.listed...), "!"} {
 			select {
-			case w.listFeed <- line:
+			case bed.listFeed <- line:
 			default:
 			}
 		}
-		protocol, err := emulator.Dial(w.address)
+		protocol, err := emulator.Dial(bed.address)
 		if err != nil {
 			return false
 		}
 		defer protocol.Conn.Close()
 		id := r.ids.Add(1)
 		_ = protocol.Send(request(id, "footage", map[string]string{"item": faultObject(id)}, ""))
-		a, err := protocol.Read(waitLimit)
-		return err == nil && a.Error == ""
+		answer, err := protocol.Read(waitLimit)
+		return err == nil && answer.Error == ""
 	})
 	_ = standing.conn.Close()
 }
@@ -260,12 +260,12 @@
 		if len(c.open) == 0 {
 			continue
 		}
-		a, err := c.protocol.Read(waitLimit)
+		answer, err := c.protocol.Read(waitLimit)
 		if err != nil {
 			t.Errorf("%d requests have no answer: %v", len(c.open), err)
 			return true
 		}
-		c.take(a)
+		c.take(answer)
 	}
 	return true
 }
@@ -301,24 +301,24 @@
 }
 
 // take takes an answer.
-func (c *faultClient) take(a reply) {
+func (c *faultClient) take(answer reply) {
 	t := c.run.testbed.t
-	retries, open := c.open[a.ID]
+	retries, open := c.open[answer.ID]
 	switch {
-	case c.withdrawn[a.ID]: // it crossed the withdrawal, and may come once
-		delete(c.withdrawn, a.ID)
+	case c.withdrawn[answer.ID]: // it crossed the withdrawal, and may come once
+		delete(c.withdrawn, answer.ID)
 		return
 	case !open:
-		t.Errorf("%+v is a second answer, or one to nothing", a)
+		t.Errorf("%+v is a second answer, or one to nothing", answer)
 		return
 	}
-	delete(c.open, a.ID)
+	delete(c.open, answer.ID)
 	c.run.ended.Add(1)
 	switch {
-	case a.Error == "":
+	case answer.Error == "":
 		c.run.served.Add(1)
-		if want := faultObject(a.ID); a.Body != want {
-			t.Errorf("request %d was served %q, want %q", a.ID, a.Body, want)
+		if want := faultObject(answer.ID); answer.Body != want {
+			t.Errorf("request %d was served %q, want %q", answer.ID, answer.Body, want)
 		}
 	case retries > 0:
 		c.again = append(c.again, retries-1) // whatever `later` says
@@ -331,21 +331,21 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			var attempts atomic.Int64
-			w := newTestbed(t, func(a *receivedRequest) {
+			bed := newTestbed(t, func(attempt *receivedRequest) {
 				if c.respond == nil {
-					respondServed(a)
+					respondServed(attempt)
 				} else {
-					c.respond(attempts.Add(1), a)
+					c.respond(attempts.Add(1), attempt)
 				}
 			})
 			socket := socketPath(t)
-			w.addSettings("control " + socket)
-			w.start()
+			bed.addSettings("control " + socket)
+			bed.start()
 			go func() { // what the program asks of the list service is not looked at
-				for range w.listPolls {
+				for range bed.listPolls {
 				}
 			}()
-			run := &faultRun{testbed: w, listVersion: 1}
+			run := &faultRun{testbed: bed, listVersion: 1}
 			var states []map[string]int // at the end of each round
 			for round := range faultRounds {
 				run.round(&c)
@@ -359,7 +359,7 @@
 			if share < c.minServed {
 				t.Errorf("%.2f of %d requests were served, want at least %.2f", share, run.ended.Load(), c.minServed)
 			}
-			w.expectRunning()
+			bed.expectRunning()
 		})
 	}
 }
@@ -400,22 +400,22 @@
 // TestWithdrawnRequestsReleaseTimers: a client that tells limits of an hour and takes each request back left two
 // timers each, with the request, for that hour.
 func TestWithdrawnRequestsReleaseTimers(t *testing.T) {
-	w := newTestbed(t, func(*receivedRequest) {})
+	bed := newTestbed(t, func(*receivedRequest) {})
 	socket := socketPath(t)
-	w.addSettings("control " + socket)
-	w.start()
-	client := w.dial()
+	bed.addSettings("control " + socket)
+	bed.start()
+	client := bed.dial()
 	for id := uint64(1); id <= 3000; id++ {
 		client.send(request(id, "footage", map[string]string{"limit": "3600000"}, ""))
 		client.send(withdrawal(id))
 		if id%16 == 0 { // else they would be taken back in the round they came in, and not be taken up
 			client.awaitRound(id)
-			w.waitUntil("nothing is open", func() bool { return w.stateCounts(socket)["pool.0.open"] == 0 })
+			bed.waitUntil("nothing is open", func() bool { return bed.stateCounts(socket)["pool.0.open"] == 0 })
 		}
 	}
-	if n, limit := w.stateCounts(socket)["pool.0.timers"], 1100; n > limit {
+	if n, limit := bed.stateCounts(socket)["pool.0.timers"], 1100; n > limit {
 		t.Errorf("%d timers are held with nothing open, want at most %d", n, limit)
 	}
-	w.signal(syscall.SIGTERM)
-	w.waitExit()
+	bed.signal(syscall.SIGTERM)
+	bed.waitExit()
 }
--- a/test/harness_catalogue_test.go
+++ b/test/harness_catalogue_test.go
@@ -14,16 +14,16 @@
 )
 
 // catalogueInstance is an endpoint as a catalogue has it, at an address.
-func (w *testbed) catalogueInstance(id, address string) consul.Instance {
-	w.t.Helper()
+func (bed *testbed) catalogueInstance(id, address string) consul.Instance {
+	bed.t.Helper()
 	service, class, site := placement(id)
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
 	number, err := strconv.Atoi(port)
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
 	return consul.Instance{Node: "node-" + id, NodeAddress: "127.0.0.1", Service: service, ID: id, Address: host,
 		Port: number, Meta: map[string]string{"site": site, "class": class},
@@ -34,20 +34,20 @@
 // for a catalogue to tell.
 func newCatalogueTestbed(t *testing.T, respond func(*receivedRequest), further ...string) *testbed {
 	t.Helper()
-	w := newTestbed(t, respond, "c1", "c2", "p1", "o1")
+	bed := newTestbed(t, respond, "c1", "c2", "p1", "o1")
 	for _, id := range further {
-		w.addEndpoint(id)
+		bed.addEndpoint(id)
 	}
-	return w
+	return bed
 }
 
 // enableCatalogue has an emulated catalogue with some agents tell the testbed's endpoints, and the program follow it.
 // extra goes into the block of the settings.
-func (w *testbed) enableCatalogue(agents int, extra string) (*consul.Cluster, []*consul.Agent) {
-	w.t.Helper()
+func (bed *testbed) enableCatalogue(agents int, extra string) (*consul.Cluster, []*consul.Agent) {
+	bed.t.Helper()
 	cluster := consul.NewCluster()
-	for _, id := range slices.Sorted(maps.Keys(w.listeners)) {
-		cluster.Put(w.catalogueInstance(id, w.endpointAddress(id)))
+	for _, id := range slices.Sorted(maps.Keys(bed.listeners)) {
+		cluster.Put(bed.catalogueInstance(id, bed.endpointAddress(id)))
 	}
 	var all []*consul.Agent
 	var block strings.Builder
@@ -55,39 +55,42 @@
 	for i := range agents {
 		agent, err := cluster.NewAgent(fmt.Sprint("agent", i))
 		if err != nil {
-			w.t.Fatal(err)
+			bed.t.Fatal(err)
 		}
-		w.t.Cleanup(agent.Close)
+		bed.t.Cleanup(agent.Close)
 		all = append(all, agent)
 		fmt.Fprintf(&block, "agent %s\n", agent.Address())
 	}
 	block.WriteString("service cache {\n}\nservice trunk {\n}\nservice archive {\n}\n" + extra + "\n}")
-	w.addSettings(block.String())
+	bed.addSettings(block.String())
 	return cluster, all
 }
 
 // sentOrSourced fits an attempt that was sent to an endpoint, or names it as the source to fill from.
 func sentOrSourced(id string) func(*receivedRequest) bool {
-	return func(a *receivedRequest) bool { return a.Word == "ASK" && (a.Endpoint == id || a.Fields["via"] == id) }
+	return func(attempt *receivedRequest) bool {
+		return attempt.Word == "ASK" && (attempt.Endpoint == id || attempt.Fields["via"] == id)
+	}
 }
 
 // usesSince gives the attempts that were sent to an endpoint, or named it as the source, after a moment.
-func (w *testbed) usesSince(id string, since time.Time) []*receivedRequest {
-	return w.received(func(a *receivedRequest) bool { return sentOrSourced(id)(a) && a.At.After(since) })
+func (bed *testbed) usesSince(id string, since time.Time) []*receivedRequest {
+	uses := sentOrSourced(id)
+	return bed.received(func(attempt *receivedRequest) bool { return uses(attempt) && attempt.At.After(since) })
 }
 
 // waitInUse waits until an endpoint is used from now on.
-func (w *testbed) waitInUse(id string) {
-	w.t.Helper()
+func (bed *testbed) waitInUse(id string) {
+	bed.t.Helper()
 	from := time.Now()
-	w.waitUntil(id+" is in use", func() bool { return len(w.usesSince(id, from)) > 0 })
+	bed.waitUntil(id+" is in use", func() bool { return len(bed.usesSince(id, from)) > 0 })
 }
 
 // waitUnused waits until an endpoint was not used for a while, and fails if it was later than within after since.
-func (w *testbed) waitUnused(id string, since time.Time, within time.Duration) {
-	w.t.Helper()
+func (bed *testbed) waitUnused(id string, since time.Time, within time.Duration) {
+	bed.t.Helper()
 	last := func() time.Time {
-		uses := w.received(sentOrSourced(id))
+		uses := bed.received(sentOrSourced(id))
 		if len(uses) == 0 {
 			return since
 		}
@@ -96,11 +99,11 @@
 	deadline := time.Now().Add(waitLimit)
 	for time.Since(last()) < 400*time.Millisecond || time.Since(since) < within+300*time.Millisecond {
 		if time.Now().After(deadline) {
-			w.t.Fatalf("%s is in use still, %v after it was marked", id, time.Since(since))
+			bed.t.Fatalf("%s is in use still, %v after it was marked", id, time.Since(since))
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	if lastUse := last().Sub(since); lastUse > within {
-		w.t.Errorf("%s was used %v after it was marked, want at most %v", id, lastUse, within)
+		bed.t.Errorf("%s was used %v after it was marked, want at most %v", id, lastUse, within)
 	}
 }
--- a/test/harness_clients_test.go
+++ b/test/harness_clients_test.go
@@ -29,29 +29,29 @@
 }
 
 // dial connects a client, until the test ends.
-func (w *testbed) dial() *client {
-	w.t.Helper()
-	c, err := emulator.Dial(w.address)
+func (bed *testbed) dial() *client {
+	bed.t.Helper()
+	c, err := emulator.Dial(bed.address)
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { _ = c.Conn.Close() })
-	return &client{t: w.t, conn: c.Conn, protocol: c}
+	bed.t.Cleanup(func() { _ = c.Conn.Close() })
+	return &client{t: bed.t, conn: c.Conn, protocol: c}
 }
 
 // dialSmallBuffer connects a client whose connection holds little that it has not read.
-func (w *testbed) dialSmallBuffer() *client {
-	w.t.Helper()
+func (bed *testbed) dialSmallBuffer() *client {
+	bed.t.Helper()
 	dialer := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
 		var err error
 		return errors.Join(c.Control(func(fd uintptr) { err = setSmallReceiveBuffer(fd) }), err)
 	}}
-	conn, err := dialer.Dial("tcp", w.address)
+	conn, err := dialer.Dial("tcp", bed.address)
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { _ = conn.Close() })
-	return newClient(w.t, conn)
+	bed.t.Cleanup(func() { _ = conn.Close() })
+	return newClient(bed.t, conn)
 }
 
 // request builds the frame of one; see emulator.Request.
@@ -76,11 +76,11 @@
 // mustRead takes one answer, and fails without it.
 func (c *client) mustRead() reply {
 	c.t.Helper()
-	a, err := c.read()
+	answer, err := c.read()
 	if err != nil {
 		c.t.Fatalf("no answer came: %v", err)
 	}
-	return a
+	return answer
 }
 
 // ask sends a request without a body, and takes the next answer.
@@ -135,7 +135,7 @@
 
 // abandonNoticed says whether the program knows that a client has left by one of the abandonWays: it answers no more on
 // a connection that still is, and closes one that is half closed.
-func abandonNoticed(w *testbed, c *client, way string) bool {
+func abandonNoticed(bed *testbed, c *client, way string) bool {
 	switch way {
 	case "withdraw":
 		return c.ask(3, "status", nil).ID == 3
@@ -145,5 +145,5 @@
 		return errors.Is(err, io.EOF)
 	}
 	// Another client that connects and asks afterwards is read in a later round.
-	return emulator.Ready(w.address)
+	return emulator.Ready(bed.address)
 }
--- a/test/harness_dns_test.go
+++ b/test/harness_dns_test.go
@@ -14,11 +14,11 @@
 const zone = "boxes.test."
 
 // enableDNS turns the DNS side on; extra is added to its block.
-func (w *testbed) enableDNS(extra string) {
-	w.t.Helper()
-	address := w.freeAddress()
-	w.addSettings("dns {", "listen "+address, "zone "+zone, extra, "}")
-	w.dnsAddress = address
+func (bed *testbed) enableDNS(extra string) {
+	bed.t.Helper()
+	address := bed.freeAddress()
+	bed.addSettings("dns {", "listen "+address, "zone "+zone, extra, "}")
+	bed.dnsAddress = address
 }
 
 // dnsClient is an emulator of a resolver that asks the program over UDP or TCP.
@@ -28,15 +28,15 @@
 }
 
 // dialDNS connects one, until the test ends; network is udp or tcp.
-func (w *testbed) dialDNS(network string) *dnsClient {
-	w.t.Helper()
-	conn, err := net.Dial(network, w.dnsAddress)
+func (bed *testbed) dialDNS(network string) *dnsClient {
+	bed.t.Helper()
+	conn, err := net.Dial(network, bed.dnsAddress)
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { _ = conn.Close() })
+	bed.t.Cleanup(func() { _ = conn.Close() })
 	_ = conn.SetDeadline(time.Now().Add(waitLimit))
-	return &dnsClient{w.t, &dns.Conn{Conn: conn}}
+	return &dnsClient{bed.t, &dns.Conn{Conn: conn}}
 }
 
 // newQuestion is a query for a name in the zone, with EDNS.
@@ -104,7 +104,7 @@
 func (c *dnsClient) expectNoMore() {
 	c.t.Helper()
 	c.query(9999, "n0.00000000000000aa.nosuchclass._", dns.TypeA)
-	if a := c.mustRead(); a.ID != 9999 {
-		c.t.Errorf("%+v came besides, want no further answer", a)
+	if answer := c.mustRead(); answer.ID != 9999 {
+		c.t.Errorf("%+v came besides, want no further answer", answer)
 	}
 }
--- a/test/harness_endpoints_test.go
+++ b/test/harness_endpoints_test.go
@@ -22,84 +22,84 @@
 type receivedRequest = emulator.ReceivedRequest
 
 // addEndpoint adds one that listens; the list does not have it for that.
-func (w *testbed) addEndpoint(id string) {
-	w.t.Helper()
-	listener, err := w.endpoints.Add(id, "127.0.0.1:0")
+func (bed *testbed) addEndpoint(id string) {
+	bed.t.Helper()
+	listener, err := bed.endpoints.Add(id, "127.0.0.1:0")
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
-	w.listeners[id] = listener
+	bed.listeners[id] = listener
 }
 
 // endpointAddress is where an endpoint listens.
-func (w *testbed) endpointAddress(id string) string { return w.listeners[id].Addr().String() }
+func (bed *testbed) endpointAddress(id string) string { return bed.listeners[id].Addr().String() }
 
 // setResponder sets how endpoints answer from now on; nil: as emulator.NewEndpoints does.
-func (w *testbed) setResponder(respond func(*receivedRequest)) { w.endpoints.SetResponder(respond) }
+func (bed *testbed) setResponder(respond func(*receivedRequest)) { bed.endpoints.SetResponder(respond) }
 
 // answerDone serves an attempt.
-func answerDone(a *receivedRequest) { a.Answer("ACK", "tag=t1", "done") }
+func answerDone(attempt *receivedRequest) { attempt.Answer("ACK", "tag=t1", "done") }
 
 // answerFilled is for caches that hold nothing: each request is filled from a parent or the origin.
-func answerFilled(a *receivedRequest) {
-	if a.Fields["via"] == "" && a.Endpoint[0] == 'c' {
-		a.Answer("NOENT", "-", "")
+func answerFilled(attempt *receivedRequest) {
+	if attempt.Fields["via"] == "" && attempt.Endpoint[0] == 'c' {
+		attempt.Answer("NOENT", "-", "")
 		return
 	}
-	a.Answer("ACK", "tag=t1,minted=1,remark=filled,lag=1", a.Fields["thing"])
+	attempt.Answer("ACK", "tag=t1,minted=1,remark=filled,lag=1", attempt.Fields["thing"])
 }
 
 // received gives what endpoints have read that fits, in the order of its coming.
-func (w *testbed) received(fits func(*receivedRequest) bool) []*receivedRequest {
-	return w.endpoints.Received(fits)
+func (bed *testbed) received(fits func(*receivedRequest) bool) []*receivedRequest {
+	return bed.endpoints.Received(fits)
 }
 
 // hasWord fits what has a word of the endpoints' protocol.
 func hasWord(word string) func(*receivedRequest) bool {
-	return func(a *receivedRequest) bool { return a.Word == word }
+	return func(line *receivedRequest) bool { return line.Word == word }
 }
 
 // attempts gives the attempts that endpoints have read.
-func (w *testbed) attempts() []*receivedRequest { return w.received(hasWord("ASK")) }
+func (bed *testbed) attempts() []*receivedRequest { return bed.received(hasWord("ASK")) }
 
 // attemptsAt gives the attempts that one endpoint has read.
-func (w *testbed) attemptsAt(id string) []*receivedRequest {
-	return w.received(func(a *receivedRequest) bool { return a.Word == "ASK" && a.Endpoint == id })
+func (bed *testbed) attemptsAt(id string) []*receivedRequest {
+	return bed.received(func(attempt *receivedRequest) bool { return attempt.Word == "ASK" && attempt.Endpoint == id })
 }
 
 // lastAttempt is the newest of all attempts.
-func (w *testbed) lastAttempt() *receivedRequest {
-	all := w.attempts()
+func (bed *testbed) lastAttempt() *receivedRequest {
+	all := bed.attempts()
 	return all[len(all)-1]
 }
 
 // attemptsOfClass gives the attempts of a class of requests.
-func (w *testbed) attemptsOfClass(class string) []*receivedRequest {
-	return w.received(func(a *receivedRequest) bool { return a.Fields["profile"] == class })
+func (bed *testbed) attemptsOfClass(class string) []*receivedRequest {
+	return bed.received(func(attempt *receivedRequest) bool { return attempt.Fields["profile"] == class })
 }
 
 // cancellations gives the QUIT lines that endpoints have read.
-func (w *testbed) cancellations() []*receivedRequest { return w.received(hasWord("QUIT")) }
+func (bed *testbed) cancellations() []*receivedRequest { return bed.received(hasWord("QUIT")) }
 
 // waitAttempts waits until endpoints have read just so many attempts.
-func (w *testbed) waitAttempts(count int) {
-	w.t.Helper()
+func (bed *testbed) waitAttempts(count int) {
+	bed.t.Helper()
 	what := fmt.Sprint(count, " attempts have reached endpoints")
-	w.waitUntil(what, func() bool { return len(w.attempts()) == count })
+	bed.waitUntil(what, func() bool { return len(bed.attempts()) == count })
 }
 
 // waitFirstAttempt waits until an endpoint has read an attempt.
-func (w *testbed) waitFirstAttempt() {
-	w.t.Helper()
-	w.waitUntil("an attempt has reached an endpoint", func() bool { return len(w.attempts()) > 0 })
+func (bed *testbed) waitFirstAttempt() {
+	bed.t.Helper()
+	bed.waitUntil("an attempt has reached an endpoint", func() bool { return len(bed.attempts()) > 0 })
 }
 
 // nextReceived is the next attempt that a responder has handed on.
 func nextReceived(t *testing.T, received chan *receivedRequest) *receivedRequest {
 	t.Helper()
 	select {
-	case a := <-received:
-		return a
+	case attempt := <-received:
+		return attempt
 	case <-time.After(waitLimit):
 		t.Fatalf("no attempt has reached an endpoint within %v", waitLimit)
 		return nil
@@ -107,35 +107,35 @@
 }
 
 // listenWithFullBacklog gives an address where nothing is accepted and the queue is full, so that dials wait.
-func (w *testbed) listenWithFullBacklog() (address string) {
-	w.t.Helper()
+func (bed *testbed) listenWithFullBacklog() (address string) {
+	bed.t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
 	at := &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}
 	if err := errors.Join(syscall.Bind(fd, at), syscall.Listen(fd, 0)); err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
 	file := os.NewFile(uintptr(fd), "full")
-	w.fullListener, err = net.FileListener(file)
+	bed.fullListener, err = net.FileListener(file)
 	_ = file.Close()
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { _ = w.fullListener.Close() })
-	filler, err := net.Dial("tcp", w.fullListener.Addr().String()) // the queue has one place
+	bed.t.Cleanup(func() { _ = bed.fullListener.Close() })
+	filler, err := net.Dial("tcp", bed.fullListener.Addr().String()) // the queue has one place
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { _ = filler.Close() })
-	return w.fullListener.Addr().String()
+	bed.t.Cleanup(func() { _ = filler.Close() })
+	return bed.fullListener.Addr().String()
 }
 
 // listenAndClose gives an address where each connection is closed as soon as it has come.
-func (w *testbed) listenAndClose() (address string) {
-	w.t.Helper()
-	listener := w.listenOn("127.0.0.1:0")
+func (bed *testbed) listenAndClose() (address string) {
+	bed.t.Helper()
+	listener := bed.listenOn("127.0.0.1:0")
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -150,9 +150,9 @@
 
 // listenWithoutReading gives an address that takes connections and reads nothing until it is sent a channel by read.
 // It then reads all connections to their ends, and sends how many complete attempts came on each.
-func (w *testbed) listenWithoutReading() (address string, read chan chan []int) {
-	w.t.Helper()
-	listener := w.listenOn("127.0.0.1:0")
+func (bed *testbed) listenWithoutReading() (address string, read chan chan []int) {
+	bed.t.Helper()
+	listener := bed.listenOn("127.0.0.1:0")
 	if raw, err := listener.(*net.TCPListener).SyscallConn(); err == nil {
 		_ = raw.Control(func(fd uintptr) { _ = setSmallReceiveBuffer(fd) })
 	}
@@ -230,27 +230,27 @@
 
 // serveTLS has an endpoint listen by TLS, with a certificate for a name, where clients must show one of the same
 // authority. seen is told the name of each, at every handshake.
-func (w *testbed) serveTLS(authority *emulator.Authority, id, name string, seen func(string)) {
-	w.t.Helper()
+func (bed *testbed) serveTLS(authority *emulator.Authority, id, name string, seen func(string)) {
+	bed.t.Helper()
 	roots := x509.NewCertPool()
 	roots.AddCert(authority.Cert)
 	config := &tls.Config{ClientCAs: roots, ClientAuth: tls.RequireAndVerifyClientCert,
-		Certificates: []tls.Certificate{makeCertificate(w.t, authority, name)},
+		Certificates: []tls.Certificate{makeCertificate(bed.t, authority, name)},
 		VerifyConnection: func(state tls.ConnectionState) error {
 			seen(state.PeerCertificates[0].DNSNames[0])
 			return nil
 		}}
-	listener := w.listenOn("127.0.0.1:0")
-	go w.endpoints.Serve(id, tls.NewListener(listener, config))
-	w.listAt(id, listener.Addr().String())
+	listener := bed.listenOn("127.0.0.1:0")
+	go bed.endpoints.Serve(id, tls.NewListener(listener, config))
+	bed.listAt(id, listener.Addr().String())
 }
 
 // startNameServer starts one that knows the records, for endpoints that are listed by name.
-func (w *testbed) startNameServer(records map[string]string) {
-	w.t.Helper()
+func (bed *testbed) startNameServer(records map[string]string) {
+	bed.t.Helper()
 	var err error
-	if w.nameServer, err = newNameServer(records); err != nil {
-		w.t.Fatal(err)
+	if bed.nameServer, err = newNameServer(records); err != nil {
+		bed.t.Fatal(err)
 	}
-	w.t.Cleanup(w.nameServer.close)
+	bed.t.Cleanup(bed.nameServer.close)
 }
--- a/test/harness_identity_test.go
+++ b/test/harness_identity_test.go
@@ -49,11 +49,11 @@
 
 // enableIdentity turns identity on: lanes may charge, staff may look up, and callers without a token may do what
 // extra says.
-func (w *testbed) enableIdentity(extra string) keyring {
-	w.t.Helper()
-	keys := newKeyring(w.t)
+func (bed *testbed) enableIdentity(extra string) keyring {
+	bed.t.Helper()
+	keys := newKeyring(bed.t)
 	keys.must("key", "new", "--id", "k1")
-	w.addSettings("identity {", "keys "+keys.dir, "audience doorman", "skew 0s",
+	bed.addSettings("identity {", "keys "+keys.dir, "audience doorman", "skew 0s",
 		"role reader {", "right lookup footage", "}",
 		"tenant lanes {", "right charge", "role reader", "}",
 		"tenant staff {", "role reader", "}",
@@ -104,37 +104,37 @@
 
 func newTLSTestbed(t *testing.T, respond func(*receivedRequest)) *tlsTestbed {
 	t.Helper()
-	w := &tlsTestbed{testbed: newTestbed(t, respond), authority: newAuthority(t)}
-	w.cert, w.key = makeCertificateFiles(t, w.authority, "server", "doorman.test")
-	w.tlsAddress = w.freeAddress()
-	w.enableIdentity(strings.Join([]string{
-		"tls {", "listen " + w.tlsAddress, "cert " + w.cert, "key " + w.key, "client-ca " + w.authority.File,
+	bed := &tlsTestbed{testbed: newTestbed(t, respond), authority: newAuthority(t)}
+	bed.cert, bed.key = makeCertificateFiles(t, bed.authority, "server", "doorman.test")
+	bed.tlsAddress = bed.freeAddress()
+	bed.enableIdentity(strings.Join([]string{
+		"tls {", "listen " + bed.tlsAddress, "cert " + bed.cert, "key " + bed.key, "client-ca " + bed.authority.File,
 		"limit 500ms", "handshakes 4", "}",
 		"tenant controllers {", "right charge lookup front=tls", "certificate *.lanes.test", "}",
 		"tenant terminals {", "right lookup", "certificate t7.staff.test", "}"}, "\n"))
-	return w
+	return bed
 }
 
 // clientConfig is a client's, with a certificate for a name; empty: none.
-func (w *tlsTestbed) clientConfig(name string) *tls.Config {
-	w.t.Helper()
+func (bed *tlsTestbed) clientConfig(name string) *tls.Config {
+	bed.t.Helper()
 	roots := x509.NewCertPool()
-	roots.AddCert(w.authority.Cert)
+	roots.AddCert(bed.authority.Cert)
 	config := &tls.Config{RootCAs: roots, ServerName: "doorman.test",
 		ClientSessionCache: tls.NewLRUClientSessionCache(8)}
 	if name != "" {
-		config.Certificates = []tls.Certificate{makeCertificate(w.t, w.authority, name)}
+		config.Certificates = []tls.Certificate{makeCertificate(bed.t, bed.authority, name)}
 	}
 	return config
 }
 
 // dialTLS connects a client by TLS, until the test ends.
-func (w *tlsTestbed) dialTLS(config *tls.Config) *client {
-	w.t.Helper()
-	conn, err := tls.Dial("tcp", w.tlsAddress, config)
+func (bed *tlsTestbed) dialTLS(config *tls.Config) *client {
+	bed.t.Helper()
+	conn, err := tls.Dial("tcp", bed.tlsAddress, config)
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { _ = conn.Close() })
-	return newClient(w.t, conn)
+	bed.t.Cleanup(func() { _ = conn.Close() })
+	return newClient(bed.t, conn)
 }
--- a/test/harness_listservice_test.go
+++ b/test/harness_listservice_test.go
@@ -16,21 +16,21 @@
 }
 
 // entry is the entry of one of the testbed's endpoints.
-func (w *testbed) entry(id, health string) map[string]any {
+func (bed *testbed) entry(id, health string) map[string]any {
 	_, class, site := placement(id)
-	return listEntry(id, w.endpointAddress(id), site, class, health, 0)
+	return listEntry(id, bed.endpointAddress(id), site, class, health, 0)
 }
 
 // listAt has the list that the program starts with name an address for an endpoint.
-func (w *testbed) listAt(id, address string) {
-	w.t.Helper()
-	for _, entry := range w.listed {
+func (bed *testbed) listAt(id, address string) {
+	bed.t.Helper()
+	for _, entry := range bed.listed {
 		if entry["host"] == id {
 			entry["dial"] = address
 			return
 		}
 	}
-	w.t.Fatalf("the endpoint %s is not in the list", id)
+	bed.t.Fatalf("the endpoint %s is not in the list", id)
 }
 
 // listEvent is a numbered line of the list service: the complete list, or the entries that have changed.
@@ -41,8 +41,8 @@
 }
 
 // listChange is the event that tells a new health of one endpoint.
-func (w *testbed) listChange(number int, id, health string) string {
-	return listEvent(number, false, w.entry(id, health))
+func (bed *testbed) listChange(number int, id, health string) string {
+	return listEvent(number, false, bed.entry(id, health))
 }
 
 // emptyList is the event of a complete list that has no endpoint.
@@ -59,52 +59,52 @@
 }
 
 // waitListPoll waits until the program has asked the list service, and gives what for.
-func (w *testbed) waitListPoll() string {
-	w.t.Helper()
+func (bed *testbed) waitListPoll() string {
+	bed.t.Helper()
 	select {
-	case after := <-w.listPolls:
+	case after := <-bed.listPolls:
 		return after
 	case <-time.After(waitLimit):
-		w.t.Fatalf("the program has not asked the list service within %v", waitLimit)
+		bed.t.Fatalf("the program has not asked the list service within %v", waitLimit)
 		return ""
 	}
 }
 
 // expectListPoll waits until the program has asked the list service, and fails unless it was for what is wanted.
-func (w *testbed) expectListPoll(want string) {
-	w.t.Helper()
-	if got := w.waitListPoll(); got != want {
-		w.t.Fatalf("the program asked the list service for %q, want %q", got, want)
+func (bed *testbed) expectListPoll(want string) {
+	bed.t.Helper()
+	if got := bed.waitListPoll(); got != want {
+		bed.t.Fatalf("the program asked the list service for %q, want %q", got, want)
 	}
 }
 
 // acceptListPoll takes the next connection to a list service of the test's own, with what the program asks for there.
-func (w *testbed) acceptListPoll(listener net.Listener) (net.Conn, string) {
-	w.t.Helper()
+func (bed *testbed) acceptListPoll(listener net.Listener) (net.Conn, string) {
+	bed.t.Helper()
 	conn, err := listener.Accept()
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { _ = conn.Close() })
+	bed.t.Cleanup(func() { _ = conn.Close() })
 	line, err := bufio.NewReader(conn).ReadString('\n')
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
 	return conn, strings.TrimSpace(line)
 }
 
 // expectDrained waits until the program knows that an endpoint drains, and fails unless requests go elsewhere then.
-func (w *testbed) expectDrained(id string) {
-	w.t.Helper()
-	w.waitLogMatches("event=endpoint-draining endpoint=" + id)
-	client := w.dial()
-	before := len(w.attemptsAt(id))
+func (bed *testbed) expectDrained(id string) {
+	bed.t.Helper()
+	bed.waitLogMatches("event=endpoint-draining endpoint=" + id)
+	client := bed.dial()
+	before := len(bed.attemptsAt(id))
 	for n := range uint64(20) {
-		if a := client.ask(n+1, "lookup", map[string]string{"item": hexID(n + 1)}); a.Error != "" {
-			w.t.Errorf("%+v, want it served elsewhere", a)
+		if answer := client.ask(n+1, "lookup", map[string]string{"item": hexID(n + 1)}); answer.Error != "" {
+			bed.t.Errorf("%+v, want it served elsewhere", answer)
 		}
 	}
-	if sent := len(w.attemptsAt(id)) - before; sent > 0 {
-		w.t.Errorf("%d attempts went to the draining endpoint %s, want none", sent, id)
+	if sent := len(bed.attemptsAt(id)) - before; sent > 0 {
+		bed.t.Errorf("%d attempts went to the draining endpoint %s, want none", sent, id)
 	}
 }
--- a/test/harness_load_test.go
+++ b/test/harness_load_test.go
@@ -24,11 +24,11 @@
 
 // openMany sends 500 requests, each with an id and a key of its own, and waits until all are with the endpoints,
 // whose responder must hand them to pending.
-func (w *testbed) openMany(pending chan *receivedRequest, class string, fields map[string]string) *openRequests {
-	w.t.Helper()
-	open := &openRequests{testbed: w, pending: pending}
+func (bed *testbed) openMany(pending chan *receivedRequest, class string, fields map[string]string) *openRequests {
+	bed.t.Helper()
+	open := &openRequests{testbed: bed, pending: pending}
 	for n := range openClients {
-		client := w.dial()
+		client := bed.dial()
 		open.clients = append(open.clients, client)
 		for id := range uint64(requestsPerClient) {
 			own := maps.Clone(fields)
@@ -37,7 +37,9 @@
 			client.send(request(id, class, own, ""))
 		}
 	}
-	w.waitUntil("all requests are with endpoints", func() bool { return len(pending) == openClients*requestsPerClient })
+	bed.waitUntil("all requests are with endpoints", func() bool {
+		return len(pending) == openClients*requestsPerClient
+	})
 	return open
 }
 
@@ -50,11 +52,11 @@
 	for _, client := range o.clients {
 		seen := map[uint64]bool{}
 		for range requestsPerClient {
-			a := client.mustRead()
-			if seen[a.ID] || a.Error != "" {
-				o.testbed.t.Errorf("%+v, want each open request served once", a)
+			answer := client.mustRead()
+			if seen[answer.ID] || answer.Error != "" {
+				o.testbed.t.Errorf("%+v, want each open request served once", answer)
 			}
-			seen[a.ID] = true
+			seen[answer.ID] = true
 		}
 	}
 }
@@ -69,10 +71,10 @@
 
 // startTraffic sends frames on one connection, so many a second, until stopAllServed. frame gives that of the nth
 // request, from 1 on, which is its id too.
-func (w *testbed) startTraffic(perSecond int, frame func(n uint64) []byte) *traffic {
-	w.t.Helper()
+func (bed *testbed) startTraffic(perSecond int, frame func(n uint64) []byte) *traffic {
+	bed.t.Helper()
 	load := &traffic{counts: map[string]int{}, stop: make(chan struct{})}
-	client := w.dial()
+	client := bed.dial()
 	sent := make(chan int, 1)
 	load.done.Add(2)
 	go func() {
@@ -97,9 +99,9 @@
 }
 
 // startLookups is traffic of 150 lookups a second, each for another object.
-func (w *testbed) startLookups() *traffic {
-	w.t.Helper()
-	return w.startTraffic(150, func(n uint64) []byte {
+func (bed *testbed) startLookups() *traffic {
+	bed.t.Helper()
+	return bed.startTraffic(150, func(n uint64) []byte {
 		return request(n, "lookup", map[string]string{"item": hexID(n + 1), "ram": "1"}, "")
 	})
 }
@@ -112,10 +114,10 @@
 			load.count("no answer", total-got)
 			return
 		}
-		a, err := client.protocol.Read(100 * time.Millisecond)
+		answer, err := client.protocol.Read(100 * time.Millisecond)
 		if err == nil {
 			got++
-			load.count(strings.TrimSpace(a.Error+" "+a.Fields["reason"]), 1)
+			load.count(strings.TrimSpace(answer.Error+" "+answer.Fields["reason"]), 1)
 		} else if ne, ok := err.(net.Error); !ok || !ne.Timeout() {
 			load.count(err.Error(), 1)
 			return
@@ -173,8 +175,8 @@
 
 // send sends for a time, each request with a limit of 3 s and an id that begins with prefix, and waits for all
 // answers.
-func (load *teamLoad) send(w *testbed, perSecond float64, length time.Duration, prefix string) {
-	w.t.Helper()
+func (load *teamLoad) send(bed *testbed, perSecond float64, length time.Duration, prefix string) {
+	bed.t.Helper()
 	if load.budgets == nil {
 		load.budgets = map[string]int{}
 	}
@@ -182,7 +184,7 @@
 	var readers sync.WaitGroup
 	var connections [teamConnections]teamConnection
 	for i := range connections {
-		connections[i] = teamConnection{w.dial(), map[uint64]time.Time{}}
+		connections[i] = teamConnection{bed.dial(), map[uint64]time.Time{}}
 	}
 	total := int(perSecond * length.Seconds())
 	for i := range connections {
@@ -190,15 +192,15 @@
 		go func() {
 			defer readers.Done()
 			for n := i; n < total; n += teamConnections {
-				a, err := connections[i].read()
+				answer, err := connections[i].read()
 				if err != nil {
-					w.t.Errorf("%s: no answer came: %v", load.team, err)
+					bed.t.Errorf("%s: no answer came: %v", load.team, err)
 					return
 				}
 				mu.Lock()
-				began, open := connections[i].began[a.ID]
-				delete(connections[i].began, a.ID)
-				load.count(a, time.Since(began), open)
+				began, open := connections[i].began[answer.ID]
+				delete(connections[i].began, answer.ID)
+				load.count(answer, time.Since(began), open)
 				mu.Unlock()
 			}
 		}()
@@ -220,19 +222,19 @@
 }
 
 // count takes an answer that came after a time, to a request that was open or not.
-func (load *teamLoad) count(a reply, took time.Duration, open bool) {
+func (load *teamLoad) count(answer reply, took time.Duration, open bool) {
 	switch {
 	case !open:
 		load.duplicates++
-	case a.Error == "":
+	case answer.Error == "":
 		load.served++
 		if took < 500*time.Millisecond {
 			load.onTime++
 		}
-	case a.Fields["budget"] != "":
+	case answer.Fields["budget"] != "":
 		load.rejected++
-		load.budgets[a.Fields["budget"]]++
+		load.budgets[answer.Fields["budget"]]++
 	default:
-		load.withoutBudget = append(load.withoutBudget, a)
+		load.withoutBudget = append(load.withoutBudget, answer)
 	}
 }
--- a/test/harness_process_test.go
+++ b/test/harness_process_test.go
@@ -59,11 +59,11 @@
 }
 
 // standStill stops the program and waits until none of its threads runs any more.
-func (w *testbed) standStill() {
-	w.t.Helper()
-	w.signal(syscall.SIGSTOP)
-	threads := fmt.Sprintf("/proc/%d/task/*/stat", w.cmd.Process.Pid)
-	w.waitUntil("all threads of the program are stopped", func() bool {
+func (bed *testbed) standStill() {
+	bed.t.Helper()
+	bed.signal(syscall.SIGSTOP)
+	threads := fmt.Sprintf("/proc/%d/task/*/stat", bed.cmd.Process.Pid)
+	bed.waitUntil("all threads of the program are stopped", func() bool {
 		paths, err := filepath.Glob(threads)
 		if err != nil || len(paths) == 0 {
 			return false
@@ -92,11 +92,11 @@
 }
 
 // openDescriptors counts those of the program.
-func (w *testbed) openDescriptors() int {
-	w.t.Helper()
-	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", w.cmd.Process.Pid))
+func (bed *testbed) openDescriptors() int {
+	bed.t.Helper()
+	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", bed.cmd.Process.Pid))
 	if err != nil {
-		w.t.Fatalf("the program's descriptors: %v", err)
+		bed.t.Fatalf("the program's descriptors: %v", err)
 	}
 	return len(entries)
 }
@@ -113,18 +113,18 @@
 }
 
 // stateCounts asks the program by the operators' socket how much it holds of each kind.
-func (w *testbed) stateCounts(socket string) map[string]int {
-	w.t.Helper()
+func (bed *testbed) stateCounts(socket string) map[string]int {
+	bed.t.Helper()
 	var out bytes.Buffer
 	if err := admin.Ask(&out, socket, "state"); err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
 	state := map[string]int{}
 	for line := range strings.Lines(out.String()) {
 		kind, n, _ := strings.Cut(strings.TrimSpace(line), " ")
 		var err error
 		if state[kind], err = strconv.Atoi(n); err != nil {
-			w.t.Fatalf("state: %q, want a kind and a number", line)
+			bed.t.Fatalf("state: %q, want a kind and a number", line)
 		}
 	}
 	return state
--- a/test/harness_syscalls_test.go
+++ b/test/harness_syscalls_test.go
@@ -258,18 +258,18 @@
 }
 
 // startWithFaults starts the test binary as the program with system calls that fail.
-func (w *testbed) startWithFaults(faults string) {
-	w.t.Helper()
+func (bed *testbed) startWithFaults(faults string) {
+	bed.t.Helper()
 	if runtime.GOOS != "linux" || runtime.GOARCH != "amd64" {
-		w.t.Skip("the filter is written for Linux on amd64")
+		bed.t.Skip("the filter is written for Linux on amd64")
 	}
 	self, err := os.Executable()
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
-	w.program = self
-	w.env = append(w.env, faultsVariable+"="+faults)
-	w.start()
+	bed.program = self
+	bed.env = append(bed.env, faultsVariable+"="+faults)
+	bed.start()
 }
 
 // TestFaultsAreInjected shows that the harness fails the calls that it is to fail and no others: a fault that is not
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -74,38 +74,38 @@
 // answer by respond; nil: as emulator.NewEndpoints does.
 func newTestbed(t *testing.T, respond func(*receivedRequest), absent ...string) *testbed {
 	t.Helper()
-	w := &testbed{t: t, listed: []map[string]any{}, listeners: map[string]net.Listener{},
+	bed := &testbed{t: t, listed: []map[string]any{}, listeners: map[string]net.Listener{},
 		endpoints: emulator.NewEndpoints(respond)}
-	t.Cleanup(w.endpoints.Close)
+	t.Cleanup(bed.endpoints.Close)
 	for _, id := range []string{"c1", "c2", "p1", "o1"} {
-		w.addEndpoint(id)
+		bed.addEndpoint(id)
 		if !slices.Contains(absent, id) {
-			w.listed = append(w.listed, w.entry(id, "up"))
+			bed.listed = append(bed.listed, bed.entry(id, "up"))
 		}
 	}
 	var err error
-	if w.listService, err = newListService(); err != nil {
+	if bed.listService, err = newListService(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.listService.close)
-	w.listFeed, w.listPolls = w.listService.feed, w.listService.polls
-	w.address = w.freeAddress()
+	t.Cleanup(bed.listService.close)
+	bed.listFeed, bed.listPolls = bed.listService.feed, bed.listService.polls
+	bed.address = bed.freeAddress()
 	var settings any
 	if err := json.Unmarshal([]byte(emulator.Settings), &settings); err != nil {
 		t.Fatal(err)
 	}
-	initial := map[string]any{"seq": 1, "whole": true, "hosts": w.listed}
-	w.config = map[string]any{"name": "n1", "listen": w.address, "seed": "8c1f30d27a5be964",
+	initial := map[string]any{"seq": 1, "whole": true, "hosts": bed.listed}
+	bed.config = map[string]any{"name": "n1", "listen": bed.address, "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "settings": settings,
-		"bulletin": w.listService.address(),
+		"bulletin": bed.listService.address(),
 		"known":    map[string]any{"no": 1, "items": []any{map[string]any{"no": 1, "roster": initial}}}}
 	t.Cleanup(func() {
-		w.kill()
+		bed.kill()
 		if t.Failed() {
-			t.Logf("log of the program:\n%s", w.log.String())
+			t.Logf("log of the program:\n%s", bed.log.String())
 		}
 	})
-	return w
+	return bed
 }
 
 // testbedCount numbers the testbeds, so that each has a loopback address of its own.
@@ -113,153 +113,154 @@
 
 // freeAddress gives an address that the program can listen on. It is on the testbed's own loopback address: on a
 // shared one an emulator of another test took the port before the program did.
-func (w *testbed) freeAddress() string {
-	if w.ip == "" {
+func (bed *testbed) freeAddress() string {
+	if bed.ip == "" {
 		n := testbedCount.Add(1)
-		w.ip = fmt.Sprintf("127.77.%d.%d", n>>8, n&255)
+		bed.ip = fmt.Sprintf("127.77.%d.%d", n>>8, n&255)
 	}
-	listener := w.listenOn(w.ip + ":0")
+	listener := bed.listenOn(bed.ip + ":0")
 	defer listener.Close()
 	return listener.Addr().String()
 }
 
 // listenOn listens until the test ends.
-func (w *testbed) listenOn(address string) net.Listener {
-	w.t.Helper()
+func (bed *testbed) listenOn(address string) net.Listener {
+	bed.t.Helper()
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { _ = listener.Close() })
+	bed.t.Cleanup(func() { _ = listener.Close() })
 	return listener
 }
 
 // platformSettings is the block `settings` of the configuration.
-func (w *testbed) platformSettings() map[string]any { return w.config["settings"].(map[string]any) }
+func (bed *testbed) platformSettings() map[string]any { return bed.config["settings"].(map[string]any) }
 
 // platformLimits is the block `limits` of the platform's settings.
-func (w *testbed) platformLimits() map[string]any {
-	return w.platformSettings()["limits"].(map[string]any)
+func (bed *testbed) platformLimits() map[string]any {
+	return bed.platformSettings()["limits"].(map[string]any)
 }
 
 // setDeadlines sets the deadline of all classes.
-func (w *testbed) setDeadlines(milliseconds int) {
-	for _, class := range w.platformSettings()["classes"].([]any) {
+func (bed *testbed) setDeadlines(milliseconds int) {
+	for _, class := range bed.platformSettings()["classes"].([]any) {
 		class.(map[string]any)["deadline-ms"] = milliseconds
 	}
 }
 
 // addSettings adds lines to our settings, and has the program read them.
-func (w *testbed) addSettings(lines ...string) {
-	w.t.Helper()
-	if w.settingsPath == "" {
-		w.settingsPath = filepath.Join(w.t.TempDir(), "sloequay.conf")
-		w.flags = append(w.flags, "--conf", w.settingsPath)
+func (bed *testbed) addSettings(lines ...string) {
+	bed.t.Helper()
+	if bed.settingsPath == "" {
+		bed.settingsPath = filepath.Join(bed.t.TempDir(), "sloequay.conf")
+		bed.flags = append(bed.flags, "--conf", bed.settingsPath)
 	}
-	file, err := os.OpenFile(w.settingsPath, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+	file, err := os.OpenFile(bed.settingsPath, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err == nil {
 		_, err = file.WriteString(strings.Join(lines, "\n") + "\n")
 		err = errors.Join(err, file.Close())
 	}
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
 }
 
 // writeConfig writes the configuration, over that of an earlier call.
-func (w *testbed) writeConfig() {
-	w.t.Helper()
-	if w.configPath == "" {
-		w.configPath = filepath.Join(w.t.TempDir(), "config.json")
+func (bed *testbed) writeConfig() {
+	bed.t.Helper()
+	if bed.configPath == "" {
+		bed.configPath = filepath.Join(bed.t.TempDir(), "config.json")
 	}
-	text, err := json.Marshal(w.config)
+	text, err := json.Marshal(bed.config)
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
-	writeFile(w.t, w.configPath, string(text))
+	writeFile(bed.t, bed.configPath, string(text))
 }
 
 // start writes the configuration, starts the program and waits until it is ready.
-func (w *testbed) start() {
-	w.t.Helper()
-	w.writeConfig()
-	if w.program == "" {
-		w.program = program
+func (bed *testbed) start() {
+	bed.t.Helper()
+	bed.writeConfig()
+	if bed.program == "" {
+		bed.program = program
 	}
-	w.launch(exec.Command(w.program, append([]string{"serve", "--config", w.configPath}, w.flags...)...), &w.log)
-	w.waitUntil("the program answers status", func() bool { return emulator.Ready(w.address) })
+	arguments := append([]string{"serve", "--config", bed.configPath}, bed.flags...)
+	bed.launch(exec.Command(bed.program, arguments...), &bed.log)
+	bed.waitUntil("the program answers status", func() bool { return emulator.Ready(bed.address) })
 }
 
 // launch starts a process as the program, with its log going to a writer, and does not wait until it is ready.
-func (w *testbed) launch(cmd *exec.Cmd, log io.Writer) {
-	w.t.Helper()
-	cmd.Stderr, cmd.Env = log, append(os.Environ(), w.env...)
+func (bed *testbed) launch(cmd *exec.Cmd, log io.Writer) {
+	bed.t.Helper()
+	cmd.Stderr, cmd.Env = log, append(os.Environ(), bed.env...)
 	if err := cmd.Start(); err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
 	exited := make(chan error, 1)
 	go func() { exited <- cmd.Wait() }()
-	w.cmd, w.exited = cmd, exited
+	bed.cmd, bed.exited = cmd, exited
 }
 
 // startSelf starts the test binary as the program, with a variable in its environment by which TestMain knows.
-func (w *testbed) startSelf(variable string) {
-	w.t.Helper()
+func (bed *testbed) startSelf(variable string) {
+	bed.t.Helper()
 	self, err := os.Executable()
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
-	w.program, w.env = self, []string{variable + "=1"}
-	w.start()
+	bed.program, bed.env = self, []string{variable + "=1"}
+	bed.start()
 }
 
 // signal sends one to the program.
-func (w *testbed) signal(s syscall.Signal) {
-	w.t.Helper()
-	if err := w.cmd.Process.Signal(s); err != nil {
-		w.t.Fatal(err)
+func (bed *testbed) signal(s syscall.Signal) {
+	bed.t.Helper()
+	if err := bed.cmd.Process.Signal(s); err != nil {
+		bed.t.Fatal(err)
 	}
 }
 
 // terminate sends SIGTERM, waits until the program drains, and gives when the signal was sent.
-func (w *testbed) terminate() time.Time {
-	w.t.Helper()
+func (bed *testbed) terminate() time.Time {
+	bed.t.Helper()
 	at := time.Now()
-	w.signal(syscall.SIGTERM)
-	w.waitLogged("event=draining")
+	bed.signal(syscall.SIGTERM)
+	bed.waitLogged("event=draining")
 	return at
 }
 
 // waitExit waits until the program has ended by itself, and fails unless its exit status is 0.
-func (w *testbed) waitExit() {
-	w.t.Helper()
+func (bed *testbed) waitExit() {
+	bed.t.Helper()
 	select {
-	case err := <-w.exited:
-		if w.cmd = nil; err != nil {
-			w.t.Errorf("the program ended with %v, want exit status 0", err)
+	case err := <-bed.exited:
+		if bed.cmd = nil; err != nil {
+			bed.t.Errorf("the program ended with %v, want exit status 0", err)
 		}
 	case <-time.After(waitLimit):
-		w.t.Errorf("the program still runs after %v, want it to end by itself", waitLimit)
+		bed.t.Errorf("the program still runs after %v, want it to end by itself", waitLimit)
 	}
 }
 
 // expectRunning fails if the program has ended.
-func (w *testbed) expectRunning() {
-	w.t.Helper()
+func (bed *testbed) expectRunning() {
+	bed.t.Helper()
 	select {
-	case err := <-w.exited:
-		w.cmd = nil
-		w.t.Errorf("the program ended with %v, want it to run still", err)
+	case err := <-bed.exited:
+		bed.cmd = nil
+		bed.t.Errorf("the program ended with %v, want it to run still", err)
 	default:
 	}
 }
 
 // kill ends the program at once, if it runs.
-func (w *testbed) kill() {
-	if w.cmd != nil {
-		_ = w.cmd.Process.Signal(syscall.SIGKILL)
-		<-w.exited
-		w.cmd = nil
+func (bed *testbed) kill() {
+	if bed.cmd != nil {
+		_ = bed.cmd.Process.Signal(syscall.SIGKILL)
+		<-bed.exited
+		bed.cmd = nil
 	}
 }
 
--- a/test/harness_wait_test.go
+++ b/test/harness_wait_test.go
@@ -13,44 +13,48 @@
 const waitLimit = 10 * time.Second
 
 // waitUntil waits for a condition, which what names.
-func (w *testbed) waitUntil(what string, condition func() bool) {
-	w.t.Helper()
+func (bed *testbed) waitUntil(what string, condition func() bool) {
+	bed.t.Helper()
 	for deadline := time.Now().Add(waitLimit); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			w.t.Fatalf("waited %v in vain until %s", waitLimit, what)
+			bed.t.Fatalf("waited %v in vain until %s", waitLimit, what)
 		}
 	}
 }
 
 // waitLogged waits until a text stands in the program's log.
-func (w *testbed) waitLogged(text string) {
-	w.t.Helper()
-	w.waitUntil(fmt.Sprintf("%q is logged", text), func() bool { return w.logged(text) })
+func (bed *testbed) waitLogged(text string) {
+	bed.t.Helper()
+	bed.waitUntil(fmt.Sprintf("%q is logged", text), func() bool { return bed.logged(text) })
 }
 
 // waitLoggedTimes waits until a text stands in the program's log just so often.
-func (w *testbed) waitLoggedTimes(text string, times int) {
-	w.t.Helper()
-	w.waitUntil(fmt.Sprintf("%q is logged %d times", text, times), func() bool { return w.timesLogged(text) == times })
+func (bed *testbed) waitLoggedTimes(text string, times int) {
+	bed.t.Helper()
+	bed.waitUntil(fmt.Sprintf("%q is logged %d times", text, times), func() bool {
+		return bed.timesLogged(text) == times
+	})
 }
 
 // waitLogMatches waits until an expression fits a place in the program's log.
-func (w *testbed) waitLogMatches(expression string) {
-	w.t.Helper()
-	w.waitUntil(fmt.Sprintf("%q fits the log", expression), func() bool { return matches(expression, w.log.String()) })
+func (bed *testbed) waitLogMatches(expression string) {
+	bed.t.Helper()
+	bed.waitUntil(fmt.Sprintf("%q fits the log", expression), func() bool {
+		return matches(expression, bed.log.String())
+	})
 }
 
 // waitEndpointsKnown waits until the program has added so many endpoints from its sources.
-func (w *testbed) waitEndpointsKnown(count int) {
-	w.t.Helper()
-	w.waitLoggedTimes("event=endpoint-added", count)
+func (bed *testbed) waitEndpointsKnown(count int) {
+	bed.t.Helper()
+	bed.waitLoggedTimes("event=endpoint-added", count)
 }
 
 // logged says whether a text stands in the program's log.
-func (w *testbed) logged(text string) bool { return strings.Contains(w.log.String(), text) }
+func (bed *testbed) logged(text string) bool { return strings.Contains(bed.log.String(), text) }
 
 // timesLogged is how often a text stands in the program's log.
-func (w *testbed) timesLogged(text string) int { return strings.Count(w.log.String(), text) }
+func (bed *testbed) timesLogged(text string) int { return strings.Count(bed.log.String(), text) }
 
 // logBuffer is what the program logs; it may be read while the program runs.
 type logBuffer struct {
--- a/test/identity_test.go
+++ b/test/identity_test.go
@@ -18,21 +18,21 @@
 // nothing reaches any endpoint; a lane controller's go through, as its own tenant whatever team it names.
 func TestRightsOfTokens(t *testing.T) {
 	t.Parallel()
-	w := newTestbed(t, nil)
-	keys := w.enableIdentity("tenant open {\nright lookup\n}\nunsigned open")
-	w.enableDNS("")
-	w.start()
+	bed := newTestbed(t, nil)
+	keys := bed.enableIdentity("tenant open {\nright lookup\n}\nunsigned open")
+	bed.enableDNS("")
+	bed.start()
 	staff, lanes := keys.token("terminal-7", "staff", time.Hour), keys.token("lane-3", "lanes", time.Hour)
-	client := w.dial()
+	client := bed.dial()
 	expectChargesDenied(t, client, staff)
-	resolver := w.dialDNS("udp")
+	resolver := bed.dialDNS("udp")
 	for id := range uint16(100) {
 		resolver.query(id, fmt.Sprintf("k-%d.n0.00000000000000aa.charge.lanes", id), dns.TypeTXT)
-		if a := resolver.mustRead(); a.Rcode != "REFUSED" || a.Text != "right" {
-			t.Fatalf("%+v, want it rejected for want of the right", a)
+		if answer := resolver.mustRead(); answer.Rcode != "REFUSED" || answer.Text != "right" {
+			t.Fatalf("%+v, want it rejected for want of the right", answer)
 		}
 	}
-	if attempts := w.attempts(); len(attempts) > 0 {
+	if attempts := bed.attempts(); len(attempts) > 0 {
 		t.Errorf("%d attempts reached endpoints, the first %+v, want none", len(attempts), attempts[0])
 	}
 	for i, c := range []struct{ token, class, err, reason string }{
@@ -47,21 +47,22 @@
 		if c.token != "" {
 			fields["token"] = c.token
 		}
-		if a := client.ask(uint64(9000+i), c.class, fields); a.Error != c.err || a.Fields["reason"] != c.reason {
-			t.Errorf("%s with %.10q: %+v, want %q for %q", c.class, c.token, a, c.err, c.reason)
+		answer := client.ask(uint64(9000+i), c.class, fields)
+		if answer.Error != c.err || answer.Fields["reason"] != c.reason {
+			t.Errorf("%s with %.10q: %+v, want %q for %q", c.class, c.token, answer, c.err, c.reason)
 		}
 	}
-	if line := "event=audit reason=right subject=terminal-7 tenant=staff key=k1 class=charge"; !w.logged(line) {
+	if line := "event=audit reason=right subject=terminal-7 tenant=staff key=k1 class=charge"; !bed.logged(line) {
 		t.Errorf("%q is not in the log", line)
 	}
-	if n := w.timesLogged("subject=terminal-7"); n > 20 {
+	if n := bed.timesLogged("subject=terminal-7"); n > 20 {
 		t.Errorf("%d audit lines of one subject, want at most 20", n)
 	}
 	private := readFile(t, filepath.Join(keys.dir, "private", "k1.pem"))
 	if len(private) < 100 {
 		t.Fatalf("the private key has %d bytes, want at least 100", len(private))
 	}
-	if body := strings.Split(private, "\n")[1]; w.logged(body) || w.logged(staff) {
+	if body := strings.Split(private, "\n")[1]; bed.logged(body) || bed.logged(staff) {
 		t.Error("a key or a token is in the log")
 	}
 }
@@ -79,8 +80,8 @@
 		}
 	}()
 	for range count {
-		if a := client.mustRead(); a.Error != "Denied" || a.Fields["reason"] != "right" {
-			t.Fatalf("%+v, want it denied for want of the right", a)
+		if answer := client.mustRead(); answer.Error != "Denied" || answer.Fields["reason"] != "right" {
+			t.Fatalf("%+v, want it denied for want of the right", answer)
 		}
 		<-open
 	}
@@ -90,36 +91,36 @@
 // subject, and rejected for another.
 func TestTokenExpiresBetweenRetries(t *testing.T) {
 	t.Parallel()
-	w := newTestbed(t, nil)
-	keys := w.enableIdentity("")
-	w.start()
+	bed := newTestbed(t, nil)
+	keys := bed.enableIdentity("")
+	bed.start()
 	short := keys.token("lane-1", "lanes", 1500*time.Millisecond)
 	other := keys.token("lane-2", "lanes", time.Hour)
-	client := w.dial()
+	client := bed.dial()
 	charge := func(id uint64, token, key string) reply {
 		client.send(request(id, "charge", map[string]string{"token": token, "unique": key}, "post"))
 		return client.mustRead()
 	}
-	if a := charge(1, short, "u1"); a.Error != "" {
-		t.Fatalf("the first attempt: %+v, want it served", a)
+	if answer := charge(1, short, "u1"); answer.Error != "" {
+		t.Fatalf("the first attempt: %+v, want it served", answer)
 	}
 	id := uint64(1)
-	w.waitUntil("the token has expired", func() bool {
+	bed.waitUntil("the token has expired", func() bool {
 		id++
 		return client.ask(id, "lookup", map[string]string{"token": short}).Fields["reason"] == "expired"
 	})
-	if a := charge(1001, short, "u1"); a.Error != "" {
-		t.Errorf("the retry: %+v, want it taken by the first attempt's authority", a)
+	if answer := charge(1001, short, "u1"); answer.Error != "" {
+		t.Errorf("the retry: %+v, want it taken by the first attempt's authority", answer)
 	}
-	if a := charge(1002, other, "u1"); a.Fields["reason"] != "key-in-use" {
-		t.Errorf("another subject with the same key: %+v, want it rejected as key-in-use", a)
+	if answer := charge(1002, other, "u1"); answer.Fields["reason"] != "key-in-use" {
+		t.Errorf("another subject with the same key: %+v, want it rejected as key-in-use", answer)
 	}
-	if a := charge(1003, short, "u2"); a.Fields["reason"] != "expired" {
-		t.Errorf("a new charge by the expired token: %+v, want it rejected as expired", a)
+	if answer := charge(1003, short, "u2"); answer.Fields["reason"] != "expired" {
+		t.Errorf("a new charge by the expired token: %+v, want it rejected as expired", answer)
 	}
-	for _, a := range w.attemptsOfClass("charge") {
-		if a.Word == "ASK" && a.Fields["replay"] != "u1" {
-			t.Errorf("an endpoint was sent %+v, want charges of the key u1 alone", a)
+	for _, attempt := range bed.attemptsOfClass("charge") {
+		if attempt.Word == "ASK" && attempt.Fields["replay"] != "u1" {
+			t.Errorf("an endpoint was sent %+v, want charges of the key u1 alone", attempt)
 		}
 	}
 }
@@ -129,16 +130,16 @@
 func TestRevocationUnderLoad(t *testing.T) {
 	t.Parallel()
 	pending := make(chan *receivedRequest, 600)
-	w := newTestbed(t, func(a *receivedRequest) { pending <- a })
-	keys := w.enableIdentity("")
-	w.start()
+	bed := newTestbed(t, func(attempt *receivedRequest) { pending <- attempt })
+	keys := bed.enableIdentity("")
+	bed.start()
 	token := keys.token("lane-1", "lanes", time.Hour)
-	open := w.openMany(pending, "charge", map[string]string{"token": token})
+	open := bed.openMany(pending, "charge", map[string]string{"token": token})
 	keys.must("key", "revoke", "subject", "lane-1")
 	began := time.Now()
-	client := w.dial()
+	client := bed.dial()
 	id := uint64(0)
-	w.waitUntil("it is revoked", func() bool {
+	bed.waitUntil("it is revoked", func() bool {
 		id++
 		fields := map[string]string{"token": token, "limit": "300"}
 		return client.ask(id, "lookup", fields).Fields["reason"] == "revoked"
@@ -155,10 +156,10 @@
 // sets how many.
 func TestRevocationLatency(t *testing.T) {
 	t.Parallel()
-	w := newTestbed(t, nil)
-	keys := w.enableIdentity("")
-	w.start()
-	client := w.dial()
+	bed := newTestbed(t, nil)
+	keys := bed.enableIdentity("")
+	bed.start()
+	client := bed.dial()
 	var took []time.Duration
 	id := uint64(0)
 	for i := range *keyChanges {
@@ -173,7 +174,7 @@
 		}
 		keys.must("key", "revoke", "subject", subject)
 		began := time.Now()
-		w.waitUntil("the revocation holds", func() bool { return reason() == "revoked" })
+		bed.waitUntil("the revocation holds", func() bool { return reason() == "revoked" })
 		took = append(took, time.Since(began))
 	}
 	slices.Sort(took)
@@ -222,15 +223,15 @@
 // rejected as the RFC says, and the same idempotency key is one subject's.
 func TestTSIGSignedQueries(t *testing.T) {
 	t.Parallel()
-	w := newTestbed(t, nil)
-	keys := w.enableIdentity("")
-	w.enableDNS("")
+	bed := newTestbed(t, nil)
+	keys := bed.enableIdentity("")
+	bed.enableDNS("")
 	secret := func(name, tenant string) string {
 		line := keys.must("key", "tsig", name, "--tenant", tenant, "--subject", strings.TrimSuffix(name, "."))
 		return line[strings.LastIndex(line, ":")+1:]
 	}
 	lane, other, staff := secret("lane-3.", "lanes"), secret("lane-4.", "lanes"), secret("terminal-7.", "staff")
-	w.start()
+	bed.start()
 	charge := func(key string) string { return "k-" + key + ".n0.00000000000000aa.charge._" }
 	const lookup = "n0.00000000000000aa.lookup._"
 	for i, c := range []signedQuery{
@@ -245,7 +246,7 @@
 		{"an hour ago", "lane-3.", lane, -time.Hour, charge("u6"), dns.RcodeNotAuth, dns.RcodeBadTime, ""},
 	} {
 		for _, network := range []string{"udp", "tcp"} {
-			answer, signature := c.exchange(t, w.dialDNS(network), uint16(100+i))
+			answer, signature := c.exchange(t, bed.dialDNS(network), uint16(100+i))
 			record, text := answer.IsTsig(), extendedError(answer)
 			if answer.Rcode != c.rcode || text != c.text {
 				t.Errorf("%s by %s: %s %q, want %s %q", c.name, network, dns.RcodeToString[answer.Rcode], text,
@@ -260,11 +261,13 @@
 			}
 		}
 	}
-	charges := w.received(func(a *receivedRequest) bool { return a.Word == "ASK" && a.Fields["profile"] == "charge" })
+	charges := bed.received(func(attempt *receivedRequest) bool {
+		return attempt.Word == "ASK" && attempt.Fields["profile"] == "charge"
+	})
 	if len(charges) != 1 {
 		t.Errorf("%d charges reached endpoints, want the lane's one", len(charges))
 	}
-	if w.logged(lane) || w.logged(staff) {
+	if bed.logged(lane) || bed.logged(staff) {
 		t.Error("a secret is in the log")
 	}
 }
@@ -288,12 +291,12 @@
 // expectServedBesideFlood sends good tokens in turn without a flood of bad ones and beside it.
 func expectServedBesideFlood(t *testing.T, reads bool) {
 	t.Helper()
-	w := newTestbed(t, nil)
-	keys := w.enableIdentity("")
-	w.start()
+	bed := newTestbed(t, nil)
+	keys := bed.enableIdentity("")
+	bed.start()
 	token := keys.token("lane-1", "lanes", time.Hour)
-	others := &goodCaller{client: w.dial(), token: token}
-	flood := &tokenFlood{testbed: w, token: token, reads: reads}
+	others := &goodCaller{client: bed.dial(), token: token}
+	flood := &tokenFlood{testbed: bed, token: token, reads: reads}
 	var alone, beside []time.Duration
 	for range 8 {
 		alone = append(alone, others.callFor(*floodFor/8)...)
@@ -304,7 +307,7 @@
 		}()
 		beside = append(beside, others.callFor(*floodFor/8)...)
 		if !reads {
-			w.waitLogged("event=client-rate-limited")
+			bed.waitLogged("event=client-rate-limited")
 		}
 		close(stop)
 		<-done
@@ -313,7 +316,7 @@
 		t.Errorf("of %d bad tokens %d were checked and %d held off, want some of both", flood.sent, flood.denied,
 			flood.rejected)
 	}
-	if charges := w.attemptsOfClass("charge"); len(charges) > 0 {
+	if charges := bed.attemptsOfClass("charge"); len(charges) > 0 {
 		t.Errorf("%d charges reached endpoints, want none", len(charges))
 	}
 	percentile := func(took []time.Duration, q int) time.Duration {
@@ -341,8 +344,8 @@
 		c.sent++
 		began := time.Now()
 		fields := map[string]string{"token": c.token, "ram": "1", "txn": hexID(began.UnixNano())}
-		if a := c.client.ask(c.sent, "lookup", fields); a.Error != "" {
-			c.client.t.Fatalf("one of the others: %+v, want it served", a)
+		if answer := c.client.ask(c.sent, "lookup", fields); answer.Error != "" {
+			c.client.t.Fatalf("one of the others: %+v, want it served", answer)
 		}
 		took = append(took, time.Since(began))
 	}
@@ -418,16 +421,16 @@
 
 // read takes one answer.
 func (f *tokenFlood) read(protocol *emulator.Client) error {
-	a, err := protocol.Read(waitLimit)
+	answer, err := protocol.Read(waitLimit)
 	switch {
 	case err != nil:
 		return fmt.Errorf("no answer came to a bad token: %w", err)
-	case a.Error == "Denied" && a.Fields["reason"] == "signature":
+	case answer.Error == "Denied" && answer.Fields["reason"] == "signature":
 		f.denied++
-	case a.Error == "Overloaded" && a.Fields["later"] != "":
+	case answer.Error == "Overloaded" && answer.Fields["later"] != "":
 		f.rejected++
 	default:
-		return fmt.Errorf("a bad token: %+v, want it denied for its signature, or rejected with a wait", a)
+		return fmt.Errorf("a bad token: %+v, want it denied for its signature, or rejected with a wait", answer)
 	}
 	return nil
 }
--- a/test/idle_test.go
+++ b/test/idle_test.go
@@ -23,49 +23,49 @@
 // idleCase is something that could make a proxy look as if it had something to do.
 type idleCase struct {
 	name     string
-	prepare  func(w *testbed) // before the program starts; nil: nothing
-	underway func(w *testbed) // once it runs; nil: nothing
+	prepare  func(bed *testbed) // before the program starts; nil: nothing
+	underway func(bed *testbed) // once it runs; nil: nothing
 }
 
 var idleCases = []idleCase{
 	{"nobody comes", nil, nil},
-	{"the list service refuses connections", func(w *testbed) { w.config["bulletin"] = "127.0.0.1:1" }, nil},
-	{"the list service closes each connection at once", func(w *testbed) {
-		w.config["bulletin"] = w.listenAndClose()
+	{"the list service refuses connections", func(bed *testbed) { bed.config["bulletin"] = "127.0.0.1:1" }, nil},
+	{"the list service closes each connection at once", func(bed *testbed) {
+		bed.config["bulletin"] = bed.listenAndClose()
 	}, nil},
-	{"clients have half closed their connections", nil, func(w *testbed) {
+	{"clients have half closed their connections", nil, func(bed *testbed) {
 		for id := range uint64(20) {
-			client := w.dial()
+			client := bed.dial()
 			client.send(request(id+1, "footage", map[string]string{"item": unanswered, "limit": "60000"}, ""))
 			_ = client.conn.(*net.TCPConn).CloseWrite()
 		}
 	}},
-	{"clients do not read", func(w *testbed) {
-		w.setResponder(func(a *receivedRequest) { a.Answer("ACK", "-", strings.Repeat("x", 200<<10)) })
-	}, func(w *testbed) {
+	{"clients do not read", func(bed *testbed) {
+		bed.setResponder(func(attempt *receivedRequest) { attempt.Answer("ACK", "-", strings.Repeat("x", 200<<10)) })
+	}, func(bed *testbed) {
 		for range 5 {
-			client := w.dial()
+			client := bed.dial()
 			for id := range uint64(30) {
 				client.send(request(id+1, "footage", map[string]string{"limit": "60000", "ram": "2000"}, ""))
 			}
 		}
 	}},
-	{"endpoints close each connection at once", func(w *testbed) {
-		address := w.listenAndClose()
-		for _, entry := range w.listed {
+	{"endpoints close each connection at once", func(bed *testbed) {
+		address := bed.listenAndClose()
+		for _, entry := range bed.listed {
 			entry["dial"] = address
 		}
-	}, func(w *testbed) {
-		client := w.dial()
+	}, func(bed *testbed) {
+		client := bed.dial()
 		for id := range uint64(30) {
 			client.send(request(id+1, "footage", map[string]string{"limit": "60000"}, ""))
 		}
 	}},
-	{"it leaves, and a request stays open", nil, func(w *testbed) {
-		client := w.dial()
+	{"it leaves, and a request stays open", nil, func(bed *testbed) {
+		client := bed.dial()
 		client.send(request(1, "footage", map[string]string{"item": unanswered, "limit": "60000"}, ""))
-		w.waitFirstAttempt()
-		w.terminate()
+		bed.waitFirstAttempt()
+		bed.terminate()
 	}},
 }
 
@@ -78,34 +78,34 @@
 	for _, c := range idleCases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := newTestbed(t, func(a *receivedRequest) {
-				if a.Fields["thing"] != unanswered {
-					a.Answer("ACK", "-", "sound")
+			bed := newTestbed(t, func(attempt *receivedRequest) {
+				if attempt.Fields["thing"] != unanswered {
+					attempt.Answer("ACK", "-", "sound")
 				}
 			})
 			if c.prepare != nil {
-				c.prepare(w)
+				c.prepare(bed)
 			}
-			w.start()
+			bed.start()
 			if c.underway != nil {
-				c.underway(w)
+				c.underway(bed)
 			}
 			// What the case itself brings about takes a moment; a spin does not end.
-			w.waitUntil("the proxy waits", func() bool {
-				return cpuShare(t, w.cmd.Process.Pid, 300*time.Millisecond) < idleShare
+			bed.waitUntil("the proxy waits", func() bool {
+				return cpuShare(t, bed.cmd.Process.Pid, 300*time.Millisecond) < idleShare
 			})
-			if share := cpuShare(t, w.cmd.Process.Pid, time.Second); share > idleShare {
+			if share := cpuShare(t, bed.cmd.Process.Pid, time.Second); share > idleShare {
 				t.Errorf("it used %.2f of a core with nothing to do, want at most %.2f", share, idleShare)
 			}
-			if usage, _ := readProcessUsage(w.cmd.Process.Pid); len(usage.children) > 0 {
+			if usage, _ := readProcessUsage(bed.cmd.Process.Pid); len(usage.children) > 0 {
 				t.Errorf("it has the children %v, want none", usage.children)
 			}
 		})
 	}
 	t.Run("a goroutine that spins is seen", func(t *testing.T) {
 		t.Parallel()
-		w := newTestbed(t, nil)
-		w.startSelf(spinVariable)
-		w.waitUntil("it is seen", func() bool { return cpuShare(t, w.cmd.Process.Pid, time.Second) > idleShare })
+		bed := newTestbed(t, nil)
+		bed.startSelf(spinVariable)
+		bed.waitUntil("it is seen", func() bool { return cpuShare(t, bed.cmd.Process.Pid, time.Second) > idleShare })
 	})
 }
--- a/test/keys_test.go
+++ b/test/keys_test.go
@@ -48,13 +48,13 @@
 // after the overlap every one of the retired key is, with that reason.
 func TestKeyRotationUnderLoad(t *testing.T) {
 	t.Parallel()
-	w := newTestbed(t, nil)
-	keys := w.enableIdentity("")
-	w.start()
+	bed := newTestbed(t, nil)
+	keys := bed.enableIdentity("")
+	bed.start()
 	first := keys.token("lane-1", "lanes", time.Hour)
 	var token atomic.Value
 	token.Store(first)
-	load := w.startTraffic(300, func(n uint64) []byte {
+	load := bed.startTraffic(300, func(n uint64) []byte {
 		fields := map[string]string{"token": token.Load().(string), "unique": fmt.Sprint("u", n), "ram": "1"}
 		return request(n, "charge", fields, "")
 	})
@@ -62,18 +62,18 @@
 	for i := range rotations {
 		old, next := fmt.Sprint("k", i+1), fmt.Sprint("k", i+2)
 		keys.must("key", "rotate", "--id", next, "--publish", "400ms", "--accept", "100ms", "--overlap", "900ms")
-		w.waitUntil("the next key signs", func() bool {
+		bed.waitUntil("the next key signs", func() bool {
 			return matches(next+" +EdDSA +signing", keys.must("key", "list"))
 		})
 		token.Store(keys.token("lane-1", "lanes", time.Hour)) // tokens of the old key are in flight still
-		w.waitUntil("the old key is retired", func() bool {
+		bed.waitUntil("the old key is retired", func() bool {
 			return matches(old+" +EdDSA +retired", keys.must("key", "list"))
 		})
 	}
 	load.stopAllServed(t)
-	a := w.dial().ask(1, "lookup", map[string]string{"token": first})
-	if a.Error != "Denied" || a.Fields["reason"] != "retired" {
-		t.Errorf("%+v, want the retired key's token denied as such", a)
+	answer := bed.dial().ask(1, "lookup", map[string]string{"token": first})
+	if answer.Error != "Denied" || answer.Fields["reason"] != "retired" {
+		t.Errorf("%+v, want the retired key's token denied as such", answer)
 	}
 }
 
@@ -81,11 +81,11 @@
 // the old set is in force.
 func TestUnreadableKeysKeepOldSet(t *testing.T) {
 	t.Parallel()
-	w := newTestbed(t, nil)
-	keys := w.enableIdentity("")
-	w.start()
+	bed := newTestbed(t, nil)
+	keys := bed.enableIdentity("")
+	bed.start()
 	token := keys.token("lane-1", "lanes", time.Hour)
-	client := w.dial()
+	client := bed.dial()
 	id := uint64(0)
 	taken := func() bool {
 		id++
@@ -114,7 +114,7 @@
 			t.Fatal(err)
 		}
 		if c.fault != "" {
-			w.waitLogged(c.fault)
+			bed.waitLogged(c.fault)
 		}
 		if !taken() {
 			t.Errorf("%s: the token is rejected, want the old set in force", c.name)
@@ -125,5 +125,5 @@
 	}
 	keys.must("key", "rotate", "--id", "k9", "--publish", "0s", "--accept", "0s", "--overlap", "1h")
 	token = keys.token("lane-1", "lanes", time.Hour)
-	w.waitUntil("a token of the next key is taken", taken)
+	bed.waitUntil("a token of the next key is taken", taken)
 }
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -111,14 +111,14 @@
 	if runtime.GOOS != "linux" || runtime.GOARCH != "amd64" {
 		t.Skip("the filter is written for Linux on amd64")
 	}
-	w := newTestbed(t, nil)
-	w.startSelf(filterVariable)
-	client := w.dial()
-	if a := client.ask(5, "footage", nil); a.Error != "" || a.Body != "7f3a9c21e0b4d655" {
-		t.Fatalf("answer %+v, want the body served", a)
-	}
-	w.signal(syscall.SIGTERM)
-	w.waitExit()
+	bed := newTestbed(t, nil)
+	bed.startSelf(filterVariable)
+	client := bed.dial()
+	if answer := client.ask(5, "footage", nil); answer.Error != "" || answer.Body != "7f3a9c21e0b4d655" {
+		t.Fatalf("answer %+v, want the body served", answer)
+	}
+	bed.signal(syscall.SIGTERM)
+	bed.waitExit()
 }
 
 // TestBuildLinksDynamically checks that the deploy file builds with external linking and cgo on, and, where a C
--- a/test/quota_test.go
+++ b/test/quota_test.go
@@ -23,14 +23,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := newTestbed(t, nil)
-			w.addSettings("contracts {", "team lanes {", c.contract, "}", "}")
-			w.start()
-			client := w.dial()
+			bed := newTestbed(t, nil)
+			bed.addSettings("contracts {", "team lanes {", c.contract, "}", "}")
+			bed.start()
+			client := bed.dial()
 			for i, want := range c.wants {
-				a := client.ask(uint64(i+1), c.class, map[string]string{"team": "lanes"})
-				if a.Error != want || want != "" && a.Fields["later"] == "" {
-					t.Errorf("request %d: %+v, want the error %q with a wait", i+1, a, want)
+				answer := client.ask(uint64(i+1), c.class, map[string]string{"team": "lanes"})
+				if answer.Error != want || want != "" && answer.Fields["later"] == "" {
+					t.Errorf("request %d: %+v, want the error %q with a wait", i+1, answer, want)
 				}
 			}
 		})
@@ -39,15 +39,15 @@
 
 // TestUnknownTeamOverDNS: a query goes through the contracts like any other request.
 func TestUnknownTeamOverDNS(t *testing.T) {
-	w := newTestbed(t, nil)
-	w.enableDNS("")
-	w.addSettings("contracts {", "team lanes {", "}", "}")
-	w.start()
-	resolver := w.dialDNS("udp")
+	bed := newTestbed(t, nil)
+	bed.enableDNS("")
+	bed.addSettings("contracts {", "team lanes {", "}", "}")
+	bed.start()
+	resolver := bed.dialDNS("udp")
 	for id, c := range []struct{ team, want string }{{"lanes", "NOERROR"}, {"others", "REFUSED"}} {
 		resolver.query(uint16(id), "n0.00000000000000aa.lookup."+c.team, dns.TypeA)
-		if a := resolver.mustRead(); a.Rcode != c.want {
-			t.Errorf("team %s: %+v, want %s", c.team, a, c.want)
+		if answer := resolver.mustRead(); answer.Rcode != c.want {
+			t.Errorf("team %s: %+v, want %s", c.team, answer, c.want)
 		}
 	}
 }
@@ -58,27 +58,27 @@
 func TestNoisyTeamBesideQuietTeam(t *testing.T) {
 	t.Parallel()
 	places := make(chan struct{}, 10) // each request takes 40 ms: 250 a second
-	w := newTestbed(t, func(a *receivedRequest) {
+	bed := newTestbed(t, func(attempt *receivedRequest) {
 		places <- struct{}{}
 		time.Sleep(40 * time.Millisecond)
 		<-places
-		answerDone(a)
+		answerDone(attempt)
 	})
-	w.addSettings("contracts {", "requests 225/s", "burst 100ms",
+	bed.addSettings("contracts {", "requests 225/s", "burst 100ms",
 		"adaptive {", "start 12", "least 10", "most 14", "}",
 		"team quiet {", "requests 90/s", "burst 500ms", "}",
 		"team loud {", "requests 110/s 130/s", "burst 50ms", "}", "}")
-	w.start()
+	bed.start()
 	alone, beside, loud := &teamLoad{team: "quiet"}, &teamLoad{team: "quiet"}, &teamLoad{team: "loud"}
-	alone.send(w, 60, 2*time.Second, "000a")
+	alone.send(bed, 60, 2*time.Second, "000a")
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		// Within its budget: the endpoints and the module know the load.
-		(&teamLoad{team: "loud"}).send(w, 100, time.Second, "000d")
-		loud.send(w, 390, 3*time.Second, "000b")
+		(&teamLoad{team: "loud"}).send(bed, 100, time.Second, "000d")
+		loud.send(bed, 390, 3*time.Second, "000b")
 	}()
-	beside.send(w, 60, 4*time.Second, "000c")
+	beside.send(bed, 60, 4*time.Second, "000c")
 	<-done
 	solo, share := float64(alone.onTime)/float64(alone.sent), float64(beside.onTime)/float64(beside.sent)
 	t.Logf("quiet: on time %.3f alone, %.3f beside; loud: %d sent, %d served, rejected by %v",
@@ -107,10 +107,10 @@
 	t.Parallel()
 	const before = "contracts {\nteam lanes {\nopen 500\n}\n}\n"
 	pending := make(chan *receivedRequest, 2000)
-	w := newTestbed(t, func(a *receivedRequest) { pending <- a })
-	w.addSettings(before)
-	w.start()
-	open := w.openMany(pending, "lookup", map[string]string{"team": "lanes"})
+	bed := newTestbed(t, func(attempt *receivedRequest) { pending <- attempt })
+	bed.addSettings(before)
+	bed.start()
+	open := bed.openMany(pending, "lookup", map[string]string{"team": "lanes"})
 	for i := range 10 {
 		text := fmt.Sprintf("contracts {\nteam lanes {\nopen %d\nrequests %d/s\n}\n}\n", 400+30*i, 1000+i)
 		switch i {
@@ -119,22 +119,22 @@
 		case 9:
 			text = before
 		}
-		next := w.settingsPath + ".next"
+		next := bed.settingsPath + ".next"
 		writeFile(t, next, text)
-		replaceFile(t, next, w.settingsPath)
-		w.signal(syscall.SIGHUP)
-		w.waitLoggedTimes("event=contracts-reloaded", i+1)
+		replaceFile(t, next, bed.settingsPath)
+		bed.signal(syscall.SIGHUP)
+		bed.waitLoggedTimes("event=contracts-reloaded", i+1)
 	}
-	client := w.dial()
-	a := client.ask(1, "lookup", map[string]string{"team": "lanes", "txn": "00000000000000aa"})
-	if a.Fields["budget"] != "lanes open" {
-		t.Errorf("with 500 open of 500: %+v, want it rejected by the budget %q", a, "lanes open")
+	client := bed.dial()
+	answer := client.ask(1, "lookup", map[string]string{"team": "lanes", "txn": "00000000000000aa"})
+	if answer.Fields["budget"] != "lanes open" {
+		t.Errorf("with 500 open of 500: %+v, want it rejected by the budget %q", answer, "lanes open")
 	}
 	open.answerAll()
-	w.setResponder(nil)
-	a = client.ask(2, "lookup", map[string]string{"team": "lanes", "txn": "00000000000000ab"})
-	if a.Error != "" {
-		t.Errorf("once all have ended: %+v, want it served", a)
+	bed.setResponder(nil)
+	answer = client.ask(2, "lookup", map[string]string{"team": "lanes", "txn": "00000000000000ab"})
+	if answer.Error != "" {
+		t.Errorf("once all have ended: %+v, want it served", answer)
 	}
 }
 
@@ -144,25 +144,25 @@
 	t.Helper()
 	var failing atomic.Bool
 	var count atomic.Int64
-	w := newTestbed(t, func(a *receivedRequest) {
+	bed := newTestbed(t, func(attempt *receivedRequest) {
 		if failing.Load() && count.Add(1)%5 < 2 {
-			a.Answer("EIO", "-", "")
+			attempt.Answer("EIO", "-", "")
 			return
 		}
-		answerDone(a)
+		answerDone(attempt)
 	})
-	w.addSettings(settings...)
-	w.start()
-	(&teamLoad{team: "lanes"}).send(w, 200, 500*time.Millisecond, "000a")
+	bed.addSettings(settings...)
+	bed.start()
+	(&teamLoad{team: "lanes"}).send(bed, 200, 500*time.Millisecond, "000a")
 	failing.Store(true)
-	before := len(w.attempts())
+	before := len(bed.attempts())
 	load := &teamLoad{team: "lanes"}
-	load.send(w, 200, 2*time.Second, "000b")
-	attempts := len(w.attempts()) - before
+	load.send(bed, 200, 2*time.Second, "000b")
+	attempts := len(bed.attempts()) - before
 	failing.Store(false)
-	w.waitUntil("requests are served again", func() bool {
+	bed.waitUntil("requests are served again", func() bool {
 		again := &teamLoad{team: "lanes"}
-		again.send(w, 100, 200*time.Millisecond, fmt.Sprintf("%04x", time.Now().UnixNano()&0xffff))
+		again.send(bed, 100, 200*time.Millisecond, fmt.Sprintf("%04x", time.Now().UnixNano()&0xffff))
 		return again.served >= 19
 	})
 	if answered := load.served + load.rejected + len(load.withoutBudget); answered != load.sent {
--- a/test/reload_test.go
+++ b/test/reload_test.go
@@ -12,52 +12,52 @@
 // the list service followed to its new address from the last event, and a connection to the old one says nothing any
 // more.
 func TestReload(t *testing.T) {
-	w := newTestbed(t, nil, "c2")
-	old, next := w.listenOn("127.0.0.1:0"), w.listenOn("127.0.0.1:0")
-	w.config["bulletin"] = old.Addr().String()
-	w.start()
-	first, _ := w.acceptListPoll(old)
+	bed := newTestbed(t, nil, "c2")
+	old, next := bed.listenOn("127.0.0.1:0"), bed.listenOn("127.0.0.1:0")
+	bed.config["bulletin"] = old.Addr().String()
+	bed.start()
+	first, _ := bed.acceptListPoll(old)
 	_, _ = first.Write([]byte(invalidateObject(2, "00000000000000aa", 1) + "\n"))
-	writeFile(t, w.configPath, `{"listen":`)
-	w.signal(syscall.SIGHUP)
-	w.waitLogged("reload-failed")
-	w.config["bulletin"] = next.Addr().String()
-	w.writeConfig()
-	w.signal(syscall.SIGHUP)
-	second, after := w.acceptListPoll(next)
+	writeFile(t, bed.configPath, `{"listen":`)
+	bed.signal(syscall.SIGHUP)
+	bed.waitLogged("reload-failed")
+	bed.config["bulletin"] = next.Addr().String()
+	bed.writeConfig()
+	bed.signal(syscall.SIGHUP)
+	second, after := bed.acceptListPoll(next)
 	if after != "after 2" {
 		t.Errorf("the program asked the new list service for %q, want all after event 2", after)
 	}
 	_, _ = first.Write([]byte(listEvent(3, true) + "\n")) // all endpoints gone, says the old one
-	list := listEvent(3, true, w.entry("c2", "up"), w.entry("p1", "up"), w.entry("o1", "up"))
+	list := listEvent(3, true, bed.entry("c2", "up"), bed.entry("p1", "up"), bed.entry("o1", "up"))
 	_, _ = second.Write([]byte(list + "\n"))
-	client := w.dial()
+	client := bed.dial()
 	id := uint64(0)
-	w.waitUntil("c2 serves, which the new list service has named", func() bool {
+	bed.waitUntil("c2 serves, which the new list service has named", func() bool {
 		id++
-		a := client.ask(id, "footage", nil)
-		return a.Error == "" && w.lastAttempt().Endpoint == "c2"
+		answer := client.ask(id, "footage", nil)
+		return answer.Error == "" && bed.lastAttempt().Endpoint == "c2"
 	})
 }
 
 // TestReloadToListServiceNotYetUp: SIGHUP names a list service that is not there yet. It is asked until it is, behind
 // the last event, and what it tells holds.
 func TestReloadToListServiceNotYetUp(t *testing.T) {
-	w := newTestbed(t, nil)
-	w.start()
-	w.waitListPoll()
-	w.listFeed <- invalidateGroup(2, 3, time.Now().UnixMilli())
-	client, id := w.dial(), uint64(0)
-	w.waitUntil("event 2 has come", func() bool {
+	bed := newTestbed(t, nil)
+	bed.start()
+	bed.waitListPoll()
+	bed.listFeed <- invalidateGroup(2, 3, time.Now().UnixMilli())
+	client, id := bed.dial(), uint64(0)
+	bed.waitUntil("event 2 has come", func() bool {
 		id++
 		client.ask(id, "footage", map[string]string{"batch": "3"})
-		return w.lastAttempt().Fields["fresh"] != ""
+		return bed.lastAttempt().Fields["fresh"] != ""
 	})
-	later := w.freeAddress()
-	w.config["bulletin"] = later
-	w.writeConfig()
-	w.signal(syscall.SIGHUP)
-	w.waitLogged("event=endpoint-list-stale")
+	later := bed.freeAddress()
+	bed.config["bulletin"] = later
+	bed.writeConfig()
+	bed.signal(syscall.SIGHUP)
+	bed.waitLogged("event=endpoint-list-stale")
 	next, err := newListServiceAt(later)
 	if err != nil {
 		t.Fatal(err)
@@ -71,18 +71,18 @@
 	case <-time.After(waitLimit):
 		t.Fatalf("the new list service is not asked within %v", waitLimit)
 	}
-	next.feed <- w.listChange(3, "c1", "draining")
-	w.expectDrained("c1")
+	next.feed <- bed.listChange(3, "c1", "draining")
+	bed.expectDrained("c1")
 }
 
 // TestSIGHUPWhileConfigIsReplaced: the file is taken away, empty and cut off in turn as SIGHUP comes, while requests
 // are open; the old settings stay, nothing that is open is lost, and the next sound file is taken.
 func TestSIGHUPWhileConfigIsReplaced(t *testing.T) {
 	pending := make(chan *receivedRequest, 100)
-	w := newTestbed(t, func(a *receivedRequest) { pending <- a })
-	w.start()
-	sound := readFile(t, w.configPath)
-	client := w.dial()
+	bed := newTestbed(t, func(attempt *receivedRequest) { pending <- attempt })
+	bed.start()
+	sound := readFile(t, bed.configPath)
+	client := bed.dial()
 	for i, c := range []struct {
 		file   string // what becomes of it
 		exists bool
@@ -95,22 +95,22 @@
 		{"sound", true, sound, "event=reloaded"},
 	} {
 		client.send(request(uint64(i+1), "charge", map[string]string{"unique": fmt.Sprint("k", i)}, ""))
-		a := nextReceived(t, pending)
-		w.log.reset()
-		if err := os.Remove(w.configPath); err != nil {
+		attempt := nextReceived(t, pending)
+		bed.log.reset()
+		if err := os.Remove(bed.configPath); err != nil {
 			t.Fatal(err)
 		}
 		if c.exists {
-			writeFile(t, w.configPath, c.text)
+			writeFile(t, bed.configPath, c.text)
 		}
-		w.signal(syscall.SIGHUP)
-		w.waitLogged(c.event)
-		answerDone(a)
+		bed.signal(syscall.SIGHUP)
+		bed.waitLogged(c.event)
+		answerDone(attempt)
 		if got := client.mustRead(); got.Body != "done" {
 			t.Errorf("with the file %s: %+v, want it served", c.file, got)
 		}
 		if !c.exists {
-			writeFile(t, w.configPath, "")
+			writeFile(t, bed.configPath, "")
 		}
 	}
 }
--- a/test/requests_test.go
+++ b/test/requests_test.go
@@ -32,24 +32,27 @@
 			want: reply{ID: 5, Body: "7f3a9c21e0b4d655",
 				Fields: map[string]string{"tag": "t1", "minted": "1", "remark": "hit"}}},
 		{name: "the client's copy holds", class: "footage", fields: map[string]string{"got": "t1"},
-			respond: func(a *receivedRequest) { a.Answer("NOMOD", "tag=t1", "") },
+			respond: func(attempt *receivedRequest) { attempt.Answer("NOMOD", "tag=t1", "") },
 			want:    reply{ID: 5, Fields: map[string]string{"tag": "t1", "ok304": "1"}}},
 		{name: "a miss is filled", class: "footage",
-			respond: func(a *receivedRequest) {
-				if a.Fields["via"] == "" {
-					a.Answer("NOENT", "-", "")
+			respond: func(attempt *receivedRequest) {
+				if attempt.Fields["via"] == "" {
+					attempt.Answer("NOENT", "-", "")
 				} else {
-					a.Answer("ACK", "tag=t2,remark=filled,lag=3", "bytes\r\nwith a line")
+					attempt.Answer("ACK", "tag=t2,remark=filled,lag=3", "bytes\r\nwith a line")
 				}
 			},
 			want: reply{ID: 5, Body: "bytes\r\nwith a line",
 				Fields: map[string]string{"tag": "t2", "remark": "filled", "lag": "3"}}},
 		{name: "a write goes to the origin with its key and body", class: "charge",
 			fields: map[string]string{"unique": "5c0f"}, body: "post\x00",
-			respond: func(a *receivedRequest) { a.Answer("ACK", "-", a.Endpoint+" "+a.Fields["replay"]+" "+a.Body) },
-			want:    reply{ID: 5, Body: "o1 5c0f post\x00", Fields: map[string]string{}}},
+			respond: func(attempt *receivedRequest) {
+				body := attempt.Endpoint + " " + attempt.Fields["replay"] + " " + attempt.Body
+				attempt.Answer("ACK", "-", body)
+			},
+			want: reply{ID: 5, Body: "o1 5c0f post\x00", Fields: map[string]string{}}},
 		{name: "all are full: rejected with a wait", class: "footage",
-			respond: func(a *receivedRequest) { a.Answer("AGAIN", "-", "") }, want: overloaded},
+			respond: func(attempt *receivedRequest) { attempt.Answer("AGAIN", "-", "") }, want: overloaded},
 		{name: "a silent endpoint: answered before the client gives up", class: "footage",
 			fields: map[string]string{"limit": "300"}, respond: func(*receivedRequest) {}, want: overloaded},
 		{name: "unknown class", class: "nonsense", want: malformed},
@@ -61,9 +64,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := newTestbed(t, c.respond)
-			w.start()
-			client := w.dial()
+			bed := newTestbed(t, c.respond)
+			bed.start()
+			client := bed.dial()
 			client.send(request(5, c.class, c.fields, c.body))
 			if diff := cmp.Diff(c.want, client.mustRead()); diff != "" {
 				t.Errorf("answer (-want +got):\n%s", diff)
@@ -82,16 +85,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			ranks := make(chan string, 10)
-			w := newTestbed(t, func(a *receivedRequest) {
-				if a.Fields["via"] == "" {
-					a.Answer("NOENT", "-", "")
+			bed := newTestbed(t, func(attempt *receivedRequest) {
+				if attempt.Fields["via"] == "" {
+					attempt.Answer("NOENT", "-", "")
 					return
 				}
-				ranks <- a.Fields["tier"]
-				a.Answer("EIO", "remark=no_slot", "")
+				ranks <- attempt.Fields["tier"]
+				attempt.Answer("EIO", "remark=no_slot", "")
 			})
-			w.start()
-			client := w.dial()
+			bed.start()
+			client := bed.dial()
 			client.ask(5, "footage", map[string]string{"txn": "00000000000000a1"})
 			for len(ranks) > 0 {
 				<-ranks
@@ -110,14 +113,14 @@
 
 // respondWith answers an attempt with a word alone.
 func respondWith(word string) func(*receivedRequest) {
-	return func(a *receivedRequest) { a.Answer(word, "-", "") }
+	return func(attempt *receivedRequest) { attempt.Answer(word, "-", "") }
 }
 
 // TestAttemptOutcomes has the first attempt of a request end in each way, and compares what follows from it.
 func TestAttemptOutcomes(t *testing.T) {
-	reset := func(a *receivedRequest) { _ = a.Conn.Close() }
-	unreadable := func(a *receivedRequest) { _, _ = io.WriteString(a.Conn, "what is this\r\n") }
-	tooLong := func(a *receivedRequest) { _, _ = fmt.Fprintf(a.Conn, "%s ACK - 999999999\r\n", a.ID) }
+	reset := func(attempt *receivedRequest) { _ = attempt.Conn.Close() }
+	unreadable := func(attempt *receivedRequest) { _, _ = io.WriteString(attempt.Conn, "what is this\r\n") }
+	tooLong := func(attempt *receivedRequest) { _, _ = fmt.Fprintf(attempt.Conn, "%s ACK - 999999999\r\n", attempt.ID) }
 	for _, c := range []struct {
 		name, class string
 		first       func(*receivedRequest) // what the first attempt meets
@@ -136,22 +139,22 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := newTestbed(t, nil, "c2")
-			w.setResponder(func(a *receivedRequest) {
-				if len(w.attempts()) == 1 {
-					c.first(a)
+			bed := newTestbed(t, nil, "c2")
+			bed.setResponder(func(attempt *receivedRequest) {
+				if len(bed.attempts()) == 1 {
+					c.first(attempt)
 					return
 				}
-				a.Answer("ACK", "-", "second")
+				attempt.Answer("ACK", "-", "second")
 			})
-			w.start()
-			client := w.dial()
-			if a := client.ask(1, c.class, map[string]string{"unique": "k1"}); a.Error+a.Body != c.want {
-				t.Errorf("answer %+v, want %q", a, c.want)
+			bed.start()
+			client := bed.dial()
+			if answer := client.ask(1, c.class, map[string]string{"unique": "k1"}); answer.Error+answer.Body != c.want {
+				t.Errorf("answer %+v, want %q", answer, c.want)
 			}
 			var endpoints []string
-			for _, a := range w.attempts() {
-				endpoints = append(endpoints, a.Endpoint)
+			for _, attempt := range bed.attempts() {
+				endpoints = append(endpoints, attempt.Endpoint)
 			}
 			if diff := cmp.Diff(c.endpoints, endpoints); c.endpoints != nil && diff != "" {
 				t.Errorf("endpoints (-want +got):\n%s", diff)
@@ -162,14 +165,14 @@
 
 // TestRefusedWriteIsRetriedElsewhere: a write whose connection is refused never ran, and goes out elsewhere.
 func TestRefusedWriteIsRetriedElsewhere(t *testing.T) {
-	w := newTestbed(t, nil)
-	_ = w.listeners["o1"].Close()
-	w.start()
-	client := w.dial()
-	if a := client.ask(1, "charge", map[string]string{"unique": "k1"}); a.Error != "" {
-		t.Errorf("%+v, want it served by way of a cache", a)
+	bed := newTestbed(t, nil)
+	_ = bed.listeners["o1"].Close()
+	bed.start()
+	client := bed.dial()
+	if answer := client.ask(1, "charge", map[string]string{"unique": "k1"}); answer.Error != "" {
+		t.Errorf("%+v, want it served by way of a cache", answer)
 	}
-	if attempts := w.attempts(); len(attempts) != 1 || attempts[0].Fields["via"] != "o1" {
+	if attempts := bed.attempts(); len(attempts) != 1 || attempts[0].Fields["via"] != "o1" {
 		t.Errorf("%d attempts reached endpoints, want one by way of a cache", len(attempts))
 	}
 }
@@ -177,30 +180,30 @@
 // TestRetryDroppedAfterDedupWindow: a write may have run when its connection breaks. The next attempt is decided at
 // once, but its connection comes up when endpoints drop repeats no more: it must not go out.
 func TestRetryDroppedAfterDedupWindow(t *testing.T) {
-	w := newTestbed(t, nil)
-	w.listAt("o1", w.listenWithFullBacklog()) // its queue holds one connection, which nobody has taken
-	w.platformLimits()["dial-timeout-ms"] = 60000
-	for _, entry := range w.platformSettings()["classes"].([]any) {
+	bed := newTestbed(t, nil)
+	bed.listAt("o1", bed.listenWithFullBacklog()) // its queue holds one connection, which nobody has taken
+	bed.platformLimits()["dial-timeout-ms"] = 60000
+	for _, entry := range bed.platformSettings()["classes"].([]any) {
 		if class := entry.(map[string]any); class["name"] == "charge" {
 			class["window-ms"], class["deadline-ms"] = 500, 9000
 		}
 	}
-	w.start()
+	bed.start()
 	accept := func() net.Conn {
-		conn, err := w.fullListener.Accept()
+		conn, err := bed.fullListener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		return conn
 	}
-	client := w.dial()
+	client := bed.dial()
 	client.send(request(1, "charge", map[string]string{"unique": "k1", "limit": "8000"}, "body"))
 	_ = accept().Close() // now the program's own connection comes up
 	first := accept()
 	if !readAttempt(first) {
 		t.Fatal("the first attempt has not come complete")
 	}
-	filler, err := net.Dial("tcp", w.fullListener.Addr().String()) // no further one does
+	filler, err := net.Dial("tcp", bed.fullListener.Addr().String()) // no further one does
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -210,7 +213,7 @@
 	_ = accept().Close()
 	reached := make(chan bool, 1)
 	go func() {
-		conn, err := w.fullListener.Accept()
+		conn, err := bed.fullListener.Accept()
 		if err != nil {
 			t.Errorf("the late connection: %v", err)
 			reached <- false
@@ -219,10 +222,10 @@
 		_ = conn.SetReadDeadline(time.Now().Add(waitLimit))
 		reached <- readAttempt(conn)
 	}()
-	if a := client.mustRead(); a.Error == "" {
-		t.Errorf("%+v, want it given up", a)
+	if answer := client.mustRead(); answer.Error == "" {
+		t.Errorf("%+v, want it given up", answer)
 	}
-	w.kill() // so that the late connection ends
+	bed.kill() // so that the late connection ends
 	if <-reached {
 		t.Error("the attempt went out again when repeats were not dropped any more")
 	}
@@ -232,15 +235,15 @@
 // time.
 func TestUnsentRequestRejectedByHalfTime(t *testing.T) {
 	t.Parallel()
-	w := newTestbed(t, nil, "c2")
-	w.listAt("c1", w.listenWithFullBacklog())
-	w.platformLimits()["dial-timeout-ms"] = 60000
-	w.start()
-	client := w.dial()
+	bed := newTestbed(t, nil, "c2")
+	bed.listAt("c1", bed.listenWithFullBacklog())
+	bed.platformLimits()["dial-timeout-ms"] = 60000
+	bed.start()
+	client := bed.dial()
 	began := time.Now()
-	a := client.ask(1, "footage", map[string]string{"limit": "6000"})
-	if a.Error != "Overloaded" || a.Fields["later"] == "" {
-		t.Errorf("%+v, want it rejected with a wait", a)
+	answer := client.ask(1, "footage", map[string]string{"limit": "6000"})
+	if answer.Error != "Overloaded" || answer.Fields["later"] == "" {
+		t.Errorf("%+v, want it rejected with a wait", answer)
 	}
 	if took := time.Since(began); took > 4500*time.Millisecond {
 		t.Errorf("the rejection took %v of 6 s, want at most 4.5 s", took)
@@ -258,33 +261,33 @@
 	}{{"not allowed", false, 500, ""}, {"allowed", true, 500, "100"}, {"allowed for less", true, 40, "40"}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := newTestbed(t, func(*receivedRequest) {})
-			limits := w.platformLimits()
+			bed := newTestbed(t, func(*receivedRequest) {})
+			limits := bed.platformLimits()
 			limits["retry-after"], limits["max-retry-after-ms"] = c.allowed, c.retryAfter
-			w.addSettings("contracts {", "team lanes {", "class lookup", "}", "}")
-			w.enableDNS("")
-			w.start()
-			client := w.dial()
+			bed.addSettings("contracts {", "team lanes {", "class lookup", "}", "}")
+			bed.enableDNS("")
+			bed.start()
+			client := bed.dial()
 			for id := range uint64(33) { // one more than may be open
 				fields := map[string]string{"team": "lanes", "ram": "0.1", "item": hexID(id)}
 				client.send(request(id, "lookup", fields, ""))
 			}
-			if a := client.mustRead(); a.Error != "Overloaded" || a.Fields["later"] != c.want {
-				t.Errorf("too much open: %+v, want it rejected with later=%q", a, c.want)
+			if answer := client.mustRead(); answer.Error != "Overloaded" || answer.Fields["later"] != c.want {
+				t.Errorf("too much open: %+v, want it rejected with later=%q", answer, c.want)
 			}
-			other := w.dial()
-			a := other.ask(99, "footage", map[string]string{"team": "lanes"})
-			if a.Error != "Overloaded" || (a.Fields["later"] != "") != c.allowed {
-				t.Errorf("not in the contract: %+v, want it rejected, with a wait: %v", a, c.allowed)
+			other := bed.dial()
+			answer := other.ask(99, "footage", map[string]string{"team": "lanes"})
+			if answer.Error != "Overloaded" || (answer.Fields["later"] != "") != c.allowed {
+				t.Errorf("not in the contract: %+v, want it rejected, with a wait: %v", answer, c.allowed)
 			}
-			resolver := w.dialDNS("udp")
+			resolver := bed.dialDNS("udp")
 			resolver.query(1, "n0.00000000000000aa.footage.lanes", dns.TypeA)
-			answer := resolver.mustRead()
-			if answer.Rcode != "REFUSED" || !strings.Contains(answer.Text, "budget=") {
-				t.Errorf("not in the contract, by DNS: %+v, want it rejected with the budget named", answer)
+			byDNS := resolver.mustRead()
+			if byDNS.Rcode != "REFUSED" || !strings.Contains(byDNS.Text, "budget=") {
+				t.Errorf("not in the contract, by DNS: %+v, want it rejected with the budget named", byDNS)
 			}
-			if strings.Contains(answer.Text, "later=") != c.allowed {
-				t.Errorf("not in the contract, by DNS: %+v, want a wait in it: %v", answer, c.allowed)
+			if strings.Contains(byDNS.Text, "later=") != c.allowed {
+				t.Errorf("not in the contract, by DNS: %+v, want a wait in it: %v", byDNS, c.allowed)
 			}
 		})
 	}
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -81,35 +81,37 @@
 func TestCheckCommand(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		spoil func(w *testbed)
+		spoil func(bed *testbed)
 		want  string // empty: sound
 	}{
 		{"sound", func(*testbed) {}, ""},
-		{"listen", func(w *testbed) { w.config["listen"] = "here" }, "listen"},
-		{"descriptors", func(w *testbed) { w.config["limits"] = map[string]any{"sockets": 3} }, "limits.sockets"},
-		{"memory", func(w *testbed) { w.config["limits"] = map[string]any{"memory_mb": "much"} }, "limits.memory_mb"},
-		{"no settings", func(w *testbed) { delete(w.config, "settings") }, "settings"},
-		{"no class", func(w *testbed) { w.config["settings"] = map[string]any{} }, "Classes"},
-		{"an unknown word", func(w *testbed) {
-			w.platformSettings()["family-info"] = map[string]any{"detail": "some"}
+		{"listen", func(bed *testbed) { bed.config["listen"] = "here" }, "listen"},
+		{"descriptors", func(bed *testbed) { bed.config["limits"] = map[string]any{"sockets": 3} }, "limits.sockets"},
+		{"memory", func(bed *testbed) {
+			bed.config["limits"] = map[string]any{"memory_mb": "much"}
+		}, "limits.memory_mb"},
+		{"no settings", func(bed *testbed) { delete(bed.config, "settings") }, "settings"},
+		{"no class", func(bed *testbed) { bed.config["settings"] = map[string]any{} }, "Classes"},
+		{"an unknown word", func(bed *testbed) {
+			bed.platformSettings()["family-info"] = map[string]any{"detail": "some"}
 		}, "family-info.detail"},
-		{"a list entry", func(w *testbed) { w.listed[0]["site"] = "nowhere" }, "site"},
-		{"contracts", func(w *testbed) { w.addSettings("contracts {\n team a {\n  opne 3\n }\n}") },
+		{"a list entry", func(bed *testbed) { bed.listed[0]["site"] = "nowhere" }, "site"},
+		{"contracts", func(bed *testbed) { bed.addSettings("contracts {\n team a {\n  opne 3\n }\n}") },
 			":3: contracts.team.opne: unknown directive; there is open"},
-		{"the DNS zone", func(w *testbed) { w.addSettings("dns {\n listen 127.0.0.1:53\n}") },
+		{"the DNS zone", func(bed *testbed) { bed.addSettings("dns {\n listen 127.0.0.1:53\n}") },
 			":1: dns: listen and zone are needed"},
-		{"the catalogue", func(w *testbed) { w.addSettings("catalogue {\n agent 127.0.0.1:1\n wait fast\n}") },
+		{"the catalogue", func(bed *testbed) { bed.addSettings("catalogue {\n agent 127.0.0.1:1\n wait fast\n}") },
 			`:3: catalogue.wait: expected a duration of 1s to 10m, got "fast"`},
-		{"all faults", func(w *testbed) { w.addSettings("opne 3\nlist {\n loss-share 2\n}") },
+		{"all faults", func(bed *testbed) { bed.addSettings("opne 3\nlist {\n loss-share 2\n}") },
 			`:3: list.loss-share: expected a number of 0 to 1, got "2"`},
-		{"an old flag", func(w *testbed) { w.flags = []string{"--catalog", "x.json"} },
+		{"an old flag", func(bed *testbed) { bed.flags = []string{"--catalog", "x.json"} },
 			`the block "catalogue" of the file that --conf names`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newTestbed(t, nil)
-			c.spoil(w)
-			w.writeConfig()
-			out, err := runProgram(append([]string{"check", "--config", w.configPath}, w.flags...)...)
+			bed := newTestbed(t, nil)
+			c.spoil(bed)
+			bed.writeConfig()
+			out, err := runProgram(append([]string{"check", "--config", bed.configPath}, bed.flags...)...)
 			if (err != nil) != (c.want != "") || !strings.Contains(out, c.want) {
 				t.Errorf("%v: %s, want an error that names %q; without one, none", err, out, c.want)
 			}
--- a/test/shutdown_test.go
+++ b/test/shutdown_test.go
@@ -17,27 +17,27 @@
 // itself.
 func TestSIGTERMServesOpenRequest(t *testing.T) {
 	release := make(chan struct{})
-	w := newTestbed(t, func(a *receivedRequest) {
+	bed := newTestbed(t, func(attempt *receivedRequest) {
 		<-release
-		a.Answer("ACK", "-", "late")
+		attempt.Answer("ACK", "-", "late")
 	})
-	w.start()
-	client := w.dial()
+	bed.start()
+	client := bed.dial()
 	client.send(request(1, "footage", map[string]string{"limit": "9000"}, ""))
-	w.waitAttempts(1)
-	w.signal(syscall.SIGTERM)
-	w.waitUntil("status says false", func() bool {
-		other := w.dial()
+	bed.waitAttempts(1)
+	bed.signal(syscall.SIGTERM)
+	bed.waitUntil("status says false", func() bool {
+		other := bed.dial()
 		defer other.conn.Close()
 		other.send(request(1, "status", nil, ""))
-		a, err := other.read()
-		return err == nil && !a.Ready
+		answer, err := other.read()
+		return err == nil && !answer.Ready
 	})
 	close(release)
-	if a := client.mustRead(); a.Body != "late" {
-		t.Errorf("the request that was open at SIGTERM: %+v, want it served", a)
+	if answer := client.mustRead(); answer.Body != "late" {
+		t.Errorf("the request that was open at SIGTERM: %+v, want it served", answer)
 	}
-	w.waitExit()
+	bed.waitExit()
 }
 
 // shutdownCase is something that can be under way when SIGTERM comes.
@@ -45,7 +45,7 @@
 	name     string
 	deadline int // of the classes, in milliseconds; 0: as they are
 	// play sends the case's requests, and says what each client must read. Attempts go to pending.
-	play func(t *testing.T, w *testbed, pending chan *receivedRequest)
+	play func(t *testing.T, bed *testbed, pending chan *receivedRequest)
 }
 
 var shutdownCases = []shutdownCase{
@@ -59,10 +59,10 @@
 
 // playLargeLastAnswer: the last answer was given in the round that ended the program, and what the socket did not
 // take of it was lost.
-func playLargeLastAnswer(t *testing.T, w *testbed, pending chan *receivedRequest) {
+func playLargeLastAnswer(t *testing.T, bed *testbed, pending chan *receivedRequest) {
 	large := strings.Repeat("x", 240000)
-	slow := w.dialSmallBuffer()
-	at := w.terminate()
+	slow := bed.dialSmallBuffer()
+	at := bed.terminate()
 	time.Sleep(time.Until(at.Add(600 * time.Millisecond)))
 	const count = 12 // beyond what the sockets between them hold
 	for id := range uint64(count) {
@@ -70,8 +70,8 @@
 	}
 	answers := map[net.Conn]string{}
 	for range count {
-		a := nextReceived(t, pending)
-		answers[a.Conn] += fmt.Sprintf("%s ACK tag=t1 %d\r\n%s\r\n", a.ID, len(large), large)
+		attempt := nextReceived(t, pending)
+		answers[attempt.Conn] += fmt.Sprintf("%s ACK tag=t1 %d\r\n%s\r\n", attempt.ID, len(large), large)
 	}
 	time.Sleep(time.Until(at.Add(950 * time.Millisecond))) // from here on it ends as soon as nothing is open
 	for conn, text := range answers {
@@ -80,81 +80,81 @@
 		}
 	}
 	for range count {
-		if a := slow.mustRead(); a.Body != large {
-			t.Errorf("%d bytes came, want %d", len(a.Body), len(large))
+		if answer := slow.mustRead(); answer.Body != large {
+			t.Errorf("%d bytes came, want %d", len(answer.Body), len(large))
 		}
 	}
 }
 
 // playHalfRead: SIGTERM comes while a request is half read.
-func playHalfRead(t *testing.T, w *testbed, pending chan *receivedRequest) {
-	client := w.dial()
+func playHalfRead(t *testing.T, bed *testbed, pending chan *receivedRequest) {
+	client := bed.dial()
 	client.awaitRound(9) // so that it is idle, but for what it has begun
 	frame := request(1, "charge", map[string]string{"unique": "k1"}, "body")
 	client.send(frame[:len(frame)-2])
-	w.dial() // idle
-	at := w.terminate()
+	bed.dial() // idle
+	at := bed.terminate()
 	time.Sleep(time.Until(at.Add(time.Second)))
 	client.send(frame[len(frame)-2:])
 	answerDone(nextReceived(t, pending))
-	if a := client.mustRead(); a.Body != "done" {
-		t.Errorf("%+v, want it served", a)
+	if answer := client.mustRead(); answer.Body != "done" {
+		t.Errorf("%+v, want it served", answer)
 	}
 }
 
 // playSignalsAgain: while a keyed request is out, SIGHUP and SIGTERM come again, and SIGHUP with a file that is just
 // being replaced.
-func playSignalsAgain(t *testing.T, w *testbed, pending chan *receivedRequest) {
-	client := w.dial()
+func playSignalsAgain(t *testing.T, bed *testbed, pending chan *receivedRequest) {
+	client := bed.dial()
 	client.send(request(1, "charge", map[string]string{"unique": "k1"}, ""))
 	attempt := nextReceived(t, pending)
-	w.terminate()
-	w.signal(syscall.SIGHUP)
-	w.signal(syscall.SIGTERM)
-	w.waitLogged("event=reloaded")
-	writeFile(t, w.configPath, `{"listen":`)
-	w.signal(syscall.SIGHUP)
-	w.waitLogged("event=reload-failed")
+	bed.terminate()
+	bed.signal(syscall.SIGHUP)
+	bed.signal(syscall.SIGTERM)
+	bed.waitLogged("event=reloaded")
+	writeFile(t, bed.configPath, `{"listen":`)
+	bed.signal(syscall.SIGHUP)
+	bed.waitLogged("event=reload-failed")
 	answerDone(attempt)
-	if a := client.mustRead(); a.Body != "done" {
-		t.Errorf("%+v, want it served", a)
+	if answer := client.mustRead(); answer.Body != "done" {
+		t.Errorf("%+v, want it served", answer)
 	}
 }
 
 // playSilentEndpoint: the client's limit and the classes' deadline are the same.
-func playSilentEndpoint(t *testing.T, w *testbed, pending chan *receivedRequest) {
-	client := w.dial()
+func playSilentEndpoint(t *testing.T, bed *testbed, pending chan *receivedRequest) {
+	client := bed.dial()
 	client.send(request(1, "lookup", map[string]string{"limit": "1500"}, ""))
 	nextReceived(t, pending)
-	w.terminate()
-	if a := client.mustRead(); a.Error == "" {
-		t.Errorf("%+v, want an error", a)
+	bed.terminate()
+	if answer := client.mustRead(); answer.Error == "" {
+		t.Errorf("%+v, want an error", answer)
 	}
 }
 
 // playPatientClient: the client waits for ever; the program can't.
-func playPatientClient(t *testing.T, w *testbed, pending chan *receivedRequest) {
-	client := w.dial()
+func playPatientClient(t *testing.T, bed *testbed, pending chan *receivedRequest) {
+	client := bed.dial()
 	client.send(request(1, "charge", map[string]string{"limit": "600000", "unique": "k1"}, ""))
 	nextReceived(t, pending)
-	at := w.terminate()
-	a := client.mustRead()
-	if past := time.Since(at); a.Error != "Internal" || past < 1600*time.Millisecond {
-		t.Errorf("%+v after %v, want an error no sooner than the deadline allows", a, past)
+	at := bed.terminate()
+	answer := client.mustRead()
+	if past := time.Since(at); answer.Error != "Internal" || past < 1600*time.Millisecond {
+		t.Errorf("%+v after %v, want an error no sooner than the deadline allows", answer, past)
 	}
 }
 
 // playRequestAfterSIGTERM: SIGKILL may come 3.7 s after SIGTERM. Who asks later than 0.7 s after SIGTERM is owed an
 // answer by then.
-func playRequestAfterSIGTERM(t *testing.T, w *testbed, pending chan *receivedRequest) {
-	client := w.dial()
-	at := w.terminate()
+func playRequestAfterSIGTERM(t *testing.T, bed *testbed, pending chan *receivedRequest) {
+	client := bed.dial()
+	at := bed.terminate()
 	time.Sleep(time.Until(at.Add(750 * time.Millisecond)))
 	client.send(request(1, "footage", map[string]string{"limit": "6000"}, ""))
 	nextReceived(t, pending)
-	a := client.mustRead()
-	if past := time.Since(at); a.Error == "" || past > 3700*time.Millisecond {
-		t.Errorf("%+v after %v, want an error within 3.7 s", a, past)
+	answer := client.mustRead()
+	if past := time.Since(at); answer.Error == "" || past > 3700*time.Millisecond {
+		t.Errorf("%+v after %v, want an error within 3.7 s", answer, past)
 	}
 }
 
@@ -165,13 +165,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			pending := make(chan *receivedRequest, 100)
-			w := newTestbed(t, func(a *receivedRequest) { pending <- a })
+			bed := newTestbed(t, func(attempt *receivedRequest) { pending <- attempt })
 			if c.deadline > 0 {
-				w.setDeadlines(c.deadline)
+				bed.setDeadlines(c.deadline)
 			}
-			w.start()
-			c.play(t, w, pending)
-			w.waitExit()
+			bed.start()
+			c.play(t, bed, pending)
+			bed.waitExit()
 		})
 	}
 }
@@ -184,18 +184,18 @@
 }
 
 // run asks until stop is closed, with a pause of as many milliseconds as the client's number.
-func (p *persistentClient) run(t *testing.T, w *testbed, stop chan struct{}) {
-	c := w.dial()
+func (p *persistentClient) run(t *testing.T, bed *testbed, stop chan struct{}) {
+	c := bed.dial()
 	for id, again := uint64(1), false; ; {
 		fields := map[string]string{"txn": fmt.Sprintf("%08x%08x", p.number, id)}
 		_ = c.protocol.Send(request(id, "lookup", fields, ""))
-		a, err := c.read()
+		answer, err := c.read()
 		switch {
-		case err == nil && a.Error == "":
+		case err == nil && answer.Error == "":
 			p.served++
 			id, again = id+1, false
 		case err == nil:
-			t.Errorf("client %d: %+v, want it served", p.number, a)
+			t.Errorf("client %d: %+v, want it served", p.number, answer)
 			return
 		case again || !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE):
 			t.Errorf("client %d: request %d has no answer, sent again: %v: %v", p.number, id, again, err)
@@ -203,7 +203,7 @@
 		default:
 			p.crossed++
 			again = true
-			conn, err := net.Dial("tcp", w.address)
+			conn, err := net.Dial("tcp", bed.address)
 			if err != nil {
 				t.Errorf("client %d: request %d crossed the close, and nobody listens any more: %v", p.number, id, err)
 				return
@@ -222,9 +222,9 @@
 // TestRequestsCrossShutdown has clients ask one request after another until their connections are closed under them;
 // each must be answered.
 func TestRequestsCrossShutdown(t *testing.T) {
-	w := newTestbed(t, nil)
-	w.setDeadlines(1000)
-	w.start()
+	bed := newTestbed(t, nil)
+	bed.setDeadlines(1000)
+	bed.start()
 	var running sync.WaitGroup
 	stop := make(chan struct{})
 	var clients [8]persistentClient
@@ -233,14 +233,14 @@
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			clients[i].run(t, w, stop)
+			clients[i].run(t, bed, stop)
 		}()
 	}
-	at := w.terminate()
+	at := bed.terminate()
 	time.Sleep(time.Until(at.Add(1200 * time.Millisecond)))
 	close(stop)
 	running.Wait()
-	w.waitExit()
+	bed.waitExit()
 	crossed := 0
 	for _, c := range clients {
 		crossed += c.crossed
@@ -258,37 +258,37 @@
 func TestSIGTERMDuringAttempt(t *testing.T) {
 	t.Run("its dial", func(t *testing.T) {
 		t.Parallel()
-		w := newTestbed(t, nil, "c2")
-		w.listAt("c1", w.listenWithFullBacklog())
-		w.platformLimits()["dial-timeout-ms"] = 60000
-		w.start()
-		client := w.dial()
+		bed := newTestbed(t, nil, "c2")
+		bed.listAt("c1", bed.listenWithFullBacklog())
+		bed.platformLimits()["dial-timeout-ms"] = 60000
+		bed.start()
+		client := bed.dial()
 		client.send(request(1, "lookup", map[string]string{"limit": "3000"}, ""))
 		client.awaitRound(2)
-		w.terminate()
-		go w.endpoints.Serve("c1", w.fullListener)
-		if a := client.mustRead(); a.Error != "" {
-			t.Errorf("%+v, want it served", a)
+		bed.terminate()
+		go bed.endpoints.Serve("c1", bed.fullListener)
+		if answer := client.mustRead(); answer.Error != "" {
+			t.Errorf("%+v, want it served", answer)
 		}
-		w.waitExit()
+		bed.waitExit()
 	})
 	t.Run("half read", func(t *testing.T) {
 		t.Parallel()
-		w := newTestbed(t, nil)
-		origin := w.listenOn("127.0.0.1:0")
-		w.listAt("o1", origin.Addr().String())
-		w.start()
+		bed := newTestbed(t, nil)
+		origin := bed.listenOn("127.0.0.1:0")
+		bed.listAt("o1", origin.Addr().String())
+		bed.start()
 		half, terminated := make(chan struct{}), make(chan struct{})
 		go answerLargeRequestInHalves(origin, half, terminated)
-		client := w.dial()
+		client := bed.dial()
 		client.send(request(1, "charge", map[string]string{"unique": "k1"}, strings.Repeat("x", 47999)+"#"))
 		<-half
-		w.terminate()
+		bed.terminate()
 		close(terminated)
-		if a := client.mustRead(); a.Error != "" || len(a.Body) != 4 {
-			t.Errorf("%+v, want it served", a)
+		if answer := client.mustRead(); answer.Error != "" || len(answer.Body) != 4 {
+			t.Errorf("%+v, want it served", answer)
 		}
-		w.waitExit()
+		bed.waitExit()
 	})
 }
 
@@ -310,25 +310,25 @@
 // TestRestartWithoutDelay: a proxy that was killed with connections open left them in TIME_WAIT; the next one exited
 // with "address already in use", because the sockets had SO_REUSEPORT without SO_REUSEADDR.
 func TestRestartWithoutDelay(t *testing.T) {
-	w := newTestbed(t, nil)
+	bed := newTestbed(t, nil)
 	for round := range 3 {
-		w.start()
-		client := w.dial()
-		if a := client.ask(1, "footage", nil); a.Error != "" {
-			t.Fatalf("round %d: %+v, want it served", round, a)
+		bed.start()
+		client := bed.dial()
+		if answer := client.ask(1, "footage", nil); answer.Error != "" {
+			t.Fatalf("round %d: %+v, want it served", round, answer)
 		}
-		w.kill()
+		bed.kill()
 		_ = client.conn.Close()
 	}
 }
 
 // TestSecondProcessIsRejected: with SO_REUSEPORT a second program would share the address unnoticed.
 func TestSecondProcessIsRejected(t *testing.T) {
-	w := newTestbed(t, nil)
-	w.start()
+	bed := newTestbed(t, nil)
+	bed.start()
 	other := newTestbed(t, nil)
-	other.config["listen"] = w.address
-	other.address = w.address
+	other.config["listen"] = bed.address
+	other.address = bed.address
 	other.start() // the first one answers its status
 	if err := <-other.exited; err == nil {
 		t.Error("a second program listens on the same address, want it to exit with an error")
--- a/test/signals_test.go
+++ b/test/signals_test.go
@@ -26,46 +26,46 @@
 // waits for none of that: the program drains at once.
 func TestSIGTERMDuringReloads(t *testing.T) {
 	t.Parallel()
-	w := newTestbed(t, nil)
-	w.addSettings("# nothing")
-	w.start()
-	replaceByPipe(t, w.settingsPath)
+	bed := newTestbed(t, nil)
+	bed.addSettings("# nothing")
+	bed.start()
+	replaceByPipe(t, bed.settingsPath)
 	for range 30 {
-		w.signal(syscall.SIGHUP)
+		bed.signal(syscall.SIGHUP)
 		time.Sleep(2 * time.Millisecond) // signals that come at once are one
 	}
-	at := w.terminate()
+	at := bed.terminate()
 	if took := time.Since(at); took > time.Second {
 		t.Errorf("the program drains %v after SIGTERM, want it at once", took)
 	}
-	w.waitExit()
+	bed.waitExit()
 }
 
 // TestUnreadLogStopsNothing: nobody reads the log any more, and its pipe is full. Requests are served all the same, and
 // the program ends when it is told to, also once the pipe has no reader.
 func TestUnreadLogStopsNothing(t *testing.T) {
 	t.Parallel()
-	w := newTestbed(t, nil)
-	w.writeConfig()
+	bed := newTestbed(t, nil)
+	bed.writeConfig()
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer reader.Close()
 	fillPipe(t, writer)
-	w.launch(exec.Command(program, "serve", "--config", w.configPath), writer)
-	w.waitUntil("the program answers status", func() bool { return emulator.Ready(w.address) })
+	bed.launch(exec.Command(program, "serve", "--config", bed.configPath), writer)
+	bed.waitUntil("the program answers status", func() bool { return emulator.Ready(bed.address) })
 	_ = writer.Close()
-	client := w.dial()
+	client := bed.dial()
 	for id := range uint64(20) {
-		if a := client.ask(id+1, "footage", nil); a.Error != "" {
-			t.Fatalf("answer %+v, want the body served", a)
+		if answer := client.ask(id+1, "footage", nil); answer.Error != "" {
+			t.Fatalf("answer %+v, want the body served", answer)
 		}
 	}
 	_ = reader.Close()
-	w.signal(syscall.SIGTERM)
+	bed.signal(syscall.SIGTERM)
 	_ = client.conn.Close()
-	w.waitExit()
+	bed.waitExit()
 }
 
 // fillPipe writes to a pipe until it takes no more.
@@ -84,19 +84,19 @@
 // TestSIGHUPDuringStart: a configuration is put in place while the program starts. SIGHUP must not end it.
 func TestSIGHUPDuringStart(t *testing.T) {
 	t.Parallel()
-	w := newTestbed(t, nil)
-	w.writeConfig()
+	bed := newTestbed(t, nil)
+	bed.writeConfig()
 	settings := filepath.Join(t.TempDir(), "sloequay.conf")
 	writeFile(t, settings, "")
 	replaceByPipe(t, settings)
-	w.launch(exec.Command(program, "serve", "--config", w.configPath, "--conf", settings), &w.log)
+	bed.launch(exec.Command(program, "serve", "--config", bed.configPath, "--conf", settings), &bed.log)
 	pipe, err := os.OpenFile(settings, os.O_WRONLY, 0) // opens once the program reads it
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.signal(syscall.SIGHUP)
+	bed.signal(syscall.SIGHUP)
 	time.Sleep(100 * time.Millisecond) // for the signal to arrive, or the settings would be read before
 	_ = pipe.Close()
-	w.waitLogged("event=started")
-	w.expectRunning()
+	bed.waitLogged("event=started")
+	bed.expectRunning()
 }
--- a/test/stored_test.go
+++ b/test/stored_test.go
@@ -14,9 +14,9 @@
 	t.Helper()
 	dir := settingsFolder(t)
 	writeFile(t, filepath.Join(dir, "sloequay.conf"), settings)
-	w := newTestbed(t, nil)
-	w.writeConfig()
-	check := exec.Command(program, "check", "--print", "--config", w.configPath, "--conf", "sloequay.conf")
+	bed := newTestbed(t, nil)
+	bed.writeConfig()
+	check := exec.Command(program, "check", "--print", "--config", bed.configPath, "--conf", "sloequay.conf")
 	check.Dir = dir
 	printed, err := check.CombinedOutput()
 	if err != nil {
