--- a/test/syscalls_test.go
+++ b/test/syscalls_test.go
@@ -10,37 +10,37 @@
 // later ones. The program goes on, and clients that connected meanwhile are served.
 func TestSurvivesFailedAccepts(t *testing.T) {
 	t.Parallel()
-	w := newTestbed(t, nil)
-	w.startWithFaults("accept4=ENFILE@1-2,accept4=ENOBUFS@4-5,accept4=ECONNABORTED@7-8,accept4=ENOMEM@10-10," +
+	bed := newTestbed(t, nil)
+	bed.startWithFaults("accept4=ENFILE@1-2,accept4=ENOBUFS@4-5,accept4=ECONNABORTED@7-8,accept4=ENOMEM@10-10," +
 		"accept4=EPROTO@12-12,accept4=ENETUNREACH@14-14,accept4=EMFILE@16-18")
 	for range 12 {
-		client := w.dial()
-		if a := client.ask(5, "footage", nil); a.Error != "" || a.Body != "7f3a9c21e0b4d655" {
-			t.Fatalf("answer %+v, want the body served", a)
+		client := bed.dial()
+		if answer := client.ask(5, "footage", nil); answer.Error != "" || answer.Body != "7f3a9c21e0b4d655" {
+			t.Fatalf("answer %+v, want the body served", answer)
 		}
 	}
-	w.expectRunning()
+	bed.expectRunning()
 }
 
 // TestSurvivesFailedConnects: new connections to endpoints fail for want of something on this machine, for a moment at
 // a time. That says nothing of the endpoints: requests wait for it to pass and are served, and no endpoint is ejected.
 func TestSurvivesFailedConnects(t *testing.T) {
 	t.Parallel()
-	w := newTestbed(t, nil)
-	w.startWithFaults("connect=EADDRNOTAVAIL%0.4,connect=ENOBUFS%0.2,socket=ENFILE%0.3")
+	bed := newTestbed(t, nil)
+	bed.startWithFaults("connect=EADDRNOTAVAIL%0.4,connect=ENOBUFS%0.2,socket=ENFILE%0.3")
 	for id := range uint64(60) {
-		client := w.dial()
-		a := client.ask(id+1, "footage", map[string]string{"item": hexID(id + 1), "limit": "3000"})
-		if a.Error != "" {
-			t.Errorf("answer %+v, want the body served", a)
+		client := bed.dial()
+		answer := client.ask(id+1, "footage", map[string]string{"item": hexID(id + 1), "limit": "3000"})
+		if answer.Error != "" {
+			t.Errorf("answer %+v, want the body served", answer)
 		}
 		_ = client.conn.Close()
 		for _, id := range []string{"c1", "c2", "p1", "o1"} {
-			w.endpoints.ResetConnections(id)
+			bed.endpoints.ResetConnections(id)
 		}
 	}
 	for _, fault := range []string{"ejected", "endpoints=0"} {
-		if w.logged(fault) {
+		if bed.logged(fault) {
 			t.Errorf("%q is logged, want no endpoint blamed", fault)
 		}
 	}
@@ -49,11 +49,11 @@
 // TestStartsDespiteFailedCalls: what the start needs of the system fails for a moment.
 func TestStartsDespiteFailedCalls(t *testing.T) {
 	t.Parallel()
-	w := newTestbed(t, nil)
-	w.enableDNS("")
-	w.startWithFaults("socket=ENFILE@1-3,socket=ENOBUFS@5-6,connect=ENETUNREACH@1-2,epoll_ctl=ENOMEM@3-3")
-	if a := w.dial().ask(5, "footage", nil); a.Error != "" {
-		t.Errorf("answer %+v, want the body served", a)
+	bed := newTestbed(t, nil)
+	bed.enableDNS("")
+	bed.startWithFaults("socket=ENFILE@1-3,socket=ENOBUFS@5-6,connect=ENETUNREACH@1-2,epoll_ctl=ENOMEM@3-3")
+	if answer := bed.dial().ask(5, "footage", nil); answer.Error != "" {
+		t.Errorf("answer %+v, want the body served", answer)
 	}
 }
 
@@ -61,12 +61,12 @@
 // What the proxy was to keep is kept as soon as the disk works again.
 func TestSnapshotIsWrittenOnceTheDiskIsBack(t *testing.T) {
 	t.Parallel()
-	w := newTestbed(t, nil)
+	bed := newTestbed(t, nil)
 	file := filepath.Join(t.TempDir(), "list")
-	w.addSettings("snapshot {", "file "+file, "every 200ms", "oldest 24h", "}")
-	w.startWithFaults("fsync=EIO@1-2,rename=ENOSPC@1-1")
-	w.waitLogged("event=snapshot-write-failed")
-	w.waitUntil("the snapshot is there", func() bool {
+	bed.addSettings("snapshot {", "file "+file, "every 200ms", "oldest 24h", "}")
+	bed.startWithFaults("fsync=EIO@1-2,rename=ENOSPC@1-1")
+	bed.waitLogged("event=snapshot-write-failed")
+	bed.waitUntil("the snapshot is there", func() bool {
 		_, err := os.Stat(file)
 		return err == nil
 	})
--- a/test/tls_test.go
+++ b/test/tls_test.go
@@ -15,14 +15,14 @@
 func TestTLSListener(t *testing.T) {
 	t.Parallel()
 	large := strings.Repeat("x", 240_000)
-	w := newTLSTestbed(t, func(a *receivedRequest) {
-		if a.Fields["profile"] == "charge" {
-			a.Answer("ACK", "-", "posted")
+	bed := newTLSTestbed(t, func(attempt *receivedRequest) {
+		if attempt.Fields["profile"] == "charge" {
+			attempt.Answer("ACK", "-", "posted")
 			return
 		}
-		a.Answer("ACK", "tag=t1", large)
+		attempt.Answer("ACK", "tag=t1", large)
 	})
-	w.start()
+	bed.start()
 	for _, c := range []struct{ name, class, err, reason, body string }{
 		{"lane3.lanes.test", "charge", "", "", "posted"},
 		{"t7.staff.test", "charge", "Denied", "right", ""},
@@ -30,14 +30,14 @@
 		{"t8.staff.test", "lookup", "Denied", "unsigned", ""},
 		{"", "charge", "Denied", "unsigned", ""},
 	} {
-		config := w.clientConfig(c.name)
+		config := bed.clientConfig(c.name)
 		for round := range 2 {
-			client := w.dialTLS(config)
-			a := client.ask(1, c.class, map[string]string{"unique": fmt.Sprint(c.name, round),
+			client := bed.dialTLS(config)
+			answer := client.ask(1, c.class, map[string]string{"unique": fmt.Sprint(c.name, round),
 				"txn": hexID(len(c.name)*2 + round)})
-			if a.Error != c.err || a.Fields["reason"] != c.reason || a.Body != c.body {
+			if answer.Error != c.err || answer.Fields["reason"] != c.reason || answer.Body != c.body {
 				t.Errorf("%q, %s, round %d: error %q, reason %q, %d bytes, want %q, %q, %d bytes", c.name, c.class,
-					round, a.Error, a.Fields["reason"], len(a.Body), c.err, c.reason, len(c.body))
+					round, answer.Error, answer.Fields["reason"], len(answer.Body), c.err, c.reason, len(c.body))
 			}
 			if resumed := client.conn.(*tls.Conn).ConnectionState().DidResume; resumed != (round == 1) {
 				t.Errorf("%q, round %d: resumed %v, want %v", c.name, round, resumed, round == 1)
@@ -45,7 +45,7 @@
 			_ = client.conn.Close()
 		}
 	}
-	if charges := w.attemptsOfClass("charge"); len(charges) != 2 {
+	if charges := bed.attemptsOfClass("charge"); len(charges) != 2 {
 		t.Errorf("%d charges reached an endpoint, want the lane's two", len(charges))
 	}
 }
@@ -75,47 +75,47 @@
 // and an old version are closed in time, logged once a source, and keep nobody else out.
 func TestTLSListenerRejects(t *testing.T) {
 	t.Parallel()
-	w := newTLSTestbed(t, nil)
-	w.start()
+	bed := newTLSTestbed(t, nil)
+	bed.start()
 	var slow []net.Conn
 	for range 3 { // of the four places
-		slow = append(slow, dialAndWrite(t, w.tlsAddress, "\x16\x03\x01\x02"))
+		slow = append(slow, dialAndWrite(t, bed.tlsAddress, "\x16\x03\x01\x02"))
 	}
-	plain := dialAndWrite(t, w.tlsAddress, string(request(1, "lookup", nil, "")))
+	plain := dialAndWrite(t, bed.tlsAddress, string(request(1, "lookup", nil, "")))
 	expectClosed(t, "plain text to the TLS listener", plain)
-	good := w.dialTLS(w.clientConfig("lane3.lanes.test"))
-	if a := good.ask(1, "lookup", nil); a.Error != "" {
-		t.Errorf("beside slow handshakes: %+v, want it served", a)
+	good := bed.dialTLS(bed.clientConfig("lane3.lanes.test"))
+	if answer := good.ask(1, "lookup", nil); answer.Error != "" {
+		t.Errorf("beside slow handshakes: %+v, want it served", answer)
 	}
 	for _, conn := range slow {
 		expectClosed(t, "half a handshake", conn)
 	}
-	old := w.clientConfig("lane3.lanes.test")
+	old := bed.clientConfig("lane3.lanes.test")
 	old.MaxVersion = tls.VersionTLS12
-	if conn, err := tls.Dial("tcp", w.tlsAddress, old); err == nil {
+	if conn, err := tls.Dial("tcp", bed.tlsAddress, old); err == nil {
 		_ = conn.Close()
 		t.Error("a handshake by TLS 1.2 succeeded, want it rejected")
 	}
 	dialer := &net.Dialer{Timeout: waitLimit}
-	if conn, err := tls.DialWithDialer(dialer, "tcp", w.address, w.clientConfig("")); err == nil {
+	if conn, err := tls.DialWithDialer(dialer, "tcp", bed.address, bed.clientConfig("")); err == nil {
 		_ = conn.Close()
 		t.Error("a handshake with the plain listener succeeded, want it rejected")
 	}
-	stranger := w.clientConfig("")
+	stranger := bed.clientConfig("")
 	stranger.Certificates = []tls.Certificate{makeCertificate(t, newAuthority(t), "lane3.lanes.test")}
 	// The rejection of a client's certificate comes with the first read.
-	if conn, err := tls.Dial("tcp", w.tlsAddress, stranger); err == nil {
+	if conn, err := tls.Dial("tcp", bed.tlsAddress, stranger); err == nil {
 		expectClosed(t, "a certificate of another authority", conn)
 		if _, err := conn.Write(request(1, "lookup", nil, "")); err == nil {
 			t.Error("a certificate of another authority: the connection stands, want it closed")
 		}
 	}
-	w.waitLogged("event=tls-handshake-failed")
-	if n := w.timesLogged("event=tls-handshake-failed"); n != 1 {
+	bed.waitLogged("event=tls-handshake-failed")
+	if n := bed.timesLogged("event=tls-handshake-failed"); n != 1 {
 		t.Errorf("%d lines of failed handshakes with one source, want 1", n)
 	}
-	if a := good.ask(2, "lookup", nil); a.Error != "" {
-		t.Errorf("after all that: %+v, want it served", a)
+	if answer := good.ask(2, "lookup", nil); answer.Error != "" {
+		t.Errorf("after all that: %+v, want it served", answer)
 	}
 }
 
@@ -123,39 +123,39 @@
 // not fit its key leaves the old one in force.
 func TestCertificateSwap(t *testing.T) {
 	t.Parallel()
-	w := newTLSTestbed(t, nil)
-	w.start()
-	config := w.clientConfig("lane3.lanes.test")
+	bed := newTLSTestbed(t, nil)
+	bed.start()
+	config := bed.clientConfig("lane3.lanes.test")
 	serial := func(c *client) string {
 		return c.conn.(*tls.Conn).ConnectionState().PeerCertificates[0].SerialNumber.String()
 	}
-	standing := w.dialTLS(config)
+	standing := bed.dialTLS(config)
 	first := serial(standing)
-	half, err := net.Dial("tcp", w.tlsAddress)
+	half, err := net.Dial("tcp", bed.tlsAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer half.Close()
-	sound := readFile(t, w.key)
-	_, otherKey := makeCertificateFiles(t, w.authority, "other", "doorman.test")
-	writeFile(t, w.key, readFile(t, otherKey))
-	w.waitLogged("event=keys-rejected")
-	if got := serial(w.dialTLS(w.clientConfig("lane4.lanes.test"))); got != first {
+	sound := readFile(t, bed.key)
+	_, otherKey := makeCertificateFiles(t, bed.authority, "other", "doorman.test")
+	writeFile(t, bed.key, readFile(t, otherKey))
+	bed.waitLogged("event=keys-rejected")
+	if got := serial(bed.dialTLS(bed.clientConfig("lane4.lanes.test"))); got != first {
 		t.Errorf("with a key that does not fit, the certificate is %s, want the old %s", got, first)
 	}
-	writeFile(t, w.key, sound)
-	makeCertificateFiles(t, w.authority, "server", "doorman.test")
-	w.waitUntil("the next certificate is in force", func() bool {
-		return serial(w.dialTLS(w.clientConfig("lane5.lanes.test"))) != first
+	writeFile(t, bed.key, sound)
+	makeCertificateFiles(t, bed.authority, "server", "doorman.test")
+	bed.waitUntil("the next certificate is in force", func() bool {
+		return serial(bed.dialTLS(bed.clientConfig("lane5.lanes.test"))) != first
 	})
-	if a := standing.ask(1, "lookup", nil); a.Error != "" {
-		t.Errorf("by the connection that stood: %+v, want it served", a)
+	if answer := standing.ask(1, "lookup", nil); answer.Error != "" {
+		t.Errorf("by the connection that stood: %+v, want it served", answer)
 	}
 	finished := tls.Client(half, config)
 	if err := finished.Handshake(); err == nil { // it may have run out of time
 		client := newClient(t, finished)
-		if a := client.ask(1, "lookup", map[string]string{"txn": "00000000000000ff"}); a.Error != "" {
-			t.Errorf("by the handshake that was half done: %+v, want it served", a)
+		if answer := client.ask(1, "lookup", map[string]string{"txn": "00000000000000ff"}); answer.Error != "" {
+			t.Errorf("by the handshake that was half done: %+v, want it served", answer)
 		}
 	}
 }
@@ -163,22 +163,22 @@
 // TestTLSConnectionsReleaseDescriptors: connections that end leave no descriptor behind, whichever side ends them.
 func TestTLSConnectionsReleaseDescriptors(t *testing.T) {
 	t.Parallel()
-	w := newTLSTestbed(t, nil)
-	w.start()
-	config := w.clientConfig("lane3.lanes.test")
-	w.dialTLS(config).send(request(1, "lookup", nil, ""))
-	w.waitFirstAttempt() // a connection to an endpoint stands
-	base := w.openDescriptors()
+	bed := newTLSTestbed(t, nil)
+	bed.start()
+	config := bed.clientConfig("lane3.lanes.test")
+	bed.dialTLS(config).send(request(1, "lookup", nil, ""))
+	bed.waitFirstAttempt() // a connection to an endpoint stands
+	base := bed.openDescriptors()
 	for n := range 20 {
-		client := w.dialTLS(config)
+		client := bed.dialTLS(config)
 		client.ask(1, "lookup", map[string]string{"txn": hexID(n + 100)})
 		if n%2 == 0 {
 			client.send([]byte{0xc1, 0xc1, 0xc1}) // what can't be read has the program end it
-			if a, err := client.read(); err == nil {
-				t.Errorf("%+v answers what can't be read, want the end of the connection", a)
+			if answer, err := client.read(); err == nil {
+				t.Errorf("%+v answers what can't be read, want the end of the connection", answer)
 			}
 		}
 		_ = client.conn.Close()
 	}
-	w.waitUntil("the descriptors are given back", func() bool { return w.openDescriptors() <= base })
+	bed.waitUntil("the descriptors are given back", func() bool { return bed.openDescriptors() <= base })
 }
--- a/test/upstream_tls_test.go
+++ b/test/upstream_tls_test.go
@@ -37,53 +37,53 @@
 func TestUpstreamTLS(t *testing.T) {
 	t.Parallel()
 	large := strings.Repeat("y", 200_000)
-	w := newTestbed(t, func(a *receivedRequest) { a.Answer("ACK", "tag=t1", large) })
+	bed := newTestbed(t, func(attempt *receivedRequest) { attempt.Answer("ACK", "tag=t1", large) })
 	authority := newAuthority(t)
 	shown := &shownNames{names: map[string]int{}}
-	w.serveTLS(authority, "c1", "c1.boxes.test", shown.add)
-	w.serveTLS(authority, "c2", "c1.boxes.test", shown.add) // an impostor
+	bed.serveTLS(authority, "c1", "c1.boxes.test", shown.add)
+	bed.serveTLS(authority, "c2", "c1.boxes.test", shown.add) // an impostor
 	dir := t.TempDir()
 	cert, key := filepath.Join(dir, "our.pem"), filepath.Join(dir, "our.key")
 	firstCert, firstKey := makeCertificateFiles(t, authority, "doorman-1", "doorman-1.test")
 	replaceFile(t, firstCert, cert)
 	replaceFile(t, firstKey, key)
-	w.addSettings("box-tls {", "ca "+authority.File, "cert "+cert, "key "+key, "suffix .boxes.test",
+	bed.addSettings("box-tls {", "ca "+authority.File, "cert "+cert, "key "+key, "suffix .boxes.test",
 		"site hub {", "plain on", "}", "}")
-	w.start()
-	client := w.dial()
+	bed.start()
+	client := bed.dial()
 	var id atomic.Uint64
 	ask := func() reply {
 		n := id.Add(1)
 		return client.ask(n, "footage", map[string]string{"item": hexID(n)})
 	}
 	for range 30 {
-		if a := ask(); a.Error != "" || a.Body != large {
-			t.Fatalf("by TLS: error %q, %d bytes, want %d bytes served", a.Error, len(a.Body), len(large))
+		if answer := ask(); answer.Error != "" || answer.Body != large {
+			t.Fatalf("by TLS: error %q, %d bytes, want %d bytes served", answer.Error, len(answer.Body), len(large))
 		}
 	}
 	sent := map[string]int{}
-	for _, a := range w.attempts() {
-		sent[a.Endpoint]++
-		if a.Fields["via"] == "c2" {
-			t.Errorf("%+v names the impostor c2 as the source, want it used for nothing", a)
+	for _, attempt := range bed.attempts() {
+		sent[attempt.Endpoint]++
+		if attempt.Fields["via"] == "c2" {
+			t.Errorf("%+v names the impostor c2 as the source, want it used for nothing", attempt)
 		}
 	}
 	if sent["c1"] == 0 || sent["c2"] > 0 {
 		t.Errorf("attempts by endpoint: %v, want c1 and not c2, whose certificate is another's", sent)
 	}
-	w.waitLogMatches(`event=upstream-connect-failed endpoint=c2 .*not c2\.boxes\.test`)
-	stop := w.startDistinctRequests()
+	bed.waitLogMatches(`event=upstream-connect-failed endpoint=c2 .*not c2\.boxes\.test`)
+	stop := bed.startDistinctRequests()
 	nextCert, nextKey := makeCertificateFiles(t, authority, "doorman-2", "doorman-2.test")
 	replaceFile(t, nextCert, cert) // the key is still the old one's: not taken over
-	w.waitLogged("event=keys-rejected")
+	bed.waitLogged("event=keys-rejected")
 	replaceFile(t, nextKey, key)
-	w.waitLogged("event=tls-reloaded")
+	bed.waitLogged("event=tls-reloaded")
 	if counts := shown.counts(); counts["doorman-1.test"] == 0 || counts["doorman-2.test"] > 0 {
 		t.Errorf("certificates shown by then: %v, want the first alone, as connections stand", counts)
 	}
 	stop()
-	w.endpoints.ResetConnections("c1") // connections that stand go on by the old one; new ones show the new
-	w.waitUntil("the new certificate is shown", func() bool {
+	bed.endpoints.ResetConnections("c1") // connections that stand go on by the old one; new ones show the new
+	bed.waitUntil("the new certificate is shown", func() bool {
 		ask()
 		return shown.counts()["doorman-2.test"] > 0
 	})
@@ -91,10 +91,10 @@
 
 // startDistinctRequests sends one request after another, which are spread over all endpoints by their ids, until the
 // returned function is called. It fails if one is not served.
-func (w *testbed) startDistinctRequests() (stop func()) {
-	w.t.Helper()
+func (bed *testbed) startDistinctRequests() (stop func()) {
+	bed.t.Helper()
 	over, done := make(chan struct{}), make(chan struct{})
-	load := w.dial()
+	load := bed.dial()
 	go func() {
 		defer close(done)
 		for n := uint64(1); ; n++ {
@@ -104,8 +104,8 @@
 			case <-time.After(time.Millisecond):
 			}
 			load.send(request(n, "footage", map[string]string{"txn": fmt.Sprintf("00000000000f%04x", n%16)}, ""))
-			if a, err := load.read(); err != nil || a.Error != "" {
-				w.t.Errorf("while certificates change: %+v, %v, want it served", a, err)
+			if answer, err := load.read(); err != nil || answer.Error != "" {
+				bed.t.Errorf("while certificates change: %+v, %v, want it served", answer, err)
 				return
 			}
 		}
