--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter runs many instances of the policy engine on the simulator's wire: batches on standard input, one
-// reply each on standard output. It decides nothing.
+// Command adapter runs the policy engines of many proxies on the simulator's wire: batches on standard input, one reply
+// to each on standard output. It decides nothing.
 package main
 
 import (
@@ -13,6 +13,9 @@
 	"sloequay/internal/simwire"
 )
 
+// inputBufferSize is in bytes.
+const inputBufferSize = 1 << 20
+
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
@@ -20,17 +23,17 @@
 	}
 }
 
-// inputBufferBytes is how much of the input is read at once.
-const inputBufferBytes = 1 << 20
+// engines are the policy engines by instance.
+type engines map[uint32]*policy.Engine
 
 // run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	reader := bufio.NewReaderSize(in, inputBufferBytes)
-	engines := map[uint32]*policy.Engine{}
+	input := bufio.NewReaderSize(in, inputBufferSize)
+	instances := engines{}
 	var batch simwire.Batch
 	var reply simwire.Reply
 	for {
-		err := simwire.ReadBatch(reader, &batch)
+		err := simwire.ReadBatch(input, &batch)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -38,7 +41,7 @@
 			return err
 		}
 		reply.Reset(batch.Seq)
-		if err := answer(&batch, &reply, engines); err != nil {
+		if err := instances.handleBatch(&batch, &reply); err != nil {
 			return err
 		}
 		if _, err := out.Write(reply.Bytes()); err != nil {
@@ -47,8 +50,8 @@
 	}
 }
 
-// answer hands every record of the batch to its instance and collects the actions.
-func answer(batch *simwire.Batch, reply *simwire.Reply, engines map[uint32]*policy.Engine) error {
+// handleBatch hands each record of a batch to its instance and collects the actions.
+func (e engines) handleBatch(batch *simwire.Batch, reply *simwire.Reply) error {
 	for {
 		record, err := batch.Next()
 		if errors.Is(err, io.EOF) {
@@ -63,28 +66,28 @@
 			if err != nil {
 				return fmt.Errorf("HELLO of instance %d: %w", record.Instance, err)
 			}
-			engines[record.Instance] = engine
+			e[record.Instance] = engine
 		case record.Down:
-			delete(engines, record.Instance)
-		default:
-			engine := engines[record.Instance]
-			if engine != nil && !handle(engine, batch, record, reply) {
-				delete(engines, record.Instance)
-			}
+			delete(e, record.Instance)
+		case record.Event != nil:
+			e.handleEvent(batch, record, reply)
 		}
 	}
 }
 
-// handle passes one event on. A panic of the engine becomes a FATAL of that instance and the result false.
-func handle(engine *policy.Engine, batch *simwire.Batch, record simwire.Record, reply *simwire.Reply) (ok bool) {
+// handleEvent passes one event on. A panic of an engine becomes a FATAL of its instance, which handles nothing more.
+func (e engines) handleEvent(batch *simwire.Batch, record simwire.Record, reply *simwire.Reply) {
+	engine := e[record.Instance]
+	if engine == nil {
+		return
+	}
 	defer func() {
-		if cause := recover(); cause != nil {
-			reply.Fatal(record.Instance, fmt.Sprint(cause))
-			ok = false
+		if reason := recover(); reason != nil {
+			reply.Fatal(record.Instance, fmt.Sprint(reason))
+			delete(e, record.Instance)
 		}
 	}()
 	for _, action := range engine.Handle(batch.Now, record.Event) {
 		reply.Add(record.Instance, action)
 	}
-	return true
 }
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -95,8 +95,8 @@
 	if err == nil || !strings.Contains(err.Error(), "code 44") {
 		t.Errorf("unknown code: %v", err)
 	}
-	emptySettings := join([]byte{0}, u32(1), u64(1), u32(2), []byte("{}"))
-	err = run(bytes.NewReader(batch(1000, 1, 1, emptySettings)), &bytes.Buffer{})
+	noClasses := join([]byte{0}, u32(1), u64(1), u32(2), []byte("{}"))
+	err = run(bytes.NewReader(batch(1000, 1, 1, noClasses)), &bytes.Buffer{})
 	if err == nil || !strings.Contains(err.Error(), "Classes") {
 		t.Errorf("settings without a class: %v", err)
 	}
--- a/cmd/chart/main.go
+++ b/cmd/chart/main.go
@@ -1,4 +1,4 @@
-// Command chart draws the time line that `sloequay drill --report DIR` leaves: DIR/timeline.json becomes
+// Command chart draws the time line that `sloequay drill --report DIR` leaves: from DIR/timeline.json it makes
 // DIR/timeline.svg.
 package main
 
@@ -13,6 +13,12 @@
 	"sloequay/internal/drill/chart"
 )
 
+// The files in a report's folder.
+const (
+	timelineFile = "timeline.json"
+	chartFile    = "timeline.svg"
+)
+
 func main() {
 	if err := run(os.Args[1:]); err != nil {
 		fmt.Fprintln(os.Stderr, "chart:", err)
@@ -20,23 +26,22 @@
 	}
 }
 
-// run draws the time line of the report's folder that the arguments name.
 func run(args []string) error {
 	if len(args) != 1 {
 		return errors.New("expected the folder of a report")
 	}
-	dir := args[0]
-	text, err := os.ReadFile(filepath.Join(dir, "timeline.json"))
+	folder := args[0]
+	text, err := os.ReadFile(filepath.Join(folder, timelineFile))
 	if err != nil {
 		return err
 	}
 	var timeline drill.Timeline
 	if err := json.Unmarshal(text, &timeline); err != nil {
-		return fmt.Errorf("timeline.json: %w", err)
+		return fmt.Errorf("%s: %w", timelineFile, err)
 	}
 	svg, err := chart.SVG(timeline)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(filepath.Join(dir, "timeline.svg"), svg, 0o600)
+	return os.WriteFile(filepath.Join(folder, chartFile), svg, 0o600)
 }
--- a/internal/broker/attempt.go
+++ b/internal/broker/attempt.go
@@ -116,12 +116,10 @@
 	}
 	b.notify(policy.ResponseEvent{
 		ID:        request.id,
-		Endpoint:  attempt.Endpoint.ID,
 		Attempt:   attempt.Number,
 		Elapsed:   b.now - attempt.decidedAt,
 		Concluded: request.state == requestEnded,
 		Note:      event.Note,
-		FirstByte: event.SourceDelay,
 		Status:    end.status(),
 	})
 }
--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -93,7 +93,7 @@
 	} else if err = os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s: %d proxies, seed %d, %v\n", plan.File, plan.Proxies, options.seed, plan.Lasts)
+	fmt.Fprintf(out, "%s: %d proxies, seed %d, %v\n", plan.File, plan.Proxies, options.seed, plan.Duration)
 	result, err := drill.Run(plan, self, dir, options.seed, out)
 	if err != nil {
 		return err
--- a/internal/membership/consul/blockingquery/blockingquery.go
+++ b/internal/membership/consul/blockingquery/blockingquery.go
@@ -50,11 +50,8 @@
 	actions  []Action // what Step returns; reused
 }
 
-// New makes a watch that has queried nothing, with agents of its own.
-func New(config Config) *Watch { return NewWithAgents(config, NewSharedAgents(config.AgentCount)) }
-
-// NewWithAgents makes a watch that shares its agents with others.
-func NewWithAgents(config Config, shared *SharedAgents) *Watch {
+// New makes a watch that shares its agents with others.
+func New(config Config, shared *SharedAgents) *Watch {
 	return &Watch{
 		config:   config,
 		shared:   shared,
--- a/internal/membership/due.go
+++ b/internal/membership/due.go
@@ -19,8 +19,6 @@
 	sequence uint64
 }
 
-func (d *dueTimes) len() int { return len(d.heap) }
-
 func (d *dueTimes) add(due dueTime) {
 	d.sequence++
 	due.sequence = d.sequence
