--- a/test/cancellation_test.go
+++ b/test/cancellation_test.go
@@ -24,7 +24,7 @@
 	patient := map[string]string{"limit": "60000"} // or the deadline would call the attempts off
 	one.send(request(1, "footage", patient, ""))
 	first := <-pending
-	one.send(withdrawal(1))
+	one.send(cancelNotice(1))
 	waitCancellations(1)
 	two.send(request(2, "footage", patient, ""))
 	<-pending
@@ -48,7 +48,7 @@
 		ends        func(bed *testbed, c *client)
 	}{
 		{"the client takes it back", "1500", func(_ *testbed, c *client) {
-			c.send(withdrawal(1))
+			c.send(cancelNotice(1))
 			c.awaitRound(9)
 		}},
 		{"the client goes", "1500", func(_ *testbed, c *client) { _ = c.conn.Close() }},
--- a/test/catalogue_test.go
+++ b/test/catalogue_test.go
@@ -281,10 +281,10 @@
 func TestCatalogueRegistration(t *testing.T) {
 	t.Parallel()
 	bed := newTestbed(t, nil)
-	cluster, agents := bed.enableCatalogue(1, "register {\nservice doorman\nttl 1s\n}")
+	cluster, agents := bed.enableCatalogue(1, "register {\nservice proxy\nttl 1s\n}")
 	bed.start()
 	registered := func() bool {
-		instances := cluster.Instances("doorman")
+		instances := cluster.Instances("proxy")
 		return len(instances) == 1 && instances[0].ID == "n1" &&
 			instances[0].Checks[0].Status == consul.Passing &&
 			fmt.Sprint(instances[0].Address, ":", instances[0].Port) == bed.address
@@ -294,7 +294,7 @@
 	bed.waitUntil("it is registered again", registered)
 	time.Sleep(1200 * time.Millisecond) // longer than the TTL
 	if !registered() {
-		t.Errorf("it is not kept: %+v", cluster.Instances("doorman"))
+		t.Errorf("it is not kept: %+v", cluster.Instances("proxy"))
 	}
 	client := bed.dial()
 	bed.setResponder(func(attempt *receivedRequest) {
@@ -304,7 +304,7 @@
 	client.send(request(1, "footage", nil, ""))
 	bed.waitFirstAttempt()
 	bed.signal(syscall.SIGTERM)
-	bed.waitUntil("it has taken itself out", func() bool { return len(cluster.Instances("doorman")) == 0 })
+	bed.waitUntil("it has taken itself out", func() bool { return len(cluster.Instances("proxy")) == 0 })
 	if answer := client.mustRead(); answer.Body != "late" {
 		t.Errorf("%+v, want the open request served after that", answer)
 	}
--- a/test/clients_test.go
+++ b/test/clients_test.go
@@ -80,7 +80,7 @@
 		"a key without end":                     with("unique", strings.Repeat("k", 200)),
 		"a tag that an endpoint might not read": with("got", "\xff"),
 		"two requests under one number":         append(bytes.Clone(plain), plain...),
-		"a request taken back at once":          append(append(bytes.Clone(plain), withdrawal(1)...), 0xc1),
+		"a request taken back at once":          append(append(bytes.Clone(plain), cancelNotice(1)...), 0xc1),
 		"hundreds of requests at once":          requestFlood(300),
 		"an answer instead of a request":        {0x94, 0x01, 0x09, 0xc0, 0xc0},
 		"a limit that is none":                  with("limit", "-5"),
--- a/test/cpu_test.go
+++ b/test/cpu_test.go
@@ -15,7 +15,7 @@
 	cpuRequests = flag.Int("cpu-requests", 0, "requests by which the program's CPU is measured; 0: it is not")
 	cpuProgram  = flag.String("cpu-program", "", "another build of the program, to compare with")
 	cpuBy       = flag.String("cpu-by", "plain", "how callers show who they are: plain (identity is off), "+
-		"unsigned, token, new-token, tls; or box-tls, where boxes are behind TLS")
+		"unsigned, token, new-token, tls; or box-tls, where endpoints are behind TLS")
 )
 
 // TestCPU sends requests in a steady window of 16 and tells the CPU that the program took for each, its start left
@@ -74,10 +74,10 @@
 	case "box-tls":
 		authority := newAuthority(t)
 		for id := range bed.listeners {
-			bed.serveTLS(authority, id, id+".boxes.test", func(string) {})
+			bed.serveTLS(authority, id, id+".endpoints.test", func(string) {})
 		}
-		cert, key := makeCertificateFiles(t, authority, "doorman", "doorman.test")
-		bed.addSettings("box-tls {", "ca "+authority.File, "cert "+cert, "key "+key, "suffix .boxes.test", "}")
+		cert, key := makeCertificateFiles(t, authority, "proxy", "proxy.test")
+		bed.addSettings("box-tls {", "ca "+authority.File, "cert "+cert, "key "+key, "suffix .endpoints.test", "}")
 	default:
 		keys := bed.enableIdentity("checks 1000000/s\nchecks-connection 1000000/s\nchecks-source 1000000/s")
 		bed.start()
@@ -108,7 +108,7 @@
 	for i := range tokens {
 		claims := identity.Claims{ID: fmt.Sprint("n", i), Subject: "lane-1", Tenant: "lanes",
 			Issued: now, Expires: now + time.Hour}
-		if tokens[i], err = identity.Sign(claims, "doorman", identity.EdDSA, "k1", private); err != nil {
+		if tokens[i], err = identity.Sign(claims, "proxy", identity.EdDSA, "k1", private); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -292,7 +292,7 @@
 			return err
 		}
 		if c.faults.withdrawEvery > 0 && id%uint64(c.faults.withdrawEvery) == 0 {
-			_ = c.protocol.Send(withdrawal(id))
+			_ = c.protocol.Send(cancelNotice(id))
 			delete(c.open, id)
 			c.withdrawn[id] = true
 		}
@@ -407,7 +407,7 @@
 	client := bed.dial()
 	for id := uint64(1); id <= 3000; id++ {
 		client.send(request(id, "footage", map[string]string{"limit": "3600000"}, ""))
-		client.send(withdrawal(id))
+		client.send(cancelNotice(id))
 		if id%16 == 0 { // else they would be taken back in the round they came in, and not be taken up
 			client.awaitRound(id)
 			bed.waitUntil("nothing is open", func() bool { return bed.stateCounts(socket)["pool.0.open"] == 0 })
--- a/test/harness_clients_test.go
+++ b/test/harness_clients_test.go
@@ -110,8 +110,8 @@
 	return frames
 }
 
-// withdrawal is the notice that takes a request back. Small ids are written in one byte, others in five.
-func withdrawal(id uint64) []byte {
+// cancelNotice is the notice that takes a request back. Small ids are written in one byte, others in five.
+func cancelNotice(id uint64) []byte {
 	frame := []byte("\x93\x02\xa8withdraw\x91")
 	if id < 128 {
 		return append(frame, byte(id))
@@ -124,7 +124,7 @@
 	name    string
 	abandon func(c *client, id uint64)
 }{
-	{"withdraw", func(c *client, id uint64) { c.send(withdrawal(id)) }},
+	{"withdraw", func(c *client, id uint64) { c.send(cancelNotice(id)) }},
 	{"close", func(c *client, _ uint64) { _ = c.conn.Close() }},
 	{"reset", func(c *client, _ uint64) {
 		_ = c.conn.(*net.TCPConn).SetLinger(0)
--- a/test/harness_identity_test.go
+++ b/test/harness_identity_test.go
@@ -44,7 +44,7 @@
 func (k keyring) token(subject, tenant string, life time.Duration) string {
 	k.t.Helper()
 	return k.must("token", "sign", "--subject", subject, "--tenant", tenant, "--life", life.String(),
-		"--audience", "doorman")
+		"--audience", "proxy")
 }
 
 // enableIdentity turns identity on: lanes may charge, staff may look up, and callers without a token may do what
@@ -53,7 +53,7 @@
 	bed.t.Helper()
 	keys := newKeyring(bed.t)
 	keys.must("key", "new", "--id", "k1")
-	bed.addSettings("identity {", "keys "+keys.dir, "audience doorman", "skew 0s",
+	bed.addSettings("identity {", "keys "+keys.dir, "audience proxy", "skew 0s",
 		"role reader {", "right lookup footage", "}",
 		"tenant lanes {", "right charge", "role reader", "}",
 		"tenant staff {", "role reader", "}",
@@ -105,7 +105,7 @@
 func newTLSTestbed(t *testing.T, respond func(*receivedRequest)) *tlsTestbed {
 	t.Helper()
 	bed := &tlsTestbed{testbed: newTestbed(t, respond), authority: newAuthority(t)}
-	bed.cert, bed.key = makeCertificateFiles(t, bed.authority, "server", "doorman.test")
+	bed.cert, bed.key = makeCertificateFiles(t, bed.authority, "server", "proxy.test")
 	bed.tlsAddress = bed.freeAddress()
 	bed.enableIdentity(strings.Join([]string{
 		"tls {", "listen " + bed.tlsAddress, "cert " + bed.cert, "key " + bed.key, "client-ca " + bed.authority.File,
@@ -120,7 +120,7 @@
 	bed.t.Helper()
 	roots := x509.NewCertPool()
 	roots.AddCert(bed.authority.Cert)
-	config := &tls.Config{RootCAs: roots, ServerName: "doorman.test",
+	config := &tls.Config{RootCAs: roots, ServerName: "proxy.test",
 		ClientSessionCache: tls.NewLRUClientSessionCache(8)}
 	if name != "" {
 		config.Certificates = []tls.Certificate{makeCertificate(bed.t, bed.authority, name)}
--- a/test/harness_settings_test.go
+++ b/test/harness_settings_test.go
@@ -25,7 +25,7 @@
 	dir := t.TempDir()
 	mustRunProgram(t, "key", "new", "--dir", filepath.Join(dir, "keys"))
 	authority := newAuthority(t)
-	cert, key := makeCertificateFiles(t, authority, "doorman", "doorman.test")
+	cert, key := makeCertificateFiles(t, authority, "proxy", "proxy.test")
 	sources := map[string]string{"boxes-ca.pem": authority.File, "doorman.pem": cert, "doorman.key": key}
 	for name, source := range sources {
 		writeFile(t, filepath.Join(dir, name), readFile(t, source))
--- a/test/keys_test.go
+++ b/test/keys_test.go
@@ -32,7 +32,7 @@
 	keys.must("key", "new", "--id", "a")
 	expectRejected("rotate", "key", "new")
 	token := keys.token("s1", "staff", time.Hour)
-	expect(keys.must("token", "verify", token, "--audience", "doorman"),
+	expect(keys.must("token", "verify", token, "--audience", "proxy"),
 		"^good: subject s1 of tenant staff, by key a")
 	expect(keys.must("token", "show", token), `"tenant": "staff"`, `"kid": "a"`)
 	expectRejected("refused: audience", "token", "verify", token, "--audience", "other")
--- a/test/tls_test.go
+++ b/test/tls_test.go
@@ -137,14 +137,14 @@
 	}
 	defer half.Close()
 	sound := readFile(t, bed.key)
-	_, otherKey := makeCertificateFiles(t, bed.authority, "other", "doorman.test")
+	_, otherKey := makeCertificateFiles(t, bed.authority, "other", "proxy.test")
 	writeFile(t, bed.key, readFile(t, otherKey))
 	bed.waitLogged("event=keys-rejected")
 	if got := serial(bed.dialTLS(bed.clientConfig("lane4.lanes.test"))); got != first {
 		t.Errorf("with a key that does not fit, the certificate is %s, want the old %s", got, first)
 	}
 	writeFile(t, bed.key, sound)
-	makeCertificateFiles(t, bed.authority, "server", "doorman.test")
+	makeCertificateFiles(t, bed.authority, "server", "proxy.test")
 	bed.waitUntil("the next certificate is in force", func() bool {
 		return serial(bed.dialTLS(bed.clientConfig("lane5.lanes.test"))) != first
 	})
--- a/test/upstream_tls_test.go
+++ b/test/upstream_tls_test.go
@@ -40,14 +40,14 @@
 	bed := newTestbed(t, func(attempt *receivedRequest) { attempt.Answer("ACK", "tag=t1", large) })
 	authority := newAuthority(t)
 	shown := &shownNames{names: map[string]int{}}
-	bed.serveTLS(authority, "c1", "c1.boxes.test", shown.add)
-	bed.serveTLS(authority, "c2", "c1.boxes.test", shown.add) // an impostor
+	bed.serveTLS(authority, "c1", "c1.endpoints.test", shown.add)
+	bed.serveTLS(authority, "c2", "c1.endpoints.test", shown.add) // an impostor
 	dir := t.TempDir()
 	cert, key := filepath.Join(dir, "our.pem"), filepath.Join(dir, "our.key")
-	firstCert, firstKey := makeCertificateFiles(t, authority, "doorman-1", "doorman-1.test")
+	firstCert, firstKey := makeCertificateFiles(t, authority, "proxy-1", "proxy-1.test")
 	replaceFile(t, firstCert, cert)
 	replaceFile(t, firstKey, key)
-	bed.addSettings("box-tls {", "ca "+authority.File, "cert "+cert, "key "+key, "suffix .boxes.test",
+	bed.addSettings("box-tls {", "ca "+authority.File, "cert "+cert, "key "+key, "suffix .endpoints.test",
 		"site hub {", "plain on", "}", "}")
 	bed.start()
 	client := bed.dial()
@@ -71,21 +71,21 @@
 	if sent["c1"] == 0 || sent["c2"] > 0 {
 		t.Errorf("attempts by endpoint: %v, want c1 and not c2, whose certificate is another's", sent)
 	}
-	bed.waitLogMatches(`event=upstream-connect-failed endpoint=c2 .*not c2\.boxes\.test`)
+	bed.waitLogMatches(`event=upstream-connect-failed endpoint=c2 .*not c2\.endpoints\.test`)
 	stop := bed.startDistinctRequests()
-	nextCert, nextKey := makeCertificateFiles(t, authority, "doorman-2", "doorman-2.test")
+	nextCert, nextKey := makeCertificateFiles(t, authority, "proxy-2", "proxy-2.test")
 	replaceFile(t, nextCert, cert) // the key is still the old one's: not taken over
 	bed.waitLogged("event=keys-rejected")
 	replaceFile(t, nextKey, key)
 	bed.waitLogged("event=tls-reloaded")
-	if counts := shown.counts(); counts["doorman-1.test"] == 0 || counts["doorman-2.test"] > 0 {
+	if counts := shown.counts(); counts["proxy-1.test"] == 0 || counts["proxy-2.test"] > 0 {
 		t.Errorf("certificates shown by then: %v, want the first alone, as connections stand", counts)
 	}
 	stop()
 	bed.endpoints.ResetConnections("c1") // connections that stand go on by the old one; new ones show the new
 	bed.waitUntil("the new certificate is shown", func() bool {
 		ask()
-		return shown.counts()["doorman-2.test"] > 0
+		return shown.counts()["proxy-2.test"] > 0
 	})
 }
 
