--- a/internal/cli/contracts.go
+++ b/internal/cli/contracts.go
@@ -55,11 +55,11 @@
 	switch {
 	case options.explain && len(args) != 2:
 		return errors.New("--explain TEAM CLASS")
-	case options.explain && settings.Control != "":
-		question := strings.Join([]string{"contracts", args[0], args[1], options.service}, " ")
-		return admin.Ask(out, settings.Control, question)
-	case options.show && settings.Control != "":
-		return admin.Ask(out, settings.Control, "contracts")
+	case options.explain && settings.AdminSocket != "":
+		query := strings.Join([]string{"contracts", args[0], args[1], options.service}, " ")
+		return admin.Query(out, settings.AdminSocket, query)
+	case options.show && settings.AdminSocket != "":
+		return admin.Query(out, settings.AdminSocket, "contracts")
 	case options.show:
 		return errNoControl
 	case options.explain:
--- a/internal/cli/ask.go
+++ b/internal/cli/query.go
@@ -16,33 +16,33 @@
 
 // stateCommand is `sloequay state`.
 func stateCommand(out io.Writer, system *clock.System) *cobra.Command {
-	return askCommand(out, system, "state",
+	return queryCommand(out, system, "state",
 		"Ask the running proxy how much it holds: clients, requests, timers, endpoints, connections")
 }
 
 // peersCommand is `sloequay peers`.
 func peersCommand(out io.Writer, system *clock.System) *cobra.Command {
-	return askCommand(out, system, "peers",
+	return queryCommand(out, system, "peers",
 		"Ask the running proxy which others are alive, which lists it holds, and whether it polls for them")
 }
 
-// askCommand is a command that puts one question, its own name, to the running proxy.
-func askCommand(out io.Writer, system *clock.System, question, short string) *cobra.Command {
+// queryCommand is a command that puts one query, its own name, to the running proxy.
+func queryCommand(out io.Writer, system *clock.System, query, short string) *cobra.Command {
 	var settings string
 	command := &cobra.Command{
-		Use:     question,
+		Use:     query,
 		Short:   short,
-		Example: "  sloequay " + question + " --conf deploy/sloequay.conf",
+		Example: "  sloequay " + query + " --conf deploy/sloequay.conf",
 		Args:    cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			read, err := proxy.ReadSettings(system, settings)
 			if err != nil {
 				return err
 			}
-			if read.Control == "" {
+			if read.AdminSocket == "" {
 				return errNoControl
 			}
-			return admin.Ask(out, read.Control, question)
+			return admin.Query(out, read.AdminSocket, query)
 		},
 	}
 	addSettingsFlag(command, &settings)
--- a/test/harness_process_test.go
+++ b/test/harness_process_test.go
@@ -116,7 +116,7 @@
 func (bed *testbed) stateCounts(socket string) map[string]int {
 	bed.t.Helper()
 	var out bytes.Buffer
-	if err := admin.Ask(&out, socket, "state"); err != nil {
+	if err := admin.Query(&out, socket, "state"); err != nil {
 		bed.t.Fatal(err)
 	}
 	state := map[string]int{}
