--- a/internal/proxy/authenticator.go
+++ b/internal/proxy/authenticator.go
@@ -155,7 +155,6 @@
 	if request.Canceled {
 		return
 	}
-	reason := outcome.Reason.String()
 	switch outcome.Reason {
 	case identity.Allowed:
 		if outcome.KeyID != "" || outcome.Subject != "" || request.Team == "" {
@@ -163,10 +162,16 @@
 		}
 		a.server.publish(broker.RequestReceived{Request: request})
 	case identity.Busy, identity.IdempotencyKeysFull:
-		request.Frontend.Respond(request,
-			broker.Response{Kind: broker.ResponseRejected, RetryAfter: outcome.Wait, Reason: reason})
+		request.Frontend.Respond(request, broker.Response{
+			Kind:       broker.ResponseRejected,
+			RetryAfter: outcome.Wait,
+			Reason:     outcome.Reason.String(),
+		})
 	default:
-		request.Frontend.Respond(request, broker.Response{Kind: broker.ResponseDenied, Reason: reason})
+		request.Frontend.Respond(request, broker.Response{
+			Kind:   broker.ResponseDenied,
+			Reason: outcome.Reason.String(),
+		})
 	}
 }
 
@@ -196,47 +201,55 @@
 	}
 }
 
-// replaceKeys takes over the content of the directory of keys. With a fault the old content stays in force.
+// keySet is what the content of the directory of keys comes to.
+type keySet struct {
+	keys        *identity.Keys
+	tsigKeys    *tsig.Keys
+	revocations *identity.Revocations
+}
+
+// replaceKeys takes over the content of the directory of keys. With a fault the old content stays in force; each fault
+// is logged once.
 func (a *authenticator) replaceKeys(content keydir.Content, err error) {
-	if err != nil {
-		a.keysRejected(err)
-		return
+	var next keySet
+	if err == nil {
+		next, err = a.makeKeySet(content)
 	}
-	keys, err := a.machine.Keys().Replace(content.Keys)
 	if err != nil {
-		a.keysRejected(err)
-		return
-	}
-	tsigKeys, err := tsig.New(content.TSIG)
-	if err != nil {
-		a.keysRejected(err)
-		return
-	}
-	revocations, err := a.revocationsInForce(content.Revoked)
-	if err != nil {
-		a.keysRejected(err)
+		if a.lastKeysFault != err.Error() {
+			a.lastKeysFault = err.Error()
+			a.server.log.Event("keys-rejected", "error", err)
+		}
 		return
 	}
 	a.lastKeysFault = ""
-	a.tsigKeys = tsigKeys
+	a.tsigKeys = next.tsigKeys
 	a.keys = content
-	a.machine.SetKeys(keys)
-	a.machine.SetRevocations(revocations)
+	a.machine.SetKeys(next.keys)
+	a.machine.SetRevocations(next.revocations)
 	signer := "-"
-	if key := keys.Signer(a.server.clock.Unix()); key != nil {
+	if key := next.keys.Signer(a.server.clock.Unix()); key != nil {
 		signer = key.ID
 	}
 	a.server.log.Event("keys-loaded", "keys", len(content.Keys), "signing", signer, "shared", len(content.TSIG),
-		"revocations", revocations.Len())
+		"revocations", next.revocations.Len())
 }
 
-// keysRejected logs a fault of the directory of keys, each once.
-func (a *authenticator) keysRejected(err error) {
-	if a.lastKeysFault == err.Error() {
-		return
+// makeKeySet checks the content of the directory of keys against the keys in force.
+func (a *authenticator) makeKeySet(content keydir.Content) (keySet, error) {
+	keys, err := a.machine.Keys().Replace(content.Keys)
+	if err != nil {
+		return keySet{}, err
+	}
+	tsigKeys, err := tsig.New(content.TSIG)
+	if err != nil {
+		return keySet{}, err
+	}
+	revocations, err := a.revocationsInForce(content.Revoked)
+	if err != nil {
+		return keySet{}, err
 	}
-	a.lastKeysFault = err.Error()
-	a.server.log.Event("keys-rejected", "error", err)
+	return keySet{keys: keys, tsigKeys: tsigKeys, revocations: revocations}, nil
 }
 
 // revocationsInForce returns the revocations that have not ended.
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -23,7 +23,7 @@
 )
 
 // unsentDivisor is the part of the memory that responses may fill which clients have not read yet. Beyond it memory is
-// short, and no new requests are taken.
+// short: see rpc.Config.MemoryShort.
 const unsentDivisor = 5
 
 // server is the assembled proxy. Everything in it runs on the event loop.
