--- a/internal/platformconfig/reader.go
+++ b/internal/platformconfig/reader.go
@@ -30,6 +30,15 @@
 	return time.Duration(nanoseconds)
 }
 
+// KeyError is a value of the configuration that cannot be used.
+type KeyError struct {
+	Key    string // path of the value, as settings.classes[0].name; empty: the whole file
+	Reason string
+}
+
+// Error returns it as key: reason.
+func (e *KeyError) Error() string { return e.Key + ": " + e.Reason }
+
 // reader takes values out of one JSON object. It keeps the first fault, which names the key.
 type reader struct {
 	json   gjson.Result
@@ -41,9 +50,9 @@
 func parseObject(text []byte, path string) *reader {
 	r := &reader{json: gjson.ParseBytes(text), prefix: path}
 	if !gjson.ValidBytes(text) {
-		r.err = fmt.Errorf("%s: not valid JSON", path)
+		r.err = &KeyError{Key: path, Reason: "not valid JSON"}
 	} else if !r.json.IsObject() {
-		r.err = fmt.Errorf("%s: not an object", path)
+		r.err = &KeyError{Key: path, Reason: "not an object"}
 	}
 	if path != "" {
 		r.prefix += "."
@@ -66,7 +75,7 @@
 
 func (r *reader) fail(key, reason string) {
 	if r.err == nil {
-		r.err = fmt.Errorf("%s%s: %s", r.prefix, key, reason)
+		r.err = &KeyError{Key: r.prefix + key, Reason: reason}
 	}
 }
 
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -13,8 +13,8 @@
 // decodeRecord decodes one record. The names of the fields are the protocol's.
 func decodeRecord(fields *reader) Record {
 	code := fields.u8("code")
-	if fields.err == nil && int(code) >= len(recordNames) {
-		fields.err = fmt.Errorf("record: byte 0: code %d, expected 0 to %d", code, len(recordNames)-1)
+	if int(code) >= len(recordNames) {
+		fields.fail(0, "code %d, expected 0 to %d", code, len(recordNames)-1)
 	}
 	if fields.err == nil {
 		fields.name = recordNames[code]
@@ -37,15 +37,16 @@
 func decodeHello(fields *reader) *Hello {
 	hello := &Hello{Seed: fields.u64("init-seed")}
 	size := int(fields.u32("info count"))
-	offset := fields.position - fields.start
+	offset := fields.offset()
 	text := fields.take(size, "info")
 	if fields.err != nil {
 		return hello
 	}
-	var err error
-	if hello.Config, err = platformconfig.ParseControl(text); err != nil {
-		fields.err = fmt.Errorf("%s: byte %d: %w", fields.name, offset, err)
+	config, err := platformconfig.ParseControl(text)
+	if err != nil {
+		fields.fail(offset, "%w", err)
 	}
+	hello.Config = config
 	return hello
 }
 
@@ -123,18 +124,18 @@
 }
 
 func decodeList(fields *reader) policy.ListEvent {
+	offset := fields.offset()
 	list := policy.ListEvent{Kind: policy.ListKind(fields.u8("scope"))}
-	if fields.err == nil && list.Kind > policy.ListFailed {
-		fields.err = fmt.Errorf("%s: byte 5: scope %d, expected 0 to 3", fields.name, list.Kind)
+	if list.Kind > policy.ListFailed {
+		fields.fail(offset, "scope %d, expected 0 to 3", list.Kind)
 	}
 	fields.u64("seq-no")
 	count := int64(fields.u32("nodes-list count"))
 	if fields.err != nil {
 		return list
 	}
-	if left := int64(len(fields.data) - fields.position); count*listEntrySize > left {
-		fields.err = fmt.Errorf("%s: byte %d: %d bytes left, expected %d for %d entries",
-			fields.name, fields.position-fields.start, left, count*listEntrySize, count)
+	if size := count * listEntrySize; size > int64(fields.left()) {
+		fields.fail(fields.offset(), "%d bytes left, expected %d for %d entries", fields.left(), size, count)
 		return list
 	}
 	list.Endpoints = make([]policy.Endpoint, count)
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -19,14 +19,26 @@
 	err      error
 }
 
+// fail keeps a fault that is at an offset in the record, unless there is one already.
+func (r *reader) fail(offset int, format string, args ...any) {
+	if r.err == nil {
+		r.err = fmt.Errorf("%s: byte %d: %w", r.name, offset, fmt.Errorf(format, args...))
+	}
+}
+
+// offset returns the offset of the next field in the record.
+func (r *reader) offset() int { return r.position - r.start }
+
+// left returns how many bytes of the batch are left.
+func (r *reader) left() int { return len(r.data) - r.position }
+
 // take returns the next bytes of the record, or nil where too few are left.
 func (r *reader) take(size int, field string) []byte {
 	if r.err != nil {
 		return nil
 	}
-	if left := len(r.data) - r.position; size > left {
-		r.err = fmt.Errorf("%s: byte %d: %d bytes left, expected %d for %s",
-			r.name, r.position-r.start, left, size, field)
+	if size > r.left() {
+		r.fail(r.offset(), "%d bytes left, expected %d for %s", r.left(), size, field)
 		return nil
 	}
 	taken := r.data[r.position : r.position+size]
@@ -91,11 +103,11 @@
 }
 
 func (r *reader) status(field string) policy.Status {
+	offset := r.offset()
 	number := r.u16(field)
 	status, known := statuses[number]
-	if !known && r.err == nil {
-		r.err = fmt.Errorf("%s: byte %d: outcome %d, expected a known one",
-			r.name, r.position-r.start-2, number)
+	if !known {
+		r.fail(offset, "outcome %d, expected a known one", number)
 	}
 	return status
 }
@@ -107,7 +119,7 @@
 	if r.err != nil || count == 0 {
 		return nil
 	}
-	if len(r.data)-r.position < figureSize*count {
+	if r.left() < figureSize*count {
 		r.take(figureSize*count, field)
 		return nil
 	}
