--- a/internal/proxy/round.go
+++ b/internal/proxy/round.go
@@ -4,13 +4,6 @@
 	"time"
 
 	"sloequay/internal/broker"
-	"sloequay/internal/upstream"
-)
-
-const (
-	housekeepingInterval = 100 * time.Millisecond
-	// statsInterval is the time between two log lines of what a pool has sent to its endpoints.
-	statsInterval = 5 * time.Second
 )
 
 // round hands all events that were gathered to the brokers, and carries out what they decide. The loop calls it each
@@ -19,14 +12,8 @@
 	now := s.clock.Monotonic()
 	s.rounds.Begin()
 	s.followUnixClock(now)
-	if now-s.lastHousekeeping >= housekeepingInterval {
-		s.lastHousekeeping = now
-		s.housekeep(now)
-	}
-	if now-s.statsLoggedAt >= statsInterval {
-		s.statsLoggedAt = now
-		s.logUpstreamStats()
-	}
+	s.housekeep(now)
+	s.logUpstreamStats(now)
 	for _, pool := range s.pools {
 		pool.connections.CheckLiveness(now)
 	}
@@ -40,50 +27,6 @@
 	s.scheduleNextRound(now)
 }
 
-// followUnixClock tells all that compare Unix times how far that clock is from the monotonic one.
-func (s *server) followUnixClock(now time.Duration) {
-	if step := s.unixClock.Read(now, s.clock.Unix()); step != 0 {
-		s.log.Event("clock-stepped", "by", step)
-		if s.authenticator != nil {
-			s.authenticator.clockStepped()
-		}
-	}
-	for _, pool := range s.pools {
-		pool.broker.SetOffset(s.unixClock.Offset())
-	}
-	if s.authenticator != nil {
-		s.authenticator.machine.SetOffset(s.unixClock.Offset())
-	}
-}
-
-// housekeep does what is due from time to time.
-func (s *server) housekeep(now time.Duration) {
-	s.loop.RecountUnsent()
-	s.sources.listWatch.Tick(now)
-	for _, pool := range s.pools {
-		pool.connections.Housekeep(now)
-	}
-	s.stepMigrations(now)
-	s.frontend.Tick(now)
-	s.resolver.Tick(now)
-	if s.dns != nil {
-		s.dns.Tick(now)
-	}
-	s.sources.tick(now)
-	if s.authenticator != nil {
-		s.authenticator.expire(now)
-	}
-	s.log.Tick(now)
-}
-
-func (s *server) logUpstreamStats() {
-	for i, pool := range s.pools {
-		if stats := pool.connections.TakeStats(); stats != (upstream.Stats{}) {
-			s.log.Event("upstream-stats", append([]any{"pool", i}, stats.Fields()...)...)
-		}
-	}
-}
-
 // runBrokers hands the gathered events to the brokers until there are none: effects may bring events of their own, and
 // what ends in one pool may be retried in another.
 func (s *server) runBrokers(roundBegan time.Duration) {
