--- a/internal/drill/cluster.go
+++ b/internal/drill/cluster.go
@@ -131,11 +131,11 @@
 		}
 	}
 	for parent := range c.Plan.Parents {
-		if err := c.addEndpoint(fmt.Sprintf("t%d", parent+1), hubZone, classParent); err != nil {
+		if err := c.addEndpoint(fmt.Sprintf("t%d", parent+1), parentZone, classParent); err != nil {
 			return err
 		}
 	}
-	return c.addEndpoint("o1", hubZone, classOrigin)
+	return c.addEndpoint("o1", parentZone, classOrigin)
 }
 
 // addEndpoint starts one.
--- a/internal/drill/proxy_settings.go
+++ b/internal/drill/proxy_settings.go
@@ -90,7 +90,7 @@
 		return nil, err
 	}
 	plan := p.cluster.Plan
-	zones := []string{hubZone}
+	zones := []string{parentZone}
 	proxiesByZone := []int{0}
 	for zone := range plan.Zones {
 		zones = append(zones, zoneName(zone+1))
--- a/internal/drill/selectors.go
+++ b/internal/drill/selectors.go
@@ -14,8 +14,8 @@
 	endpointPrefix = "box:"
 )
 
-// hubZone is the zone of the parents and the origin, as the list has it.
-const hubZone = "hub"
+// parentZone is the zone of the parents and the origin, as the list has it: a plan's hub.
+const parentZone = "hub"
 
 // ends is a set of ends of links by name; nil: any end.
 type ends map[string]bool
@@ -64,7 +64,7 @@
 		c.includeProxies(selected, func(p *proxy) bool { return p.zone == int(number) })
 		c.includeEndpoints(selected, func(e *endpoint) bool { return e.zone == "p"+argument })
 	case kind == "hub":
-		c.includeEndpoints(selected, func(e *endpoint) bool { return e.zone == hubZone })
+		c.includeEndpoints(selected, func(e *endpoint) bool { return e.zone == parentZone })
 	case kind == "boxes":
 		c.includeEndpoints(selected, func(*endpoint) bool { return true })
 	case kind == "box" && c.endpoints[argument] != nil:
--- a/test/drill_test.go
+++ b/test/drill_test.go
@@ -14,7 +14,7 @@
 )
 
 // drillsAtOnce bounds the drills that run together: each is some ten processes, and what they hold has times.
-const drillsAtOnce = 6
+const drillsAtOnce = 4
 
 // drillSlots is taken by each drill that runs.
 var drillSlots = make(chan bool, drillsAtOnce)
