--- a/internal/drill/byzantine.go
+++ b/internal/drill/byzantine.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"slices"
+	"sync"
 	"time"
 
 	"sloequay/internal/bootstrap"
@@ -66,8 +68,43 @@
 	closed    chan struct{}
 }
 
-// newByzantinePeer has one join the fleet as a proxy of a zone.
-func (c *Cluster) newByzantinePeer(zone int, lie string) (*byzantinePeer, error) {
+// byzantinePeers is those that run. Steps add and remove them side by side.
+type byzantinePeers struct {
+	mu    sync.Mutex
+	peers []*byzantinePeer
+}
+
+// add has one join the fleet as a proxy of a zone.
+func (b *byzantinePeers) add(c *Cluster, zone int, lie string) (*byzantinePeer, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	member, err := c.newByzantinePeer(len(b.peers), zone, lie)
+	if err != nil {
+		return nil, err
+	}
+	b.peers = append(b.peers, member)
+	return member, nil
+}
+
+// remove ends one.
+func (b *byzantinePeers) remove(member *byzantinePeer) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.peers = slices.DeleteFunc(b.peers, func(other *byzantinePeer) bool { return other == member })
+	member.close()
+}
+
+// close ends all.
+func (b *byzantinePeers) close() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, member := range b.peers {
+		member.close()
+	}
+}
+
+// newByzantinePeer has one with a number join the fleet as a proxy of a zone.
+func (c *Cluster) newByzantinePeer(number, zone int, lie string) (*byzantinePeer, error) {
 	ip := c.hostAddress(byzantineSubnet, zone-1)
 	c.network.join(ip, byzantineEnd)
 	listen, err := freeAddress(ip)
@@ -75,7 +112,7 @@
 		return nil, err
 	}
 	member := &byzantinePeer{
-		number:    len(c.byzantinePeers),
+		number:    number,
 		endpoints: bootstrap.SortEndpoints(falseLists[lie](c)),
 		callbacks: make(chan func(), callbackQueue),
 		closed:    make(chan struct{}),
--- a/internal/drill/cluster.go
+++ b/internal/drill/cluster.go
@@ -42,7 +42,7 @@
 	list           listService
 	spawner        *spawner
 	proxies        []*proxy
-	byzantinePeers []*byzantinePeer
+	byzantinePeers byzantinePeers
 	load           *loadGenerator
 	requestIDs     atomic.Uint64
 }
@@ -180,9 +180,7 @@
 	if c.load != nil {
 		c.load.close()
 	}
-	for _, p := range c.byzantinePeers {
-		p.close()
-	}
+	c.byzantinePeers.close()
 	for _, p := range c.proxies {
 		p.close()
 	}
--- a/internal/drill/invariants.go
+++ b/internal/drill/invariants.go
@@ -27,7 +27,8 @@
 	check func(r *Record, invariant Invariant, found *findings) (summary string)
 }
 
-// checkForms has the checks by the word that a plan uses for them.
+// checkForms has the checks by the word that a plan uses for them. A new check is an entry here, its method on Record,
+// and a fault in TestEachCheckCanFail without which it holds.
 var checkForms = map[string]checkForm{
 	"answers": {
 		usage: "each request has exactly one final answer, unless its proxy was killed or stopped",
--- a/internal/drill/proxy.go
+++ b/internal/drill/proxy.go
@@ -219,15 +219,21 @@
 	_ = p.cmd.Process.Signal(signal)
 }
 
-// pause has the process stand still until resume.
+// pause has the process, if one has run, stand still until resume.
 func (p *proxy) pause() {
-	at, run := p.cluster.now(), p.run
+	at, run := p.cluster.now(), p.lastRun()
+	if run == nil {
+		return
+	}
 	p.signal(syscall.SIGSTOP)
 	p.cluster.Record.update(func() { run.Pauses = append(run.Pauses, Span{From: at}) })
 }
 
 func (p *proxy) resume() {
-	at, run := p.cluster.now(), p.run
+	at, run := p.cluster.now(), p.lastRun()
+	if run == nil {
+		return
+	}
 	p.signal(syscall.SIGCONT)
 	p.cluster.Record.update(func() {
 		if n := len(run.Pauses); n > 0 {
@@ -236,6 +242,13 @@
 	})
 }
 
+// lastRun is the process that runs or ran last; nil: none has.
+func (p *proxy) lastRun() *ProcessRun {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.run
+}
+
 // keepDisk remembers the disk as it is now, for oldDisk.
 func (p *proxy) keepDisk() error {
 	_ = os.RemoveAll(p.savedDisk())
--- a/internal/drill/run.go
+++ b/internal/drill/run.go
@@ -50,6 +50,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: at %s: %w", c.Plan.File, step.Line, err)
 		}
+		op = op.ordered()
 		events = append(events, event{step.At, step.Line, op.apply})
 		if step.For > 0 && op.undo != nil {
 			events = append(events, event{step.At + step.For, "over: " + step.Line, op.undo})
--- a/internal/drill/steps.go
+++ b/internal/drill/steps.go
@@ -7,6 +7,7 @@
 	"slices"
 	"strconv"
 	"strings"
+	"sync"
 	"time"
 )
 
@@ -31,6 +32,24 @@
 	undo  func() error // nil: what is done stays, whatever the step's For
 }
 
+// ordered has undo wait for the end of apply.
+func (o operation) ordered() operation {
+	var mu sync.Mutex
+	ordered := operation{apply: func() error {
+		mu.Lock()
+		defer mu.Unlock()
+		return o.apply()
+	}}
+	if o.undo != nil {
+		ordered.undo = func() error {
+			mu.Lock()
+			defer mu.Unlock()
+			return o.undo()
+		}
+	}
+	return ordered
+}
+
 // stepForm is how a step is written in a plan.
 type stepForm struct {
 	minWords, maxWords int // behind the step's own word
@@ -41,7 +60,8 @@
 // errUsage says that a step's words do not have its form; parseStep puts the form into the error.
 var errUsage = errors.New("not in the step's form")
 
-// stepForms has the steps by the word that a plan uses for them.
+// stepForms has the steps by the word that a plan uses for them. A new step is a line here, a function that parses it
+// and an action with its prepare.
 var stepForms = map[string]stepForm{
 	"start":        {1, 2, "WHO [with-disk|without-disk|old-disk]", parseStart},
 	"kill":         {1, 1, "WHO: SIGKILL", parseKill},
--- a/internal/drill/steps_list.go
+++ b/internal/drill/steps_list.go
@@ -75,15 +75,13 @@
 func (a byzantineAction) prepare(c *Cluster, _ Step) (operation, error) {
 	var member *byzantinePeer
 	apply := func() (err error) {
-		if member, err = c.newByzantinePeer(a.zone, a.lie); err == nil {
-			c.byzantinePeers = append(c.byzantinePeers, member)
-		}
+		member, err = c.byzantinePeers.add(c, a.zone, a.lie)
 		return err
 	}
 	undo := func() error {
-		isMember := func(other *byzantinePeer) bool { return other == member }
-		c.byzantinePeers = slices.DeleteFunc(c.byzantinePeers, isMember)
-		member.close()
+		if member != nil {
+			c.byzantinePeers.remove(member)
+		}
 		return nil
 	}
 	return operation{apply: apply, undo: undo}, nil
