--- a/internal/route/plan.go
+++ b/internal/route/plan.go
@@ -42,7 +42,7 @@
 	for _, selector := range p.Selectors {
 		for _, pattern := range selector.IDs {
 			if _, err := path.Match(pattern, ""); err != nil {
-				return fmt.Errorf("the pool %s: endpoint %q: %w", p.Name, pattern, err)
+				return fmt.Errorf("the pool %s: box %q: %w", p.Name, pattern, err)
 			}
 		}
 	}
