--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -15,6 +15,6 @@
 		s.log.Event("contracts-reloaded", "version", s.quotas.Version, "teams", len(contracts.Root.Children),
 			"open", s.quotas.InFlight())
 	}
-	s.log.Event("reloaded", "bulletin", next.platform.ListAddress, "after", listWatch.LastEvent)
+	s.log.Event("reloaded", "list-watch", next.platform.ListAddress, "after", listWatch.LastEvent)
 	s.loop.RequestRound()
 }
