--- a/internal/broker/attempt.go
+++ b/internal/broker/attempt.go
@@ -92,7 +92,7 @@
 	}
 	return !slices.ContainsFunc(attempt.Request.attempts, func(other *Attempt) bool {
 		mayHaveRun := other.Written && other.state != attemptNotExecuted
-		return other != attempt && mayHaveRun && now-other.decidedAt > class.RetryWindow()
+		return other != attempt && mayHaveRun && !class.InRetryWindow(now-other.decidedAt)
 	})
 }
 
@@ -116,12 +116,10 @@
 	}
 	b.notify(policy.ResponseEvent{
 		ID:        request.id,
-		Endpoint:  attempt.Endpoint.ID,
 		Attempt:   attempt.Number,
 		Elapsed:   b.now - attempt.decidedAt,
 		Concluded: request.state == requestEnded,
 		Note:      event.Note,
-		FirstByte: event.SourceDelay,
 		Status:    end.status(),
 	})
 }
--- /dev/null
+++ b/internal/frontend/rpc/frame.go
@@ -0,0 +1,177 @@
+package rpc
+
+import (
+	"errors"
+	"fmt"
+
+	"sloequay/internal/broker"
+	"sloequay/internal/frontend/rpc/msgpack"
+	"sloequay/internal/frontend/rpc/pacing"
+)
+
+// frame is one complete message of a client: a request or a notice.
+type frame struct {
+	kind      uint64
+	messageID uint32         // of a request
+	body      msgpack.Reader // of method and parameters, not read yet
+	size      int            // of the whole frame, in bytes
+}
+
+// brokenRequestError is returned for a malformed request whose message id could be read.
+type brokenRequestError struct {
+	messageID uint32
+	err       error
+}
+
+// Error returns what is wrong with the request.
+func (e *brokenRequestError) Error() string { return e.err.Error() }
+
+// Unwrap returns what is wrong with the request.
+func (e *brokenRequestError) Unwrap() error { return e.err }
+
+// duplicateIDError is returned for a request with the message id of an open one.
+type duplicateIDError struct {
+	messageID uint32
+}
+
+// Error names the message id.
+func (e *duplicateIDError) Error() string {
+	return fmt.Sprintf("message id %d used twice", e.messageID)
+}
+
+// floodError is returned when a client sends too many requests beyond those that may be open.
+type floodError struct {
+	excess int
+}
+
+// Error names the limit.
+func (e *floodError) Error() string {
+	return fmt.Sprintf("%d requests beyond the %d that may be open", e.excess, maxOpenRequests)
+}
+
+// readFrame reads one frame from the front of data. It returns msgpack.ErrShort for a frame that has not arrived
+// completely; after any other error the connection must be closed.
+func readFrame(data []byte) (frame, error) {
+	reader := msgpack.Reader{Data: data, MaxBytes: maxFrameBytes, ValuesLeft: maxFrameValues}
+	elements := reader.Array()
+	kind := reader.Uint()
+	switch {
+	case reader.Err != nil:
+		return frame{}, reader.Err
+	case kind == kindRequest && elements == requestElements:
+		return readRequestFrame(&reader)
+	case kind == kindNotice && elements == noticeElements:
+		return readBody(&reader, frame{kind: kindNotice})
+	}
+	return frame{}, fmt.Errorf("message of kind %d with %d elements", kind, elements)
+}
+
+// readRequestFrame reads the rest of a request after its kind.
+func readRequestFrame(reader *msgpack.Reader) (frame, error) {
+	id := reader.Uint()
+	if reader.Err != nil {
+		return frame{}, reader.Err
+	}
+	if id > maxMessageID {
+		return frame{}, fmt.Errorf("message id %d", id)
+	}
+	messageID := uint32(id)
+	request, err := readBody(reader, frame{kind: kindRequest, messageID: messageID})
+	if err != nil && !errors.Is(err, msgpack.ErrShort) {
+		err = &brokenRequestError{messageID: messageID, err: err}
+	}
+	return request, err
+}
+
+// readBody skips method and parameters, the last elements of a message, and records where they are.
+func readBody(reader *msgpack.Reader, head frame) (frame, error) {
+	start := reader.Pos
+	reader.Skip() // the method
+	reader.Skip() // the parameters
+	if reader.Err != nil {
+		return frame{}, reader.Err
+	}
+	head.size = reader.Pos
+	head.body = msgpack.Reader{Data: reader.Data[:reader.Pos], Pos: start}
+	return head, nil
+}
+
+// handleMessage handles one message from the front of data and returns its size in bytes. It returns msgpack.ErrShort
+// for a message that has not arrived completely; after any other error the connection must be closed.
+func (c *connection) handleMessage(data []byte) (size int, err error) {
+	message, err := readFrame(data)
+	if errors.Is(err, msgpack.ErrShort) {
+		return 0, err
+	}
+	if err != nil {
+		var broken *brokenRequestError
+		if errors.As(err, &broken) {
+			c.sendError(broken.messageID, errorMalformed, nil)
+		}
+		return 0, err
+	}
+	if message.kind == kindRequest {
+		err = c.handleRequest(&message)
+	} else {
+		c.handleNotice(&message.body)
+	}
+	return message.size, err
+}
+
+// handleRequest answers a request or passes it to the broker. After an error the connection must be closed.
+func (c *connection) handleRequest(message *frame) error {
+	messageID := message.messageID
+	if c.rejectAll {
+		c.sendRejection(messageID, broker.Response{})
+		return nil
+	}
+	body := &message.body
+	method := string(body.Text(maxTextBytes))
+	if body.Err == nil && method == methodStatus {
+		c.sendStatus(messageID)
+		return nil
+	}
+	request, err := c.parseRequest(method, body)
+	if err != nil {
+		c.server.Log("client-bad-request", "message", messageID, "error", err)
+		c.sendError(messageID, errorMalformed, nil)
+		return nil
+	}
+	if c.open[messageID] != nil {
+		c.server.Log("client-duplicate-id", "message", messageID)
+		return &duplicateIDError{messageID: messageID}
+	}
+	decision := c.openLimit.Decide(pacing.Load{Open: len(c.open), MemoryShort: c.server.MemoryShort()})
+	if decision != pacing.Admit {
+		c.sendRejection(messageID, broker.Response{RetryAfter: c.server.RetryAfter.ConnectionFull()})
+		if decision == pacing.Close {
+			return &floodError{excess: c.openLimit.Excess()}
+		}
+		return nil
+	}
+	c.open[messageID] = request
+	c.messageIDs[request] = messageID
+	c.server.Emit(broker.RequestReceived{Request: request})
+	return nil
+}
+
+// handleNotice cancels the open request that a notice names. Notices get no answer, and unknown ones are ignored.
+func (c *connection) handleNotice(body *msgpack.Reader) {
+	method := string(body.Text(maxTextBytes))
+	parameters := body.Array()
+	if body.Err != nil || method != methodCancel || parameters != 1 {
+		return
+	}
+	id := body.Uint()
+	if body.Err != nil || id > maxMessageID {
+		return
+	}
+	messageID := uint32(id)
+	request := c.open[messageID]
+	if request == nil {
+		return
+	}
+	delete(c.open, messageID)
+	delete(c.messageIDs, request)
+	c.cancel(request)
+}
--- a/internal/membership/consul/blockingquery/blockingquery_test.go
+++ b/internal/membership/consul/blockingquery/blockingquery_test.go
@@ -12,6 +12,9 @@
 // allFaults is each way in which a query can fail.
 var allFaults = []Fault{ConnectionFailed, Rejected, Malformed, TimedOut}
 
+// newWatch makes a watch with agents of its own.
+func newWatch(config Config) *Watch { return New(config, NewSharedAgents(config.AgentCount)) }
+
 // TestOutage: one agent fails in each way for 5 s and a minute, at any phase. What changed meanwhile arrives within a
 // second of its being back, and it is queried at most once a second.
 func TestOutage(t *testing.T) {
@@ -228,7 +231,7 @@
 		{"or not", Default, []ResponseMeta{sound, {Index: 1, KnownLeader: true}, {Index: 22, KnownLeader: true}},
 			[]Verdict{{}, regressed, {}}, Query{Index: 22, Wait: wait}},
 	} {
-		watch := New(Config{AgentCount: 1, Mode: c.mode, Seed: 1}.WithDefaults())
+		watch := newWatch(Config{AgentCount: 1, Mode: c.mode, Seed: 1}.WithDefaults())
 		now := start
 		var got []Verdict
 		query := watch.Step(now)[0].Start
@@ -260,7 +263,7 @@
 		"filtered":  {Index: 10, KnownLeader: true, Filtered: true},
 		"no leader": {Index: 10},
 	} {
-		watch := New(Config{AgentCount: 1}.WithDefaults())
+		watch := newWatch(Config{AgentCount: 1}.WithDefaults())
 		now, back := start, start+10*time.Second
 		queries := 0
 		for now < back+2*time.Second {
@@ -292,7 +295,7 @@
 // confirms.
 func TestConfirm(t *testing.T) {
 	for _, agents := range []int{1, 2} {
-		watch := New(Config{AgentCount: agents}.WithDefaults())
+		watch := newWatch(Config{AgentCount: agents}.WithDefaults())
 		query := watch.Step(start)[0].Start
 		watch.ListReceived(start, query.Serial, ResponseMeta{Index: 20, KnownLeader: true})
 		blocking := watch.Step(start + time.Second)[0].Start
@@ -339,7 +342,7 @@
 }
 
 func ExampleWatch() {
-	watch := New(Config{AgentCount: 2}.WithDefaults())
+	watch := newWatch(Config{AgentCount: 2}.WithDefaults())
 	now := time.Duration(0)
 	query := watch.Step(now)[0].Start
 	fmt.Println("agent", query.Agent, "index", query.Index)
--- a/internal/membership/due.go
+++ b/internal/membership/due.go
@@ -9,7 +9,7 @@
 type dueTime struct {
 	at       time.Duration
 	sequence uint64 // of being added, which decides between equal times
-	record   *record
+	record   *endpointRecord
 	source   int
 }
 
@@ -19,8 +19,6 @@
 	sequence uint64
 }
 
-func (d *dueTimes) len() int { return len(d.heap) }
-
 func (d *dueTimes) add(due dueTime) {
 	d.sequence++
 	due.sequence = d.sequence
--- a/internal/policy/health_test.go
+++ b/internal/policy/health_test.go
@@ -1,8 +1,6 @@
 package policy
 
 import (
-	"fmt"
-	"strings"
 	"testing"
 
 	"sloequay/internal/policy/endpointset"
@@ -40,12 +38,10 @@
 // TestSlowRejectionIsTheSources: a dead parent shows as a cache at capacity after the dial time-out; caches
 // were skipped for it.
 func TestSlowRejectionIsTheSources(t *testing.T) {
-	cfg := testConfig()
-	cfg.Detail = DetailOff
-	h := newHarness(t, cfg)
+	h := newHarness(t, testConfig())
 	h.request(1, 0, 7)
 	first := h.passLookups(1)
-	h.handle(ResponseEvent{ID: 1, Endpoint: first.Endpoint, Attempt: len(h.sent[1]) - 1, Elapsed: 400 * ms,
+	h.handle(ResponseEvent{ID: 1, Attempt: len(h.sent[1]) - 1, Elapsed: 400 * ms,
 		Status: StatusAtCapacity})
 	if sent := h.lastSent(1); sent.Endpoint != first.Endpoint || sent.Source == first.Source {
 		t.Errorf("after a slow rejection: %+v, want cache %d with another source than %d",
@@ -216,7 +212,7 @@
 	result := ejections{map[EndpointID]int{}, map[EndpointID]bool{}}
 	for _, parent := range []EndpointID{100, 101} {
 		for _, action := range h.actions[from:] {
-			if log, ok := action.(Log); ok && strings.HasPrefix(log.Text, fmt.Sprintf("ejected %x:", parent)) {
+			if ejected, ok := action.(EndpointEjected); ok && ejected.Endpoint == parent {
 				result.times[parent]++
 			}
 		}
--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"sloequay/internal/broker"
-	"sloequay/internal/policy"
 )
 
 // benchmarkConnections is how many connections to an endpoint there are, each with benchmarkLoad attempts.
