--- a/internal/broker/events.go
+++ b/internal/broker/events.go
@@ -18,13 +18,12 @@
 
 // AttemptEnded says how an attempt ended.
 type AttemptEnded struct {
-	Attempt     *Attempt
-	End         End
-	Note        policy.Note
-	SourceDelay time.Duration // that the endpoint waited for the source
-	Address     string        // of the connection that the response came by
-	Body        []byte
-	Fields      []Field
+	Attempt *Attempt
+	End     End
+	Note    policy.Note
+	Address string // of the connection that the response came by
+	Body    []byte
+	Fields  []Field
 	// MayHaveRun says that the endpoint may have meant the attempt before, and that this one was canceled: it may have
 	// been executed, whatever End says.
 	MayHaveRun bool
@@ -64,13 +63,6 @@
 // ObjectZero stands for the object 0, since an Object of 0 means a group in a Purge.
 const ObjectZero = 1 << 63
 
-// HealthChecked is the result of a health check. Nothing asks for one.
-type HealthChecked struct {
-	Endpoint policy.EndpointID
-	Status   policy.Status
-	Elapsed  time.Duration
-}
-
 // FailInFlight ends all requests that are open: the process can't wait for them any longer.
 type FailInFlight struct{}
 
@@ -82,5 +74,4 @@
 func (SourceStatus) isEvent()     {}
 func (SnapshotRestored) isEvent() {}
 func (Purge) isEvent()            {}
-func (HealthChecked) isEvent()    {}
 func (FailInFlight) isEvent()     {}
--- a/internal/upstream/protocol.go
+++ b/internal/upstream/protocol.go
@@ -39,8 +39,7 @@
 
 // The fields of a response.
 const (
-	fieldNote        = "remark"
-	fieldSourceDelay = "lag" // milliseconds
+	fieldNote = "remark"
 )
 
 // noFields stands where a response has no fields.
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"strconv"
 	"strings"
-	"time"
 
 	"sloequay/internal/broker"
 )
@@ -13,8 +12,6 @@
 const (
 	maxLine = 4096      // bytes of a response's line
 	maxBody = 256 << 10 // bytes; a part of an object has 240,000 at most
-	// maxSourceDelayMillis bounds what is believed of fieldSourceDelay.
-	maxSourceDelayMillis = 1e9
 )
 
 // response is one response of an endpoint.
@@ -105,16 +102,11 @@
 
 // attemptEnded is what the response says of an attempt. Its code must be one that ends attempts.
 func (r *response) attemptEnded(attempt *broker.Attempt) broker.AttemptEnded {
-	ended := broker.AttemptEnded{
+	return broker.AttemptEnded{
 		Attempt: attempt,
 		End:     attemptEnds[r.code],
 		Note:    notes[r.field(fieldNote)],
 		Body:    r.body,
 		Fields:  r.fields,
 	}
-	delay, err := strconv.ParseFloat(r.field(fieldSourceDelay), 64)
-	if err == nil && delay > 0 && delay < maxSourceDelayMillis {
-		ended.SourceDelay = time.Duration(delay * float64(time.Millisecond))
-	}
-	return ended
 }
