--- a/internal/broker/invariants.go
+++ b/internal/broker/invariants.go
@@ -14,7 +14,7 @@
 // guards that were to see to it.
 func (b *Broker) checkWrite(attempt *Attempt, now time.Duration) {
 	request := attempt.Request
-	if request.state != requestOpen || request.Canceled || b.open[request.id] != request {
+	if request.state != requestAdmitted || request.Canceled || b.open[request.id] != request {
 		b.monitor.Violated(invariant.RequestOpenAtWrite, request.ID)
 	}
 	if !attempt.Endpoint.usable() || !attempt.Source.usable() {
--- a/internal/broker/invariants_test.go
+++ b/internal/broker/invariants_test.go
@@ -34,7 +34,7 @@
 		b := newBroker(t)
 		var found []invariant.Rule
 		b.Monitor(&invariant.Monitor{Report: func(rule invariant.Rule, _ string) { found = append(found, rule) }})
-		request := &Request{ID: "aa", ReceivedAt: now, Timeout: time.Second, state: requestOpen, id: 1}
+		request := &Request{ID: "aa", ReceivedAt: now, Timeout: time.Second, state: requestAdmitted, id: 1}
 		b.open[1] = request
 		endpoint := &Endpoint{Endpoint: policy.Endpoint{State: policy.Ready}}
 		attempt := &Attempt{Request: request, Endpoint: endpoint, Source: endpoint, Deadline: now + time.Second/2}
--- a/internal/broker/request.go
+++ b/internal/broker/request.go
@@ -51,9 +51,9 @@
 type requestState uint8
 
 const (
-	requestNew   requestState = iota // not admitted
-	requestOpen                      // admitted: it has its grant, its ids and its timers
-	requestEnded                     // it has its response, or was canceled
+	requestNew      requestState = iota // not admitted
+	requestAdmitted                     // admitted: it has its grant, its ids and its timers
+	requestEnded                        // it has its response, or was canceled
 )
 
 // anyWritten says whether an attempt of the request has reached an endpoint, as far as is known.
@@ -94,7 +94,7 @@
 func (b *Broker) admit(request *Request, grant quota.Grant) {
 	b.lastID++
 	request.id = b.lastID
-	request.state = requestOpen
+	request.state = requestAdmitted
 	request.grant = grant
 	b.open[request.id] = request
 	b.byClientID[request.ID] = request
@@ -198,7 +198,7 @@
 
 // close ends a request: its grant is released, and the attempts that are still open are canceled.
 func (b *Broker) close(request *Request, outcome concurrency.Outcome) {
-	if request.state == requestOpen {
+	if request.state == requestAdmitted {
 		delete(b.open, request.id)
 		delete(b.byClientID, request.ID)
 		request.grant.ReleaseWithOutcome(b.now, outcome, b.now-request.ReceivedAt)
--- a/internal/broker/timers_test.go
+++ b/internal/broker/timers_test.go
@@ -56,7 +56,7 @@
 func TestTimerQueueSweeps(t *testing.T) {
 	var queue timerQueue
 	ended := &Request{state: requestEnded}
-	open := &Request{state: requestOpen}
+	open := &Request{state: requestAdmitted}
 	endedAttempt := &Attempt{Request: ended, state: attemptEnded}
 	openAttempt := &Attempt{Request: open}
 	const rounds = 10 * minSweepSize
--- a/internal/broker/transitions_test.go
+++ b/internal/broker/transitions_test.go
@@ -67,7 +67,7 @@
 // TestTransitionsOfNewRequest checks the rows of the state new.
 func TestTransitionsOfNewRequest(t *testing.T) {
 	for _, row := range []transition{
-		{name: "received", happen: received, want: requestOpen, effects: []string{"SendAttempt"}},
+		{name: "received", happen: received, want: requestAdmitted, effects: []string{"SendAttempt"}},
 		{name: "received, canceled before", want: requestEnded, happen: func(x *crossing, request *Request) {
 			request.Canceled = true
 			received(x, request)
@@ -109,16 +109,16 @@
 	{name: "served", want: requestEnded, happen: attemptEnds(Served), effects: []string{"Respond: served"}},
 	{name: "not modified", want: requestEnded, happen: attemptEnds(NotModified),
 		effects: []string{"Respond: not modified"}},
-	{name: "another end", want: requestOpen, happen: attemptEnds(ConnectionReset), effects: []string{"SendAttempt"}},
+	{name: "another end", want: requestAdmitted, happen: attemptEnds(ConnectionReset), effects: []string{"SendAttempt"}},
 	{name: "another end, of what may run once", class: onceClass, want: requestEnded,
 		happen: attemptEnds(ConnectionReset), effects: []string{"Respond: failed"}},
 	{name: "policy.Reject", want: requestEnded, effects: []string{"CancelAttempt", "Respond: rejected"},
 		happen: func(x *crossing, request *Request) { x.broker.apply(policy.Reject{ID: request.id}) }},
 	{name: "policy.Fail", want: requestEnded, effects: []string{"CancelAttempt", "Respond: failed"},
 		happen: func(x *crossing, request *Request) { x.broker.apply(policy.Fail{ID: request.id}) }},
-	{name: "policy.CancelAttempt", want: requestOpen, effects: []string{"CancelAttempt with AwaitEnd"},
+	{name: "policy.CancelAttempt", want: requestAdmitted, effects: []string{"CancelAttempt with AwaitEnd"},
 		happen: func(x *crossing, request *Request) { x.broker.apply(policy.CancelAttempt{ID: request.id}) }},
-	{name: "half-time timer, written", want: requestOpen, happen: timerFires(halfTimeTimer)},
+	{name: "half-time timer, written", want: requestAdmitted, happen: timerFires(halfTimeTimer)},
 	{name: "half-time timer, not written", want: requestEnded,
 		effects: []string{"CancelAttempt", "Respond: rejected"},
 		happen: func(x *crossing, request *Request) {
@@ -136,7 +136,7 @@
 	{name: "FailInFlight", class: onceClass, want: requestEnded,
 		effects: []string{"CancelAttempt", "Respond: failed"},
 		happen:  func(x *crossing, _ *Request) { x.broker.handle(FailInFlight{}) }},
-	{name: "attempt timer", want: requestOpen, happen: timerFires(attemptTimer),
+	{name: "attempt timer", want: requestAdmitted, happen: timerFires(attemptTimer),
 		effects: []string{"CancelAttempt", "SendAttempt"}},
 }
 
--- a/internal/policy/guards.go
+++ b/internal/policy/guards.go
@@ -29,7 +29,7 @@
 
 // guardsPass says whether an attempt breaks no rule and no limit of the settings. The budgets come last, as
 // they have an endpoint without one skipped.
-func (e *Engine) guardsPass(request *requestState, via route) bool {
+func (e *Engine) guardsPass(request *openRequest, via route) bool {
 	hasAttemptsLeft := e.cfg.MaxAttempts <= 0 || len(request.attempts) < e.cfg.MaxAttempts
 	return hasAttemptsLeft && e.isOpen(request) && e.mayRepeatAt(request, via.endpoint) &&
 		bothReady(via) && e.isReachable(via) &&
@@ -38,11 +38,11 @@
 
 // isOpen keeps rule 1, every request answered: nothing is sent for a request that has its end. That each gets
 // its end in time is advance's part.
-func (e *Engine) isOpen(request *requestState) bool { return e.requests[request.id] == request }
+func (e *Engine) isOpen(request *openRequest) bool { return e.requests[request.id] == request }
 
 // mayRepeatAt keeps rule 2, no effect done twice: an attempt after one that may have run goes only where, and
 // only as long as, a repeat is dropped. Two attempts of a request are in flight together only with hedging.
-func (e *Engine) mayRepeatAt(request *requestState, endpoint *endpointState) bool {
+func (e *Engine) mayRepeatAt(request *openRequest, endpoint *endpointState) bool {
 	if request.inFlight > 0 && !e.cfg.Hedging {
 		return false
 	}
@@ -61,8 +61,8 @@
 	return true
 }
 
-// mayReject keeps rule 2's other part: a rejection says that a retry is harmless.
-func (e *Engine) mayReject(request *requestState) bool {
+// isRetryHarmless keeps rule 2's other part: a rejection says that a retry is harmless.
+func (e *Engine) isRetryHarmless(request *openRequest) bool {
 	class := request.class
 	return class.Idempotency == Idempotent ||
 		class.Idempotency == IdempotentByKey && class.DedupScope == DedupAll ||
@@ -79,7 +79,7 @@
 
 // withinWarmupBudget keeps rule 4, controlled fail-back: an endpoint that has just started gets at most this
 // proxy's share of what it bears in any OverloadWindow. Without budget it is skipped until it has some.
-func (e *Engine) withinWarmupBudget(request *requestState, endpoint *endpointState) bool {
+func (e *Engine) withinWarmupBudget(request *openRequest, endpoint *endpointState) bool {
 	initialShare, warmupTime := e.cfg.ColdStartShare, e.cfg.WarmupTime
 	multiple := e.cfg.OverloadMultiple
 	if endpoint.Role == endpointset.Parent {
@@ -113,7 +113,7 @@
 
 // maxAge keeps rule 5, no purged copy: the oldest copy that will do is younger than the last purge. 0: there
 // was none, and the class's own limit is the only one.
-func (e *Engine) maxAge(request *requestState) time.Duration {
+func (e *Engine) maxAge(request *openRequest) time.Duration {
 	return e.purges.MaxAge(e.now, request.part.Object, request.group, request.class.FreshFor)
 }
 
--- a/internal/policy/health.go
+++ b/internal/policy/health.go
@@ -6,7 +6,7 @@
 )
 
 // recordOutcome books an answer to the endpoint that is at fault: the attempt's own, or the source behind it.
-func (e *Engine) recordOutcome(request *requestState, attempt *attemptState, event ResponseEvent) {
+func (e *Engine) recordOutcome(request *openRequest, attempt *attemptState, event ResponseEvent) {
 	switch {
 	case event.Status == StatusOK:
 		e.observe(attempt.endpoint, outlier.Success)
@@ -32,7 +32,7 @@
 }
 
 // recordExpectedMiss takes a miss where only a cached copy was asked for, which is nobody's fault.
-func (r *requestState) recordExpectedMiss(attempt *attemptState) {
+func (r *openRequest) recordExpectedMiss(attempt *attemptState) {
 	r.toReplica = false
 	if attempt.limiter == nil && attempt.isFill() && r.row != nil {
 		r.row.CachedAt = 0 // a believed hit that was none
--- a/internal/policy/placement.go
+++ b/internal/policy/placement.go
@@ -36,7 +36,7 @@
 }
 
 // tryNext sends one attempt by the first route that the guards let pass: by caches, parents or the origin.
-func (e *Engine) tryNext(request *requestState) bool {
+func (e *Engine) tryNext(request *openRequest) bool {
 	parents := e.endpoints.Parents.OrderFor(request.part.Hash(), nil, e.now)
 	if request.class.Write {
 		return e.sendDirect(request, nil, e.endpoints.Origin) || e.sendThroughCaches(request, nil) ||
@@ -51,7 +51,7 @@
 
 // cacheOrder ranks the zone's caches for a request: first the one that is believed to cache the part, then by
 // hash. At the top rank the first two have a copy, and the one with less load goes first.
-func (e *Engine) cacheOrder(request *requestState) *ranking {
+func (e *Engine) cacheOrder(request *openRequest) *ranking {
 	var believed *endpointState
 	if request.row != nil && request.row.CachedAt != 0 {
 		believed = e.endpoints.LocalCache(EndpointID(request.row.CachedAt))
@@ -70,13 +70,13 @@
 }
 
 // believedAt says whether an endpoint is believed to cache a request's part.
-func (r *requestState) believedAt(endpoint *endpointState) bool {
+func (r *openRequest) believedAt(endpoint *endpointState) bool {
 	return r.row != nil && r.row.CachedAt == uint64(endpoint.ID)
 }
 
 // sendThroughCaches tries the zone's caches in order, each with all sources. It stops at the first cache
 // without capacity: the request is at capacity then, and the later ones are not tried.
-func (e *Engine) sendThroughCaches(request *requestState, parents *ranking) bool {
+func (e *Engine) sendThroughCaches(request *openRequest, parents *ranking) bool {
 	order := e.cacheOrder(request)
 	if e.siblingLookup(request, order) {
 		return true
@@ -104,7 +104,7 @@
 }
 
 // sendToCache tries a cache with each source: the parents, at least with what they cache, and the origin.
-func (e *Engine) sendToCache(request *requestState, cache *endpointState, parents *ranking) bool {
+func (e *Engine) sendToCache(request *openRequest, cache *endpointState, parents *ranking) bool {
 	for source := range parents.AllThen(e.endpoints.Origin) {
 		if !e.eligible(request, source) {
 			continue
@@ -121,7 +121,7 @@
 }
 
 // siblingLookup tries the zone's caches one after another, without a fill, for a part that no row places.
-func (e *Engine) siblingLookup(request *requestState, order *ranking) bool {
+func (e *Engine) siblingLookup(request *openRequest, order *ranking) bool {
 	if request.row == nil || request.row.CachedAt != 0 ||
 		len(request.attempts) > e.cfg.MaxAttempts-attemptsAfterLookups ||
 		slices.ContainsFunc(request.attempts, attemptState.isFill) {
@@ -139,7 +139,7 @@
 }
 
 // sendDirect passes the caches by; a parent fills what it lacks from the origin.
-func (e *Engine) sendDirect(request *requestState, parents *ranking, last *endpointState) bool {
+func (e *Engine) sendDirect(request *openRequest, parents *ranking, last *endpointState) bool {
 	if !e.cfg.DirectFetch || e.endpoints.Origin == nil {
 		return false
 	}
@@ -153,12 +153,12 @@
 }
 
 // eligible says whether an endpoint may get a request that it has not failed before.
-func (e *Engine) eligible(request *requestState, endpoint *endpointState) bool {
+func (e *Engine) eligible(request *openRequest, endpoint *endpointState) bool {
 	return endpoint != nil && endpoint.Usable(e.now) && !slices.Contains(request.failed, endpoint)
 }
 
 // send sends an attempt, if a limiter has capacity for it and the guards let it pass. All attempts go by it.
-func (e *Engine) send(request *requestState, via route) bool {
+func (e *Engine) send(request *openRequest, via route) bool {
 	limiter := e.limiterOf(request, via)
 	if limiter != nil && (via.cachedOnly && request.cachedOnlySent || e.limiterFull(request, limiter)) {
 		request.atCapacity = true
@@ -179,7 +179,7 @@
 }
 
 // limiterOf is the limiter that a route counts against: nil where no fill is likely.
-func (e *Engine) limiterOf(request *requestState, via route) *aimd.Limiter {
+func (e *Engine) limiterOf(request *openRequest, via route) *aimd.Limiter {
 	isCopy := via.source.Role == endpointset.Cache || request.believedAt(via.endpoint)
 	if request.class.Write || isCopy && via.endpoint.Role == endpointset.Cache {
 		return nil
@@ -191,7 +191,7 @@
 }
 
 // startAttempt books an attempt and emits its action.
-func (e *Engine) startAttempt(request *requestState, via route, limiter *aimd.Limiter) {
+func (e *Engine) startAttempt(request *openRequest, via route, limiter *aimd.Limiter) {
 	endpoint := via.endpoint
 	maxAge := e.maxAge(request)
 	isPurged := maxAge > 0
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -32,8 +32,8 @@
 	endpoints *endpointset.Set[attemptRef]
 	tables    *gaptable.Tables
 	purges    *invalidation.Ledger
-	requests  map[RequestID]*requestState
-	waiting   []*requestState // in order of arrival; those that ended stay until the next tick
+	requests  map[RequestID]*openRequest
+	waiting   []*openRequest // in order of arrival; those that ended stay until the next tick
 
 	cachedTiming rto.Estimator // of answers from cached copies
 	fillTiming   rto.Estimator // of fills
@@ -65,7 +65,7 @@
 		}),
 		tables:            gaptable.New(),
 		purges:            invalidation.New(purges),
-		requests:          map[RequestID]*requestState{},
+		requests:          map[RequestID]*openRequest{},
 		cachedTiming:      rto.New(),
 		fillTiming:        rto.New(),
 		fillLimiter:       aimd.New(),
@@ -143,7 +143,7 @@
 	if e.tables.FollowRate(e.now) {
 		e.purges.Expire(e.now)
 	}
-	e.waiting = slices.DeleteFunc(e.waiting, func(request *requestState) bool { return request.ended })
+	e.waiting = slices.DeleteFunc(e.waiting, func(request *openRequest) bool { return request.ended })
 	for _, request := range e.waiting {
 		e.checkInFlight(request)
 	}
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -18,8 +18,8 @@
 var saysNothingOfSource = []Status{StatusCanceled, StatusNotExecuted, StatusConnectFailed, StatusReset}
 
 // giveUp ends a request at once: by a rejection where none of it may have run, else by a failure.
-func (e *Engine) giveUp(request *requestState) {
-	if e.mayReject(request) {
+func (e *Engine) giveUp(request *openRequest) {
+	if e.isRetryHarmless(request) {
 		e.emit(Reject{request.id, e.cfg.RetryAfter(&request.class.Class)})
 	} else {
 		e.emit(Fail{request.id})
@@ -33,7 +33,7 @@
 }
 
 // hasCapacity says whether an endpoint can answer in time beside what is in flight to it.
-func (e *Engine) hasCapacity(request *requestState, endpoint *endpointState) bool {
+func (e *Engine) hasCapacity(request *openRequest, endpoint *endpointState) bool {
 	if len(endpoint.InFlight()) == 0 || endpoint.Role == endpointset.Origin {
 		return true
 	}
@@ -42,18 +42,18 @@
 }
 
 // objectiveSeconds is the latency objective of a request that takes so many seconds to send.
-func (r *requestState) objectiveSeconds(seconds float64) float64 {
+func (r *openRequest) objectiveSeconds(seconds float64) float64 {
 	return r.class.LatencyObjective.Seconds() + r.class.ObjectiveStretch*seconds
 }
 
 // limiterFull says whether a limiter has no capacity for a request. A part of a fill is admitted by chance.
-func (e *Engine) limiterFull(request *requestState, limiter *aimd.Limiter) bool {
+func (e *Engine) limiterFull(request *openRequest, limiter *aimd.Limiter) bool {
 	draw := rendezvous.Draw(uint64(request.id))
 	return limiter.Full(e.endpoints.Links(), e.prices.Weight(request.price), draw)
 }
 
 // recordFill adapts an attempt's limiter to its answer, and notes which parents give answers.
-func (e *Engine) recordFill(request *requestState, attempt *attemptState, event ResponseEvent) {
+func (e *Engine) recordFill(request *openRequest, attempt *attemptState, event ResponseEvent) {
 	isOK := event.Status == StatusOK
 	if isOK && (event.Note == NoteFilled || event.Note == NoteFilledOrigin) {
 		attempt.source.LastFillAt = e.now // and not where its cache had the copy
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -13,12 +13,12 @@
 
 // attemptRef is the nth attempt of a request.
 type attemptRef struct {
-	request *requestState
+	request *openRequest
 	n       int
 }
 
-// requestState is an open request.
-type requestState struct {
+// openRequest is an open request.
+type openRequest struct {
 	id       RequestID
 	class    *classState
 	part     gaptable.Part
@@ -67,7 +67,7 @@
 	class := &e.classes[event.Class]
 	part := gaptable.Part{Object: event.Object, Index: event.Part}
 	deadline := e.now + event.Remaining
-	request := &requestState{id: event.ID, class: class, part: part, group: event.Group, deadline: deadline}
+	request := &openRequest{id: event.ID, class: class, part: part, group: event.Group, deadline: deadline}
 	e.tables.CountRequest()
 	e.estimateSize(request, event)
 	if !class.Write {
@@ -82,7 +82,7 @@
 
 // estimateSize gives a request its sending time, from its size or else from its class. What a client says of
 // the size may be wrong, and must not spoil what is known of the class.
-func (e *Engine) estimateSize(request *requestState, event RequestEvent) {
+func (e *Engine) estimateSize(request *openRequest, event RequestEvent) {
 	cost := &request.class.cost
 	request.expectedSeconds = cost.Mean()
 	request.sizeKnown = event.SizeKB > 0 && e.cfg.FlowKBps > 0
@@ -94,7 +94,7 @@
 }
 
 // recordDemand counts a request for its part, and decides whether and at which rank a copy is cached.
-func (e *Engine) recordDemand(request *requestState, event RequestEvent) {
+func (e *Engine) recordDemand(request *openRequest, event RequestEvent) {
 	request.row = e.tables.Row(request.part)
 	if request.row == nil || !event.Retry {
 		request.row = e.tables.Touch(request.part, e.now)
@@ -130,7 +130,7 @@
 }
 
 // learn takes from a good answer how long such answers take and where the part is cached.
-func (e *Engine) learn(request *requestState, attempt *attemptState, event ResponseEvent) {
+func (e *Engine) learn(request *openRequest, attempt *attemptState, event ResponseEvent) {
 	e.timing(attempt).Observe(event.Elapsed.Seconds() - attempt.expectedSeconds)
 	recordOvertaken(request, attempt)
 	endpoint := attempt.endpoint
@@ -149,7 +149,7 @@
 }
 
 // release takes the nth attempt of a request off what is in flight to its endpoint.
-func (e *Engine) release(request *requestState, n int) {
+func (e *Engine) release(request *openRequest, n int) {
 	attempt := &request.attempts[n]
 	attempt.endpoint.End(e.now, attemptRef{request, n})
 	if attempt.limiter != nil {
@@ -158,7 +158,7 @@
 }
 
 // finish forgets a request that has its end and cancels what is still in flight.
-func (e *Engine) finish(request *requestState) {
+func (e *Engine) finish(request *openRequest) {
 	for n := range request.attempts {
 		if request.attempts[n].done {
 			continue
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -25,14 +25,14 @@
 )
 
 // advance sends the next attempt of a request that has none in flight, or gives the request up.
-func (e *Engine) advance(request *requestState) {
+func (e *Engine) advance(request *openRequest) {
 	if request.inFlight == 0 && (request.deadline-e.now < minTimeLeft || !e.tryNext(request)) {
 		e.giveUp(request)
 	}
 }
 
 // checkInFlight adds each attempt in flight to its endpoint's silence, and counts it once it has become slow.
-func (e *Engine) checkInFlight(request *requestState) {
+func (e *Engine) checkInFlight(request *openRequest) {
 	for i := range request.attempts {
 		attempt := &request.attempts[i]
 		if attempt.done {
@@ -47,7 +47,7 @@
 }
 
 // checkSlow counts an attempt that has missed its objective.
-func (e *Engine) checkSlow(request *requestState, attempt *attemptState) {
+func (e *Engine) checkSlow(request *openRequest, attempt *attemptState) {
 	objective := request.objectiveSeconds(request.expectedSeconds)
 	elapsed := (e.now - attempt.sentAt).Seconds()
 	isOriginWrite := request.class.Write && attempt.endpoint.Role == endpointset.Origin
@@ -64,7 +64,7 @@
 
 // retryUnanswered has a request go on whose only attempt is lost or waits for an ejected endpoint: by an
 // attempt beside it where hedging is allowed, else by one in its place.
-func (e *Engine) retryUnanswered(request *requestState) {
+func (e *Engine) retryUnanswered(request *openRequest) {
 	mayRetry := request.class.Idempotency != NotIdempotent && request.deadline-e.now >= minTimeLeft
 	if request.inFlight != 1 || !mayRetry {
 		return
@@ -81,7 +81,7 @@
 }
 
 // hedge sends a second attempt beside one that is lost or waits for an ejected endpoint.
-func (e *Engine) hedge(request *requestState, attempt *attemptState) {
+func (e *Engine) hedge(request *openRequest, attempt *attemptState) {
 	if request.class.Idempotency != Idempotent {
 		return
 	}
@@ -102,7 +102,7 @@
 
 // cancelOvertaken cancels a lost attempt, so that the request goes on. Links are shared evenly and under
 // overload all attempts are slow alike; lost are only those that later and larger ones have overtaken.
-func (e *Engine) cancelOvertaken(request *requestState, n int) {
+func (e *Engine) cancelOvertaken(request *openRequest, n int) {
 	attempt := &request.attempts[n]
 	if attempt.overtaken < minOvertaken || !e.cfg.MayCancel || len(request.attempts) >= e.cfg.MaxAttempts {
 		return
@@ -120,7 +120,7 @@
 
 // recordOvertaken counts an answer for the attempts that it overtook: those that were sent earlier to the
 // same endpoint, for less, and wait for the same source.
-func recordOvertaken(request *requestState, answered *attemptState) {
+func recordOvertaken(request *openRequest, answered *attemptState) {
 	for _, ref := range answered.endpoint.InFlight() {
 		attempt := &ref.request.attempts[ref.n]
 		isFill, answeredFill := attempt.limiter != nil, answered.limiter != nil
--- a/internal/policy/skipping_test.go
+++ b/internal/policy/skipping_test.go
@@ -267,7 +267,7 @@
 				for i := range engine.classes {
 					cheapest = min(cheapest, engine.classes[i].cost.Cost())
 				}
-				request := &requestState{class: &classState{cost: classcost.New(cheapest * 1.3)}}
+				request := &openRequest{class: &classState{cost: classcost.New(cheapest * 1.3)}}
 				if engine.withinWarmupBudget(request, endpoint) {
 					t.Fatalf("seed %d: endpoint %d is skipped at %v, and has budget", seed, endpoint.ID, engine.now)
 				}
--- a/internal/upstream/liveness.go
+++ b/internal/upstream/liveness.go
@@ -38,7 +38,7 @@
 		c.sendCheck(now)
 	case liveness.Retire:
 		c.retire()
-	case liveness.Blocked:
+	case liveness.StalledPartial:
 		c.protocolError(fmt.Errorf("an answer under %.32q has not ended for %v, and its request is over",
 			c.partialResponseID, c.liveness.PartialFor(now)))
 	case liveness.Unresponsive, liveness.Unread:
--- a/internal/upstream/liveness/monitor.go
+++ b/internal/upstream/liveness/monitor.go
@@ -44,12 +44,12 @@
 
 // The verdicts. The last three end the connection with all that is outstanding on it.
 const (
-	Healthy      Verdict = iota // nothing
-	SendCheck                   // ask the endpoint whether the connection lives, and report CheckSent
-	Retire                      // send nothing new by this connection
-	Unresponsive                // a check was not answered
-	Unread                      // the endpoint does not read what is sent
-	Blocked                     // a partial response that nobody waits for holds up another one
+	Healthy        Verdict = iota // nothing
+	SendCheck                     // ask the endpoint whether the connection lives, and report CheckSent
+	Retire                        // send nothing new by this connection
+	Unresponsive                  // a check was not answered
+	Unread                        // the endpoint does not read what is sent
+	StalledPartial                // a partial response that nobody waits for holds up another one
 )
 
 // Facts is what the owner of a connection sees at the moment of a Step.
@@ -160,7 +160,7 @@
 	case m.unflushed.isStuck(now, facts.Flushed):
 		return Unread
 	case m.IsPartialSlow(now) && !facts.PartialAwaited && facts.PastDue.isOneAwaited:
-		return Blocked
+		return StalledPartial
 	case !facts.ChecksAllowed && m.quiet(now) > retireAfter:
 		return Retire
 	case !facts.ChecksAllowed:
--- a/internal/upstream/liveness/monitor_test.go
+++ b/internal/upstream/liveness/monitor_test.go
@@ -96,7 +96,7 @@
 	partialAwaited := m.partialOwner != nil && m.partialOwner.open
 	quiet := min(m.now-m.lastRead(), m.now-m.idleUntil)
 	if len(m.partialFrom) > 0 && m.now-m.partialFrom[0] > maxPartial && !partialAwaited && m.pastDue(awaited) {
-		return Blocked
+		return StalledPartial
 	}
 	if !m.checksAllowed {
 		if quiet > retireAfter {
@@ -249,7 +249,7 @@
 	if verdict != allowed[0] && verdict != allowed[len(allowed)-1] {
 		p.t.Fatalf("at %v the verdict is %d, want one of %v", m.now, verdict, allowed)
 	}
-	if verdict == Unread || verdict == Blocked {
+	if verdict == Unread || verdict == StalledPartial {
 		return verdict
 	}
 	suspected := false
