--- a/test/catalogue_test.go
+++ b/test/catalogue_test.go
@@ -66,15 +66,16 @@
 	bed.platformLimits()["dial-timeout-ms"] = 60000
 	bed.start()
 	bed.waitEndpointsKnown(4)
+	const requests = 20
 	client := bed.dial()
-	for id := range uint64(20) {
+	for id := range uint64(requests) {
 		fields := map[string]string{"limit": "60000", "item": hexID(id + 1), "ram": "1"}
 		client.send(request(id, "footage", fields, ""))
 	}
 	bed.waitFirstAttempt() // attempts wait for c1: c2 has no copies, and c1 is next
 	cluster.Mark("cache", "c1", consul.Critical)
 	bed.waitLogged("event=endpoint-removed endpoint=c1")
-	bed.waitUntil("a fill is under way", func() bool { return len(fills) > 0 })
+	bed.waitUntil("all fills are under way", func() bool { return len(fills) == requests })
 	fill := <-fills
 	cluster.Mark("trunk", "p1", consul.Critical)
 	bed.waitLogged("event=endpoint-removed endpoint=p1")
@@ -84,7 +85,7 @@
 			attempt.Answer("ACK", "tag=t1,minted=1,remark=filled,lag=1", attempt.Fields["thing"])
 		}
 	}()
-	for range 20 {
+	for range requests {
 		if answer := client.mustRead(); answer.Error != "" {
 			t.Errorf("%+v, want it served", answer)
 		}
