--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -68,15 +68,15 @@
 // isIdle says whether the connection is up and in use by nothing.
 func (c *connection) isIdle() bool { return c.state == stateUp && c.load() == 0 }
 
-// candidate is what the choice for an attempt under an id needs to know.
-func (c *connection) candidate(now time.Duration, id string) candidate {
+// candidate is what the choice of a connection needs to know.
+func (c *connection) candidate(now time.Duration) candidate {
 	load := c.load()
 	return candidate{
 		isUp:      c.state == stateUp,
 		isRetired: c.isRetired,
 		load:      load,
 		isUsable: !c.isRetired && load < c.pool.Streams && !c.liveness.IsSuspected() &&
-			!c.liveness.IsPartialSlow(now) && c.isIDFree(id),
+			!c.liveness.IsPartialSlow(now),
 	}
 }
 
--- a/internal/upstream/endpoint_connections.go
+++ b/internal/upstream/endpoint_connections.go
@@ -19,7 +19,10 @@
 	now := g.pool.Now()
 	var choice selection
 	for i, connection := range g.connections {
-		choice.consider(i, connection.candidate(now, id))
+		c := connection.candidate(now)
+		if choice.consider(c) && connection.isIDFree(id) {
+			choice.choose(i, c)
+		}
 	}
 	if choice.isFound {
 		best = g.connections[choice.bestIndex]
--- a/internal/upstream/liveness/monitor.go
+++ b/internal/upstream/liveness/monitor.go
@@ -120,7 +120,7 @@
 }
 
 // IsCheck says whether a check is out under an id.
-func (m *Monitor) IsCheck(id string) bool { return m.indexOf(id) >= 0 }
+func (m *Monitor) IsCheck(id string) bool { return len(m.checks) > 0 && m.indexOf(id) >= 0 }
 
 // CheckAnswered reports that the endpoint answered a check that was out.
 func (m *Monitor) CheckAnswered(now time.Duration, id string) {
--- a/internal/upstream/selection.go
+++ b/internal/upstream/selection.go
@@ -7,7 +7,7 @@
 type candidate struct {
 	isUp      bool // and not still dialing
 	isRetired bool
-	isUsable  bool // the attempt may be put on it
+	isUsable  bool // it takes attempts, as far as their ids are free on it
 	load      int  // attempts and checks that wait for it or are outstanding on it
 }
 
@@ -21,9 +21,9 @@
 
 // selection chooses among the connections to an endpoint, which are considered one after the other.
 //
-// Invariants: the chosen one is usable, and no usable one is better. Another connection is wanted where none is
-// usable, or where the chosen one has half of its load and none is being dialed: no attempt waits for that one, it is
-// opened ahead.
+// Invariants: the chosen one is usable and the id is free on it, and no such one is better. Another connection is
+// wanted where there is none such, or where the chosen one has half of its load and none is being dialed: no attempt
+// waits for that one, it is opened ahead.
 type selection struct {
 	best      candidate
 	bestIndex int
@@ -31,14 +31,18 @@
 	isDialing bool // one that will take attempts
 }
 
-// consider takes the next candidate. The index is its place in the caller's list.
-func (s *selection) consider(index int, c candidate) {
+// consider takes the next candidate, and says whether it is preferred to the one chosen so far. The caller then looks
+// whether the attempt's id is free on it, and if so chooses it.
+func (s *selection) consider(c candidate) (isPreferred bool) {
 	s.isDialing = s.isDialing || !c.isUp && !c.isRetired
-	if c.isUsable && (!s.isFound || c.isBetterThan(s.best)) {
-		s.best = c
-		s.bestIndex = index
-		s.isFound = true
-	}
+	return c.isUsable && (!s.isFound || c.isBetterThan(s.best))
+}
+
+// choose chooses a candidate that is preferred. The index is its place in the caller's list.
+func (s *selection) choose(index int, c candidate) {
+	s.best = c
+	s.bestIndex = index
+	s.isFound = true
 }
 
 // wantsAnother says whether one more connection is to be opened, where each may have a load of maxLoad.
--- a/internal/upstream/selection_test.go
+++ b/internal/upstream/selection_test.go
@@ -20,12 +20,15 @@
 				load:      rapid.IntRange(0, maxLoad).Draw(t, "load"),
 			}
 		}), 0, 6).Draw(t, "candidates")
+		isIDFree := rapid.SliceOfN(rapid.Bool(), len(candidates), len(candidates)).Draw(t, "id is free")
 		var choice selection
 		var usable []int
 		isDialing := false
 		for i, c := range candidates {
-			choice.consider(i, c)
-			if c.isUsable {
+			if choice.consider(c) && isIDFree[i] {
+				choice.choose(i, c)
+			}
+			if c.isUsable && isIDFree[i] {
 				usable = append(usable, i)
 			}
 			isDialing = isDialing || !c.isUp && !c.isRetired
