--- a/internal/broker/attempt.go
+++ b/internal/broker/attempt.go
@@ -21,7 +21,7 @@
 	BypassParent bool          // no copy is left at the parent
 	Revalidate   bool          // an ageing copy is fetched anew while it is served
 	Deadline     time.Duration
-	Written      bool // set by the pool: all of it was written, as far as is known
+	Written      bool // set by the pool: some of it may have been written to the endpoint
 
 	decidedAt time.Duration // by the policy; it may wait for its connection from then on
 	state     attemptState
@@ -73,7 +73,7 @@
 		return
 	}
 	if end, rejection := b.charge(attempt); rejection != nil {
-		request.rejection = rejection
+		request.blockedBy = rejection
 		b.pending = append(b.pending, AttemptEnded{Attempt: attempt, End: end})
 		return
 	}
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -108,7 +108,7 @@
 }
 
 // MaySend says at the moment of writing whether an attempt may still go out, and the oldest copy that will do then: the
-// list and the purges may have moved on while it waited for its connection. The list's state outranks all else.
+// list and the purges may have moved on while it waited for its connection.
 func (b *Broker) MaySend(attempt *Attempt, now time.Duration) (maxAge time.Duration, ok bool) {
 	switch {
 	case !attempt.Open() || now >= attempt.Deadline:
--- a/internal/broker/outcome.go
+++ b/internal/broker/outcome.go
@@ -16,7 +16,7 @@
 	AlreadyEnded                    // the endpoint says that the request had ended already
 	ConnectFailed                   // no connection came up: refused, or not within the time-out
 	NotSent                         // the connection ended before anything of the attempt was written
-	Blocked                         // the list or a quota forbade it by the time it was to be written
+	Blocked                         // a quota forbade it, or the list by the time it was to be written
 	RetryBudgetExhausted            // a retry budget is used up
 	NoConnectionCapacity            // no descriptor or place is left for it here
 	ConnectionReset                 // the connection ended after something of the attempt was written
--- a/internal/broker/request.go
+++ b/internal/broker/request.go
@@ -44,7 +44,7 @@
 	deadline  time.Duration // by which the response must be on its way
 	attempts  []*Attempt
 	grant     quota.Grant      // that it and its attempts are charged to while it is open
-	rejection *quota.Rejection // of the budget that blocked an attempt; nil: none did
+	blockedBy *quota.Rejection // the budget that last blocked an attempt; a later one may have gone out
 }
 
 // requestState is where a request stands. The package's doc comment has the transitions.
@@ -131,7 +131,8 @@
 	b.notify(policy.ClientGoneEvent{ID: request.id})
 }
 
-// passDeadline ends a request. The policy may respond to the end of the attempts; else the request has failed.
+// passDeadline ends a request. The policy responds to the end of its attempts, by a rejection where a retry does no
+// harm; only if it does not, the request has failed.
 func (b *Broker) passDeadline(request *Request) {
 	if request.state == requestEnded {
 		return
@@ -155,8 +156,8 @@
 	if request == nil {
 		return
 	}
-	if request.rejection != nil && response.Kind == ResponseRejected {
-		response = quotaRejection(request.rejection)
+	if request.blockedBy != nil && response.Kind == ResponseRejected {
+		response = quotaRejection(request.blockedBy)
 	}
 	b.respond(request, response)
 }
--- a/internal/broker/response.go
+++ b/internal/broker/response.go
@@ -30,7 +30,7 @@
 const (
 	ResponseServed      ResponseKind = iota
 	ResponseNotModified              // the client's copy is the one that would be served
-	ResponseRejected                 // nothing was executed: a retry is harmless
+	ResponseRejected                 // a retry is harmless: nothing was executed, or a second time does no harm
 	ResponseFailed                   // nothing is promised
 	ResponseDenied                   // the caller may not; Reason says why
 )
@@ -38,7 +38,8 @@
 // Field is a name with its value.
 type Field struct{ Name, Value string }
 
-// The reasons that responses give. Operators and clients read them: they are behaviour.
+// The reasons that responses give. Those of failures go out by DNS, so that they are behaviour; those of rejections are
+// in no answer and no log yet.
 const (
 	reasonRefused           = "refused"
 	reasonFailed            = "failed"
--- a/internal/frontend/connlimit/connlimit.go
+++ b/internal/frontend/connlimit/connlimit.go
@@ -98,8 +98,8 @@
 	return true
 }
 
-// Tick evicts the clients whose time-out has passed. It returns how many of them had an incomplete message. The
-// frontend calls it periodically.
+// Tick evicts the clients whose time-out has passed. It returns how many of them had an incomplete message
+// that was not their first. The frontend calls it periodically.
 func (l *Limiter) Tick(now time.Duration) (unfinished int) {
 	for client := first(l.fresh); client != nil && now-client.since > MessageTimeout; client = first(l.fresh) {
 		client.evict()
--- a/internal/frontend/rpc/pacing/pacing.go
+++ b/internal/frontend/rpc/pacing/pacing.go
@@ -2,8 +2,9 @@
 // too much and are closed.
 //
 // A connection is rate-limited while identity rejects its requests for want of a budget. Its messages are then
-// handled in rounds, a few at a time, so that a flood delays nobody else. A Queue holds the connections that wait for
-// a turn; an OpenLimit decides about the requests of one connection by how many are open.
+// handled in rounds of turns, a few at a time, so that a flood delays nobody else. A round here is one tick of the
+// frontend, not one of the event loop. A Queue holds the connections that wait for a turn; an OpenLimit decides about
+// the requests of any connection by how many are open.
 //
 // Invariants:
 //
@@ -11,7 +12,7 @@
 //     handled, and at most Limits.MessagesPerRound of all connections' together.
 //   - Turns are in the order in which connections began to wait; one that still has messages after its turn waits
 //     anew.
-//   - A connection that waits longer than Limits.MaxWait is timed out, and none else is.
+//   - A connection that waits longer than Limits.MaxWait is timed out, and no other.
 //   - A connection stands in the queue at most once.
 //
 // Bounds: one list element for each connection that waits. The package does no I/O and asks no clock. It is not safe
--- a/internal/policy/guards.go
+++ b/internal/policy/guards.go
@@ -8,8 +8,10 @@
 	"sloequay/internal/policy/slowstart"
 )
 
-// The protocol page has five rules ("Five things never to do"). Each has its function here; send asks the
-// guards of the first four, and each attempt has the age that the fifth allows.
+// The protocol has five rules, each of which has its function here: every request is answered (isOpen), no
+// effect is done twice (mayRepeatAt), nothing goes to or fills from an endpoint that drains (bothReady),
+// one that has just started is spared (withinWarmupBudget), no purged copy is served (maxAge). send asks
+// the guards of the first four, and each attempt has the age that the fifth allows.
 
 const (
 	// retryWindowShare of the time in which endpoints drop repeats is used: what is decided has yet to be
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -17,7 +17,8 @@
 // saysNothingOfSource are the outcomes that say nothing of what is behind a cache.
 var saysNothingOfSource = []Status{StatusCanceled, StatusNotExecuted, StatusConnectFailed, StatusReset}
 
-// giveUp ends a request at once: by a rejection where none of it may have run, else by a failure.
+// giveUp ends a request at once: by a rejection where a retry does no harm, as none of it may have run or its
+// class is safe to repeat; else by a failure.
 func (e *Engine) giveUp(request *openRequest) {
 	if e.isRetryHarmless(request) {
 		e.emit(Reject{request.id, e.cfg.RetryAfter(&request.class.Class)})
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -36,8 +36,10 @@
 	toReplica      bool // it goes to the second copy, which is filled from the first
 	cachedOnlySent bool // a parent was sent a fill from what it caches
 	atCapacity     bool // a cache or a limiter had no capacity for it
-	answerLost     bool
-	cancels        int // how many of its attempts were canceled for others
+	// answerLost says that an answer of it was lost, by a reset or by being so late that it was hedged: its
+	// endpoint was asked once more, and the next reset counts against the endpoint.
+	answerLost bool
+	cancels    int // how many of its attempts were canceled for others
 
 	attempts []attemptState
 	inFlight int
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -20,10 +20,10 @@
 // stepShutdown does what the shutdown needs next.
 func (s *server) stepShutdown(now time.Duration) {
 	load := shutdown.Load{
-		Open:    s.openRequests(),
-		Clients: s.frontend.Clients() + s.loop.PendingAccepts(),
-		Unsent:  s.loop.UnsentBytes(),
-		Blocked: !s.sources.shutdownDone(),
+		Open:          s.openRequests(),
+		Clients:       s.frontend.Clients() + s.loop.PendingAccepts(),
+		Unsent:        s.loop.UnsentBytes(),
+		Deregistering: !s.sources.shutdownDone(),
 	}
 	if s.dns != nil {
 		load.Clients += s.dns.Clients()
--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -4,8 +4,8 @@
 //
 // Invariants:
 //   - before the time is up it exits only when no request is open, all responses were taken by the system, nothing
-//     blocks it, and no client has been connected for reconnectWindow;
-//   - it never fails a request that came in time before that could have had its response.
+//     is being deregistered, and no client has been connected for reconnectWindow;
+//   - a request that came within excusedWindow is never failed before its own deadline.
 //
 // Bounds: once begun it exits at the latest LongestDeadline, excusedWindow and slowReaderGrace after the signal, or
 // arrivalWindow and slowReaderGrace where that is later.
@@ -20,8 +20,8 @@
 	// excusedWindow is how long after the signal requests may arrive that are excused if they are open when the
 	// platform kills the program; a later one has to be answered before.
 	excusedWindow = 700 * time.Millisecond
-	// maxKillDelay bounds when the platform may kill the program: excusedWindow after LongestDeadline, or after this
-	// where it is shorter.
+	// maxKillDelay and LongestDeadline, the shorter of them, bound when the platform may kill the program: that and
+	// excusedWindow after the signal.
 	maxKillDelay = 3 * time.Second
 	// responseMargin is taken off the time of a request after excusedWindow, so that its response has reached the
 	// client when the program is killed.
@@ -37,16 +37,16 @@
 
 // Load is what the proxy still has to finish.
 type Load struct {
-	Open    int  // requests without a response
-	Clients int  // connections of clients
-	Unsent  int  // bytes of responses that the system has not taken
-	Blocked bool // something else has to end first
+	Open          int  // requests without a response
+	Clients       int  // connections of clients
+	Unsent        int  // bytes of responses that the system has not taken
+	Deregistering bool // the registration or the peers have yet to be told
 }
 
 // Action is what to do now.
 type Action int
 
-// The actions. Each includes those before it.
+// The actions.
 const (
 	KeepServing  Action = iota // nothing
 	CloseIdle                  // close the connections of clients without an open request
@@ -116,7 +116,7 @@
 
 // isDone reports whether an exit loses nothing.
 func (s *Sequence) isDone(now time.Duration, load Load) bool {
-	if load.Open != 0 || load.Unsent != 0 || load.Blocked {
+	if load.Open != 0 || load.Unsent != 0 || load.Deregistering {
 		return false
 	}
 	return s.noClientSince > 0 && now-s.noClientSince >= reconnectWindow
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -9,7 +9,8 @@
 	"sloequay/internal/broker"
 )
 
-// dial makes a new connection to an endpoint. Either connection.Opened follows, or connection.dialFailed.
+// dial makes a new connection to an endpoint. connection.Opened follows, or connection.dialFailed, or neither where the
+// list has retired it before it was dialed again.
 func (p *Pool) dial(group *endpointConnections) *connection {
 	now := p.Now()
 	address := group.endpoint.Address
@@ -37,7 +38,8 @@
 	return dialed
 }
 
-// resolved dials the address that an endpoint's name stands for, unless the list says otherwise.
+// resolved dials the address that an endpoint's name stands for, unless it is that of an endpoint which takes nothing
+// new.
 func (c *connection) resolved(ip netip.Addr, port string, err error) {
 	address := net.JoinHostPort(ip.String(), port)
 	switch {
--- a/internal/upstream/liveness/monitor.go
+++ b/internal/upstream/liveness/monitor.go
@@ -31,7 +31,7 @@
 	suspectAfter = 30 * time.Millisecond
 	// checkTimeout is for how long a check may be out, and no byte be read, until the connection is Unresponsive.
 	checkTimeout     = 120 * time.Millisecond
-	minStepsPerCheck = 3 // for a check to time out: a process that stood still knows nothing of the endpoint
+	minStepsPerCheck = 3 // more than these must pass: a process that stood still knows nothing of the endpoint
 	// retireAfter is how long nothing may be read on a connection that can't be checked.
 	retireAfter = 600 * time.Millisecond
 	// maxPartial is how long a response may be on its way until nothing new is to wait behind it. It is longer than
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -94,7 +94,8 @@
 	return group
 }
 
-// makeRoom says whether one more connection may be opened. The one that has been idle longest makes way for it.
+// makeRoom says whether one more connection may be opened. The one that has been idle longest makes way for it. A dial
+// counts twice, as it holds two descriptors until its connection is up.
 func (p *Pool) makeRoom() bool {
 	if p.connections+p.Loop.PendingDials() < p.MaxConnections {
 		return true
