--- a/internal/broker/attempt.go
+++ b/internal/broker/attempt.go
@@ -36,7 +36,7 @@
 	attemptNotExecuted                     // it ended in a way that proves that it was not executed
 )
 
-// Open says whether the attempt has no end yet.
+// Open reports whether the attempt has no end yet.
 func (a *Attempt) Open() bool { return a.state == attemptOpen }
 
 // sendAttempt makes the next attempt of a request.
--- a/internal/broker/crossings_test.go
+++ b/internal/broker/crossings_test.go
@@ -253,7 +253,7 @@
 	x.writeAll() // which checks where they go
 }
 
-// allows says whether the responses are among those that are wanted.
+// allows reports whether the responses are among those that are wanted.
 func (c oneRoundCase) allows(request *Request, responses []ResponseKind) bool {
 	if len(responses) == 0 {
 		return c.want == nil || request.Canceled
--- a/internal/broker/endpoints.go
+++ b/internal/broker/endpoints.go
@@ -33,7 +33,7 @@
 	reportedStart time.Duration // its most recent start as reported, on the Unix clock; 0: long ago
 }
 
-// usable says whether attempts may be sent to the endpoint.
+// usable reports whether attempts may be sent to the endpoint.
 func (e *Endpoint) usable() bool { return e.State == policy.Ready }
 
 // endpointIndex finds endpoints by their id, name and address. It forgets those that departed long ago.
@@ -78,7 +78,7 @@
 	return strconv.FormatUint(uint64(id), 16)
 }
 
-// addressBlocked says whether an address is that of endpoints which take nothing new, or lately did.
+// addressBlocked reports whether an address is that of endpoints which take nothing new, or lately did.
 func (x *endpointIndex) addressBlocked(address string, now time.Duration) bool {
 	blocked := false
 	for _, endpoint := range x.byAddress[address] {
--- a/internal/broker/outcome.go
+++ b/internal/broker/outcome.go
@@ -58,11 +58,11 @@
 // String returns the name that the log uses.
 func (e End) String() string { return outcomes[e].name }
 
-// Succeeded says whether the attempt brought the request's response.
+// Succeeded reports whether the attempt brought the request's response.
 func (e End) Succeeded() bool { return e.status() == policy.StatusOK }
 
 // status is what the policy is notified of.
 func (e End) status() policy.Status { return outcomes[e].status }
 
-// provesNotExecuted says whether the end promises that the attempt had no effect.
+// provesNotExecuted reports whether the end promises that the attempt had no effect.
 func (e End) provesNotExecuted() bool { return e.status().ProvesNotExecuted() }
--- a/internal/broker/request.go
+++ b/internal/broker/request.go
@@ -56,7 +56,7 @@
 	requestEnded                        // it has its response, or was canceled
 )
 
-// anyWritten says whether an attempt of the request has reached an endpoint, as far as is known.
+// anyWritten reports whether an attempt of the request has reached an endpoint, as far as is known.
 func (r *Request) anyWritten() bool {
 	return slices.ContainsFunc(r.attempts, func(attempt *Attempt) bool { return attempt.Written })
 }
--- a/internal/broker/timers.go
+++ b/internal/broker/timers.go
@@ -29,7 +29,7 @@
 	request *Request // of halfTimeTimer and deadlineTimer
 }
 
-// stale says whether what the timer is about has ended.
+// stale reports whether what the timer is about has ended.
 func (t timer) stale() bool {
 	switch t.kind {
 	case attemptTimer:
--- a/internal/cli/try_traffic.go
+++ b/internal/cli/try_traffic.go
@@ -76,7 +76,7 @@
 	return row
 }
 
-// sortLatencies sorts the latencies for quantile, and says whether there are any.
+// sortLatencies sorts the latencies for quantile, and reports whether there are any.
 func (stats *trafficStats) sortLatencies() bool {
 	slices.Sort(stats.latencies)
 	return len(stats.latencies) > 0
--- a/internal/drill/audit_requests.go
+++ b/internal/drill/audit_requests.go
@@ -69,7 +69,7 @@
 	return false
 }
 
-// excuses says whether the process was killed or stood still while a request to it was open.
+// excuses reports whether the process was killed or stood still while a request to it was open.
 func (p *ProcessRun) excuses(sent, ended time.Duration) bool {
 	if p.Killed && p.EndedAt > 0 && p.EndedAt >= sent && p.StartedAt <= sent {
 		return true
--- a/internal/drill/catalogue.go
+++ b/internal/drill/catalogue.go
@@ -61,7 +61,7 @@
 	})
 }
 
-// takeToken says whether the rate bears one more call: a token bucket of one second's calls.
+// takeToken reports whether the rate bears one more call: a token bucket of one second's calls.
 func (l *catalogue) takeToken() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/drill/client_conn.go
+++ b/internal/drill/client_conn.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// state says whether the connection has ended, and how many requests are open on it.
+// state reports whether the connection has ended, and how many requests are open on it.
 func (c *clientConn) state() (isClosed bool, open int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/drill/conn.go
+++ b/internal/drill/conn.go
@@ -73,7 +73,7 @@
 	return c.waitWhileCut(from, to)
 }
 
-// waitWhileCut returns once a link is not cut, and says whether the connection still stands.
+// waitWhileCut returns once a link is not cut, and reports whether the connection still stands.
 func (c *linkedConn) waitWhileCut(from, to string) bool {
 	for c.network.faults(from, to).cut {
 		if !c.sleep(cutPollInterval) {
@@ -83,7 +83,7 @@
 	return true
 }
 
-// sleep says whether the connection still stands after a time.
+// sleep reports whether the connection still stands after a time.
 func (c *linkedConn) sleep(wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/drill/endpoint.go
+++ b/internal/drill/endpoint.go
@@ -133,7 +133,7 @@
 	c.emulators.ResetConnections(e.id)
 }
 
-// has says whether the endpoint can answer with an object by itself.
+// has reports whether the endpoint can answer with an object by itself.
 func (e *endpoint) has(object string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/drill/exchange.go
+++ b/internal/drill/exchange.go
@@ -178,7 +178,7 @@
 	x.answerServed("remark="+remark, fmt.Sprintf("lag=%d", took.Milliseconds()))
 }
 
-// isCutFrom says whether a link between the endpoint and a source is cut, either way.
+// isCutFrom reports whether a link between the endpoint and a source is cut, either way.
 func (x *exchange) isCutFrom(source *endpoint) bool {
 	own, other := endpointEnd(x.endpoint.id), endpointEnd(source.id)
 	to, from := x.cluster.network.faults(own, other), x.cluster.network.faults(other, own)
--- a/internal/drill/invariants.go
+++ b/internal/drill/invariants.go
@@ -171,5 +171,5 @@
 // boundTime is the bound as a time.
 func (i Invariant) boundTime() time.Duration { return time.Duration(i.bound * float64(time.Second)) }
 
-// covers says whether the invariant is about a moment.
+// covers reports whether the invariant is about a moment.
 func (i Invariant) covers(at time.Duration) bool { return at >= i.from && (i.to == 0 || at < i.to) }
--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -119,7 +119,7 @@
 	cancellation
 }
 
-// ownsConn says whether the request has a connection to itself.
+// ownsConn reports whether the request has a connection to itself.
 func (p *pendingRequest) ownsConn() bool { return p.cancels && p.closes }
 
 // newRequest makes a request and records it.
@@ -234,7 +234,7 @@
 	return total
 }
 
-// isStopped says whether the drill is over.
+// isStopped reports whether the drill is over.
 func (g *loadGenerator) isStopped() bool {
 	select {
 	case <-g.stop:
--- a/internal/drill/proxy.go
+++ b/internal/drill/proxy.go
@@ -182,7 +182,7 @@
 	}
 }
 
-// serving says whether clients are to send there.
+// serving reports whether clients are to send there.
 func (p *proxy) serving() bool {
 	p.mu.Lock()
 	run, running := p.run, p.cmd != nil
--- a/internal/drill/record.go
+++ b/internal/drill/record.go
@@ -55,7 +55,7 @@
 	OutcomeUnanswered   Outcome = "unanswered"   // long after its time
 )
 
-// isFinal says whether the client has a final answer.
+// isFinal reports whether the client has a final answer.
 func (o Outcome) isFinal() bool {
 	return o == OutcomeServed || o == OutcomeRejected || o == OutcomeFailed
 }
@@ -124,7 +124,7 @@
 // Span is a time from a moment to another; To 0: without end.
 type Span struct{ From, To time.Duration }
 
-// overlaps says whether two times have a moment in common.
+// overlaps reports whether two times have a moment in common.
 func (s Span) overlaps(from, to time.Duration) bool {
 	return s.From <= to && (s.To == 0 || from <= s.To)
 }
--- a/internal/drill/run.go
+++ b/internal/drill/run.go
@@ -17,7 +17,7 @@
 	Cluster *Cluster
 }
 
-// OK says whether all held.
+// OK reports whether all held.
 func (r *Result) OK() bool {
 	return !slices.ContainsFunc(r.Checks, func(v Verdict) bool { return !v.OK })
 }
--- a/internal/drill/selectors.go
+++ b/internal/drill/selectors.go
@@ -26,7 +26,7 @@
 // endpointID is the endpoint that a plan names, with or without the prefix.
 func endpointID(selector string) string { return strings.TrimPrefix(selector, endpointPrefix) }
 
-// isEndpoint says whether an end is an endpoint.
+// isEndpoint reports whether an end is an endpoint.
 func isEndpoint(end string) bool { return strings.HasPrefix(end, endpointPrefix) }
 
 // zoneName is a zone of caches, numbered from 1, as the list has it.
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -144,7 +144,7 @@
 	return reply, reader.Err == nil
 }
 
-// isBool says whether a truth value is next, as in the answer to status.
+// isBool reports whether a truth value is next, as in the answer to status.
 func isBool(reader *msgpack.Reader) bool {
 	if reader.Err != nil || reader.Pos >= len(reader.Data) {
 		return false
--- a/internal/emulator/consul/cluster.go
+++ b/internal/emulator/consul/cluster.go
@@ -335,7 +335,7 @@
 	}
 }
 
-// isExpired says whether a TTL check was not renewed in time.
+// isExpired reports whether a TTL check was not renewed in time.
 func (k *Check) isExpired(now time.Time) bool { return k.ttl > 0 && now.After(k.expires) }
 
 func (i *Instance) failExpired(now time.Time) {
--- a/internal/emulator/consul/local.go
+++ b/internal/emulator/consul/local.go
@@ -135,7 +135,7 @@
 	})
 }
 
-// renew starts a check's TTL anew, and says whether the check had that status already.
+// renew starts a check's TTL anew, and reports whether the check had that status already.
 func (c *Cluster) renew(service, checkID, status string) (isSame bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/eventloop/round.go
+++ b/internal/eventloop/round.go
@@ -86,7 +86,7 @@
 	isBusy      bool
 }
 
-// roundEnded counts a round, and says whether the loop is busy.
+// roundEnded counts a round, and reports whether the loop is busy.
 func (p *roundPacer) roundEnded(now time.Time) bool {
 	p.rounds++
 	if now.Sub(p.windowStart) >= busyWindow {
--- a/internal/eventloop/standstill/standstill.go
+++ b/internal/eventloop/standstill/standstill.go
@@ -85,7 +85,7 @@
 	d.events = 0
 }
 
-// hasStoodStill says whether the loop stood still since its last round.
+// hasStoodStill reports whether the loop stood still since its last round.
 func (d *Detector) hasStoodStill(now time.Time) bool {
 	return !d.lastRoundAt.IsZero() && now.Sub(d.lastRoundAt) > d.wakeAfter+Tolerance
 }
--- a/internal/eventloop/standstill/standstill_test.go
+++ b/internal/eventloop/standstill/standstill_test.go
@@ -20,7 +20,7 @@
 	return len(m.rounds) > 0 && now.After(m.rounds[len(m.rounds)-1].Add(m.wakeAfter+Tolerance))
 }
 
-// isCaughtUp says whether the last steps were all quiet, or there were many.
+// isCaughtUp reports whether the last steps were all quiet, or there were many.
 func (m *model) isCaughtUp() bool {
 	if len(m.steps) >= maxSteps {
 		return true
--- a/internal/identity/authenticator.go
+++ b/internal/identity/authenticator.go
@@ -269,7 +269,7 @@
 }
 
 // decide combines the caller's identity, its rights and the rule for idempotency keys. claims are those of a verified
-// token, or nil; reason says whether they are valid now.
+// token, or nil; reason reports whether they are valid now.
 func (a *Authenticator) decide(now time.Duration, call *Call, claims *Claims, reason Reason) *Outcome {
 	outcome := &Outcome{Call: call, Reason: reason, Rule: noRule}
 	if claims != nil {
--- a/internal/membership/consul/blockingquery/simulation_test.go
+++ b/internal/membership/consul/blockingquery/simulation_test.go
@@ -148,7 +148,7 @@
 	}
 }
 
-// isCurrent says whether the watch's user has the true list.
+// isCurrent reports whether the watch's user has the true list.
 func (s *simulation) isCurrent() bool { return s.receivedVersion == s.version }
 
 // change changes the true list.
--- a/internal/membership/consul/register_test.go
+++ b/internal/membership/consul/register_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// hasEvent says whether a log event of a name was logged.
+// hasEvent reports whether a log event of a name was logged.
 func hasEvent(logged []string, name string) bool {
 	return slices.ContainsFunc(logged, func(line string) bool { return strings.HasPrefix(line, name+"[") })
 }
--- a/internal/membership/consul/registrar/registrar.go
+++ b/internal/membership/consul/registrar/registrar.go
@@ -121,7 +121,7 @@
 // Next is when Step is due. It counts only while nothing is in flight.
 func (r *Registrar) Next() time.Duration { return r.nextStepAt }
 
-// Registered says whether the agent has the registration, as far as is known.
+// Registered reports whether the agent has the registration, as far as is known.
 func (r *Registrar) Registered() bool { return r.registered }
 
 // Finished says that deregistration succeeded, or was attempted often enough.
--- a/internal/membership/entry.go
+++ b/internal/membership/entry.go
@@ -94,7 +94,7 @@
 	return endpoint, nil
 }
 
-// isID says whether an endpoint's ID can stand in a line of the wire.
+// isID reports whether an endpoint's ID can stand in a line of the wire.
 func isID(id string) bool {
 	if id == "" || len(id) > maxIDBytes {
 		return false
@@ -107,7 +107,7 @@
 	return true
 }
 
-// isAddress says whether a text is host:port, with an IPv6 address in brackets.
+// isAddress reports whether a text is host:port, with an IPv6 address in brackets.
 func isAddress(text string) bool {
 	colon := strings.LastIndexByte(text, ':')
 	if colon <= 0 {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -144,7 +144,7 @@
 // Next is when Step is due at the latest; 0: nothing is.
 func (t *Table) Next() time.Duration { return t.due.next() }
 
-// HasChanges says whether TakeChanges may have something to give.
+// HasChanges reports whether TakeChanges may have something to give.
 func (t *Table) HasChanges() bool { return t.pending.len() > 0 }
 
 // TakeChanges gives at most so many changes, those first that make an endpoint more restricted. What has changed back
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -12,7 +12,7 @@
 	arrival   uint64   // its order of coming to that address
 }
 
-// reportedByOther says whether a source other than the given one has a report.
+// reportedByOther reports whether a source other than the given one has a report.
 func (r *endpointRecord) reportedByOther(source int) bool {
 	for i := range r.reports {
 		if i != source && r.reports[i].present {
--- a/internal/policy/endpointset/endpointset.go
+++ b/internal/policy/endpointset/endpointset.go
@@ -221,13 +221,13 @@
 	}
 }
 
-// Skipped says whether an endpoint stands in a ranking and is skipped there at a time.
+// Skipped reports whether an endpoint stands in a ranking and is skipped there at a time.
 func (s *Set[A]) Skipped(endpoint *Endpoint[A], now time.Duration) bool {
 	ranking := s.ranking(endpoint)
 	return ranking != nil && ranking.Skipped(endpoint.index, now)
 }
 
-// IsLocalCache says whether an endpoint is a cache of the proxy's zone.
+// IsLocalCache reports whether an endpoint is a cache of the proxy's zone.
 func (s *Set[A]) IsLocalCache(endpoint *Endpoint[A]) bool {
 	return endpoint.Role == Cache && endpoint.Zone == s.cfg.Zone
 }
--- a/internal/policy/gaptable/rate.go
+++ b/internal/policy/gaptable/rate.go
@@ -17,7 +17,7 @@
 // CountRequest counts a request for the rate.
 func (t *Tables) CountRequest() { t.rate.arrivals++ }
 
-// FollowRate bounds the tables by the rate of requests, once a second. It says whether it did.
+// FollowRate bounds the tables by the rate of requests, once a second. It reports whether it did.
 func (t *Tables) FollowRate(now time.Duration) bool {
 	rate := &t.rate
 	seconds := (now - rate.from).Seconds()
--- a/internal/policy/guards.go
+++ b/internal/policy/guards.go
@@ -119,7 +119,7 @@
 	return e.purges.MaxAge(e.now, request.part.Object, request.group, request.class.FreshFor)
 }
 
-// isReachable says whether the settings allow a route.
+// isReachable reports whether the settings allow a route.
 func (e *Engine) isReachable(via route) bool {
 	endpoint, source := via.endpoint, via.source
 	if endpoint.Role != endpointset.Cache {
--- a/internal/policy/outlier/health.go
+++ b/internal/policy/outlier/health.go
@@ -79,7 +79,7 @@
 	suspicion     float64       // how improbable its silence is, in log odds
 }
 
-// Ejected says whether an endpoint gets no ordinary work.
+// Ejected reports whether an endpoint gets no ordinary work.
 func (h *Health) Ejected() bool { return h.ejected }
 
 // Available says whether an endpoint may get a request: it is not ejected, or a trial is due and none is in flight.
@@ -90,7 +90,7 @@
 // RetryAt is when an ejected endpoint may get its next trial request.
 func (h *Health) RetryAt() time.Duration { return h.retryAt }
 
-// EjectedForSlowness says whether slow fills are all that an ejected endpoint is ejected for.
+// EjectedForSlowness reports whether slow fills are all that an ejected endpoint is ejected for.
 func (h *Health) EjectedForSlowness() bool { return h.slowOnly }
 
 // Observe takes an outcome, against what is usual among endpoints of its kind. What an ejected endpoint does is not
@@ -153,7 +153,7 @@
 	h.suspicion += (now - max(sentAt, h.waitingSince)).Seconds() / expectedSeconds
 }
 
-// Silent says whether an endpoint that is not ejected has been silent for too long.
+// Silent reports whether an endpoint that is not ejected has been silent for too long.
 func (h *Health) Silent(now time.Duration) bool {
 	return h.suspicion > maxSuspicion && now-h.waitingSince > minSilence && !h.ejected
 }
--- a/internal/policy/outlier/outlier.go
+++ b/internal/policy/outlier/outlier.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// Pace says whether an outcome came within its objective.
+// Pace reports whether an outcome came within its objective.
 type Pace int
 
 // The paces, as the outcome's value in a member's rate.
--- a/internal/policy/placement.go
+++ b/internal/policy/placement.go
@@ -69,7 +69,7 @@
 	return order
 }
 
-// believedAt says whether an endpoint is believed to cache a request's part.
+// believedAt reports whether an endpoint is believed to cache a request's part.
 func (r *openRequest) believedAt(endpoint *endpointState) bool {
 	return r.row != nil && r.row.CachedAt == uint64(endpoint.ID)
 }
@@ -152,7 +152,7 @@
 	return false
 }
 
-// eligible says whether an endpoint may get a request that it has not failed before.
+// eligible reports whether an endpoint may get a request that it has not failed before.
 func (e *Engine) eligible(request *openRequest, endpoint *endpointState) bool {
 	return endpoint != nil && endpoint.Usable(e.now) && !slices.Contains(request.failed, endpoint)
 }
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -33,7 +33,7 @@
 	return retryafter.Advisor{Max: c.MaxRetryAfter}.Rejected(class.LatencyObjective)
 }
 
-// hasCapacity says whether an endpoint can answer in time beside what is in flight to it.
+// hasCapacity reports whether an endpoint can answer in time beside what is in flight to it.
 func (e *Engine) hasCapacity(request *openRequest, endpoint *endpointState) bool {
 	if len(endpoint.InFlight()) == 0 || endpoint.Role == endpointset.Origin {
 		return true
--- a/internal/policy/rendezvous/ranking.go
+++ b/internal/policy/rendezvous/ranking.go
@@ -33,7 +33,7 @@
 // order.
 func (r *Ranking[M]) SkipUntil(n int, until time.Duration) { r.set.SkipUntil(n, int64(until)) }
 
-// Skipped says whether the member that was added as the nth is skipped at a time.
+// Skipped reports whether the member that was added as the nth is skipped at a time.
 func (r *Ranking[M]) Skipped(n int, now time.Duration) bool { return r.set.skipUntil[n] > int64(now) }
 
 // Members is all members in the order of Add. It must not be changed.
--- a/internal/policy/types.go
+++ b/internal/policy/types.go
@@ -131,7 +131,7 @@
 	StatusMiss
 )
 
-// ProvesNotExecuted says whether an attempt that ended so had no effect for certain.
+// ProvesNotExecuted reports whether an attempt that ended so had no effect for certain.
 func (s Status) ProvesNotExecuted() bool {
 	switch s {
 	case StatusAtCapacity, StatusConnectFailed, StatusNotExecuted, StatusMiss:
--- a/internal/proxy/snapshots.go
+++ b/internal/proxy/snapshots.go
@@ -58,7 +58,7 @@
 	isWriting bool
 }
 
-// restore reads the snapshot and says whether there was one to use.
+// restore reads the snapshot and reports whether there was one to use.
 func (w *snapshotWriter) restore() bool {
 	server := w.server
 	settings := server.plan.settings.Snapshot
--- a/internal/proxy/sources.go
+++ b/internal/proxy/sources.go
@@ -196,5 +196,5 @@
 	}
 }
 
-// shutdownDone says whether nothing of the shutdown is left to do.
+// shutdownDone reports whether nothing of the shutdown is left to do.
 func (s *sources) shutdownDone() bool { return !s.registrationActive.Load() }
--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -24,7 +24,7 @@
 	Max time.Duration // the longest time that clients heed; 0: no client may be told one
 }
 
-// MayAdvise says whether clients may be told a time at all, whoever rejects them.
+// MayAdvise reports whether clients may be told a time at all, whoever rejects them.
 func (a Advisor) MayAdvise() bool { return a.Max > 0 }
 
 // Rejected is for a request that no endpoint can answer in time: half of its class's latency objective, as whoever
--- a/internal/route/migration_test.go
+++ b/internal/route/migration_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// record hands a result to a migration, and says whether the share has changed.
+// record hands a result to a migration, and reports whether the share has changed.
 func record(m *Migration, now time.Duration, inNew, failed bool) bool {
 	result := Success
 	if failed {
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -65,7 +65,7 @@
 // load is the number of those, and of the attempts that wait.
 func (c *connection) load() int { return c.outstanding() + len(c.waiting) }
 
-// isIdle says whether the connection is up and in use by nothing.
+// isIdle reports whether the connection is up and in use by nothing.
 func (c *connection) isIdle() bool { return c.state == stateUp && c.load() == 0 }
 
 // candidate is what the choice of a connection needs to know.
@@ -80,19 +80,19 @@
 	}
 }
 
-// isIDFree says whether a response under an id would be that of a new attempt for certain.
+// isIDFree reports whether a response under an id would be that of a new attempt for certain.
 func (c *connection) isIDFree(id string) bool {
 	canConfirm := c.pool.ChecksAllowed && c.pool.CancelAllowed
 	return c.attempts[id] == nil && !c.liveness.IsCheck(id) && !c.history.isAmbiguous(id, canConfirm)
 }
 
-// holds says whether an attempt waits for the connection or is outstanding on it.
+// holds reports whether an attempt waits for the connection or is outstanding on it.
 func (c *connection) holds(attempt *broker.Attempt) bool {
 	outstanding := c.attempts[attempt.Request.ID]
 	return outstanding != nil && outstanding.attempt == attempt || slices.Contains(c.waiting, attempt)
 }
 
-// predates says whether the connection is one to where an endpoint was before it started anew or moved.
+// predates reports whether the connection is one to where an endpoint was before it started anew or moved.
 func (c *connection) predates(endpoint *broker.Endpoint) bool {
 	return c.dial.startedAt < endpoint.StartedAt || c.listedAddress != endpoint.Address
 }
--- a/internal/upstream/dial_failure.go
+++ b/internal/upstream/dial_failure.go
@@ -62,7 +62,7 @@
 	pause         time.Duration // before the last redialUntilLimit
 }
 
-// next says whether to dial again after a failure, and after what pause.
+// next reports whether to dial again after a failure, and after what pause.
 func (d *dialProgress) next(now time.Duration, how redialing, limit time.Duration) (pause time.Duration, redials bool) {
 	switch how {
 	case redialUntilLimit:
--- a/internal/upstream/id_history.go
+++ b/internal/upstream/id_history.go
@@ -34,13 +34,13 @@
 	h.entries[id] = idEntry{at: now, digest: digest}
 }
 
-// contains says whether an id is remembered.
+// contains reports whether an id is remembered.
 func (h *idHistory) contains(id string) bool {
 	_, ok := h.entries[id]
 	return ok
 }
 
-// isRepeated says whether the last response under an id was the same.
+// isRepeated reports whether the last response under an id was the same.
 func (h *idHistory) isRepeated(id, digest string) bool { return h.entries[id].digest == digest }
 
 // isAmbiguous says whether a late response under an id could be taken for that of a new attempt. The second copy of a
--- a/internal/upstream/liveness.go
+++ b/internal/upstream/liveness.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// awaitsEndpoint says whether the endpoint is to answer or to read something.
+// awaitsEndpoint reports whether the endpoint is to answer or to read something.
 func (c *connection) awaitsEndpoint() bool {
 	return c.state == stateUp && (c.outstanding() > 0 || c.conn.Unsent() > 0)
 }
@@ -60,7 +60,7 @@
 	return facts
 }
 
-// awaitsPartialResponse says whether something still waits for the response that has come in part.
+// awaitsPartialResponse reports whether something still waits for the response that has come in part.
 func (c *connection) awaitsPartialResponse() bool {
 	id := c.partialResponseID
 	if outstanding := c.attempts[id]; outstanding != nil {
--- a/internal/upstream/liveness/monitor.go
+++ b/internal/upstream/liveness/monitor.go
@@ -119,7 +119,7 @@
 	m.checks = append(m.checks, check{id: id, sentAt: now})
 }
 
-// IsCheck says whether a check is out under an id.
+// IsCheck reports whether a check is out under an id.
 func (m *Monitor) IsCheck(id string) bool { return len(m.checks) > 0 && m.indexOf(id) >= 0 }
 
 // CheckAnswered reports that the endpoint answered a check that was out.
@@ -192,7 +192,7 @@
 	return timedOut
 }
 
-// needsCheck says whether the endpoint is to be asked, none being asked yet.
+// needsCheck reports whether the endpoint is to be asked, none being asked yet.
 func (m *Monitor) needsCheck(now time.Duration, pastDue PastDueAttempts) bool {
 	pastDueSinceAnswer := pastDue.exist && pastDue.latestDueAt > m.checkAnsweredAt
 	quiet := m.quiet(now)
--- a/internal/upstream/liveness/unflushed.go
+++ b/internal/upstream/liveness/unflushed.go
@@ -36,7 +36,7 @@
 	u.queue = append(u.queue, queuedBytes{end: end, at: now})
 }
 
-// isStuck says whether bytes have waited for too long, now that all up to an offset were flushed.
+// isStuck reports whether bytes have waited for too long, now that all up to an offset were flushed.
 func (u *unflushed) isStuck(now time.Duration, flushed uint64) bool {
 	done := 0
 	for done < len(u.queue) && u.queue[done].end <= flushed {
--- a/internal/upstream/protocol.go
+++ b/internal/upstream/protocol.go
@@ -81,7 +81,7 @@
 	codeRejected: broker.Rejected, codeFailed: broker.Failed, codeAlreadyEnded: broker.AlreadyEnded,
 }
 
-// endsAttempt says whether the code answers an attempt, and not a check.
+// endsAttempt reports whether the code answers an attempt, and not a check.
 func (c responseCode) endsAttempt() bool { return int(c) < len(attemptEnds) }
 
 // String gives the code's word on the wire.
--- a/internal/upstream/resolver/resolver.go
+++ b/internal/upstream/resolver/resolver.go
@@ -125,7 +125,7 @@
 	l.finish(netip.Addr{}, fmt.Errorf("%s: no address in the answer", l.name))
 }
 
-// isAnswer says whether a message answers the question.
+// isAnswer reports whether a message answers the question.
 func (l *lookup) isAnswer(message *dns.Msg) bool {
 	return message.Response && message.Id == l.query.Id && len(message.Question) == 1 &&
 		strings.EqualFold(message.Question[0].Name, l.name)
--- a/internal/upstream/selection.go
+++ b/internal/upstream/selection.go
@@ -11,7 +11,7 @@
 	load      int  // attempts and checks that wait for it or are outstanding on it
 }
 
-// isBetterThan says whether an attempt goes rather by c: by the least loaded of those that are up.
+// isBetterThan reports whether an attempt goes rather by c: by the least loaded of those that are up.
 func (c candidate) isBetterThan(other candidate) bool {
 	if c.isUp != other.isUp {
 		return c.isUp
@@ -45,7 +45,7 @@
 	s.isFound = true
 }
 
-// wantsAnother says whether one more connection is to be opened, where each may have a load of maxLoad.
+// wantsAnother reports whether one more connection is to be opened, where each may have a load of maxLoad.
 func (s *selection) wantsAnother(maxLoad int) bool {
 	if !s.isFound {
 		return true
--- a/tools/lintgate/verdict.go
+++ b/tools/lintgate/verdict.go
@@ -55,7 +55,7 @@
 	return problems
 }
 
-// neverPending says whether a finding means that the linter could not do its work.
+// neverPending reports whether a finding means that the linter could not do its work.
 func neverPending(finding Finding) bool {
 	return finding.Rule == "compile" || finding.Rule == "config" || finding.Rule == ""
 }
--- a/tools/testgate/output.go
+++ b/tools/testgate/output.go
@@ -52,10 +52,10 @@
 	}
 }
 
-// isFrame says whether a line is one that go test writes with -v alone.
+// isFrame reports whether a line is one that go test writes with -v alone.
 func isFrame(line string) bool { return strings.HasPrefix(line, "=== ") }
 
-// isSummary says whether a line is the one that go test ends a package with.
+// isSummary reports whether a line is the one that go test ends a package with.
 func isSummary(line string) bool {
 	return strings.HasPrefix(line, "ok  \t") || strings.HasPrefix(line, "?   \t")
 }
