--- a/internal/broker/simulation_test.go
+++ b/internal/broker/simulation_test.go
@@ -91,7 +91,7 @@
 		OriginKind:       originKind,
 		FlowKBps:         1000,
 		WeightsReported:  seed%5 != 0,
-		Siblings:         policy.Reach(seed % 3),
+		Siblings:         policy.SiblingScope(seed % 3),
 		DirectFetch:      true,
 		JoinFills:        true,
 		PurgePropagation: 6 * time.Second,
--- a/internal/platformconfig/control.go
+++ b/internal/platformconfig/control.go
@@ -20,11 +20,11 @@
 		"zone": policy.DedupZone,
 		"cell": policy.DedupCell,
 	}
-	reachWords = map[string]policy.Reach{
-		"":         policy.ReachNone,
-		"off":      policy.ReachNone,
-		"location": policy.ReachZone,
-		"any":      policy.ReachAny,
+	reachWords = map[string]policy.SiblingScope{
+		"":         policy.SiblingsNone,
+		"off":      policy.SiblingsNone,
+		"location": policy.SiblingsZone,
+		"any":      policy.SiblingsAny,
 	}
 	detailWords = map[string]struct{}{"": {}, "off": {}, "hit": {}, "all": {}}
 )
--- a/internal/policy/decisions_test.go
+++ b/internal/policy/decisions_test.go
@@ -41,7 +41,7 @@
 		Ordinal: int(seed) % proxies, Instances: 2 * proxies, Zone: ownZone,
 		ZoneInstances: []int{0, 0, proxies, proxies},
 		ParentKind:    parentKind, OriginKind: originKind, FlowKBps: 1000, WeightsReported: seed%5 != 0,
-		WeightsLive: seed%7 == 0, Siblings: policy.Reach(seed % 3), DirectFetch: seed%6 != 5,
+		WeightsLive: seed%7 == 0, Siblings: policy.SiblingScope(seed % 3), DirectFetch: seed%6 != 5,
 		JoinFills: seed%4 != 3, PurgePropagation: 6 * time.Second,
 		MaxAttempts: 6, MayCancel: seed%8 != 7, Hedging: seed%2 == 0,
 		MaxRetryAfter: time.Second, PollDiscovery: seed%4 == 1, Classes: decisionClasses(),
--- a/internal/policy/guards.go
+++ b/internal/policy/guards.go
@@ -132,8 +132,8 @@
 	if endpoint.Zone != e.cfg.Zone {
 		return false
 	}
-	if source.Role != endpointset.Cache || source == endpoint || e.cfg.Siblings == ReachAny {
+	if source.Role != endpointset.Cache || source == endpoint || e.cfg.Siblings == SiblingsAny {
 		return true
 	}
-	return source.Zone == e.cfg.Zone && e.cfg.Siblings == ReachZone
+	return source.Zone == e.cfg.Zone && e.cfg.Siblings == SiblingsZone
 }
--- a/internal/policy/harness_test.go
+++ b/internal/policy/harness_test.go
@@ -15,7 +15,7 @@
 func testConfig() Config {
 	return Config{
 		Instances: 2, Zone: 2, ZoneInstances: []int{0, 0, 1, 1}, ParentKind: 1, OriginKind: 2,
-		FlowKBps: 1000, WeightsReported: true, Siblings: ReachZone,
+		FlowKBps: 1000, WeightsReported: true, Siblings: SiblingsZone,
 		DirectFetch: true, JoinFills: true,
 		PurgePropagation: 6 * sec,
 		ColdStartShare:   0.2, WarmupTime: 20 * sec, OverloadMultiple: 3, OverloadWindow: 2 * sec,
--- a/internal/policy/types.go
+++ b/internal/policy/types.go
@@ -32,14 +32,14 @@
 	DedupCell                   // those of one cell
 )
 
-// Reach says which caches may be the source of a fill.
-type Reach int
+// SiblingScope is the set of caches that may be the source of a fill.
+type SiblingScope int
 
-// The reaches of sibling fills.
+// The scopes of sibling fills.
 const (
-	ReachNone Reach = iota
-	ReachZone
-	ReachAny
+	SiblingsNone SiblingScope = iota
+	SiblingsZone
+	SiblingsAny
 )
 
 // Class is a class of requests.
@@ -70,7 +70,7 @@
 	FlowKBps               float64 // full pace of one answer; the unit of Endpoint.Weight
 	WeightsReported        bool    // false: Endpoint.Weight says nothing
 	WeightsLive            bool    // true: weights vary from list to list
-	Siblings               Reach
+	Siblings               SiblingScope
 	DirectFetch            bool // requests may go straight to a parent or the origin
 	JoinFills              bool // an attempt may wait for a fill that is in flight
 	PurgePropagation       time.Duration
