--- a/internal/policy/aimd/aimd.go
+++ b/internal/policy/aimd/aimd.go
@@ -33,7 +33,7 @@
 // Limiter is one limit with what is in flight under it. It is not safe for concurrent use.
 type Limiter struct {
 	InFlight int     // fills
-	Max      float64 // the limit, in multiples of the zone's links
+	Limit    float64 // the limit, in multiples of the zone's links
 
 	decreaseLinks float64
 	minRemainder  float64
@@ -41,32 +41,32 @@
 
 // New makes the limit on fills that may go on to the origin.
 func New() Limiter {
-	return Limiter{Max: InitialLimit, decreaseLinks: decreaseLinks, minRemainder: minRemainder}
+	return Limiter{Limit: InitialLimit, decreaseLinks: decreaseLinks, minRemainder: minRemainder}
 }
 
 // NewCachedOnly makes the limit on fills from what the parent caches.
 func NewCachedOnly() Limiter {
-	return Limiter{Max: InitialLimit, decreaseLinks: cachedOnlyDecreaseLinks, minRemainder: cachedOnlyMinRemainder}
+	return Limiter{Limit: InitialLimit, decreaseLinks: cachedOnlyDecreaseLinks, minRemainder: cachedOnlyMinRemainder}
 }
 
 // Full says whether there is no capacity for one more fill, where links is this proxy's part of the zone's links and
 // weight that of the request, 1 being the mean. A part of a fill is admitted by chance: draw is from 0 up to 1.
 func (l *Limiter) Full(links, weight, draw float64) bool {
-	return float64(l.InFlight)+draw >= l.Max*links*weight
+	return float64(l.InFlight)+draw >= l.Limit*links*weight
 }
 
 // Increase raises the limit for a fill that came in time, if at least half of the limit is in use.
 func (l *Limiter) Increase(links float64) {
-	if float64(l.InFlight+1) > l.Max*links/2 {
-		l.Max = min(maxLimit, l.Max+increase/links)
+	if float64(l.InFlight+1) > l.Limit*links/2 {
+		l.Limit = min(maxLimit, l.Limit+increase/links)
 	}
 }
 
 // Decrease lowers the limit for a slow fill.
 func (l *Limiter) Decrease(links float64) {
-	l.Max = max(MinLimit, l.Max*max(l.minRemainder, 1-l.decreaseLinks/links))
+	l.Limit = max(MinLimit, l.Limit*max(l.minRemainder, 1-l.decreaseLinks/links))
 }
 
-// DecreaseFully lowers the limit as far as one decrease may: for a sure sign that what is behind is overloaded, long
-// before a fill has ended.
-func (l *Limiter) DecreaseFully() { l.Max = max(MinLimit, l.Max*l.minRemainder) }
+// DecreaseByMaxStep lowers the limit by the largest step that one decrease may take. It is meant for a certain sign of
+// overload behind the caches, which comes long before a fill has ended.
+func (l *Limiter) DecreaseByMaxStep() { l.Limit = max(MinLimit, l.Limit*l.minRemainder) }
--- a/internal/policy/aimd/aimd_test.go
+++ b/internal/policy/aimd/aimd_test.go
@@ -9,13 +9,13 @@
 // TestSmallLimitRises: of a limit of two fills one is left in flight at an answer; it never rose.
 func TestSmallLimitRises(t *testing.T) {
 	limiter := New()
-	limiter.InFlight, limiter.Max = 1, 0.25
-	if limiter.Increase(8); limiter.Max <= 0.25 {
-		t.Errorf("limit %.3f after a fill in time, want over 0.25", limiter.Max)
+	limiter.InFlight, limiter.Limit = 1, 0.25
+	if limiter.Increase(8); limiter.Limit <= 0.25 {
+		t.Errorf("limit %.3f after a fill in time, want over 0.25", limiter.Limit)
 	}
-	raised := limiter.Max
-	if limiter.Decrease(8); limiter.Max >= raised {
-		t.Errorf("limit %.3f after a slow fill, want under %.3f", limiter.Max, raised)
+	raised := limiter.Limit
+	if limiter.Decrease(8); limiter.Limit >= raised {
+		t.Errorf("limit %.3f after a slow fill, want under %.3f", limiter.Limit, raised)
 	}
 }
 
@@ -30,16 +30,16 @@
 		links := rapid.Float64Range(0.1, 100).Draw(t, "links")
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			limiter.InFlight = rapid.IntRange(0, 200).Draw(t, "in flight")
-			old, inTime := limiter.Max, rapid.Bool().Draw(t, "in time")
+			old, inTime := limiter.Limit, rapid.Bool().Draw(t, "in time")
 			if inTime {
 				limiter.Increase(links)
 			} else {
 				limiter.Decrease(links)
 			}
-			isOutOfBounds := limiter.Max < MinLimit || limiter.Max > 2*InitialLimit
-			isCutTooFar := limiter.Max < old*limiter.minRemainder-1e-9
-			if isOutOfBounds || isCutTooFar || inTime && limiter.Max < old || !inTime && limiter.Max > old {
-				t.Fatalf("limit %v after %v, in time %v", limiter.Max, old, inTime)
+			isOutOfBounds := limiter.Limit < MinLimit || limiter.Limit > 2*InitialLimit
+			isCutTooFar := limiter.Limit < old*limiter.minRemainder-1e-9
+			if isOutOfBounds || isCutTooFar || inTime && limiter.Limit < old || !inTime && limiter.Limit > old {
+				t.Fatalf("limit %v after %v, in time %v", limiter.Limit, old, inTime)
 			}
 			draw := rapid.Float64Range(0, 0.99).Draw(t, "draw")
 			if limiter.Full(links, 1.5, draw) && !limiter.Full(links, 0.5, draw) {
@@ -52,14 +52,14 @@
 // TestFullDecreaseTakesItsPart: a sure sign of overload takes all that one decrease may, whatever the links.
 func TestFullDecreaseTakesItsPart(t *testing.T) {
 	for _, limiter := range []Limiter{New(), NewCachedOnly()} {
-		if limiter.DecreaseFully(); limiter.Max != InitialLimit*limiter.minRemainder {
-			t.Errorf("limit %v, want %v", limiter.Max, InitialLimit*limiter.minRemainder)
+		if limiter.DecreaseByMaxStep(); limiter.Limit != InitialLimit*limiter.minRemainder {
+			t.Errorf("limit %v, want %v", limiter.Limit, InitialLimit*limiter.minRemainder)
 		}
 		for range 100 {
-			limiter.DecreaseFully()
+			limiter.DecreaseByMaxStep()
 		}
-		if limiter.Max != MinLimit {
-			t.Errorf("limit %v after 100 decreases, want %v", limiter.Max, MinLimit)
+		if limiter.Limit != MinLimit {
+			t.Errorf("limit %v after 100 decreases, want %v", limiter.Limit, MinLimit)
 		}
 	}
 }
@@ -69,8 +69,8 @@
 func TestOneOfHundreds(t *testing.T) {
 	for _, c := range []struct{ links, want float64 }{{0.2, 0.75 * InitialLimit}, {20, 0.9 * InitialLimit}} {
 		limiter := New()
-		if limiter.Decrease(c.links); limiter.Max < c.want-1e-9 || limiter.Max > c.want+1e-9 {
-			t.Errorf("%v links, one slow fill: limit %v, want %v", c.links, limiter.Max, c.want)
+		if limiter.Decrease(c.links); limiter.Limit < c.want-1e-9 || limiter.Limit > c.want+1e-9 {
+			t.Errorf("%v links, one slow fill: limit %v, want %v", c.links, limiter.Limit, c.want)
 		}
 	}
 }
--- a/internal/policy/classcost/classcost.go
+++ b/internal/policy/classcost/classcost.go
@@ -30,17 +30,17 @@
 // Cost is what a request takes of an endpoint's budget, in seconds of its link.
 func (e *Estimate) Cost() float64 { return e.cost }
 
-// RecordSize takes the sending time of a request whose size is known. The cost is a plain mean at first: the first
-// guess is far beyond it, and endpoints that have just started would get nothing.
-func (e *Estimate) RecordSize(seconds float64) {
+// RecordSendingTime records the sending time in seconds of a response whose size is known. The cost starts as the plain
+// mean of the samples: the first guess is far too high, and endpoints that have just started would get no requests.
+func (e *Estimate) RecordSendingTime(seconds float64) {
 	e.mean += (min(seconds, maxMeanPerSize*e.mean) - e.mean) * sizeWeight
 	e.sizes++
 	e.cost += (min(seconds, maxMeanPerSize*e.mean) - e.cost) * max(sizeWeight, 1/e.sizes)
 }
 
-// RecordAnswer takes an answer from a cached copy whose size is not known: its time divided by the load that the
+// RecordResponse takes an answer from a cached copy whose size is not known: its time divided by the load that the
 // cache had, and its whole time.
-func (e *Estimate) RecordAnswer(netSeconds, elapsedSeconds float64) {
+func (e *Estimate) RecordResponse(netSeconds, elapsedSeconds float64) {
 	e.mean += (netSeconds - e.mean) * answerWeight
 	e.cost += (elapsedSeconds - e.cost) * answerWeight
 }
--- a/internal/policy/classcost/classcost_test.go
+++ b/internal/policy/classcost/classcost_test.go
@@ -19,13 +19,13 @@
 			sample := seconds.Draw(t, "sample")
 			smallest, largest = min(smallest, sample), max(largest, sample)
 			if rapid.Bool().Draw(t, "size known") {
-				estimate.RecordSize(sample)
+				estimate.RecordSendingTime(sample)
 				if bound := mean * (1 + sizeWeight*(maxMeanPerSize-1)); estimate.Mean() > bound+1e-9 {
 					t.Fatalf("a size of %v s moved the mean from %v to %v s", sample, mean, estimate.Mean())
 				}
 			} else {
 				load := rapid.Float64Range(1, 20).Draw(t, "load")
-				estimate.RecordAnswer(sample, sample*load)
+				estimate.RecordResponse(sample, sample*load)
 				largest = max(largest, sample*load)
 			}
 			for _, got := range []float64{estimate.Mean(), estimate.Cost()} {
@@ -40,7 +40,7 @@
 // TestFirstSizeIsTheCost: the first size replaces the first guess of the cost, and the mean follows slowly.
 func TestFirstSizeIsTheCost(t *testing.T) {
 	estimate := New(1)
-	estimate.RecordSize(0.1)
+	estimate.RecordSendingTime(0.1)
 	if math.Abs(estimate.Cost()-0.1) > 1e-9 || estimate.Mean() < 0.9 {
 		t.Errorf("after one size of 0.1 s: cost %v s, want 0.1; mean %v s, want about 1",
 			estimate.Cost(), estimate.Mean())
--- a/internal/policy/endpointset/endpoint.go
+++ b/internal/policy/endpointset/endpoint.go
@@ -42,7 +42,7 @@
 // restart voids what was known of the old process, but for what is in flight.
 func (e *Endpoint[A]) restart(now time.Duration) {
 	*e = Endpoint[A]{inFlight: e.inFlight, slowness: 1, isSuspect: e.isSuspect}
-	e.Health.WaitFrom(now)
+	e.Health.RestartWait(now)
 }
 
 // InFlight is the attempts in flight, in no order. It must not be changed.
@@ -51,7 +51,7 @@
 // Start records that an attempt is sent.
 func (e *Endpoint[A]) Start(now time.Duration, attempt A) {
 	if len(e.inFlight) == 0 {
-		e.Health.WaitFrom(now)
+		e.Health.RestartWait(now)
 	}
 	e.Health.StartAttempt()
 	e.updateAverage(now)
--- a/internal/policy/endpointset/endpointset.go
+++ b/internal/policy/endpointset/endpointset.go
@@ -98,7 +98,7 @@
 
 // New makes an empty set.
 func New[A comparable](cfg Config) *Set[A] {
-	return &Set[A]{cfg: cfg, byID: map[ID]*Endpoint[A]{}, parentPeers: outlier.New()}
+	return &Set[A]{cfg: cfg, byID: map[ID]*Endpoint[A]{}, parentPeers: outlier.NewPeerGroup()}
 }
 
 // Get gives an endpoint, or nil.
@@ -116,9 +116,9 @@
 // All is all endpoints that are remembered. It must not be changed.
 func (s *Set[A]) All() []*Endpoint[A] { return s.all }
 
-// Links is the proxy's part of the links of its zone's caches. The link into the zone stays when caches are lost, and
-// does not grow with those that replace them.
-func (s *Set[A]) Links() float64 { return s.links }
+// LinkCapacity returns the proxy's share of the links of its zone's caches, in concurrent responses at full rate. It is
+// the highest sum so far: the link into the zone stays when caches are lost, and does not grow with their replacements.
+func (s *Set[A]) LinkCapacity() float64 { return s.links }
 
 // Apply takes a list, or changes to it: endpoints that a whole list does not name are gone.
 func (s *Set[A]) Apply(now time.Duration, kind ListKind, entries []Entry) {
@@ -166,7 +166,7 @@
 	links := 0.0
 	for _, endpoint := range s.all {
 		if s.IsLocalCache(endpoint) && endpoint.State == Ready {
-			links += s.Share(endpoint)
+			links += s.LinkShare(endpoint)
 		}
 		switch {
 		case endpoint.State == Gone:
@@ -248,8 +248,8 @@
 	return max(1, s.cfg.Proxies)
 }
 
-// Share is the proxy's part of an endpoint's link, in answers at full pace.
-func (s *Set[A]) Share(endpoint *Endpoint[A]) float64 {
+// LinkShare is the proxy's part of an endpoint's link, in answers at full pace.
+func (s *Set[A]) LinkShare(endpoint *Endpoint[A]) float64 {
 	return s.flows(endpoint) / float64(s.ProxiesOf(endpoint))
 }
 
--- a/internal/policy/endpointset/endpointset_test.go
+++ b/internal/policy/endpointset/endpointset_test.go
@@ -45,8 +45,8 @@
 			set.Apply(now, kind, entries)
 			links = max(links, modelLinks(model))
 			compareRankings(t, set, model)
-			if math.Abs(set.Links()-links) > 1e-9 {
-				t.Fatalf("links of %v, want %v", set.Links(), links)
+			if math.Abs(set.LinkCapacity()-links) > 1e-9 {
+				t.Fatalf("links of %v, want %v", set.LinkCapacity(), links)
 			}
 			for _, endpoint := range set.All() {
 				if rapid.Bool().Draw(t, "attempt starts") {
@@ -206,7 +206,7 @@
 		t.Error("a cache is not faulty by 20 failures")
 	}
 	for range 5 {
-		set.RecordParentPace(now, other, outlier.Slow)
+		set.RecordParentFill(now, other, outlier.Slow)
 	}
 	if got := set.OthersSlowRate(now, parent); got != outlier.FaultyErrorRate {
 		t.Errorf("the other parent's fills are slow: a rate of %v, want %v", got, outlier.FaultyErrorRate)
@@ -225,9 +225,9 @@
 	for id, isRanked := range map[ID]bool{1: true, 2: false} {
 		endpoint := set.Get(id)
 		set.Eject(now, endpoint, outlier.Failing)
-		if set.Skipped(endpoint, now) != isRanked || set.Skipped(endpoint, endpoint.Health.RetryAt()) {
+		if set.Skipped(endpoint, now) != isRanked || set.Skipped(endpoint, endpoint.Health.NextTrialAt()) {
 			t.Errorf("endpoint %d: skipped when ejected: %v, want %v; when its trial is due: %v", id,
-				set.Skipped(endpoint, now), isRanked, set.Skipped(endpoint, endpoint.Health.RetryAt()))
+				set.Skipped(endpoint, now), isRanked, set.Skipped(endpoint, endpoint.Health.NextTrialAt()))
 		}
 		if set.Readmit(endpoint); set.Skipped(endpoint, now) || !endpoint.Usable(now) {
 			t.Errorf("endpoint %d: skipped or not usable when readmitted", id)
--- a/internal/policy/endpointset/health.go
+++ b/internal/policy/endpointset/health.go
@@ -18,8 +18,8 @@
 	return endpoint.Health.Observe(outcome, &s.baselines[endpoint.Role])
 }
 
-// RecordParentPace takes a fill by way of a parent that went on to the origin.
-func (s *Set[A]) RecordParentPace(now time.Duration, parent *Endpoint[A], pace outlier.Pace) {
+// RecordParentFill takes a fill by way of a parent that went on to the origin.
+func (s *Set[A]) RecordParentFill(now time.Duration, parent *Endpoint[A], pace outlier.Timeliness) {
 	s.parentPeers.Record(&parent.slowFills, now, pace)
 }
 
@@ -60,7 +60,7 @@
 // Eject takes an endpoint out of ordinary work, but for trials.
 func (s *Set[A]) Eject(now time.Duration, endpoint *Endpoint[A], cause outlier.Cause) {
 	endpoint.Health.Eject(now, cause)
-	s.SkipUntil(endpoint, endpoint.Health.RetryAt())
+	s.SkipUntil(endpoint, endpoint.Health.NextTrialAt())
 }
 
 // Readmit takes an endpoint back into ordinary work.
--- a/internal/policy/endpointset/silence_test.go
+++ b/internal/policy/endpointset/silence_test.go
@@ -56,7 +56,7 @@
 				silence := model.now - max(sentAt, model.waitingSince[entry.ID])
 				model.suspicion[entry.ID] += silence.Seconds() / expected
 			case "answer":
-				endpoint.Health.WaitFrom(model.now)
+				endpoint.Health.RestartWait(model.now)
 				model.waitingSince[entry.ID] = model.now
 			case "eject":
 				set.Eject(model.now, endpoint, outlier.Failing)
--- a/internal/policy/fairness/fairness.go
+++ b/internal/policy/fairness/fairness.go
@@ -13,9 +13,9 @@
 
 import "math"
 
-// MinAdmittedShare is the part of their class's share that the largest requests are due: two thirds on quiet days,
+// MinAdmissionRatio is the part of their class's share that the largest requests are due: two thirds on quiet days,
 // half on others. A day's kind is not known, so it is two thirds always.
-const MinAdmittedShare = 2.0 / 3
+const MinAdmissionRatio = 2.0 / 3
 
 // band is a part of a class's requests by size.
 type band int
@@ -56,7 +56,7 @@
 		return size
 	}
 	effective := size
-	if 1-s.rejected[s.band(size)] < MinAdmittedShare*(1-s.classRejected) {
+	if 1-s.rejected[s.band(size)] < MinAdmissionRatio*(1-s.classRejected) {
 		effective = min(size, s.lastSize)
 	}
 	s.learn(size)
--- a/internal/policy/fairness/fairness_test.go
+++ b/internal/policy/fairness/fairness_test.go
@@ -59,7 +59,7 @@
 			if i == 0 || seen[i] == 0 {
 				continue
 			}
-			if got := admitted[i] / seen[i]; got < MinAdmittedShare*all-0.08 {
+			if got := admitted[i] / seen[i]; got < MinAdmissionRatio*all-0.08 {
 				t.Fatalf("of %s %.3f are admitted, of all %.3f", name, got, all)
 			}
 		}
--- a/internal/policy/gaptable/gaptable.go
+++ b/internal/policy/gaptable/gaptable.go
@@ -53,8 +53,8 @@
 
 // Row is what is known of a part.
 type Row struct {
-	// CachedAt is the endpoint believed to cache the part, 0 for none. The tables never read or set it.
-	CachedAt uint64
+	// CachedBy is the endpoint believed to cache the part, 0 for none. The tables never read or set it.
+	CachedBy uint64
 
 	part        Part
 	lastRequest time.Duration
--- a/internal/policy/gaptable/rate.go
+++ b/internal/policy/gaptable/rate.go
@@ -17,8 +17,8 @@
 // CountRequest counts a request for the rate.
 func (t *Tables) CountRequest() { t.rate.arrivals++ }
 
-// FollowRate bounds the tables by the rate of requests, once a second. It reports whether it did.
-func (t *Tables) FollowRate(now time.Duration) bool {
+// ResizeToRate bounds the tables by the rate of requests, once a second. It reports whether it did.
+func (t *Tables) ResizeToRate(now time.Duration) bool {
 	rate := &t.rate
 	seconds := (now - rate.from).Seconds()
 	if seconds < 1 {
--- a/internal/policy/gaptable/rate_test.go
+++ b/internal/policy/gaptable/rate_test.go
@@ -11,7 +11,7 @@
 	tables := New()
 	now := 100 * time.Second
 	tables.StartRate(now)
-	if tables.FollowRate(now + 999*time.Millisecond) {
+	if tables.ResizeToRate(now + 999*time.Millisecond) {
 		t.Error("the rate was taken within its first second")
 	}
 	for _, c := range []struct {
@@ -23,7 +23,7 @@
 				tables.CountRequest()
 			}
 			now += time.Second
-			if !tables.FollowRate(now) {
+			if !tables.ResizeToRate(now) {
 				t.Fatal("the rate was not taken after a second")
 			}
 		}
--- a/internal/policy/guards.go
+++ b/internal/policy/guards.go
@@ -99,7 +99,7 @@
 		return true
 	}
 	window := e.cfg.OverloadWindow
-	budget := warmupBudgetShare * multiple * e.endpoints.Share(endpoint) * window.Seconds()
+	budget := warmupBudgetShare * multiple * e.endpoints.LinkShare(endpoint) * window.Seconds()
 	if startedAt < e.startedAt && e.now-e.startedAt < window {
 		budget *= restartBudgetShare
 	}
--- a/internal/policy/health.go
+++ b/internal/policy/health.go
@@ -47,7 +47,7 @@
 func (r *openRequest) recordExpectedMiss(attempt *attemptState) {
 	r.toReplica = false
 	if attempt.limiter == nil && attempt.isFill() && r.row != nil {
-		r.row.CachedAt = 0 // a believed hit that was none
+		r.row.CachedBy = 0 // a believed hit that was none
 	}
 }
 
@@ -120,7 +120,7 @@
 	}
 	verdict := source.Health.Record(outlier.Failure, e.endpoints.OthersSlowRate(e.now, source))
 	e.applyVerdict(verdict, source, outlier.SlowFills)
-	e.endpoints.RecordParentPace(e.now, source, outlier.Slow)
+	e.endpoints.RecordParentFill(e.now, source, outlier.Slow)
 }
 
 // readmitSlowParents readmits the parents that are ejected for slow fills alone, once the others are as slow.
--- a/internal/policy/health_test.go
+++ b/internal/policy/health_test.go
@@ -272,7 +272,7 @@
 	endpoint, other := h.endpoint(100), h.endpoint(101)
 	endpoint.LastFillAt, other.LastFillAt = h.now, h.now
 	for range 5 {
-		h.engine.endpoints.RecordParentPace(h.now, other, outlier.Slow)
+		h.engine.endpoints.RecordParentFill(h.now, other, outlier.Slow)
 	}
 	for range 2 {
 		cachedOnly := route{endpoint: h.endpoint(1), source: endpoint, cachedOnly: true}
--- a/internal/policy/outlier/health.go
+++ b/internal/policy/outlier/health.go
@@ -87,8 +87,8 @@
 	return !h.ejected || now >= h.retryAt && !h.trialInFlight
 }
 
-// RetryAt is when an ejected endpoint may get its next trial request.
-func (h *Health) RetryAt() time.Duration { return h.retryAt }
+// NextTrialAt is when an ejected endpoint may get its next trial request.
+func (h *Health) NextTrialAt() time.Duration { return h.retryAt }
 
 // EjectedForSlowness reports whether slow fills are all that an ejected endpoint is ejected for.
 func (h *Health) EjectedForSlowness() bool { return h.slowOnly }
@@ -145,8 +145,8 @@
 // EndAttempt records that an attempt has ended or was given up.
 func (h *Health) EndAttempt() { h.trialInFlight = false }
 
-// WaitFrom starts the endpoint's silence anew: at an answer, or at the first attempt after idleness.
-func (h *Health) WaitFrom(now time.Duration) { h.waitingSince = now }
+// RestartWait starts the endpoint's silence anew: at an answer, or at the first attempt after idleness.
+func (h *Health) RestartWait(now time.Duration) { h.waitingSince = now }
 
 // AddSilence adds the silence since an attempt in flight was sent, where its answer is expected in so many seconds.
 func (h *Health) AddSilence(now, sentAt time.Duration, expectedSeconds float64) {
--- a/internal/policy/outlier/health_test.go
+++ b/internal/policy/outlier/health_test.go
@@ -14,13 +14,14 @@
 	now := 100 * time.Second
 	for _, want := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 4 * time.Second} {
 		health.Eject(now, Failing)
-		if got := health.RetryAt() - now; got != want {
+		if got := health.NextTrialAt() - now; got != want {
 			t.Errorf("the next trial is due after %v, want %v", got, want)
 		}
 	}
 	health.Readmit()
-	if health.Eject(now, Failing); health.RetryAt()-now != baseEjectionTime {
-		t.Errorf("after a readmission the next trial is due after %v, want %v", health.RetryAt()-now, baseEjectionTime)
+	if health.Eject(now, Failing); health.NextTrialAt()-now != baseEjectionTime {
+		t.Errorf("after a readmission the next trial is due after %v, want %v",
+			health.NextTrialAt()-now, baseEjectionTime)
 	}
 }
 
@@ -30,10 +31,10 @@
 	var health Health
 	now := 100 * time.Second
 	health.Eject(now, Failing)
-	if health.Available(health.RetryAt() - 1) {
+	if health.Available(health.NextTrialAt() - 1) {
 		t.Error("available before the trial is due")
 	}
-	now = health.RetryAt()
+	now = health.NextTrialAt()
 	if !health.Available(now) {
 		t.Error("not available when the trial is due")
 	}
@@ -60,14 +61,14 @@
 		{8 * time.Second, 1, true},
 	} {
 		var health Health
-		health.WaitFrom(sentAt)
+		health.RestartWait(sentAt)
 		now := sentAt + c.waited
 		health.AddSilence(now, sentAt, c.expected)
 		if got := health.Silent(now); got != c.want {
 			t.Errorf("%v without an answer due in %v s: silent %v, want %v", c.waited, c.expected, got, c.want)
 		}
 		health.ClearSuspicion()
-		health.WaitFrom(now)
+		health.RestartWait(now)
 		if health.AddSilence(now, sentAt, c.expected); health.Silent(now) {
 			t.Errorf("silent at an answer")
 		}
--- a/internal/policy/outlier/outlier.go
+++ b/internal/policy/outlier/outlier.go
@@ -54,13 +54,13 @@
 	}
 }
 
-// Pace reports whether an outcome came within its objective.
-type Pace int
+// Timeliness reports whether an outcome came within its objective.
+type Timeliness int
 
 // The paces, as the outcome's value in a member's rate.
 const (
-	InTime Pace = 0
-	Slow   Pace = 1
+	InTime Timeliness = 0
+	Slow   Timeliness = 1
 )
 
 // PeerGroup is several endpoints in front of something that they share.
@@ -71,9 +71,9 @@
 	updatedAt time.Duration
 }
 
-// New makes a group that follows a shared cause within a second, at some ten outcomes a second, and forgets it as
-// soon.
-func New() PeerGroup { return PeerGroup{halfLife: groupHalfLife, weight: groupWeight} }
+// NewPeerGroup returns a group that detects a shared cause within a second, at about ten outcomes a second, and forgets
+// it as fast.
+func NewPeerGroup() PeerGroup { return PeerGroup{halfLife: groupHalfLife, weight: groupWeight} }
 
 // Member is one endpoint's part in a group. The zero value has seen nothing.
 type Member struct {
@@ -90,7 +90,7 @@
 }
 
 // Record takes an outcome of a member that went all the way to what the group shares.
-func (g *PeerGroup) Record(member *Member, now time.Duration, pace Pace) {
+func (g *PeerGroup) Record(member *Member, now time.Duration, pace Timeliness) {
 	before := g.fade(member.slowRate, member.updatedAt, now)
 	member.slowRate = before + (float64(pace)-before)*g.weight
 	member.updatedAt = now
--- a/internal/policy/outlier/outlier_test.go
+++ b/internal/policy/outlier/outlier_test.go
@@ -23,7 +23,7 @@
 				model[i] *= math.Exp2(-step.Seconds() / 2)
 			}
 			i := rapid.IntRange(0, len(members)-1).Draw(t, "member")
-			pace := rapid.SampledFrom([]Pace{InTime, Slow}).Draw(t, "pace")
+			pace := rapid.SampledFrom([]Timeliness{InTime, Slow}).Draw(t, "pace")
 			group.Record(&members[i], now, pace)
 			seen := 0.0
 			if pace == Slow {
--- a/internal/policy/placement.go
+++ b/internal/policy/placement.go
@@ -57,8 +57,8 @@
 // hash. At the top rank the first two have a copy, and the one with less load goes first.
 func (e *Engine) cacheOrder(request *openRequest) *ranking {
 	var believed *endpointState
-	if request.row != nil && request.row.CachedAt != 0 {
-		believed = e.endpoints.LocalCache(EndpointID(request.row.CachedAt))
+	if request.row != nil && request.row.CachedBy != 0 {
+		believed = e.endpoints.LocalCache(EndpointID(request.row.CachedBy))
 	}
 	order := e.endpoints.Caches.OrderFor(request.part.Hash(), believed, e.now)
 	if request.cacheRank < gaptable.TopRank || order.At(1) == nil {
@@ -75,7 +75,7 @@
 
 // believedAt reports whether an endpoint is believed to cache a request's part.
 func (r *openRequest) believedAt(endpoint *endpointState) bool {
-	return r.row != nil && r.row.CachedAt == uint64(endpoint.ID)
+	return r.row != nil && r.row.CachedBy == uint64(endpoint.ID)
 }
 
 // sendThroughCaches tries the zone's caches in order, each with all sources. It stops at the first cache
@@ -126,7 +126,7 @@
 
 // siblingLookup tries the zone's caches one after another, without a fill, for a part that no row places.
 func (e *Engine) siblingLookup(request *openRequest, order *ranking) bool {
-	if request.row == nil || request.row.CachedAt != 0 || len(request.attempts) >= maxLookups ||
+	if request.row == nil || request.row.CachedBy != 0 || len(request.attempts) >= maxLookups ||
 		!e.hasAttemptsLeft(request, attemptsAfterLookups) ||
 		slices.ContainsFunc(request.attempts, attemptState.isFill) {
 		return false
--- a/internal/policy/placement_test.go
+++ b/internal/policy/placement_test.go
@@ -206,14 +206,14 @@
 // grow without end where replacements have new ids, and none was ever forgotten.
 func TestReplacedCachesDoNotWidenTheLink(t *testing.T) {
 	h := newHarness(t, testConfig())
-	before := h.engine.endpoints.Links()
+	before := h.engine.endpoints.LinkCapacity()
 	for id := EndpointID(1000); id < 1100; id++ {
 		h.handle(ListEvent{Endpoints: []Endpoint{{ID: id, Zone: 2, State: Ready, Weight: 8, StartedAt: h.now}}})
 		h.handle(ListEvent{Endpoints: []Endpoint{{ID: id, Zone: 2, State: Gone}}})
 		h.now += 10 * sec
 	}
-	if h.engine.endpoints.Links() > 1.5*before {
-		t.Errorf("the zone's link is %.1f, was %.1f", h.engine.endpoints.Links(), before)
+	if h.engine.endpoints.LinkCapacity() > 1.5*before {
+		t.Errorf("the zone's link is %.1f, was %.1f", h.engine.endpoints.LinkCapacity(), before)
 	}
 	byID := 0
 	for id := range EndpointID(1100) {
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -140,7 +140,7 @@
 // onTick looks after slow and lost attempts, silent endpoints and the sizes of the tables.
 func (e *Engine) onTick() {
 	e.emit(SetTimer{tickToken, e.now + tickInterval})
-	if e.tables.FollowRate(e.now) {
+	if e.tables.ResizeToRate(e.now) {
 		e.purges.Expire(e.now)
 	}
 	e.waiting = slices.DeleteFunc(e.waiting, func(request *openRequest) bool { return request.ended })
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -50,7 +50,7 @@
 // limiterFull says whether a limiter has no capacity for a request. A part of a fill is admitted by chance.
 func (e *Engine) limiterFull(request *openRequest, limiter *aimd.Limiter) bool {
 	draw := rendezvous.Draw(uint64(request.id))
-	return limiter.Full(e.endpoints.Links(), e.prices.Weight(request.price), draw)
+	return limiter.Full(e.endpoints.LinkCapacity(), e.prices.Weight(request.price), draw)
 }
 
 // recordFill adapts an attempt's limiter to its answer, and notes which parents give answers.
@@ -64,11 +64,11 @@
 	}
 	isInTime := event.Elapsed.Seconds() <= request.objectiveSeconds(request.expectedSeconds)
 	if isInTime && (isOK || event.Status == StatusMiss) {
-		attempt.limiter.Increase(e.endpoints.Links())
+		attempt.limiter.Increase(e.endpoints.LinkCapacity())
 	} else {
-		attempt.limiter.Decrease(e.endpoints.Links())
+		attempt.limiter.Decrease(e.endpoints.LinkCapacity())
 	}
 	if isOK && event.Note == NoteFilledOrigin && !attempt.slow {
-		e.endpoints.RecordParentPace(e.now, attempt.source, outlier.InTime)
+		e.endpoints.RecordParentFill(e.now, attempt.source, outlier.InTime)
 	}
 }
--- a/internal/policy/rejection_test.go
+++ b/internal/policy/rejection_test.go
@@ -12,7 +12,7 @@
 // TestCachedOnlyWhileFillsAreLimited: a slow origin kept clients from what the parents cache.
 func TestCachedOnlyWhileFillsAreLimited(t *testing.T) {
 	h := newHarness(t, testConfig())
-	h.engine.fillLimiter.Max = aimd.MinLimit
+	h.engine.fillLimiter.Limit = aimd.MinLimit
 	for id := RequestID(1); id <= 40; id++ {
 		h.request(id, 0, uint64(id))
 		if h.ends[id] == nil {
@@ -55,8 +55,8 @@
 		t.Fatalf("no more fills: %+v, want what the parent caches only", sent)
 	}
 	row := h.engine.tables.Row(gaptable.Part{Object: 7})
-	if h.respond(3, StatusMiss, NoteNone); row.CachedAt != 0 {
-		t.Errorf("the row still names %d, which lacked the part", row.CachedAt)
+	if h.respond(3, StatusMiss, NoteNone); row.CachedBy != 0 {
+		t.Errorf("the row still names %d, which lacked the part", row.CachedBy)
 	}
 }
 
@@ -137,9 +137,9 @@
 		h := newHarness(t, testConfig())
 		h.request(1, 1, 7)
 		h.tick(c.took)
-		if decreased := h.engine.fillLimiter.Max < aimd.InitialLimit; decreased != c.decreased {
+		if decreased := h.engine.fillLimiter.Limit < aimd.InitialLimit; decreased != c.decreased {
 			t.Errorf("a write of %v: the limit on fills is %v, decreased %v, want %v",
-				c.took, h.engine.fillLimiter.Max, decreased, c.decreased)
+				c.took, h.engine.fillLimiter.Limit, decreased, c.decreased)
 		}
 	}
 }
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -96,7 +96,7 @@
 	if request.sizeKnown {
 		longest := max(event.Remaining.Seconds(), cost.Mean())
 		request.expectedSeconds = min(event.SizeKB/e.cfg.FlowKBps, longest)
-		cost.RecordSize(request.expectedSeconds)
+		cost.RecordSendingTime(request.expectedSeconds)
 	}
 }
 
@@ -122,7 +122,7 @@
 	attempt.done = true
 	request.inFlight--
 	e.release(request, event.Attempt)
-	attempt.endpoint.Health.WaitFrom(e.now)
+	attempt.endpoint.Health.RestartWait(e.now)
 	e.recordFill(request, attempt, event)
 	attempt.mayHaveRun = !event.Status.ProvesNotExecuted()
 	e.recordOutcome(request, attempt, event)
@@ -156,12 +156,12 @@
 		if request.sizeKnown {
 			endpoint.RecordSlowness(netSeconds / request.expectedSeconds)
 		} else {
-			request.class.cost.RecordAnswer(netSeconds, event.Elapsed.Seconds())
+			request.class.cost.RecordResponse(netSeconds, event.Elapsed.Seconds())
 		}
 	}
 	isCached := request.cacheRank > 0 || attempt.source == endpoint
 	if request.row != nil && endpoint.Role == endpointset.Cache && isCached && !request.toReplica {
-		request.row.CachedAt = uint64(endpoint.ID)
+		request.row.CachedBy = uint64(endpoint.ID)
 	}
 }
 
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -53,7 +53,7 @@
 	isOriginWrite := request.class.Write && attempt.endpoint.Role == endpointset.Origin
 	if isOriginWrite && elapsed > writeObjectiveShare*objective {
 		attempt.slow = true
-		e.fillLimiter.DecreaseFully() // writes wait behind fills there, and have more weight
+		e.fillLimiter.DecreaseByMaxStep() // writes wait behind fills there, and have more weight
 		return
 	}
 	if attempt.limiter != nil && attempt.isFill() && elapsed > objective {
