--- a/internal/broker/ends_test.go
+++ b/internal/broker/ends_test.go
@@ -140,7 +140,7 @@
 	x.round()
 	x.writeAll()
 	for _, endpoint := range x.broker.endpoints.byID {
-		budget := x.broker.retries.endpoints.Of(endpoint.ID)
+		budget := x.broker.retries.endpoints.Get(endpoint.ID)
 		if strings.HasPrefix(endpoint.Name, "c") {
 			*budget = retry.Budget{} // the caches' are used up
 			continue
--- a/internal/broker/invariants.go
+++ b/internal/broker/invariants.go
@@ -7,8 +7,8 @@
 	"sloequay/internal/invariant"
 )
 
-// Monitor has the broker's invariants checked at run time from here on.
-func (b *Broker) Monitor(monitor *invariant.Monitor) { b.monitor = monitor }
+// SetMonitor makes the broker check its invariants at run time and report violations to monitor.
+func (b *Broker) SetMonitor(monitor *invariant.Monitor) { b.monitor = monitor }
 
 // checkWrite checks an attempt that MaySend has let pass, by what its request and its endpoints are now and not by the
 // guards that were to see to it.
--- a/internal/broker/invariants_test.go
+++ b/internal/broker/invariants_test.go
@@ -33,7 +33,7 @@
 	} {
 		b := newBroker(t)
 		var found []invariant.Rule
-		b.Monitor(&invariant.Monitor{Report: func(rule invariant.Rule, _ string) { found = append(found, rule) }})
+		b.SetMonitor(&invariant.Monitor{Report: func(rule invariant.Rule, _ string) { found = append(found, rule) }})
 		request := &Request{ID: "aa", ReceivedAt: now, Timeout: time.Second, state: requestAdmitted, id: 1}
 		b.open[1] = request
 		endpoint := &Endpoint{Endpoint: policy.Endpoint{State: policy.Ready}}
--- a/internal/broker/retries.go
+++ b/internal/broker/retries.go
@@ -59,10 +59,10 @@
 		return &exhaustedBudget{BudgetExhausted, rejection}
 	}
 	if tenants := b.retries.tenants; tenants != nil && attempt.Number == 0 {
-		tenants.Of(grant.Tenant()).Deposit(b.now, tenants.Config())
+		tenants.Get(grant.Tenant()).Deposit(b.now, tenants.Config())
 	}
 	if endpoints := b.retries.endpoints; endpoints != nil {
-		endpoints.Of(attempt.Endpoint.ID).Deposit(b.now, endpoints.Config())
+		endpoints.Get(attempt.Endpoint.ID).Deposit(b.now, endpoints.Config())
 	}
 	return nil
 }
@@ -72,13 +72,13 @@
 	grant := attempt.Request.grant
 	var ofTenant, ofEndpoint *retry.Budget
 	if tenants := b.retries.tenants; tenants != nil {
-		ofTenant = tenants.Of(grant.Tenant())
+		ofTenant = tenants.Get(grant.Tenant())
 		if left := ofTenant.Available(b.now, tenants.Config()); left < 1 {
 			return &exhaustedBudget{BudgetExhausted, retriesExhausted(grant.Tenant(), left)}
 		}
 	}
 	if endpoints := b.retries.endpoints; endpoints != nil {
-		ofEndpoint = endpoints.Of(attempt.Endpoint.ID)
+		ofEndpoint = endpoints.Get(attempt.Endpoint.ID)
 		if left := ofEndpoint.Available(b.now, endpoints.Config()); left < 1 {
 			rejection := retriesExhausted(endpointNode+attempt.Endpoint.Name, left)
 			return &exhaustedBudget{EndpointBudgetExhausted, rejection}
--- a/internal/proxy/pools.go
+++ b/internal/proxy/pools.go
@@ -57,7 +57,7 @@
 		if err != nil {
 			return err
 		}
-		made.Monitor(&s.monitor)
+		made.SetMonitor(&s.monitor)
 		s.pools = append(s.pools, &pool{broker: made, members: members, share: share})
 	}
 	return nil
--- a/internal/retry/decisions_test.go
+++ b/internal/retry/decisions_test.go
@@ -48,7 +48,7 @@
 				counts["settings"]++
 				set.Configure(drawConfig(random))
 			}
-			budget := set.Of(random.IntN(8))
+			budget := set.Get(random.IntN(8))
 			if random.IntN(3) > 0 {
 				counts["deposits"]++
 				budget.Deposit(now, set.Config())
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -88,12 +88,12 @@
 	config := Config{Share: 1}
 	set := NewSet[int](config, 3)
 	for key := range 10 {
-		budget := set.Of(key)
+		budget := set.Get(key)
 		for range 5 {
 			budget.Deposit(start, config)
 		}
 	}
-	length, newest, forgotten := set.Len(), set.Of(9).Available(start, config), set.Of(0).Available(start, config)
+	length, newest, forgotten := set.Len(), set.Get(9).Available(start, config), set.Get(0).Available(start, config)
 	if length != 3 || newest < 5 || forgotten != 0 {
 		t.Errorf("%d budgets; the newest has %g, one that was forgotten %g", length, newest, forgotten)
 	}
@@ -107,7 +107,7 @@
 			now := start
 			for i := range b.N {
 				now += time.Microsecond
-				budget := set.Of(uint64(i * 2654435761 % endpoints))
+				budget := set.Get(uint64(i * 2654435761 % endpoints))
 				budget.Deposit(now, set.Config())
 				if budget.Available(now, set.Config()) >= 1 {
 					budget.Withdraw()
--- a/internal/retry/set.go
+++ b/internal/retry/set.go
@@ -30,8 +30,8 @@
 // Configure puts other settings in force; the tokens stay.
 func (s *Set[K]) Configure(config Config) { s.config = config }
 
-// Of returns the budget of a key.
-func (s *Set[K]) Of(key K) *Budget {
+// Get returns the budget of a key, which it adds if the set does not have it.
+func (s *Set[K]) Get(key K) *Budget {
 	if element := s.elements[key]; element != nil {
 		s.recent.MoveToFront(element)
 		return &element.Value.(*entry[K]).budget
