--- a/internal/broker/response.go
+++ b/internal/broker/response.go
@@ -59,7 +59,7 @@
 	return Response{
 		Kind:       ResponseRejected,
 		RetryAfter: rejection.RetryAfter,
-		Budget:     rejection.Name(),
+		Budget:     rejection.BudgetName(),
 		Reason:     rejection.String(),
 	}
 }
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -10,7 +10,7 @@
 	listWatch := s.sources.listWatch
 	listWatch.SwitchTo(next.platform.ListAddress)
 	if contracts := next.settings.Contracts; s.quotas != nil && contracts != nil {
-		s.quotas.Renew(s.clock.Monotonic(), contracts.Root.Share(contracts.Instances))
+		s.quotas.ReplaceContracts(s.clock.Monotonic(), contracts.Root.Share(contracts.Instances))
 		s.limitRetries(contracts)
 		s.log.Event("contracts-reloaded", "version", s.quotas.Version, "teams", len(contracts.Root.Children),
 			"open", s.quotas.InFlight())
--- a/internal/quota/decisions_test.go
+++ b/internal/quota/decisions_test.go
@@ -149,7 +149,7 @@
 		return
 	}
 	s.counts[what+" rejected by "+rejection.Kind.String()]++
-	s.recorder.Add("%s at %d rejected: %s; %s; %v %v %d", what, int64(s.now), rejection, rejection.Name(),
+	s.recorder.Add("%s at %d rejected: %s; %s; %v %v %d", what, int64(s.now), rejection, rejection.BudgetName(),
 		rejection.Requested, rejection.Left, int64(rejection.RetryAfter))
 }
 
@@ -229,7 +229,7 @@
 		s.now += time.Duration(s.random.IntN(40)) * time.Second
 	case draw < 4:
 		s.counts["renewals"]++
-		s.ledger.Renew(s.now, s.contracts())
+		s.ledger.ReplaceContracts(s.now, s.contracts())
 	case draw < 30:
 		s.inspect()
 	case draw < 40:
--- a/internal/quota/kind.go
+++ b/internal/quota/kind.go
@@ -82,8 +82,8 @@
 		r.Node, r.Kind, formatUnits(r.Requested), formatUnits(r.Left))
 }
 
-// Name returns the budget alone, as a field of a response has it.
-func (r *Rejection) Name() string { return r.Node + " " + r.Kind.String() }
+// BudgetName returns the budget alone, as a field of a response has it.
+func (r *Rejection) BudgetName() string { return r.Node + " " + r.Kind.String() }
 
 // formatUnits writes a number for people, with four digits.
 func formatUnits(units float64) string { return strconv.FormatFloat(units, 'g', 4, 64) }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -31,7 +31,7 @@
 
 // Ledger is all contracts in force. A nil Ledger admits everything. It is not safe for concurrent use.
 type Ledger struct {
-	Version int // of the contracts: 1, and one more with each Renew
+	Version int // of the contracts: 1, and one more with each ReplaceContracts
 
 	root      *node
 	tenants   map[string]*Spec   // as written
@@ -97,9 +97,9 @@
 	}
 }
 
-// Renew puts other contracts in force. Requests that were admitted keep their grants, and nodes that stay keep what
-// they have used.
-func (l *Ledger) Renew(now time.Duration, root *Spec) {
+// ReplaceContracts replaces the contracts in force. Admitted requests keep their grants, and nodes that are in both the
+// old and the new contracts keep what they have used.
+func (l *Ledger) ReplaceContracts(now time.Duration, root *Spec) {
 	l.root.lastUsed = now
 	l.apply(root)
 	for name, tenant := range l.nodes {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -243,7 +243,7 @@
 	}
 	for i, root := range []*Spec{with(600), with(400), {Name: "installation"}, with(501), with(500)} {
 		now += ms
-		ledger.Renew(now, root)
+		ledger.ReplaceContracts(now, root)
 		rejection := admit()
 		want := []Kind{admitted, OpenRequests, NoContract, admitted, OpenRequests}[i]
 		got := admitted
