--- a/internal/broker/log.go
+++ b/internal/broker/log.go
@@ -20,20 +20,20 @@
 
 // logListNotes reports what the merged view notes of its sources.
 func (b *Broker) logListNotes() {
-	notes, omitted := b.members.Notes()
+	notes, omitted := b.members.TakeNotes()
 	for _, note := range notes {
 		fields := []any{"source", b.members.Sources()[note.Source].Name}
 		if note.Endpoint != "" {
 			fields = append(fields, "endpoint", note.Endpoint)
 		}
-		if note.Other != "" {
-			fields = append(fields, "other", note.Other)
+		if note.RenamedTo != "" {
+			fields = append(fields, "other", note.RenamedTo)
 		}
 		if note.Count > 0 {
-			fields = append(fields, "endpoints", note.Count, "of", note.Of)
+			fields = append(fields, "endpoints", note.Count, "of", note.Total)
 		}
-		if note.For > 0 {
-			fields = append(fields, "for", note.For)
+		if note.Duration > 0 {
+			fields = append(fields, "for", note.Duration)
 		}
 		b.log(note.Kind.String(), fields...)
 	}
--- a/internal/membership/apply.go
+++ b/internal/membership/apply.go
@@ -79,7 +79,7 @@
 	t.apply(update, record, change)
 	current.tombstone = change.State == Gone
 	if current.tombstone {
-		t.due.add(dueTime{at: update.now + t.cfg.Forget, record: record, source: update.source})
+		t.due.add(dueTime{at: update.now + t.cfg.TombstoneRetention, record: record, source: update.source})
 	}
 }
 
@@ -107,7 +107,7 @@
 	wait := t.sources[update.source].Damping.suppression(current.penalty.score)
 	if current.suppressedUntil == 0 {
 		current.ceiling = ceiling
-		t.notes.add(Note{Kind: EndpointSuppressed, Source: update.source, Endpoint: record.id, For: wait})
+		t.notes.add(Note{Kind: EndpointSuppressed, Source: update.source, Endpoint: record.id, Duration: wait})
 	}
 	current.ceiling = min(current.ceiling, ceiling)
 	current.suppressedUntil = update.now + wait
@@ -130,7 +130,7 @@
 	}
 	if state.Damping.enabled() {
 		current.penalty.add(now, state.Damping.HalfLife)
-		t.due.add(dueTime{at: now + t.cfg.Forget, record: record, source: source}) // to forget the record
+		t.due.add(dueTime{at: now + t.cfg.TombstoneRetention, record: record, source: source}) // to forget the record
 	}
 	t.reconsider(now, record)
 }
@@ -147,10 +147,10 @@
 		t.reconsider(now, record)
 		return
 	}
-	if current.tombstone && now-current.changedAt >= t.cfg.Forget {
+	if current.tombstone && now-current.changedAt >= t.cfg.TombstoneRetention {
 		if record.reportedByOther(source) {
 			// It must go on winning against those.
-			t.due.add(dueTime{at: now + t.cfg.Forget, record: record, source: source})
+			t.due.add(dueTime{at: now + t.cfg.TombstoneRetention, record: record, source: source})
 			return
 		}
 		t.withdraw(now, source, record)
--- a/internal/membership/helpers_test.go
+++ b/internal/membership/helpers_test.go
@@ -64,7 +64,7 @@
 func (f *follower) state(id string) State { return f.published[id].State }
 
 func (f *follower) noteKinds() (kinds []NoteKind) {
-	notes, _ := f.Notes()
+	notes, _ := f.TakeNotes()
 	for _, note := range notes {
 		kinds = append(kinds, note.Kind)
 	}
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -65,7 +65,7 @@
 // noteLeftOut notes how many endpoints of the current call the full table has left out.
 func (t *Table) noteLeftOut(source int) {
 	if t.leftOut > 0 {
-		t.notes.add(Note{Kind: ListFull, Source: source, Count: t.leftOut, Of: t.cfg.MaxEndpoints})
+		t.notes.add(Note{Kind: TableFull, Source: source, Count: t.leftOut, Total: t.cfg.MaxEndpoints})
 		t.leftOut = 0
 	}
 }
--- a/internal/membership/loss.go
+++ b/internal/membership/loss.go
@@ -53,7 +53,7 @@
 		}
 		if successor := addedAt[current.endpoint.Address]; successor != nil {
 			// The same process under another ID, or another process in its place.
-			t.notes.add(Note{Kind: Renamed, Source: update.source, Endpoint: record.id, Other: successor.id})
+			t.notes.add(Note{Kind: Renamed, Source: update.source, Endpoint: record.id, RenamedTo: successor.id})
 			t.withdraw(update.now, update.source, record)
 			continue
 		}
@@ -90,7 +90,7 @@
 	state := &t.sources[update.source]
 	if state.suspicion == nil || state.suspicion.loss != kind {
 		state.suspicion = &suspicion{loss: kind, since: update.now}
-		t.notes.add(Note{Kind: LossSuspected, Source: update.source, Count: len(lost), Of: total})
+		t.notes.add(Note{Kind: LossSuspected, Source: update.source, Count: len(lost), Total: total})
 		t.scheduleRefetch(update.now, update.source)
 	}
 	state.suspicion.lost = lost
@@ -101,11 +101,11 @@
 	state := &t.sources[update.source]
 	if state.suspicion != nil {
 		t.notes.add(Note{
-			Kind:   LossConfirmed,
-			Source: update.source,
-			Count:  len(lost),
-			Of:     total,
-			For:    update.now - state.suspicion.since,
+			Kind:     LossConfirmed,
+			Source:   update.source,
+			Count:    len(lost),
+			Total:    total,
+			Duration: update.now - state.suspicion.since,
 		})
 		state.suspicion = nil
 	}
@@ -121,10 +121,10 @@
 		return
 	}
 	t.notes.add(Note{
-		Kind:   LossRefuted,
-		Source: source,
-		Count:  len(state.suspicion.lost),
-		For:    now - state.suspicion.since,
+		Kind:     LossRefuted,
+		Source:   source,
+		Count:    len(state.suspicion.lost),
+		Duration: now - state.suspicion.since,
 	})
 	state.suspicion = nil
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -50,7 +50,7 @@
 func New(cfg Config) *Table {
 	cfg.MaxEndpoints = cmp.Or(cfg.MaxEndpoints, DefaultMaxEndpoints)
 	cfg.ConfirmInterval = cmp.Or(cfg.ConfirmInterval, DefaultConfirmInterval)
-	cfg.Forget = cmp.Or(cfg.Forget, DefaultForget)
+	cfg.TombstoneRetention = cmp.Or(cfg.TombstoneRetention, DefaultTombstoneRetention)
 	t := &Table{
 		cfg:       cfg,
 		records:   map[string]*endpointRecord{},
@@ -185,8 +185,8 @@
 	return sources
 }
 
-// Notes gives the notes since the last call, and the number of those for which there was no room.
-func (t *Table) Notes() (notes []Note, dropped int) { return t.notes.take() }
+// TakeNotes gives the notes since the last call, and the number of those for which there was no room.
+func (t *Table) TakeNotes() (notes []Note, dropped int) { return t.notes.take() }
 
 // Len is the number of endpoints held, those that are gone and remembered among them.
 func (t *Table) Len() int { return len(t.records) }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -38,8 +38,8 @@
 	if len(f.published) != 10 || f.state("x") != Gone {
 		t.Errorf("%d endpoints, x %v, want the 10 that were known", len(f.published), f.state("x"))
 	}
-	notes, _ := f.Notes()
-	if len(notes) != 1 || notes[0].Kind != ListFull || notes[0].Count != 2 {
+	notes, _ := f.TakeNotes()
+	if len(notes) != 1 || notes[0].Kind != TableFull || notes[0].Count != 2 {
 		t.Errorf("notes %+v, want one of 2 endpoints left out", notes)
 	}
 }
--- a/internal/membership/notes.go
+++ b/internal/membership/notes.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// maxNotes is the number of notes held between two calls of Table.Notes.
+// maxNotes is the number of notes held between two calls of Table.TakeNotes.
 const maxNotes = 64
 
 // NoteKind is the kind of a Note.
@@ -15,7 +15,7 @@
 	LossRefuted                        // and that was not true, after For
 	Renamed                            // Endpoint is gone, and Other has its address in the same list
 	DuplicateID                        // a list named Endpoint twice
-	ListFull                           // Count endpoints were left out, as Of are held at most
+	TableFull                          // Count endpoints were left out, as Of are held at most
 	EndpointSuppressed                 // Endpoint flaps; its way up waits For
 	EndpointReleased                   // that is over
 	noteKinds                          // the number of kinds
@@ -31,16 +31,16 @@
 
 // Note is something for the log that is no change of an endpoint.
 type Note struct {
-	Kind     NoteKind
-	Source   int
-	Endpoint string // the ID of the endpoint, where it is one
-	Other    string
-	Count    int
-	Of       int
-	For      time.Duration
+	Kind      NoteKind
+	Source    int
+	Endpoint  string // the ID of the endpoint, where it is one
+	RenamedTo string
+	Count     int
+	Total     int
+	Duration  time.Duration
 }
 
-// noteBuffer holds the notes between two calls of Table.Notes.
+// noteBuffer holds the notes between two calls of Table.TakeNotes.
 type noteBuffer struct {
 	notes   []Note
 	dropped int
--- a/internal/membership/player_test.go
+++ b/internal/membership/player_test.go
@@ -32,7 +32,7 @@
 func newPlayer(seed uint64, record *digesttest.Transcript) *player {
 	p := &player{random: rand.New(rand.NewPCG(seed, 71)), record: record}
 	p.now, p.offset = 5_000*time.Second, 900*time.Second
-	p.config = Config{MaxLossShare: 0.3, MinLoss: 2, MaxSilence: 10 * time.Second, Forget: 6 * time.Second}
+	p.config = Config{MaxLossShare: 0.3, MinLoss: 2, MaxSilence: 10 * time.Second, TombstoneRetention: 6 * time.Second}
 	slow := Damping{SuppressAbove: 3, ReuseBelow: 1, HalfLife: 5 * time.Second, MaxSuppress: 20 * time.Second}
 	fast := Damping{SuppressAbove: 1.5, ReuseBelow: 0.7, HalfLife: 2 * time.Second, MaxSuppress: 4 * time.Second}
 	p.config.Sources = []Source{
@@ -281,10 +281,10 @@
 	if p.table.HasChanges() {
 		p.record.Write("pending")
 	}
-	notes, dropped := p.table.Notes()
+	notes, dropped := p.table.TakeNotes()
 	for _, n := range notes {
-		p.record.Write(noteText(n.Kind), digesttest.Number(n.Source), n.Endpoint, n.Other,
-			digesttest.Number(n.Count), digesttest.Number(n.Of), digesttest.Microseconds(n.For))
+		p.record.Write(noteText(n.Kind), digesttest.Number(n.Source), n.Endpoint, n.RenamedTo,
+			digesttest.Number(n.Count), digesttest.Number(n.Total), digesttest.Microseconds(n.Duration))
 	}
 	if dropped > 0 {
 		p.record.Write("notes-dropped", digesttest.Number(dropped))
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -30,7 +30,7 @@
 	changedAt  time.Duration
 	generation uint64 // of the list that named it last
 	position   int    // in sourceState.order
-	tombstone  bool   // "gone" by a delta: a list that lacks the endpoint withdraws it only after Config.Forget
+	tombstone  bool   // "gone" by a delta: a list that lacks the endpoint withdraws it only after Config.TombstoneRetention
 	penalty    penalty
 	// While suppressedUntil is set, the report counts as no higher than ceiling.
 	ceiling         State
@@ -66,7 +66,7 @@
 		damping := &t.sources[i].Damping
 		current.penalty.decay(now, damping.HalfLife)
 		if damping.enabled() && current.penalty.score >= damping.ReuseBelow {
-			t.due.add(dueTime{at: now + t.cfg.Forget, record: r, source: i})
+			t.due.add(dueTime{at: now + t.cfg.TombstoneRetention, record: r, source: i})
 			return
 		}
 	}
--- a/internal/membership/rule_test.go
+++ b/internal/membership/rule_test.go
@@ -108,7 +108,7 @@
 	ids := []string{"1", "2", "3", "4", "5"}
 	states := rapid.SampledFrom([]State{Gone, Draining, Up, Up})
 	rapid.Check(t, func(t *rapid.T) {
-		f := newFollower(Config{Sources: make([]Source, sources), MaxSilence: maxSilence, Forget: time.Hour})
+		f := newFollower(Config{Sources: make([]Source, sources), MaxSilence: maxSilence, TombstoneRetention: time.Hour})
 		m := newModel(sources, maxSilence)
 		now := start
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
--- a/internal/membership/transcript_test.go
+++ b/internal/membership/transcript_test.go
@@ -65,7 +65,7 @@
 		return "note-renamed"
 	case DuplicateID:
 		return "note-named-twice"
-	case ListFull:
+	case TableFull:
 		return "note-list-full"
 	case EndpointSuppressed:
 		return "note-held"
--- a/internal/membership/types.go
+++ b/internal/membership/types.go
@@ -45,20 +45,20 @@
 
 // Config is the settings of a Table.
 type Config struct {
-	Sources         []Source      // the first one with a counting report says what an endpoint is
-	MaxEndpoints    int           // further ones are left out and counted; 0: DefaultMaxEndpoints
-	MaxLossShare    float64       // a list that lacks a larger share of its source's endpoints is suspected; 0: none is
-	MinLoss         int           // a list that lacks fewer endpoints is not suspected
-	ConfirmInterval time.Duration // how often a suspected source is fetched again; 0: DefaultConfirmInterval
-	MaxSilence      time.Duration // see point 3 of the rule; 0: no bound
-	Forget          time.Duration // how long a delta's "gone" is remembered; 0: DefaultForget
+	Sources            []Source      // the first one with a counting report says what an endpoint is
+	MaxEndpoints       int           // further ones are left out and counted; 0: DefaultMaxEndpoints
+	MaxLossShare       float64       // a list that lacks a larger share of its source's endpoints is suspected; 0: none is
+	MinLoss            int           // a list that lacks fewer endpoints is not suspected
+	ConfirmInterval    time.Duration // how often a suspected source is fetched again; 0: DefaultConfirmInterval
+	MaxSilence         time.Duration // see point 3 of the rule; 0: no bound
+	TombstoneRetention time.Duration // how long a delta's "gone" is remembered; 0: DefaultForget
 }
 
 // Defaults of Config.
 const (
-	DefaultMaxEndpoints    = 100_000
-	DefaultConfirmInterval = 300 * time.Millisecond
-	DefaultForget          = time.Minute
+	DefaultMaxEndpoints       = 100_000
+	DefaultConfirmInterval    = 300 * time.Millisecond
+	DefaultTombstoneRetention = time.Minute
 )
 
 // List is a list of a source. It is complete but for Incomplete and Part.
