--- a/internal/policy/events.go
+++ b/internal/policy/events.go
@@ -5,49 +5,49 @@
 // Event is an input of an Engine.
 type Event interface{ isEvent() }
 
-// ListEvent brings the list of endpoints or changes to it.
+// ListEvent delivers the endpoint list or changes to it.
 type ListEvent struct {
 	Kind      ListKind
 	Endpoints []Endpoint
 }
 
-// RequestEvent is a new request.
+// RequestEvent reports a new request.
 type RequestEvent struct {
 	ID        RequestID
 	Class     int
 	Object    uint64
 	Part      int
 	Group     int
-	Remaining time.Duration // until the client gives this request up
-	SizeKB    float64       // 0: not known
-	Retry     bool          // the client has made it before
+	Remaining time.Duration // time until the client times out
+	SizeKB    float64       // 0: unknown
+	Retry     bool          // the client marked the request as a retry
 }
 
-// ResponseEvent says how an attempt ended.
+// ResponseEvent reports how an attempt ended.
 type ResponseEvent struct {
 	ID        RequestID
 	Attempt   int
 	Elapsed   time.Duration // since the attempt was sent
-	Concluded bool          // the request has its end by it
+	Concluded bool          // the request has ended, and needs no further attempt
 	Note      Note
 	Status    Status
 }
 
-// ClientGoneEvent says that a client has left.
+// ClientGoneEvent reports that the client no longer waits for a request.
 type ClientGoneEvent struct{ ID RequestID }
 
-// TimerEvent says that the time of a SetTimer has come.
+// TimerEvent reports that a timer set by SetTimer has expired.
 type TimerEvent struct{ Token uint64 }
 
-// PurgeEvent says that older copies of an object, or of a whole group when Object is 0, are out of date.
+// PurgeEvent reports a purge of an object, or of a whole group if Object is 0: older copies are out of date.
 type PurgeEvent struct {
 	Object uint64
 	Group  int
 	Age    time.Duration // since the purge
 }
 
-// ClockEvent only says that time has come to now. It stands for whatever a caller learns that no decision
-// needs: the first event of an Engine starts its timer, whichever it is.
+// ClockEvent only advances the Engine's clock. Callers pass it for input that no decision depends on, since
+// the first event of any kind starts the Engine's timer.
 type ClockEvent struct{}
 
 func (ListEvent) isEvent()       {}
--- a/internal/policy/guards.go
+++ b/internal/policy/guards.go
@@ -8,46 +8,47 @@
 	"sloequay/internal/policy/slowstart"
 )
 
-// The protocol has five rules, each of which has its function here: every request is answered (isOpen), no
-// effect is done twice (mayRepeatAt), nothing goes to or fills from an endpoint that drains (bothReady),
-// one that has just started is spared (withinWarmupBudget), no purged copy is served (maxAge). send asks
-// the guards of the first four, and each attempt has the age that the fifth allows.
+// Each of the protocol's five rules is enforced by a function in this file: every request gets a response
+// (isOpen), no request takes effect twice (mayRepeatAt), no attempt goes to or fills from a draining endpoint
+// (bothReady), an endpoint that has just started is not overloaded (withinWarmupBudget), and no purged copy
+// is served (maxAge). send checks the first four, and startAttempt sets the MaxAge that the fifth allows.
 
 const (
-	// retryWindowShare of the time in which endpoints drop repeats is used: what is decided has yet to be
-	// written, sent and read.
+	// retryWindowShare is the share of Class.DedupWindow in which repeats are sent: an attempt has yet to be
+	// written, sent and read after the decision.
 	retryWindowShare = 0.8
 
-	// warmupBudgetShare of the stated budget is used: estimates of cost are rough.
+	// warmupBudgetShare is the share of the configured budget that is used, since cost estimates are rough.
 	warmupBudgetShare = 0.7
-	// restartBudgetShare of that is used in the first window after this proxy's own start, for endpoints
-	// that started before it: what it sent them before a restart is in that window too. So seven in ten
-	// proxies may restart at once, and the fleet stays within the stated budget.
+	// restartBudgetShare is the share of that budget that is used in the first window after this proxy's own
+	// start, for endpoints that started before it: what it sent them before a restart counts in that window
+	// too. So seven in ten proxies may restart at once, and the fleet stays within the configured budget.
 	restartBudgetShare = 0.5
-	maxSkipTime        = 250 * time.Millisecond // of an endpoint without budget: costs change meanwhile
+	maxSkipTime        = 250 * time.Millisecond // for an endpoint without budget, as costs change meanwhile
 
-	joinFillsAfter = time.Second // of a purge: most fills that began before it are over
+	joinFillsAfterPurge = time.Second // by then, most fills that began before a purge are over
 )
 
-// guardsPass says whether an attempt breaks no rule and no limit of the settings. The budgets come last, as
-// they have an endpoint without one skipped.
+// guardsPass reports whether an attempt breaks no rule and no configured limit. Budgets are checked last,
+// since that check marks an endpoint without budget as skipped.
 func (e *Engine) guardsPass(request *openRequest, via route) bool {
 	return e.hasAttemptsLeft(request, 1) && e.isOpen(request) && e.mayRepeatAt(request, via.endpoint) &&
-		bothReady(via) && e.isReachable(via) &&
+		bothReady(via) && e.routeAllowed(via) &&
 		e.withinWarmupBudget(request, via.endpoint) && e.withinWarmupBudget(request, via.source)
 }
 
-// hasAttemptsLeft reports whether a request may have so many more attempts.
+// hasAttemptsLeft reports whether a request may have count more attempts.
 func (e *Engine) hasAttemptsLeft(request *openRequest, count int) bool {
 	return e.cfg.MaxAttempts <= 0 || len(request.attempts)+count <= e.cfg.MaxAttempts
 }
 
-// isOpen keeps rule 1, every request answered: nothing is sent for a request that has its end. That each gets
-// its end in time is advance's part.
+// isOpen enforces rule 1, every request gets a response: nothing is sent for a request that has ended.
+// advance ensures that each ends in time.
 func (e *Engine) isOpen(request *openRequest) bool { return e.requests[request.id] == request }
 
-// mayRepeatAt keeps rule 2, no effect done twice: an attempt after one that may have run goes only where, and
-// only as long as, a repeat is dropped. Two attempts of a request are in flight together only with hedging.
+// mayRepeatAt enforces rule 2, no request takes effect twice: after an attempt that may have run, another one
+// is sent only where, and only as long as, a repeat is dropped. Without hedging, a request has at most one
+// attempt in flight.
 func (e *Engine) mayRepeatAt(request *openRequest, endpoint *endpointState) bool {
 	if request.inFlight > 0 && !e.cfg.Hedging {
 		return false
@@ -67,24 +68,25 @@
 	return true
 }
 
-// isRetryHarmless keeps rule 2's other part: a rejection says that a retry is harmless.
-func (e *Engine) isRetryHarmless(request *openRequest) bool {
+// isSafeToRetry enforces rule 2 for rejections, which tell the client that a retry is safe.
+func (e *Engine) isSafeToRetry(request *openRequest) bool {
 	class := request.class
 	return class.Idempotency == Idempotent ||
 		class.Idempotency == IdempotentByKey && class.DedupScope == DedupAll ||
 		!slices.ContainsFunc(request.attempts, func(a attemptState) bool { return a.mayHaveRun })
 }
 
-// InRetryWindow says whether endpoints still drop the repeat of an attempt that was decided on so long ago.
+// InRetryWindow reports whether endpoints still drop the repeat of an attempt that was decided sinceAttempt
+// ago.
 func (c *Class) InRetryWindow(sinceAttempt time.Duration) bool {
 	return sinceAttempt <= time.Duration(retryWindowShare*float64(c.DedupWindow))
 }
 
-// bothReady keeps rule 3, draining done safely: neither endpoint nor source drains or is gone.
+// bothReady enforces rule 3, safe draining: neither endpoint nor source is draining or gone.
 func bothReady(via route) bool { return via.endpoint.State == Ready && via.source.State == Ready }
 
-// withinWarmupBudget keeps rule 4, controlled fail-back: an endpoint that has just started gets at most this
-// proxy's share of what it bears in any OverloadWindow. Without budget it is skipped until it has some.
+// withinWarmupBudget enforces rule 4, controlled fail-back: an endpoint that has just started gets at most
+// this proxy's share of what it bears in any OverloadWindow. Without budget it is skipped until it has some.
 func (e *Engine) withinWarmupBudget(request *openRequest, endpoint *endpointState) bool {
 	initialShare, warmupTime := e.cfg.ColdStartShare, e.cfg.WarmupTime
 	multiple := e.cfg.OverloadMultiple
@@ -117,14 +119,14 @@
 	return false
 }
 
-// maxAge keeps rule 5, no purged copy: the oldest copy that will do is younger than the last purge. 0: there
-// was none, and the class's own limit is the only one.
+// maxAge enforces rule 5, no purged copy is served: it returns the age of the oldest copy that may be served,
+// which is younger than the last purge. 0: there was no purge, and only the class's own limit applies.
 func (e *Engine) maxAge(request *openRequest) time.Duration {
 	return e.purges.MaxAge(e.now, request.part.Object, request.group, request.class.FreshFor)
 }
 
-// isReachable reports whether the settings allow a route.
-func (e *Engine) isReachable(via route) bool {
+// routeAllowed reports whether the settings allow a route.
+func (e *Engine) routeAllowed(via route) bool {
 	endpoint, source := via.endpoint, via.source
 	if endpoint.Role != endpointset.Cache {
 		return e.cfg.DirectFetch && (source == endpoint || source.Role == endpointset.Origin)
--- a/internal/policy/guards_test.go
+++ b/internal/policy/guards_test.go
@@ -35,7 +35,7 @@
 		for attempt := 0; attempt < 3; attempt++ {
 			sent := h.lastSent(id)
 			isTooOld := sent.MaxAge <= 0 || sent.MaxAge > step.maxAge
-			isWrongFill := sent.JoinFill != (step.maxAge > joinFillsAfter) || sent.Revalidate
+			isWrongFill := sent.JoinFill != (step.maxAge > joinFillsAfterPurge) || sent.Revalidate
 			if step.maxAge > 0 && (isTooOld || isWrongFill) {
 				t.Errorf("%v after the purge: %+v, want an age of at most %v", step.wait, sent, step.maxAge)
 			}
--- a/internal/policy/health.go
+++ b/internal/policy/health.go
@@ -7,12 +7,13 @@
 	"sloequay/internal/policy/outlier"
 )
 
-// saysNothingOfEndpoint are the outcomes that say nothing of the endpoint, nor of what is behind it.
-var saysNothingOfEndpoint = []Status{
+// inconclusiveForEndpoint are the outcomes that tell nothing about the endpoint or the source behind it.
+var inconclusiveForEndpoint = []Status{
 	StatusCanceled, StatusNotExecuted, StatusBudgetExhausted, StatusUnavailable,
 }
 
-// recordOutcome books an answer to the endpoint that is at fault: the attempt's own, or the source behind it.
+// recordOutcome records the end of an attempt for the endpoint that caused it: the attempt's own, or the
+// source behind it.
 func (e *Engine) recordOutcome(request *openRequest, attempt *attemptState, event ResponseEvent) {
 	switch {
 	case event.Status == StatusOK:
@@ -22,18 +23,18 @@
 		}
 	case event.Status == StatusUnavailable:
 		request.failed = append(request.failed, attempt.endpoint)
-	case slices.Contains(saysNothingOfEndpoint, event.Status):
+	case slices.Contains(inconclusiveForEndpoint, event.Status):
 		request.inconclusive++
 	case event.Status == StatusMiss && (attempt.source.Role == endpointset.Cache || attempt.cachedOnly):
 		request.recordExpectedMiss(attempt)
 	case sourceFailed(attempt, event):
 		request.failed = append(request.failed, attempt.source)
-		if attempt.endpoint.Role != endpointset.Cache { // the origin is the only source that it has
+		if attempt.endpoint.Role != endpointset.Cache { // its only source is the origin
 			request.failed = append(request.failed, attempt.endpoint)
 		}
 		e.recordSourceFailure(attempt, event)
-	case event.Status == StatusReset && !request.answerLost:
-		request.answerLost = true // it may be cached there by now: the same cache once more
+	case event.Status == StatusReset && !request.responseLost:
+		request.responseLost = true // the part may be cached by now: retry the same cache
 	default:
 		request.failed = append(request.failed, attempt.endpoint)
 		e.recordEndpointFailure(attempt, event)
@@ -43,16 +44,16 @@
 	}
 }
 
-// recordExpectedMiss takes a miss where only a cached copy was asked for, which is nobody's fault.
+// recordExpectedMiss records a miss where only a cached copy was asked for, which is no failure.
 func (r *openRequest) recordExpectedMiss(attempt *attemptState) {
 	r.toReplica = false
 	if attempt.limiter == nil && attempt.isFill() && r.row != nil {
-		r.row.CachedAt = 0 // a believed hit that was none
+		r.row.CachedAt = 0 // the cache that the row names lacks the part
 	}
 }
 
-// sourceFailed says whether an answer without success is the fault of the source behind a cache. A cache at
-// capacity says so at once; what comes later than that and without a note is its source's.
+// sourceFailed reports whether an unsuccessful response was caused by the source behind a cache. A cache at
+// capacity rejects within rejectionTime; a later rejection or error without a note comes from its source.
 func sourceFailed(attempt *attemptState, event ResponseEvent) bool {
 	if !attempt.isFill() {
 		return false
@@ -66,25 +67,26 @@
 	return event.Status == StatusAtCapacity || event.Status == StatusError && attempt.limiter != nil
 }
 
-// recordSourceFailure counts a failure against the source, unless it is that of the origin behind it.
+// recordSourceFailure records a failure of the source, unless the origin behind it is the cause or the
+// attempt is recorded as slow already.
 func (e *Engine) recordSourceFailure(attempt *attemptState, event ResponseEvent) {
 	if event.Note == NoteSourceMiss || event.Note == NoteOriginFailed || attempt.slow {
 		return
 	}
 	outcome := outlier.Failure
 	if event.Note == NoteSourceLost {
-		outcome = outlier.HardFailure // as hard a sign as a refused connection: sources are seen seldom
+		outcome = outlier.HardFailure // as sure a sign as a refused connection: outcomes of sources are rare
 	}
 	e.observe(attempt.source, outcome)
 }
 
-// recordEndpointFailure counts a failure against the attempt's endpoint, where it is a sign of a fault.
+// recordEndpointFailure records a failure of the attempt's endpoint, if it indicates a fault.
 func (e *Engine) recordEndpointFailure(attempt *attemptState, event ResponseEvent) {
 	if event.Status == StatusAtCapacity || event.Status == StatusTimeout {
 		return
 	}
-	// All that was in flight on a connection ends with it, and that is one sign: one bad answer does not make
-	// a fault.
+	// All attempts in flight on a connection end with it. They count as one failure, as one bad response is
+	// no fault yet.
 	if event.Status == StatusReset && attempt.endpoint.LastResetAt == e.now {
 		return
 	}
@@ -95,7 +97,7 @@
 	e.observe(attempt.endpoint, outcome)
 }
 
-// observe weighs an outcome against what is usual for the endpoint's role.
+// observe weighs an outcome against the usual failure rate for the endpoint's role, and applies the verdict.
 func (e *Engine) observe(endpoint *endpointState, outcome outlier.Outcome) {
 	e.applyVerdict(e.endpoints.Observe(endpoint, outcome), endpoint, outlier.Failing)
 }
@@ -104,18 +106,19 @@
 func (e *Engine) applyVerdict(verdict outlier.Verdict, endpoint *endpointState, cause outlier.Cause) {
 	switch {
 	case verdict == outlier.Recovered:
-		endpoint.ReadmittedAt = e.now // it may have started anew, before the list says so: it is warming up
+		endpoint.ReadmittedAt = e.now // it may have restarted before the list says so: let it warm up
 		e.readmit(endpoint)
 	case verdict == outlier.Faulty && (endpoint.Health.Ejected() || endpoint.Role != endpointset.Origin):
 		e.eject(endpoint, cause)
 	}
 }
 
-// recordSlowFill counts a slow fill, unless those by the other parents are slow as well: then the origin is.
+// recordSlowFill records a slow fill as a failure of its source. If the fills by the other parents are slow
+// too, the cause is the origin, and the fill does not count against its parent.
 func (e *Engine) recordSlowFill(attempt *attemptState) {
 	source := attempt.source
 	if source.Role != endpointset.Parent || attempt.cachedOnly || source.LastFillAt < attempt.sentAt {
-		e.observe(source, outlier.Failure) // one that answers nothing at all is not waiting for the origin
+		e.observe(source, outlier.Failure) // a parent that answers nothing is not waiting for the origin
 		return
 	}
 	verdict := source.Health.Record(outlier.Failure, e.endpoints.OthersSlowRate(e.now, source))
@@ -123,7 +126,7 @@
 	e.endpoints.RecordParentPace(e.now, source, outlier.Slow)
 }
 
-// readmitSlowParents readmits the parents that are ejected for slow fills alone, once the others are as slow.
+// readmitSlowParents readmits the parents that are ejected only for slow fills, once the others are slow too.
 func (e *Engine) readmitSlowParents() {
 	for _, parent := range e.endpoints.Parents.Members() {
 		othersSlowRate := e.endpoints.OthersSlowRate(e.now, parent)
@@ -140,7 +143,7 @@
 	}
 }
 
-// eject takes an endpoint out of ordinary work, but for trials.
+// eject stops ordinary requests to an endpoint, which then gets only trial requests.
 func (e *Engine) eject(endpoint *endpointState, cause outlier.Cause) {
 	if !endpoint.Health.Ejected() {
 		e.emit(EndpointEjected{Endpoint: endpoint.ID, Cause: cause})
@@ -148,7 +151,7 @@
 	e.endpoints.Eject(e.now, endpoint, cause)
 }
 
-// readmit takes an endpoint back into ordinary work.
+// readmit resumes ordinary requests to an endpoint.
 func (e *Engine) readmit(endpoint *endpointState) {
 	e.emit(EndpointReadmitted{Endpoint: endpoint.ID})
 	e.endpoints.Readmit(endpoint)
--- a/internal/policy/placement.go
+++ b/internal/policy/placement.go
@@ -13,25 +13,28 @@
 	// attemptsAfterLookups is how many of a request's MaxAttempts the lookups at siblings leave for the fill
 	// and its retries.
 	attemptsAfterLookups = 4
-	// maxLookups is how many siblings a request is looked up at, where more attempts would be left.
+	// maxLookups is the most siblings at which a request looks up its part, even if more attempts would be
+	// left.
 	maxLookups = 3
 )
 
-// ranking is endpoints by weighted rendezvous hash of a part: the loss of one moves its share only.
+// ranking orders endpoints by weighted rendezvous hash of a part, so that the loss of one moves only its
+// share.
 type ranking = rendezvous.Ranking[*endpointState]
 
-// route is one way for an attempt.
+// route is the endpoint of an attempt and the source that it may fill from.
 type route struct {
 	endpoint   *endpointState
-	source     *endpointState // the endpoint itself: nothing is filled
-	cachedOnly bool           // the source gives only what it caches
+	source     *endpointState // the endpoint itself: no fill
+	cachedOnly bool           // the source serves only a cached copy
 }
 
 func (r route) isFill() bool { return r.source != r.endpoint }
 
-// cachedForOthers picks, by hash, n-1 in n of the parts that were requested once, for a zone with n proxies:
-// else each of them would fill a part before it is cached.
-func (e *Engine) cachedForOthers(part gaptable.Part) bool {
+// cachedOnFirstRequest reports whether a part is cached on its first request already. In a zone with n
+// proxies a hash picks n-1 in n of the parts; otherwise each proxy would fill a part once before it is
+// cached.
+func (e *Engine) cachedOnFirstRequest(part gaptable.Part) bool {
 	if len(e.endpoints.Caches.Members()) == 0 {
 		return false
 	}
@@ -39,7 +42,8 @@
 	return rendezvous.Hash(part.Hash()^uint64(e.cfg.Ordinal))%proxies != 0
 }
 
-// tryNext sends one attempt by the first route that the guards let pass: by caches, parents or the origin.
+// tryNext sends one attempt by the first route that the guards allow, through caches, parents or the origin,
+// and reports whether there was one.
 func (e *Engine) tryNext(request *openRequest) bool {
 	parents := e.endpoints.Parents.OrderFor(request.part.Hash(), nil, e.now)
 	if request.class.Write {
@@ -53,14 +57,14 @@
 	return !request.atCapacity && e.sendDirect(request, parents, e.endpoints.Origin)
 }
 
-// cacheOrder ranks the zone's caches for a request: first the one that is believed to cache the part, then by
+// cacheOrder ranks the zone's caches for a request: first the one that probably caches the part, then by
 // hash. At the top rank the first two have a copy, and the one with less load goes first.
 func (e *Engine) cacheOrder(request *openRequest) *ranking {
-	var believed *endpointState
+	var likelyCache *endpointState
 	if request.row != nil && request.row.CachedAt != 0 {
-		believed = e.endpoints.LocalCache(EndpointID(request.row.CachedAt))
+		likelyCache = e.endpoints.LocalCache(EndpointID(request.row.CachedAt))
 	}
-	order := e.endpoints.Caches.OrderFor(request.part.Hash(), believed, e.now)
+	order := e.endpoints.Caches.OrderFor(request.part.Hash(), likelyCache, e.now)
 	if request.cacheRank < gaptable.TopRank || order.At(1) == nil {
 		return order
 	}
@@ -73,33 +77,33 @@
 	return order
 }
 
-// believedAt reports whether an endpoint is believed to cache a request's part.
-func (r *openRequest) believedAt(endpoint *endpointState) bool {
+// likelyCachedAt reports whether an endpoint probably caches a request's part.
+func (r *openRequest) likelyCachedAt(endpoint *endpointState) bool {
 	return r.row != nil && r.row.CachedAt == uint64(endpoint.ID)
 }
 
 // sendThroughCaches tries the zone's caches in order, each with all sources. It stops at the first cache
-// without capacity: the request is at capacity then, and the later ones are not tried.
+// without capacity and marks the request as at capacity; later caches are not tried.
 func (e *Engine) sendThroughCaches(request *openRequest, parents *ranking) bool {
 	order := e.cacheOrder(request)
 	if e.siblingLookup(request, order) {
 		return true
 	}
-	// No fill is sent where both limiters are full, whichever cache it is by.
-	fillsFull := !request.class.Write && e.limiterFull(request, &e.fillLimiter) &&
+	// While both limiters are full, no fill is sent through any cache.
+	fillLimitersFull := !request.class.Write && e.limiterFull(request, &e.fillLimiter) &&
 		(request.cachedOnlySent || e.limiterFull(request, &e.cachedOnlyLimiter))
 	for cache := range order.AllThen(nil) {
 		if !e.eligible(request, cache) {
 			continue
 		}
 		isReplica := request.toReplica && cache == order.At(0)
-		needsLimiter := !request.believedAt(cache) && !isReplica
-		if !e.hasCapacity(request, cache) || fillsFull && needsLimiter {
+		needsLimiter := !request.likelyCachedAt(cache) && !isReplica
+		if !e.hasCapacity(request, cache) || fillLimitersFull && needsLimiter {
 			request.atCapacity = true
 			return false
 		}
-		mayCopy := isReplica && len(request.attempts) == 0
-		if mayCopy && e.send(request, route{endpoint: cache, source: order.At(1), cachedOnly: true}) ||
+		mayFillReplica := isReplica && len(request.attempts) == 0
+		if mayFillReplica && e.send(request, route{endpoint: cache, source: order.At(1), cachedOnly: true}) ||
 			e.sendToCache(request, cache, parents) {
 			return true
 		}
@@ -107,7 +111,8 @@
 	return false
 }
 
-// sendToCache tries a cache with each source: the parents, at least with what they cache, and the origin.
+// sendToCache tries a cache with each source: the parents, for a fill or else for their cached copy, and the
+// origin.
 func (e *Engine) sendToCache(request *openRequest, cache *endpointState, parents *ranking) bool {
 	for source := range parents.AllThen(e.endpoints.Origin) {
 		if !e.eligible(request, source) {
@@ -124,7 +129,7 @@
 	return false
 }
 
-// siblingLookup tries the zone's caches one after another, without a fill, for a part that no row places.
+// siblingLookup tries the zone's caches one after another, without a fill, if the part's row names no cache.
 func (e *Engine) siblingLookup(request *openRequest, order *ranking) bool {
 	if request.row == nil || request.row.CachedAt != 0 || len(request.attempts) >= maxLookups ||
 		!e.hasAttemptsLeft(request, attemptsAfterLookups) ||
@@ -142,7 +147,7 @@
 	return false
 }
 
-// sendDirect passes the caches by; a parent fills what it lacks from the origin.
+// sendDirect bypasses the caches. A parent fills a part that it lacks from the origin.
 func (e *Engine) sendDirect(request *openRequest, parents *ranking, last *endpointState) bool {
 	if !e.cfg.DirectFetch || e.endpoints.Origin == nil {
 		return false
@@ -156,20 +161,21 @@
 	return false
 }
 
-// eligible reports whether an endpoint may get a request that it has not failed before.
+// eligible reports whether an endpoint is usable and has not failed a request before.
 func (e *Engine) eligible(request *openRequest, endpoint *endpointState) bool {
 	return endpoint != nil && endpoint.Usable(e.now) && !slices.Contains(request.failed, endpoint)
 }
 
-// send sends an attempt, if a limiter has capacity for it and the guards let it pass. All attempts go by it.
+// send sends an attempt by a route if its limiter has capacity and the guards allow it, and reports whether
+// it did. Every attempt is sent here.
 func (e *Engine) send(request *openRequest, via route) bool {
-	limiter := e.limiterOf(request, via)
+	limiter := e.limiterFor(request, via)
 	if limiter != nil && (via.cachedOnly && request.cachedOnlySent || e.limiterFull(request, limiter)) {
 		request.atCapacity = true
 		return false
 	}
 	if limiter == nil && via.source.Role == endpointset.Parent && e.limiterFull(request, &e.fillLimiter) {
-		via.cachedOnly = true // a believed hit that is none must not become a fill
+		via.cachedOnly = true // if the part is not cached after all, it must not be filled
 	}
 	if !e.guardsPass(request, via) {
 		return false
@@ -182,9 +188,9 @@
 	return true
 }
 
-// limiterOf is the limiter that a route counts against: nil where no fill is likely.
-func (e *Engine) limiterOf(request *openRequest, via route) *aimd.Limiter {
-	isCopy := via.source.Role == endpointset.Cache || request.believedAt(via.endpoint)
+// limiterFor returns the limiter that a route counts against, or nil if no fill is likely.
+func (e *Engine) limiterFor(request *openRequest, via route) *aimd.Limiter {
+	isCopy := via.source.Role == endpointset.Cache || request.likelyCachedAt(via.endpoint)
 	if request.class.Write || isCopy && via.endpoint.Role == endpointset.Cache {
 		return nil
 	}
@@ -194,7 +200,7 @@
 	return &e.fillLimiter
 }
 
-// startAttempt books an attempt and emits its action.
+// startAttempt records an attempt and emits its action.
 func (e *Engine) startAttempt(request *openRequest, via route, limiter *aimd.Limiter) {
 	endpoint := via.endpoint
 	maxAge := e.maxAge(request)
@@ -202,7 +208,7 @@
 	action := SendAttempt{
 		ID: request.id, Endpoint: endpoint.ID, Source: via.source.ID,
 		MaxAge: maxAge, CachedOnly: via.cachedOnly,
-		JoinFill:   e.cfg.JoinFills && (!isPurged || maxAge > joinFillsAfter),
+		JoinFill:   e.cfg.JoinFills && (!isPurged || maxAge > joinFillsAfterPurge),
 		Revalidate: request.class.FreshFor > 0 && !isPurged,
 	}
 	if endpoint.Role == endpointset.Cache {
--- a/internal/policy/placement_test.go
+++ b/internal/policy/placement_test.go
@@ -170,7 +170,7 @@
 		h := newHarness(t, manyProxiesConfig(c.proxies))
 		cached := 0
 		for object := uint64(1); object <= 200; object++ {
-			if h.engine.cachedForOthers(gaptable.Part{Object: object}) {
+			if h.engine.cachedOnFirstRequest(gaptable.Part{Object: object}) {
 				cached++
 			}
 		}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	tickInterval = 10 * time.Millisecond // of health, hedges and deadlines; well under any latency objective
+	tickInterval = 10 * time.Millisecond // of checks of health, hedges and deadlines; far below any objective
 	tickToken    = 1
-	purgeSlack   = time.Second      // in which a purge is remembered beyond its propagation
-	minObjective = time.Millisecond // for the first guess of a class's cost
+	purgeSlack   = time.Second      // for which a purge is kept beyond its propagation
+	minObjective = time.Millisecond // lower bound of the initial cost estimate of a class
 )
 
 // Engine makes the decisions of one proxy. It is not safe for concurrent use.
 type Engine struct {
 	cfg       Config
-	startedAt time.Duration // when its first event came
+	startedAt time.Duration // time of the first event
 	now       time.Duration
 	actions   []Action
 
@@ -33,29 +33,29 @@
 	tables    *gaptable.Tables
 	purges    *invalidation.Ledger
 	requests  map[RequestID]*openRequest
-	waiting   []*openRequest // in order of arrival; those that ended stay until the next tick
+	byArrival []*openRequest // ended requests stay until the next tick
 
-	cachedTiming rto.Estimator // of answers from cached copies
+	cachedTiming rto.Estimator // of responses from cached copies
 	fillTiming   rto.Estimator // of fills
 
 	prices            fairness.Prices
 	fillLimiter       aimd.Limiter // of probable fills
-	cachedOnlyLimiter aimd.Limiter // of fills from what the parent caches
+	cachedOnlyLimiter aimd.Limiter // of fills from the parents' cached copies
 }
 
-// classState is what is known of a class.
+// classState is a class with what the engine has learned about it.
 type classState struct {
 	Class
-	cost   classcost.Estimate // by sending time, as the shares
+	cost   classcost.Estimate // of a request's transfer time, like the sizes in shares
 	shares fairness.Shares
 }
 
-// New makes an Engine. The seed is not used: the same events give the same actions at every proxy.
+// New returns an Engine. The seed is ignored, so that the same events give the same actions at every proxy.
 func New(cfg Config, _ uint64) (*Engine, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
-	purges := invalidation.Config{Propagation: cfg.PurgePropagation, Slack: purgeSlack}
+	purgeConfig := invalidation.Config{Propagation: cfg.PurgePropagation, Slack: purgeSlack}
 	engine := &Engine{
 		cfg: cfg,
 		endpoints: endpointset.New[attemptRef](endpointset.Config{
@@ -64,7 +64,7 @@
 			WeightsStable: cfg.WeightsReported && !cfg.WeightsLive,
 		}),
 		tables:            gaptable.New(),
-		purges:            invalidation.New(purges),
+		purges:            invalidation.New(purgeConfig),
 		requests:          map[RequestID]*openRequest{},
 		cachedTiming:      rto.New(),
 		fillTiming:        rto.New(),
@@ -78,7 +78,7 @@
 	return engine, nil
 }
 
-// validate gives the first fault of the settings.
+// validate returns an error for the first invalid setting.
 func (c *Config) validate() error {
 	if len(c.Classes) == 0 {
 		return fmt.Errorf("config: Classes: none given")
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// Handle takes one event and returns the actions that answer it; the slice is valid until the next call.
+// Handle processes one event and returns the resulting actions. The slice is valid until the next call.
 func (e *Engine) Handle(now time.Duration, event Event) []Action {
 	e.actions = e.actions[:0]
 	if e.now == 0 {
@@ -132,24 +132,24 @@
 	return e.actions
 }
 
-// OpenRequests is the number of requests without an end.
+// OpenRequests returns the number of open requests.
 func (e *Engine) OpenRequests() int { return len(e.requests) }
 
 func (e *Engine) emit(action Action) { e.actions = append(e.actions, action) }
 
-// onTick looks after slow and lost attempts, silent endpoints and the sizes of the tables.
+// onTick handles slow and lost attempts and silent endpoints, resizes the tables and expires purges.
 func (e *Engine) onTick() {
 	e.emit(SetTimer{tickToken, e.now + tickInterval})
 	if e.tables.FollowRate(e.now) {
 		e.purges.Expire(e.now)
 	}
-	e.waiting = slices.DeleteFunc(e.waiting, func(request *openRequest) bool { return request.ended })
-	for _, request := range e.waiting {
+	e.byArrival = slices.DeleteFunc(e.byArrival, func(request *openRequest) bool { return request.ended })
+	for _, request := range e.byArrival {
 		e.checkInFlight(request)
 	}
 	e.readmitSlowParents()
 	e.ejectSilentCaches()
-	for _, request := range e.waiting {
+	for _, request := range e.byArrival {
 		e.retryUnanswered(request)
 	}
 }
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -11,16 +11,16 @@
 	"sloequay/internal/retryafter"
 )
 
-// objectiveShare of a request's objective is what its answer may take by the estimate.
+// objectiveShare is the share of a request's objective that its estimated response time may reach.
 const objectiveShare = 0.85
 
-// saysNothingOfSource are the outcomes that say nothing of what is behind a cache.
-var saysNothingOfSource = append([]Status{StatusConnectFailed, StatusReset}, saysNothingOfEndpoint...)
+// inconclusiveForSource are the outcomes that tell nothing about the source behind a cache.
+var inconclusiveForSource = append([]Status{StatusConnectFailed, StatusReset}, inconclusiveForEndpoint...)
 
-// giveUp ends a request at once: by a rejection where a retry does no harm, as none of it may have run or its
-// class is safe to repeat; else by a failure.
+// giveUp ends a request: with a rejection if a retry is safe, since no attempt may have run or its class can
+// be repeated, and otherwise with a failure.
 func (e *Engine) giveUp(request *openRequest) {
-	if e.isRetryHarmless(request) {
+	if e.isSafeToRetry(request) {
 		e.emit(Reject{request.id, e.cfg.RetryAfter(&request.class.Class)})
 	} else {
 		e.emit(Fail{request.id})
@@ -28,12 +28,12 @@
 	e.finish(request)
 }
 
-// RetryAfter is how long a client with a rejected request of a class is asked to stay away; 0: no advice.
+// RetryAfter returns when a client may retry a rejected request of a class; 0: the client is not told.
 func (c *Config) RetryAfter(class *Class) time.Duration {
 	return retryafter.Advisor{Max: c.MaxRetryAfter}.Rejected(class.LatencyObjective)
 }
 
-// hasCapacity reports whether an endpoint can answer in time beside what is in flight to it.
+// hasCapacity reports whether an endpoint can respond in time, given the attempts in flight to it.
 func (e *Engine) hasCapacity(request *openRequest, endpoint *endpointState) bool {
 	if len(endpoint.InFlight()) == 0 || endpoint.Role == endpointset.Origin {
 		return true
@@ -42,24 +42,26 @@
 	return seconds*e.endpoints.Load(e.now, endpoint) < objectiveShare*request.objectiveSeconds(seconds)
 }
 
-// objectiveSeconds is the latency objective of a request that takes so many seconds to send.
+// objectiveSeconds returns the latency objective for a transfer time, both in seconds.
 func (r *openRequest) objectiveSeconds(seconds float64) float64 {
 	return r.class.LatencyObjective.Seconds() + r.class.ObjectiveStretch*seconds
 }
 
-// limiterFull says whether a limiter has no capacity for a request. A part of a fill is admitted by chance.
+// limiterFull reports whether a limiter has no capacity left for a request. Where there is capacity for only
+// a fraction of a fill, that is the probability of being admitted.
 func (e *Engine) limiterFull(request *openRequest, limiter *aimd.Limiter) bool {
 	draw := rendezvous.Draw(uint64(request.id))
 	return limiter.Full(e.endpoints.Links(), e.prices.Weight(request.price), draw)
 }
 
-// recordFill adapts an attempt's limiter to its answer, and notes which parents give answers.
+// recordFill adapts an attempt's limiter to its response, and records when its source last filled.
 func (e *Engine) recordFill(request *openRequest, attempt *attemptState, event ResponseEvent) {
 	isOK := event.Status == StatusOK
 	if isOK && (event.Note == NoteFilled || event.Note == NoteFilledOrigin) {
-		attempt.source.LastFillAt = e.now // and not where its cache had the copy
+		attempt.source.LastFillAt = e.now // only fills: a hit at the cache tells nothing about the source
 	}
-	if attempt.limiter == nil || event.Note == NoteHit || slices.Contains(saysNothingOfSource, event.Status) {
+	if attempt.limiter == nil || event.Note == NoteHit ||
+		slices.Contains(inconclusiveForSource, event.Status) {
 		return
 	}
 	isInTime := event.Elapsed.Seconds() <= request.objectiveSeconds(request.expectedSeconds)
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -8,17 +8,17 @@
 	"sloequay/internal/policy/gaptable"
 )
 
-// endpointState is an endpoint with what is known of it.
+// endpointState is an endpoint with what the engine has learned about it.
 type endpointState = endpointset.Endpoint[attemptRef]
 
-// attemptRef is the nth attempt of a request.
+// attemptRef refers to the nth attempt of a request.
 type attemptRef struct {
 	request *openRequest
 	n       int
 }
 
-// maxInconclusive is how many attempts of a request may end in a way that says nothing of their endpoints:
-// such an end leaves the next decision as it was.
+// maxInconclusive is how many attempts of a request may end without telling anything about their endpoints.
+// After such an end, the next attempt is decided on the same facts as the last one.
 const maxInconclusive = 6
 
 // openRequest is an open request.
@@ -31,40 +31,40 @@
 	deadline time.Duration
 	ended    bool
 
-	expectedSeconds  float64 // its sending time at full pace
-	effectiveSeconds float64 // the one by which it is admitted, see fairness.Shares
+	expectedSeconds  float64 // transfer time at full rate
+	effectiveSeconds float64 // transfer time that admission is based on, see fairness.Shares
 	sizeKnown        bool
-	price            float64 // effective sending time for a priority weight of 1: what it costs here
+	price            float64 // effectiveSeconds per unit of priority weight
 
-	cacheRank      int  // at which a copy is cached
-	toReplica      bool // it goes to the second copy, which is filled from the first
-	cachedOnlySent bool // a parent was sent a fill from what it caches
+	cacheRank      int  // of the copy that is cached; 0: none
+	toReplica      bool // sent to the cache of the second copy, which is filled from the first
+	cachedOnlySent bool // a fill from a parent's cached copy was sent
 	atCapacity     bool // a cache or a limiter had no capacity for it
-	// answerLost says that an answer of it was lost, by a reset or by being so late that it was hedged: its
-	// endpoint was asked once more, and the next reset counts against the endpoint.
-	answerLost   bool
-	cancels      int // how many of its attempts were canceled for others
-	inconclusive int // how many of its attempts ended in a way that says nothing of their endpoints
+	// responseLost is set once a response was lost to a reset, or was so late that the attempt was hedged.
+	// The first reset is retried at the same endpoint; the next one counts as the endpoint's failure.
+	responseLost bool
+	cancels      int // number of attempts canceled to send another
+	inconclusive int // number of attempts that ended without telling anything about their endpoints
 
 	attempts []attemptState
 	inFlight int
-	failed   []*endpointState // as endpoint or as source; not tried again
+	failed   []*endpointState // as endpoint or as source; not tried again for this request
 }
 
 // attemptState is one attempt of a request.
 type attemptState struct {
 	route
-	limiter *aimd.Limiter // of a probable fill, else nil
+	limiter *aimd.Limiter // that counts a probable fill; nil: no fill is likely
 	sentAt  time.Duration
 
 	done       bool
 	mayHaveRun bool
-	replaced   bool // canceled, or another attempt was sent beside it
-	slow       bool // that it missed its objective is counted already
+	replaced   bool // canceled, or hedged by another attempt
+	slow       bool // its missed objective is recorded already
 
 	load            float64 // of the endpoint when it was sent
-	expectedSeconds float64 // its sending time at that load
-	overtaken       int     // by answers to attempts that were sent later, for more
+	expectedSeconds float64 // transfer time at that load
+	overtaken       int     // number of responses to later, larger requests that came before its own
 }
 
 func (e *Engine) onRequest(event RequestEvent) {
@@ -83,12 +83,12 @@
 	request.effectiveSeconds = class.shares.EffectiveSize(request.expectedSeconds)
 	request.price = e.prices.Record(request.effectiveSeconds, class.PriorityWeight)
 	e.requests[event.ID] = request
-	e.waiting = append(e.waiting, request)
+	e.byArrival = append(e.byArrival, request)
 	e.advance(request)
 }
 
-// estimateSize gives a request its sending time, from its size or else from its class. What a client says of
-// the size may be wrong, and must not spoil what is known of the class.
+// estimateSize sets the expected transfer time of a request, from its size if known and else from its class.
+// A size is bounded, since clients may state wrong ones, which must not distort the estimate of the class.
 func (e *Engine) estimateSize(request *openRequest, event RequestEvent) {
 	cost := &request.class.cost
 	request.expectedSeconds = cost.Mean()
@@ -100,14 +100,14 @@
 	}
 }
 
-// recordDemand counts a request for its part, and decides whether and at which rank a copy is cached.
+// recordDemand records a request for its part, and decides whether and at which rank a copy is cached.
 func (e *Engine) recordDemand(request *openRequest, event RequestEvent) {
 	request.row = e.tables.Row(request.part)
 	if request.row == nil || !event.Retry {
 		request.row = e.tables.Touch(request.part, e.now)
 	}
 	request.cacheRank = e.tables.Rank(request.row)
-	if request.cacheRank == 0 && e.cachedForOthers(request.part) {
+	if request.cacheRank == 0 && e.cachedOnFirstRequest(request.part) {
 		request.cacheRank = 1
 	}
 }
@@ -127,36 +127,37 @@
 	attempt.mayHaveRun = !event.Status.ProvesNotExecuted()
 	e.recordOutcome(request, attempt, event)
 	if event.Status == StatusOK {
-		e.learn(request, attempt, event)
+		e.recordSuccess(request, attempt, event)
 	}
 	if event.Status == StatusOK || event.Concluded {
 		e.finish(request)
 		return
 	}
-	if request.inFlight == 0 && request.isStuck(event.Status) {
+	if request.inFlight == 0 && request.retryIsFutile(event.Status) {
 		e.giveUp(request)
 		return
 	}
 	e.advance(request)
 }
 
-// isStuck reports whether the next attempt would end as the last one did: the budget that blocked it is used
-// up, or too many have ended without a sign that another would not.
-func (r *openRequest) isStuck(status Status) bool {
+// retryIsFutile reports whether another attempt would probably end like the last one: the budget that blocked
+// it is used up, or too many attempts have ended without telling anything about their endpoints.
+func (r *openRequest) retryIsFutile(status Status) bool {
 	return status == StatusBudgetExhausted || r.inconclusive >= maxInconclusive
 }
 
-// learn takes from a good answer how long such answers take and where the part is cached.
-func (e *Engine) learn(request *openRequest, attempt *attemptState, event ResponseEvent) {
+// recordSuccess learns from a successful response how long such responses take and where the part is cached.
+func (e *Engine) recordSuccess(request *openRequest, attempt *attemptState, event ResponseEvent) {
 	e.timing(attempt).Observe(event.Elapsed.Seconds() - attempt.expectedSeconds)
 	recordOvertaken(request, attempt)
 	endpoint := attempt.endpoint
 	if fromCopy := attempt.source == endpoint || event.Note == NoteHit; fromCopy {
-		netSeconds := event.Elapsed.Seconds() / max(1, attempt.load) // sending time, and what its cache adds
+		// Transfer time plus what the cache adds to it, without the effect of load.
+		unloadedSeconds := event.Elapsed.Seconds() / max(1, attempt.load)
 		if request.sizeKnown {
-			endpoint.RecordSlowness(netSeconds / request.expectedSeconds)
+			endpoint.RecordSlowness(unloadedSeconds / request.expectedSeconds)
 		} else {
-			request.class.cost.RecordAnswer(netSeconds, event.Elapsed.Seconds())
+			request.class.cost.RecordAnswer(unloadedSeconds, event.Elapsed.Seconds())
 		}
 	}
 	isCached := request.cacheRank > 0 || attempt.source == endpoint
@@ -165,7 +166,7 @@
 	}
 }
 
-// release takes the nth attempt of a request off what is in flight to its endpoint.
+// release removes the nth attempt of a request from those in flight at its endpoint and its limiter.
 func (e *Engine) release(request *openRequest, n int) {
 	attempt := &request.attempts[n]
 	attempt.endpoint.End(e.now, attemptRef{request, n})
@@ -174,7 +175,7 @@
 	}
 }
 
-// finish forgets a request that has its end and cancels what is still in flight.
+// finish removes a request that has ended, and cancels its attempts in flight.
 func (e *Engine) finish(request *openRequest) {
 	for n := range request.attempts {
 		if request.attempts[n].done {
@@ -191,5 +192,5 @@
 		request.class.shares.RecordAdmitted(request.expectedSeconds)
 	}
 	delete(e.requests, request.id)
-	request.ended = true // the next tick takes it out of what waits
+	request.ended = true // the next tick removes it from byArrival
 }
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -9,18 +9,20 @@
 )
 
 const (
-	// minTimeLeft before its deadline a request is given up: no attempt would be answered in time.
+	// minTimeLeft is how long before its deadline a request is given up, since no response would be in time.
 	minTimeLeft = 20 * time.Millisecond
-	// lostAfterSendingTimes, and rejectionTime more, an answer from a copy counts as lost, where hedging is
-	// allowed.
-	lostAfterSendingTimes = 2.0
-	// busySlowdown is how much longer than their sending time a busy endpoint's answers take.
+	// With hedging, a response from a cached copy counts as lost after lostAfterTransferTimes transfer times
+	// plus rejectionTime.
+	lostAfterTransferTimes = 2.0
+	// busySlowdown is how long a busy endpoint's responses take, in multiples of their transfer time.
 	busySlowdown = 1.5
-	// minOvertaken is how many answers must have overtaken an attempt before it counts as lost.
+	// minOvertaken is how many responses must have overtaken an attempt before it counts as lost.
 	minOvertaken = 2
-	// rejectionTime is by when a cache at capacity has said so; a later rejection is that of its source.
+	// rejectionTime is the time within which a cache at capacity rejects; a later rejection comes from its
+	// source.
 	rejectionTime = 50 * time.Millisecond
-	// writeObjectiveShare of a write's objective at the origin shows that the origin has too many fills.
+	// writeObjectiveShare is the share of its objective after which an unanswered write shows that the origin
+	// has too many fills.
 	writeObjectiveShare = 0.6
 )
 
@@ -31,7 +33,8 @@
 	}
 }
 
-// checkInFlight adds each attempt in flight to its endpoint's silence, and counts it once it has become slow.
+// checkInFlight adds the silence since each attempt in flight to its endpoint, and records attempts that have
+// become slow.
 func (e *Engine) checkInFlight(request *openRequest) {
 	for i := range request.attempts {
 		attempt := &request.attempts[i]
@@ -46,7 +49,7 @@
 	}
 }
 
-// checkSlow counts an attempt that has missed its objective.
+// checkSlow records an attempt that has missed its objective.
 func (e *Engine) checkSlow(request *openRequest, attempt *attemptState) {
 	objective := request.objectiveSeconds(request.expectedSeconds)
 	elapsed := (e.now - attempt.sentAt).Seconds()
@@ -62,8 +65,8 @@
 	}
 }
 
-// retryUnanswered has a request go on whose only attempt is lost or waits for an ejected endpoint: by an
-// attempt beside it where hedging is allowed, else by one in its place.
+// retryUnanswered retries a request whose only attempt in flight is lost. With hedging it sends a second
+// attempt, also if the first one waits for an ejected endpoint; otherwise it cancels the first one.
 func (e *Engine) retryUnanswered(request *openRequest) {
 	mayRetry := request.class.Idempotency != NotIdempotent && request.deadline-e.now >= minTimeLeft
 	if request.inFlight != 1 || !mayRetry {
@@ -80,28 +83,29 @@
 	}
 }
 
-// hedge sends a second attempt beside one that is lost or waits for an ejected endpoint.
+// hedge sends a second attempt if the given one is lost or waits for an ejected endpoint.
 func (e *Engine) hedge(request *openRequest, attempt *attemptState) {
 	if request.class.Idempotency != Idempotent {
 		return
 	}
 	isEjected := attempt.endpoint.Health.Ejected() || attempt.source.Health.Ejected()
-	sendingSeconds := request.expectedSeconds * max(1, attempt.load)
-	usualSeconds := lostAfterSendingTimes*sendingSeconds + rejectionTime.Seconds()
-	isExpired := (e.now - attempt.sentAt).Seconds() > usualSeconds
-	if !isEjected && (!isExpired || !request.sizeKnown || attempt.limiter != nil) {
+	transferSeconds := request.expectedSeconds * max(1, attempt.load)
+	lostAfterSeconds := lostAfterTransferTimes*transferSeconds + rejectionTime.Seconds()
+	isOverdue := (e.now - attempt.sentAt).Seconds() > lostAfterSeconds
+	if !isEjected && (!isOverdue || !request.sizeKnown || attempt.limiter != nil) {
 		return
 	}
 	attempt.replaced = true
-	request.answerLost = true
+	request.responseLost = true
 	if isEjected {
 		request.failed = append(request.failed, attempt.endpoint)
 	}
 	e.tryNext(request)
 }
 
-// cancelOvertaken cancels a lost attempt, so that the request goes on. Links are shared evenly and under
-// overload all attempts are slow alike; lost are only those that later and larger ones have overtaken.
+// cancelOvertaken cancels a lost attempt, so that the request is retried. Links are shared evenly and
+// overload slows all attempts alike, so an attempt counts as lost only after later, larger ones have
+// overtaken it.
 func (e *Engine) cancelOvertaken(request *openRequest, n int) {
 	attempt := &request.attempts[n]
 	if attempt.overtaken < minOvertaken || !e.cfg.MayCancel || !e.hasAttemptsLeft(request, 1) {
@@ -112,28 +116,28 @@
 	if excessSeconds <= e.timing(attempt).Timeout()*backoff+(busySlowdown-1)*attempt.expectedSeconds {
 		return
 	}
-	e.timing(attempt).Observe(excessSeconds) // so that the time-out rises where all has become slow
+	e.timing(attempt).Observe(excessSeconds) // so that the time-out rises if all responses are slow
 	attempt.replaced = true
 	request.cancels++
 	e.emit(CancelAttempt{request.id, n})
 }
 
-// recordOvertaken counts an answer for the attempts that it overtook: those that were sent earlier to the
-// same endpoint, for less, and wait for the same source.
-func recordOvertaken(request *openRequest, answered *attemptState) {
-	for _, ref := range answered.endpoint.InFlight() {
+// recordOvertaken counts a response for each attempt that it overtook: one that was sent earlier to the same
+// endpoint, has a shorter expected transfer time and waits for the same source.
+func recordOvertaken(request *openRequest, completed *attemptState) {
+	for _, ref := range completed.endpoint.InFlight() {
 		attempt := &ref.request.attempts[ref.n]
-		isFill, answeredFill := attempt.limiter != nil, answered.limiter != nil
-		if isFill != answeredFill || isFill && attempt.source != answered.source {
+		isFill, completedFill := attempt.limiter != nil, completed.limiter != nil
+		if isFill != completedFill || isFill && attempt.source != completed.source {
 			continue
 		}
-		if attempt.sentAt < answered.sentAt && ref.request.expectedSeconds < request.expectedSeconds {
+		if attempt.sentAt < completed.sentAt && ref.request.expectedSeconds < request.expectedSeconds {
 			attempt.overtaken++
 		}
 	}
 }
 
-// timing is what answers such as an attempt's take beyond their sending time.
+// timing returns the estimator for what responses like an attempt's take beyond their transfer time.
 func (e *Engine) timing(attempt *attemptState) *rto.Estimator {
 	if attempt.limiter != nil {
 		return &e.fillTiming
--- a/internal/policy/types.go
+++ b/internal/policy/types.go
@@ -6,23 +6,23 @@
 	"sloequay/internal/policy/endpointset"
 )
 
-// EndpointID names an endpoint. It is handed back unmodified and carries no meaning.
+// EndpointID identifies an endpoint. It is opaque, and actions return it unchanged.
 type EndpointID = endpointset.ID
 
-// RequestID names one request, as one client made it once. It is never used twice.
+// RequestID identifies one request of one client. A client's retry has a new ID; IDs are never reused.
 type RequestID uint32
 
-// Idempotency says what may happen when a request of a class runs more than once.
+// Idempotency tells whether the requests of a class may be executed more than once.
 type Idempotency int
 
-// What may happen when a request runs more than once.
+// The kinds of idempotency.
 const (
-	Idempotent      Idempotency = iota // may be repeated and rejected at will
-	IdempotentByKey                    // repeats are dropped within Class.DedupScope for Class.DedupWindow
-	NotIdempotent                      // may run once only
+	Idempotent      Idempotency = iota // may be executed any number of times: a retry is always safe
+	IdempotentByKey                    // endpoints drop repeats within Class.DedupScope for Class.DedupWindow
+	NotIdempotent                      // must be executed at most once
 )
 
-// DedupScope says which endpoints drop the repeats of a request with an idempotency key together.
+// DedupScope is the set of endpoints that drop each other's repeats of a request with an idempotency key.
 type DedupScope int
 
 // The scopes of a class with idempotency keys.
@@ -44,40 +44,40 @@
 
 // Class is a class of requests.
 type Class struct {
-	Name             string // for the log only
+	Name             string // not used by the Engine
 	LatencyObjective time.Duration
-	ObjectiveStretch float64 // added to the objective, in sending times of the answer
+	ObjectiveStretch float64 // added to the objective, in multiples of the response's transfer time
 	Deadline         time.Duration
-	PriorityWeight   float64 // of an answer within its objective
+	PriorityWeight   float64 // of a response that meets its objective
 	Idempotency      Idempotency
 	DedupScope       DedupScope
 	DedupWindow      time.Duration
-	Write            bool          // its requests go to the origin
+	Write            bool          // its requests are handled by the origin
 	FreshFor         time.Duration // 0: a copy is fresh until it is purged
-	StaleFor         time.Duration // time past FreshFor in which a copy may still be served
+	StaleFor         time.Duration // how long after FreshFor a stale copy may still be served
 }
 
-// Config is the settings of an Engine. Times of 0 mean "no such limit" unless said otherwise.
+// Config holds the settings of an Engine. A time of 0 means "no limit" unless stated otherwise.
 type Config struct {
-	Ordinal, Instances int      // of this proxy among all, from 0; how many there are
+	Ordinal, Instances int      // index of this proxy among all, from 0; their number
 	Zone               int      // of this proxy
-	ZoneNames          []string // for the log only
-	KindNames          []string // for the log only
+	ZoneNames          []string // by zone; the Engine uses only their number
+	KindNames          []string // not used by the Engine
 	Classes            []Class
 
-	ParentKind, OriginKind int     // index of the kind in list entries; -1: none
-	ZoneInstances          []int   // proxies by zone
-	FlowKBps               float64 // full pace of one answer; the unit of Endpoint.Weight
-	WeightsReported        bool    // false: Endpoint.Weight says nothing
-	WeightsLive            bool    // true: weights vary from list to list
+	ParentKind, OriginKind int     // Endpoint.Kind of parents and of the origin; -1: none
+	ZoneInstances          []int   // number of proxies by zone
+	FlowKBps               float64 // full transfer rate of one response; the unit of Endpoint.Weight
+	WeightsReported        bool    // false: Endpoint.Weight has no meaning
+	WeightsLive            bool    // true: weights change from list to list
 	Siblings               SiblingScope
-	DirectFetch            bool // requests may go straight to a parent or the origin
-	JoinFills              bool // an attempt may wait for a fill that is in flight
-	PurgePropagation       time.Duration
+	DirectFetch            bool          // requests may bypass the caches and go to a parent or the origin
+	JoinFills              bool          // an attempt may wait for a fill that is already in flight
+	PurgePropagation       time.Duration // within which caches drop purged copies by themselves
 
-	ColdStartShare         float64
-	WarmupTime             time.Duration
-	OverloadMultiple       float64
+	ColdStartShare         float64       // share of its capacity that a cache bears right after its start
+	WarmupTime             time.Duration // after which a cache bears its full capacity
+	OverloadMultiple       float64       // sustainable load over OverloadWindow, in multiples of its link
 	OverloadWindow         time.Duration
 	ParentStartShare       float64
 	ParentWarmupTime       time.Duration
@@ -85,26 +85,26 @@
 
 	MaxAttempts   int // of a request; 0: no limit
 	MayCancel     bool
-	Hedging       bool          // two attempts of a request may be in flight together
-	MaxRetryAfter time.Duration // the longest that clients keep to; 0: no advice is allowed
+	Hedging       bool          // a request may have two attempts in flight at the same time
+	MaxRetryAfter time.Duration // the longest Retry-After that clients observe; 0: none may be sent
 	HealthChecks  bool
-	PollDiscovery bool // the list has to be asked for
+	PollDiscovery bool // the endpoint list is sent only on request, see Watch
 }
 
-// State is what the list says of an endpoint.
+// State is the state of an endpoint in the endpoint list.
 type State = endpointset.State
 
-// The states of an endpoint in the list.
+// The states of an endpoint.
 const (
 	Gone     = endpointset.Gone
 	Ready    = endpointset.Ready
 	Draining = endpointset.Draining
 )
 
-// Endpoint is an entry of the list of endpoints.
+// Endpoint is an entry of the endpoint list.
 type Endpoint = endpointset.Entry
 
-// ListKind says how a list is to be read.
+// ListKind tells whether a list is complete, a delta or missing.
 type ListKind = endpointset.ListKind
 
 // The kinds of lists.
@@ -115,7 +115,7 @@
 	ListFailed = endpointset.ListFailed
 )
 
-// Status is how an attempt ended.
+// Status is the outcome of an attempt.
 type Status int
 
 // The outcomes of an attempt or a health check.
@@ -129,11 +129,11 @@
 	StatusCanceled
 	StatusNotExecuted
 	StatusMiss
-	StatusBudgetExhausted // not sent, nor would another attempt be: a budget of the request is used up
-	StatusUnavailable     // not sent: there is no connection or budget for its endpoint
+	StatusBudgetExhausted // not sent, and no other attempt would be: a budget of the request is used up
+	StatusUnavailable     // not sent: no connection or budget is left for its endpoint
 )
 
-// ProvesNotExecuted reports whether an attempt that ended so had no effect for certain.
+// ProvesNotExecuted reports whether an attempt with this outcome certainly had no effect.
 func (s Status) ProvesNotExecuted() bool {
 	switch s {
 	case StatusAtCapacity, StatusConnectFailed, StatusNotExecuted, StatusMiss:
@@ -144,7 +144,7 @@
 	return false
 }
 
-// Note says how a response came about, as far as the settings have endpoints say so.
+// Note tells how a response was produced, to the extent that endpoints are configured to report it.
 type Note int
 
 // The notes on a response.
