--- a/internal/policy/bench_test.go
+++ b/internal/policy/bench_test.go
@@ -9,7 +9,7 @@
 	"sloequay/internal/policy/rendezvous"
 )
 
-// BenchmarkCold is one request where all caches have just started and the guard lets it pass to none of them.
+// BenchmarkCold measures one request while all caches have just started and none has warm-up budget for it.
 func BenchmarkCold(b *testing.B) {
 	for _, caches := range []int{10, 100, 1000, 4000} {
 		b.Run(fmt.Sprintf("caches/%d", caches), func(b *testing.B) {
@@ -26,12 +26,12 @@
 				list = append(list, Endpoint{ID: id, Zone: 2, State: Ready, Weight: 1, StartedAt: now})
 			}
 			engine.Handle(now, ListEvent{Kind: ListFull, Endpoints: list})
-			drive(b, engine, now)
+			benchmarkRequests(b, engine, now)
 		})
 	}
 }
 
-// BenchmarkRequest is one request through the module and the end of its one attempt, with a zone of so many caches.
+// BenchmarkRequest measures one request and the response to its only attempt, by number of caches in the zone.
 func BenchmarkRequest(b *testing.B) {
 	for _, caches := range []int{10, 100, 1000, 4000, 10000} {
 		b.Run(fmt.Sprintf("caches/%d", caches), func(b *testing.B) {
@@ -46,12 +46,12 @@
 			}
 			now := 100 * sec
 			engine.Handle(now, ListEvent{Kind: ListFull, Endpoints: list})
-			drive(b, engine, now)
+			benchmarkRequests(b, engine, now)
 		})
 	}
 }
 
-// BenchmarkTick is one tick without requests, with a zone of so many caches.
+// BenchmarkTick measures one tick without requests, by number of caches in the zone.
 func BenchmarkTick(b *testing.B) {
 	for _, caches := range []int{1000, 4000, 10000} {
 		b.Run(fmt.Sprintf("caches/%d", caches), func(b *testing.B) {
@@ -76,8 +76,8 @@
 	}
 }
 
-// drive puts requests through an engine, a millisecond apart, and ends the first attempt of each.
-func drive(b *testing.B, engine *Engine, now time.Duration) {
+// benchmarkRequests passes one request each millisecond to an engine, and responds to the first attempt of each.
+func benchmarkRequests(b *testing.B, engine *Engine, now time.Duration) {
 	zipf := rand.NewZipf(rand.New(rand.NewSource(1)), 1.1, 4, 50000)
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -90,7 +90,7 @@
 		request := RequestEvent{ID: id, Object: zipf.Uint64() + 1, Remaining: 3 * sec, SizeKB: 40}
 		for _, action := range engine.Handle(now, request) {
 			if sent, ok := action.(SendAttempt); ok {
-				engine.Handle(now, hit(sent, ms))
+				engine.Handle(now, hitResponse(sent, ms))
 				break
 			}
 		}
--- a/internal/policy/example_test.go
+++ b/internal/policy/example_test.go
@@ -7,7 +7,7 @@
 	"sloequay/internal/policy"
 )
 
-// An engine with one cache and one parent looks for an unknown object at the cache, which serves it.
+// An engine with one cache and one parent looks up an unknown object at the cache, which serves it.
 func Example() {
 	cfg := policy.Config{
 		Instances: 1, Zone: 1, ParentKind: 1, OriginKind: -1, MaxAttempts: 4,
--- a/internal/policy/harness_test.go
+++ b/internal/policy/harness_test.go
@@ -11,7 +11,7 @@
 	sec = time.Second
 )
 
-// testConfig gives settings with a zone of its own (2), two parents and an origin, everything allowed.
+// testConfig returns settings that allow everything, for a proxy in zone 2 with parents and an origin.
 func testConfig() Config {
 	return Config{
 		Instances: 2, Zone: 2, ZoneInstances: []int{0, 0, 1, 1}, ParentKind: 1, OriginKind: 2,
@@ -30,8 +30,8 @@
 	}
 }
 
-// testEndpoints gives two parents (100 and 101), the origin (200), four caches of the own zone (1 to 4) and one of
-// another (9).
+// testEndpoints returns two parents (100 and 101), the origin (200), four caches of the proxy's zone (1 to 4) and one
+// of another zone (9).
 func testEndpoints() []Endpoint {
 	list := []Endpoint{
 		{ID: 100, Zone: 0, Kind: 1, State: Ready, Weight: 40},
@@ -44,17 +44,17 @@
 	return append(list, Endpoint{ID: 9, Zone: 3, State: Ready, Weight: 8})
 }
 
-// harness drives an Engine by hand and checks what holds for every action.
+// harness passes events to an Engine and checks the invariants that every action must keep.
 type harness struct {
 	t      *testing.T
 	engine *Engine
 	now    time.Duration
 
 	sent     map[RequestID][]SendAttempt
-	ends     map[RequestID]Action // or the attempt whose response was one
+	ends     map[RequestID]Action // the ending action, or the attempt whose response ended the request
 	notReady map[EndpointID]bool
 	actions  []Action
-	lastID   RequestID // by fillByParents
+	lastID   RequestID // of fillByParents
 }
 
 func newHarness(t *testing.T, cfg Config) *harness {
@@ -62,7 +62,7 @@
 	return newHarnessAt(t, cfg, 100*sec)
 }
 
-// newHarnessAt is newHarness for an engine that starts at a time.
+// newHarnessAt is newHarness with an engine that starts at the given time.
 func newHarnessAt(t *testing.T, cfg Config, now time.Duration) *harness {
 	t.Helper()
 	engine, err := New(cfg, 1)
@@ -94,21 +94,21 @@
 func (h *harness) send(sent SendAttempt) {
 	h.t.Helper()
 	if h.ends[sent.ID] != nil {
-		h.t.Fatalf("%v: sent after the request's end", sent)
+		h.t.Fatalf("%v: attempt was sent after the end of its request", sent)
 	}
 	if h.notReady[sent.Endpoint] || h.notReady[sent.Source] {
-		h.t.Fatalf("%+v: uses an endpoint that drains or is gone", sent)
+		h.t.Fatalf("%+v: attempt uses an endpoint that is draining or gone", sent)
 	}
 	h.sent[sent.ID] = append(h.sent[sent.ID], sent)
 	if n, limit := len(h.sent[sent.ID]), h.engine.cfg.MaxAttempts; limit > 0 && n > limit {
-		h.t.Fatalf("%d attempts, at most %d allowed", n, limit)
+		h.t.Fatalf("got %d attempts of a request, want at most %d", n, limit)
 	}
 }
 
 func (h *harness) end(id RequestID, action Action) {
 	h.t.Helper()
 	if h.ends[id] != nil {
-		h.t.Fatalf("%d: second end %v after %v", id, action, h.ends[id])
+		h.t.Fatalf("request %d: got a second end %v after %v, want one end", id, action, h.ends[id])
 	}
 	h.ends[id] = action
 }
@@ -121,12 +121,12 @@
 func (h *harness) lastSent(id RequestID) SendAttempt {
 	h.t.Helper()
 	if len(h.sent[id]) == 0 {
-		h.t.Fatalf("%d: nothing was sent", id)
+		h.t.Fatalf("request %d: no attempt was sent", id)
 	}
 	return h.sent[id][len(h.sent[id])-1]
 }
 
-// respond ends the latest attempt of a request.
+// respond delivers the response to the latest attempt of a request.
 func (h *harness) respond(id RequestID, status Status, note Note) {
 	h.t.Helper()
 	sent := h.lastSent(id)
@@ -137,19 +137,20 @@
 		Concluded: status == StatusOK, Note: note, Status: status})
 }
 
-// hit is the response to a request's first attempt from a cached copy.
-func hit(sent SendAttempt, elapsed time.Duration) ResponseEvent {
+// hitResponse returns the response from a cached copy to a request's first attempt.
+func hitResponse(sent SendAttempt, elapsed time.Duration) ResponseEvent {
 	return ResponseEvent{ID: sent.ID, Elapsed: elapsed, Concluded: true, Note: NoteHit,
 		Status: StatusOK}
 }
 
-// endpoint gives what the engine knows of an endpoint.
+// endpoint returns the engine's state of an endpoint.
 func (h *harness) endpoint(id EndpointID) *endpointState { return h.engine.endpoints.Get(id) }
 
 func (h *harness) isEjected(id EndpointID) bool { return h.endpoint(id).Health.Ejected() }
 
-// passLookups ends lookups at siblings with a miss until a fill is sent or the request ends.
-func (h *harness) passLookups(id RequestID) SendAttempt {
+// missLookups responds to sibling lookups with a miss until a fill is sent or the request ends, and returns the last
+// attempt.
+func (h *harness) missLookups(id RequestID) SendAttempt {
 	h.t.Helper()
 	for h.lastSent(id).Source == h.lastSent(id).Endpoint && h.ends[id] == nil {
 		h.respond(id, StatusMiss, NoteNone)
@@ -157,22 +158,22 @@
 	return h.lastSent(id)
 }
 
-func (h *harness) tick(span time.Duration) {
+func (h *harness) tick(duration time.Duration) {
 	h.t.Helper()
-	for end := h.now + span; h.now < end; {
+	for end := h.now + duration; h.now < end; {
 		h.now += tickInterval
 		h.handle(TimerEvent{Token: tickToken})
 	}
 }
 
-// manyProxiesConfig gives settings like testConfig's with n proxies in the zone of this one.
+// manyProxiesConfig returns testConfig with n proxies in the proxy's zone.
 func manyProxiesConfig(n int) Config {
 	cfg := testConfig()
 	cfg.Instances, cfg.ZoneInstances = 20*n, []int{0, 0, n, n}
 	return cfg
 }
 
-// newSingleCacheHarness gives an engine without hedging a single cache.
+// newSingleCacheHarness returns a harness without hedging and with a single cache.
 func newSingleCacheHarness(t *testing.T) *harness {
 	cfg := testConfig()
 	cfg.Hedging = false
@@ -181,7 +182,7 @@
 	return h
 }
 
-// newParentsHarness drives an engine without hedging, with attempts enough for many lookups.
+// newParentsHarness returns a harness without hedging and with enough attempts for many lookups.
 func newParentsHarness(t *testing.T) *harness {
 	cfg := testConfig()
 	cfg.MaxAttempts, cfg.Hedging = 40, false
--- a/internal/policy/health_test.go
+++ b/internal/policy/health_test.go
@@ -7,8 +7,9 @@
 	"sloequay/internal/policy/outlier"
 )
 
-// TestLongAnswersAreNotSilence: three long answers in flight at once ejected live caches dozens of times a day.
-func TestLongAnswersAreNotSilence(t *testing.T) {
+// TestLongResponsesAreNotSilence guards against ejecting live caches as silent: three long responses in flight at once
+// did so dozens of times a day.
+func TestLongResponsesAreNotSilence(t *testing.T) {
 	h := newHarness(t, testConfig())
 	for id := RequestID(1); id <= 12; id++ {
 		h.handle(RequestEvent{ID: id, Object: uint64(id), Remaining: 5 * sec, SizeKB: 900})
@@ -16,13 +17,13 @@
 	h.tick(800 * ms)
 	for _, endpoint := range h.engine.endpoints.Caches.Members() {
 		if endpoint.Health.Ejected() {
-			t.Errorf("cache %d ejected after 0.8 s of sending 0.9 s answers", endpoint.ID)
+			t.Errorf("cache %d was ejected 0.8 s after the start of responses that take 0.9 s", endpoint.ID)
 		}
 	}
 }
 
-// TestSilentCacheIsLeft: a hung cache must not keep its requests.
-func TestSilentCacheIsLeft(t *testing.T) {
+// TestRequestsLeaveSilentCache: requests to a hung cache are retried elsewhere.
+func TestRequestsLeaveSilentCache(t *testing.T) {
 	h := newHarness(t, testConfig())
 	for id := RequestID(1); id <= 6; id++ {
 		h.handle(RequestEvent{ID: id, Object: 7, Part: int(id), Remaining: 3 * sec, SizeKB: 50})
@@ -30,48 +31,48 @@
 	h.tick(1500 * ms)
 	for id := RequestID(1); id <= 6; id++ {
 		if len(h.sent[id]) < 2 && h.ends[id] == nil {
-			t.Errorf("request %d still waits for a cache that has been silent for 1.5 s", id)
+			t.Errorf("request %d: got no retry or end, want one after 1.5 s of silence of its cache", id)
 		}
 	}
 }
 
-// TestSlowRejectionIsTheSources: a dead parent shows as a cache at capacity after the dial time-out; caches
-// were skipped for it.
-func TestSlowRejectionIsTheSources(t *testing.T) {
+// TestSlowRejectionIsAttributedToSource: a cache reports a dead parent as being at capacity, after the dial time-out.
+// The caches were skipped for it.
+func TestSlowRejectionIsAttributedToSource(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.request(1, 0, 7)
-	first := h.passLookups(1)
+	first := h.missLookups(1)
 	h.handle(ResponseEvent{ID: 1, Attempt: len(h.sent[1]) - 1, Elapsed: 400 * ms,
 		Status: StatusAtCapacity})
 	if sent := h.lastSent(1); sent.Endpoint != first.Endpoint || sent.Source == first.Source {
-		t.Errorf("after a slow rejection: %+v, want cache %d with another source than %d",
+		t.Errorf("after a slow rejection: got %+v, want cache %d with another source than %d",
 			sent, first.Endpoint, first.Source)
 	}
 }
 
-// TestNewProcessStartsAnew: a restart of a cache voids what was known of it.
-func TestNewProcessStartsAnew(t *testing.T) {
+// TestRestartClearsEjection: the health of a cache is forgotten when it restarts.
+func TestRestartClearsEjection(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.engine.endpoints.Eject(h.now, h.endpoint(1), outlier.Failing)
 	restarted := Endpoint{ID: 1, Zone: 2, State: Ready, Weight: 8, StartedAt: h.now}
 	h.handle(ListEvent{Kind: ListDelta, Endpoints: []Endpoint{restarted}})
 	if h.isEjected(1) {
-		t.Error("a new process is still ejected for what the old one did")
+		t.Error("cache 1 is still ejected after its restart")
 	}
 }
 
-// countFillsVia sends requests one after another and ends each attempt by answer. It gives the number of fills that
-// went by way of a parent.
-func countFillsVia(h *harness, parent EndpointID, requests int, answer func(SendAttempt) (Status, Note)) int {
+// countFillsVia sends requests one after another and ends each attempt with the result of outcome. It returns the
+// number of fills through a parent.
+func countFillsVia(h *harness, parent EndpointID, requests int, outcome func(SendAttempt) (Status, Note)) int {
 	via := 0
 	for id := RequestID(1); id <= RequestID(requests); id++ {
 		h.request(id, 0, uint64(1000+id))
 		for h.ends[id] == nil {
-			sent := h.passLookups(id)
+			sent := h.missLookups(id)
 			if h.ends[id] != nil {
 				break
 			}
-			status, note := answer(sent)
+			status, note := outcome(sent)
 			if sent.Source == parent && sent.Endpoint != parent {
 				via++
 			}
@@ -82,12 +83,12 @@
 	return via
 }
 
-// TestUnreachableSourceIsSkippedSoon: a parent that the caches cannot reach is skipped after two fills, though the
-// other parent fails at times too. A proxy of a fleet sees each parent seldom; weighed against what the other parents
-// showed, a dead one kept its fills for seconds.
-func TestUnreachableSourceIsSkippedSoon(t *testing.T) {
+// TestUnreachableSourceIsSkippedAfterTwoFills: a parent that the caches cannot reach is skipped after two fills, even
+// if the other parent fails at times. One proxy of a fleet gets few outcomes of each parent: weighed against the
+// failures of the other parents, a dead one still got fills for seconds.
+func TestUnreachableSourceIsSkippedAfterTwoFills(t *testing.T) {
 	h := newHarness(t, testConfig())
-	// The other parent is busy and rejects fills at times, as on a day when a region is lost.
+	// The other parent is busy and rejects some fills, as after the loss of a region.
 	fills := 0
 	via := countFillsVia(h, 100, 40, func(sent SendAttempt) (Status, Note) {
 		if sent.Source == 100 && sent.Endpoint != 100 {
@@ -99,11 +100,12 @@
 		return StatusOK, NoteFilled
 	})
 	if via > 2 {
-		t.Errorf("%d fills by the unreachable parent in 40 requests, want 2 at most", via)
+		t.Errorf("got %d fills through the unreachable parent in 40 requests, want at most 2", via)
 	}
 }
 
-// TestResetIsRetriedAtTheSameCache: caches whose answers were lost were ejected, though they had the copies.
+// TestResetIsRetriedAtTheSameCache guards against ejecting caches whose responses were lost, though they have the
+// copies.
 func TestResetIsRetriedAtTheSameCache(t *testing.T) {
 	h := newHarness(t, testConfig())
 	for id := RequestID(1); id <= 12; id++ {
@@ -112,24 +114,24 @@
 		h.respond(id, StatusReset, NoteNone)
 		sent := h.lastSent(id)
 		if sent.Endpoint != first.Endpoint && len(h.sent[id]) == 2 && sent.Source == sent.Endpoint {
-			continue // a lookup that broke off goes on to the next cache
+			continue // after a reset, a lookup continues at the next cache
 		}
-		h.passLookups(id)
+		h.missLookups(id)
 		h.respond(id, StatusOK, NoteFilled)
 	}
 	for id := EndpointID(1); id <= 4; id++ {
 		if h.isEjected(id) {
-			t.Errorf("cache %d is ejected for answers that were lost once each", id)
+			t.Errorf("cache %d was ejected for responses that were lost once each", id)
 		}
 	}
 }
 
-// fillUnlessSilent sends n fills, of which those by way of parents that are not silent are answered in time.
+// fillUnlessSilent sends n fills and responds in time to those through parents that are not silent.
 func fillUnlessSilent(h *harness, n int, silent map[EndpointID]bool) {
 	for id := RequestID(1); id <= RequestID(n); id++ {
 		h.request(id, 0, uint64(1000+id))
 		for open := RequestID(1); open <= id; open++ {
-			if h.ends[open] == nil && !silent[h.passLookups(open).Source] {
+			if h.ends[open] == nil && !silent[h.missLookups(open).Source] {
 				h.respond(open, StatusOK, NoteFilled)
 			}
 		}
@@ -138,30 +140,32 @@
 	h.tick(sec)
 }
 
-// TestUnansweredFillsEjectTheirParent: a hung parent stayed in use until its fills ended by their own time-out.
+// TestUnansweredFillsEjectTheirParent guards against a hung parent that stays in use until its fills time out.
 func TestUnansweredFillsEjectTheirParent(t *testing.T) {
 	h := newHarness(t, testConfig())
 	fillUnlessSilent(h, 20, map[EndpointID]bool{100: true})
 	if !h.isEjected(100) || h.isEjected(101) {
-		t.Errorf("ejected: hung parent %v, sound parent %v", h.isEjected(100), h.isEjected(101))
+		t.Errorf("got ejected: hung parent %v, healthy parent %v; want only the hung one",
+			h.isEjected(100), h.isEjected(101))
 	}
 }
 
-// TestSharedFaultEjectsNobody: with a slow origin all parents' fills are slow; once that is usual none is a sign.
-func TestSharedFaultEjectsNobody(t *testing.T) {
+// TestSharedFaultEjectsNoParent: a slow origin makes the fills of all parents slow. Once that is the usual failure
+// rate, a slow fill is no sign of a faulty parent.
+func TestSharedFaultEjectsNoParent(t *testing.T) {
 	h := newHarness(t, testConfig())
-	for range 14 { // another parent's, so that half of all outcomes are failures
+	for range 14 { // failures of another parent, so that half of all outcomes are failures
 		h.engine.endpoints.Observe(&endpointState{Role: endpointset.Parent}, outlier.Failure)
 	}
 	fillUnlessSilent(h, 20, map[EndpointID]bool{100: true, 101: true})
 	if h.isEjected(100) || h.isEjected(101) {
-		t.Error("a parent is ejected for what all parents share")
+		t.Error("a parent was ejected for slowness that all parents share")
 	}
 }
 
-// TestResetConnectionIsOneFailure: all that was in flight on a connection ended with it, each end was counted against
-// the cache, and one bad answer had it ejected for seconds.
-func TestResetConnectionIsOneFailure(t *testing.T) {
+// TestConnectionResetIsOneFailure guards against counting a reset once for each attempt in flight on the connection: a
+// single bad response got the cache ejected for seconds.
+func TestConnectionResetIsOneFailure(t *testing.T) {
 	h := newSingleCacheHarness(t)
 	for range 2 { // the second connection breaks too
 		for id := RequestID(1); id <= 6; id++ {
@@ -177,31 +181,31 @@
 	}
 }
 
-// ejections is what came of some fills by way of each of two parents.
+// ejections tells which of two parents were ejected during some fills.
 type ejections struct {
-	times map[EndpointID]int  // how often each was ejected meanwhile
-	atEnd map[EndpointID]bool // whether it is ejected at the end
+	counts map[EndpointID]int  // number of ejections of each
+	atEnd  map[EndpointID]bool // whether each is ejected at the end
 }
 
-// fillByParents has fills by way of each of two parents end, n by each, after their objective where their parent is
-// slow.
+// fillByParents completes at least n fills through each of two parents, those through slow parents after their
+// objective.
 func fillByParents(t *testing.T, h *harness, slow map[EndpointID]bool, n int) ejections {
 	t.Helper()
-	seen, from := map[EndpointID]int{}, len(h.actions)
-	for ; seen[100] < n || seen[101] < n; h.lastID++ {
+	fills, firstAction := map[EndpointID]int{}, len(h.actions)
+	for ; fills[100] < n || fills[101] < n; h.lastID++ {
 		if h.lastID > 2000 {
-			t.Fatalf("the parents got %v fills, want %d each", seen, n)
+			t.Fatalf("got %v fills by parent in 2000 requests, want %d each", fills, n)
 		}
 		id := h.lastID + 1
 		if h.request(id, 0, uint64(id)+1); h.ends[id] != nil {
 			h.tick(50 * ms)
 			continue
 		}
-		sent := h.passLookups(id)
+		sent := h.missLookups(id)
 		h.tick(tickInterval)
-		h.endpoint(sent.Source).LastFillAt = h.now // it answers others from what it caches
-		if seen[sent.Source]++; slow[sent.Source] {
-			h.tick(700 * ms) // the objective is 400 ms and twice 100 ms
+		h.endpoint(sent.Source).LastFillAt = h.now // it responds to other requests from its cache
+		if fills[sent.Source]++; slow[sent.Source] {
+			h.tick(700 * ms) // the objective is 400 ms plus twice 100 ms
 		} else {
 			h.tick(100 * ms)
 		}
@@ -211,9 +215,9 @@
 	}
 	result := ejections{map[EndpointID]int{}, map[EndpointID]bool{}}
 	for _, parent := range []EndpointID{100, 101} {
-		for _, action := range h.actions[from:] {
+		for _, action := range h.actions[firstAction:] {
 			if ejected, ok := action.(EndpointEjected); ok && ejected.Endpoint == parent {
-				result.times[parent]++
+				result.counts[parent]++
 			}
 		}
 		result.atEnd[parent] = h.isEjected(parent)
@@ -221,29 +225,29 @@
 	return result
 }
 
-// TestSlowOriginEjectsNoParent: with the origin slow all fills are slow. Both parents were ejected by turns, and what
-// each cached was filled from the origin once more by the other. One whose fills alone are slow is at fault, as
-// before, and soon so when the origin is sound again.
+// TestSlowOriginEjectsNoParent: a slow origin makes all fills slow. Both parents were ejected in turn, and each filled
+// from the origin again what the other one had cached. A parent whose fills alone are slow is still ejected, also soon
+// after the origin has recovered.
 func TestSlowOriginEjectsNoParent(t *testing.T) {
 	h := newParentsHarness(t)
 	fillByParents(t, h, map[EndpointID]bool{100: true, 101: true}, 4)
-	both := fillByParents(t, h, map[EndpointID]bool{100: true, 101: true}, 12)
-	if len(both.times) > 0 || both.atEnd[100] || both.atEnd[101] {
-		t.Errorf("all fills slow: ejected %v, at the end %v, want none", both.times, both.atEnd)
+	allSlow := fillByParents(t, h, map[EndpointID]bool{100: true, 101: true}, 12)
+	if len(allSlow.counts) > 0 || allSlow.atEnd[100] || allSlow.atEnd[101] {
+		t.Errorf("all fills slow: got ejections %v, at the end %v, want none", allSlow.counts, allSlow.atEnd)
 	}
-	then := fillByParents(t, h, map[EndpointID]bool{100: true}, 6)
-	if !then.atEnd[100] || then.atEnd[101] {
-		t.Errorf("then one parent's slow: ejected %v, want that one", then.atEnd)
+	oneSlowLater := fillByParents(t, h, map[EndpointID]bool{100: true}, 6)
+	if !oneSlowLater.atEnd[100] || oneSlowLater.atEnd[101] {
+		t.Errorf("then only the fills of parent 100 slow: got ejected %v, want only 100", oneSlowLater.atEnd)
 	}
-	one := fillByParents(t, newParentsHarness(t), map[EndpointID]bool{100: true}, 4)
-	if !one.atEnd[100] || one.atEnd[101] {
-		t.Errorf("one parent's fills slow: ejected %v, want that one", one.atEnd)
+	oneSlow := fillByParents(t, newParentsHarness(t), map[EndpointID]bool{100: true}, 4)
+	if !oneSlow.atEnd[100] || oneSlow.atEnd[101] {
+		t.Errorf("only the fills of parent 100 slow: got ejected %v, want only 100", oneSlow.atEnd)
 	}
 }
 
-// TestSlowAndUnreachable: a parent that was ejected for slow fills alone is readmitted once the others turn out as
-// slow; one that could not be reached meanwhile is not.
-func TestSlowAndUnreachable(t *testing.T) {
+// TestUnreachableParentIsNotReadmittedAsSlow: a parent that was ejected only for slow fills is readmitted once the
+// others are slow too, unless it became unreachable meanwhile.
+func TestUnreachableParentIsNotReadmittedAsSlow(t *testing.T) {
 	for _, isUnreachable := range []bool{false, true} {
 		h := newParentsHarness(t)
 		endpoint, other := h.endpoint(100), h.endpoint(101)
@@ -251,7 +255,7 @@
 			h.engine.recordSlowFill(&attemptState{route: route{endpoint: h.endpoint(1), source: endpoint}})
 		}
 		if !endpoint.Health.Ejected() {
-			t.Fatal("two slow fills do not eject their parent")
+			t.Fatal("the parent was not ejected after two slow fills")
 		}
 		if isUnreachable {
 			h.engine.observe(endpoint, outlier.HardFailure)
@@ -261,12 +265,13 @@
 			h.engine.recordSlowFill(&attemptState{route: route{endpoint: h.endpoint(1), source: other}})
 		}
 		if h.tick(tickInterval); endpoint.Health.Ejected() != isUnreachable {
-			t.Errorf("unreachable %v: still ejected %v", isUnreachable, endpoint.Health.Ejected())
+			t.Errorf("unreachable %v: got ejected %v, want the same", isUnreachable, endpoint.Health.Ejected())
 		}
 	}
 }
 
-// TestSlowCachedOnlyFillsCount: what the parent caches does not wait for the origin, however slow all else is.
+// TestSlowCachedOnlyFillsCount: fills from a parent's cached copies do not wait for the origin, so slow ones count
+// against the parent even if all other fills are slow.
 func TestSlowCachedOnlyFillsCount(t *testing.T) {
 	h := newParentsHarness(t)
 	endpoint, other := h.endpoint(100), h.endpoint(101)
@@ -279,19 +284,19 @@
 		h.engine.recordSlowFill(&attemptState{route: cachedOnly})
 	}
 	if !endpoint.Health.Ejected() {
-		t.Error("a parent that is slow with what it caches stays in use, since the others' fills are slow")
+		t.Error("a parent with slow cached-only fills was not ejected while the fills of the other one are slow")
 	}
 }
 
-// TestDeadParentsAreEjected: two parents of a lost zone answer nothing at all. Each one's slow fills were excused by
-// the other's; and hits at a cache, for which a parent is named and gets nothing, are no answer of it.
+// TestDeadParentsAreEjected: two parents of a lost zone respond to nothing. The slow fills of each were excused by
+// those of the other. A hit at a cache names a parent that gets no request, and is no sign that the parent responds.
 func TestDeadParentsAreEjected(t *testing.T) {
 	for _, hits := range []bool{false, true} {
 		h := newParentsHarness(t)
-		ejected, named := map[EndpointID]bool{}, map[EndpointID]bool{}
-		for id := RequestID(9001); id <= 9016; id++ { // what is cached
+		ejected, sources := map[EndpointID]bool{}, map[EndpointID]bool{}
+		for id := RequestID(9001); id <= 9016; id++ { // cached objects for the hits
 			h.request(id, 0, uint64(id%8))
-			h.passLookups(id)
+			h.missLookups(id)
 			h.respond(id, StatusOK, NoteFilled)
 		}
 		h.tick(10 * sec)
@@ -299,14 +304,14 @@
 		for id := RequestID(1); id <= 12; id++ {
 			h.request(id, 0, uint64(1000+id))
 			if h.ends[id] == nil {
-				h.passLookups(id)
+				h.missLookups(id)
 			}
 			for range 16 {
 				h.tick(50 * ms)
 				if hits {
 					lastHit++
 					h.request(lastHit, 0, uint64(lastHit%8))
-					named[h.lastSent(lastHit).Source] = true
+					sources[h.lastSent(lastHit).Source] = true
 					h.respond(lastHit, StatusOK, NoteHit)
 				}
 				for _, parent := range []EndpointID{100, 101} {
@@ -314,19 +319,19 @@
 				}
 			}
 		}
-		if hits && (!named[100] || !named[101]) {
-			t.Errorf("hits name the sources %v, not both parents: the test does not try it", named)
+		if hits && (!sources[100] || !sources[101]) {
+			t.Errorf("got hits with the sources %v, want both parents for the test to cover them", sources)
 		}
 		if !ejected[100] || !ejected[101] {
-			t.Errorf("hits %v: parents that answer nothing were ejected: %v, want both", hits, ejected)
+			t.Errorf("hits %v: got ejected parents %v, want both unresponsive ones", hits, ejected)
 		}
 	}
 }
 
-// TestFailedSourceOfDirectRoute guards against attempts that go to the same parent again though the origin behind it
-// has failed them: without a cap of attempts, a write that a parent missed spun between the two.
-func TestFailedSourceOfDirectRoute(t *testing.T) {
-	for class, name := range []string{"read", "keyed write", "write once"} {
+// TestDirectRouteIsNotRepeatedAfterSourceFailure guards against retries at a parent after the origin behind it has
+// failed the request: without a limit on attempts, a write that a parent missed was retried there without end.
+func TestDirectRouteIsNotRepeatedAfterSourceFailure(t *testing.T) {
+	for class, name := range []string{"read", "keyed write", "not idempotent write"} {
 		cfg := testConfig()
 		cfg.MaxAttempts, cfg.Hedging = 0, false
 		h := newHarness(t, cfg)
@@ -336,7 +341,7 @@
 			sent := h.lastSent(1)
 			route := SendAttempt{Endpoint: sent.Endpoint, Source: sent.Source, CachedOnly: sent.CachedOnly}
 			if seen[route] {
-				t.Errorf("%s: attempt %d goes the way of an earlier one again: %+v", name, len(h.sent[1]), route)
+				t.Errorf("%s: attempt %d repeats the route of an earlier one: %+v", name, len(h.sent[1]), route)
 				break
 			}
 			seen[route] = true
--- a/internal/policy/placement_test.go
+++ b/internal/policy/placement_test.go
@@ -7,65 +7,65 @@
 	"sloequay/internal/policy/gaptable"
 )
 
-// TestSelectiveCaching: a part is cached at its second request, and at the top rank from its third on.
+// TestSelectiveCaching: a part is cached on its second request, and at the top rank from its third request on.
 func TestSelectiveCaching(t *testing.T) {
 	h := newHarness(t, testConfig())
 	for i, want := range []int{0, 1, 3} {
 		id := RequestID(i + 1)
 		h.request(id, 0, 7)
-		if got := h.passLookups(id).CacheRank; got != want {
-			t.Errorf("request %d of an object: rank %d, want %d", i+1, got, want)
+		if got := h.missLookups(id).CacheRank; got != want {
+			t.Errorf("request %d of an object: got cache rank %d, want %d", i+1, got, want)
 		}
 		h.respond(id, StatusOK, NoteFilled)
 		h.now += sec
 	}
 }
 
-// TestCachedCopyAndReplica: a part goes where it is cached; under load, its replica at the next cache is filled from
-// there.
+// TestCachedCopyAndReplica: a request for a part goes to the cache that has it. Under load, a replica at the next cache
+// is filled from that cache.
 func TestCachedCopyAndReplica(t *testing.T) {
 	h := newHarness(t, testConfig())
 	for id := RequestID(1); id <= 3; id++ {
 		h.request(id, 0, 7)
-		h.passLookups(id)
+		h.missLookups(id)
 		h.respond(id, StatusOK, NoteFilled)
 		h.now += sec
 	}
 	first := h.lastSent(3).Endpoint
 	h.request(4, 0, 7)
 	if h.lastSent(4).Endpoint != first {
-		t.Fatalf("a cached object went to %d, want %d, which caches it", h.lastSent(4).Endpoint, first)
+		t.Fatalf("request for a cached object: got cache %d, want %d, which has it", h.lastSent(4).Endpoint, first)
 	}
-	h.request(5, 0, 7) // the first cache has an attempt in flight: the replica's turn
+	h.request(5, 0, 7) // goes to the replica, as the first cache has an attempt in flight
 	second := h.lastSent(5)
 	if second.Endpoint == first || second.Source != first || !second.CachedOnly {
-		t.Fatalf("replica: %+v, want another cache filled from %d by what that caches", second, first)
+		t.Fatalf("replica: got %+v, want another cache with a cached-only fill from %d", second, first)
 	}
 	h.respond(5, StatusMiss, NoteSourceMiss)
 	if sent := h.lastSent(5); sent.Source != 100 && sent.Source != 101 {
-		t.Errorf("the first cache lacks it: %+v, want a fill from a parent", sent)
+		t.Errorf("after a miss at the first cache: got %+v, want a fill from a parent", sent)
 	}
 }
 
-// TestLookupBeforeFill: a part that no row places is looked for at the caches before it is filled.
+// TestLookupBeforeFill: a part whose row names no cache is looked up at the caches before it is filled.
 func TestLookupBeforeFill(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.request(1, 0, 7)
 	if sent := h.lastSent(1); sent.Source != sent.Endpoint {
-		t.Fatalf("unknown part: %+v, want a lookup first", sent)
+		t.Fatalf("unknown part: got %+v, want a lookup first", sent)
 	}
 	h.respond(1, StatusOK, NoteHit)
 	found := h.lastSent(1).Endpoint
 	h.now += sec
 	h.request(2, 0, 7)
 	if sent := h.lastSent(2); sent.Endpoint != found {
-		t.Errorf("found by a lookup at %d, but sent to %d", found, sent.Endpoint)
+		t.Errorf("lookup hit at cache %d, but the next request was sent to %d", found, sent.Endpoint)
 	}
 }
 
-// TestLookupsWithoutCap guards against settings without a cap of attempts in which no sibling was asked and each part
-// was filled from a parent; and against lookups at all siblings of a large zone.
-func TestLookupsWithoutCap(t *testing.T) {
+// TestLookupsWithoutAttemptLimit guards against two faults: without a limit on attempts no sibling was looked up, and
+// each part was filled from a parent; and in a large zone all siblings were looked up.
+func TestLookupsWithoutAttemptLimit(t *testing.T) {
 	for _, maxAttempts := range []int{0, 6, 100} {
 		cfg := testConfig()
 		cfg.MaxAttempts, cfg.Hedging = maxAttempts, false
@@ -77,35 +77,36 @@
 			h.respond(1, StatusMiss, NoteNone)
 		}
 		if lookups != 3 {
-			t.Errorf("cap %d: %d lookups, want 3 of the 4 caches, and a fill then", maxAttempts, lookups)
+			t.Errorf("attempt limit %d: got %d lookups, want 3 at the 4 caches and then a fill", maxAttempts, lookups)
 		}
 	}
 }
 
-// TestSameCacheAtAllProxies: a further cache takes its share of the parts, and no part moves between the others.
-func TestSameCacheAtAllProxies(t *testing.T) {
-	one, two := newHarness(t, testConfig()), newHarness(t, testConfig())
-	two.handle(ListEvent{Kind: ListDelta, Endpoints: []Endpoint{{ID: 5, Zone: 2, State: Ready, Weight: 8}}})
+// TestNewCacheMovesOnlyItsShare: a new cache gets its share of the parts, and no part moves between the other caches.
+func TestNewCacheMovesOnlyItsShare(t *testing.T) {
+	fourCaches, fiveCaches := newHarness(t, testConfig()), newHarness(t, testConfig())
+	fiveCaches.handle(ListEvent{Kind: ListDelta, Endpoints: []Endpoint{{ID: 5, Zone: 2, State: Ready, Weight: 8}}})
 	moved := 0
 	for id := RequestID(1); id <= 300; id++ {
 		part := gaptable.Part{Object: uint64(id) * 977}
-		before := one.engine.endpoints.Caches.OrderFor(part.Hash(), nil, 0).At(0).ID
-		after := two.engine.endpoints.Caches.OrderFor(part.Hash(), nil, 0).At(0).ID
+		before := fourCaches.engine.endpoints.Caches.OrderFor(part.Hash(), nil, 0).At(0).ID
+		after := fiveCaches.engine.endpoints.Caches.OrderFor(part.Hash(), nil, 0).At(0).ID
 		if before == after {
 			continue
 		}
 		moved++
 		if after != 5 {
-			t.Fatalf("part %v moved from %d to %d, not to the new cache", part, before, after)
+			t.Fatalf("part %v moved from cache %d to %d, want a move to the new cache only", part, before, after)
 		}
 	}
 	if moved < 30 || moved > 90 {
-		t.Errorf("a fifth cache took %d of 300 parts, want about 60", moved)
+		t.Errorf("got %d of 300 parts at the fifth cache, want about 60", moved)
 	}
 }
 
-// TestLostZoneGoesToParents: a zone whose caches are all dead kept rejecting; its parents could serve.
-func TestLostZoneGoesToParents(t *testing.T) {
+// TestLostZoneFallsBackToParents guards against rejecting the requests of a zone whose caches are all dead, while the
+// parents can serve them.
+func TestLostZoneFallsBackToParents(t *testing.T) {
 	h := newHarness(t, testConfig())
 	served := 0
 	for id := RequestID(1); id <= 200; id++ {
@@ -113,7 +114,7 @@
 		for h.ends[id] == nil {
 			if sent := h.lastSent(id); sent.Endpoint >= 100 {
 				if sent.Endpoint < 200 && sent.Source != 200 {
-					t.Fatalf("%+v: a parent with itself as source fills nothing", sent)
+					t.Fatalf("got %+v, want the origin as source, as a parent does not fill from itself", sent)
 				}
 				h.respond(id, StatusOK, NoteFilled)
 				served++
@@ -124,15 +125,15 @@
 		h.tick(30 * ms)
 	}
 	if served < 150 {
-		t.Errorf("%d of 200 requests served past the dead caches, want most", served)
+		t.Errorf("got %d of 200 requests served past the dead caches, want at least 150", served)
 	}
 }
 
-// TestFirstSizesReachWarmingEndpoints: until a size was seen a request was taken to need all of its latency
-// objective, and that guess was left by a fiftieth a request: one proxy of a hundred, whose part of the budget of an
-// endpoint that has just started is small, sent nothing for its first hundred requests, and a fleet that started
-// together served three quarters of what it could.
-func TestFirstSizesReachWarmingEndpoints(t *testing.T) {
+// TestWarmingCachesGetFirstRequests guards against a cost estimate that starts at the latency objective and moves by
+// only a fiftieth with each known size. One proxy of a hundred, whose share of the budget of an endpoint that has just
+// started is small, then sent nothing for its first hundred requests, and a fleet that started together served three
+// quarters of what it could.
+func TestWarmingCachesGetFirstRequests(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances, cfg.ZoneInstances = 100, []int{0, 0, 50, 50}
 	engine, err := New(cfg, 1)
@@ -151,21 +152,21 @@
 		request := RequestEvent{ID: id, Object: uint64(id), Remaining: 3 * sec, SizeKB: 5}
 		for _, action := range engine.Handle(now, request) {
 			if sent, ok := action.(SendAttempt); ok {
-				if sent.Endpoint < 10 { // a cache, and not the origin past them all
+				if sent.Endpoint < 10 { // a cache, not the origin
 					viaCaches++
 				}
-				engine.Handle(now, hit(sent, ms))
+				engine.Handle(now, hitResponse(sent, ms))
 				break
 			}
 		}
 	}
 	if viaCaches < 9 {
-		t.Errorf("%d of 10 requests were sent to caches that have budget for them", viaCaches)
+		t.Errorf("got %d of 10 requests sent to caches, want at least 9, as the caches have budget for them", viaCaches)
 	}
 }
 
-// TestSinglesAmongManyProxies: a part was filled once by each proxy of a zone before it was cached.
-func TestSinglesAmongManyProxies(t *testing.T) {
+// TestCachingOnFirstRequestByProxies guards against a part that each proxy of a zone fills once before it is cached.
+func TestCachingOnFirstRequestByProxies(t *testing.T) {
 	for _, c := range []struct{ proxies, min, max int }{{1, 0, 0}, {2, 60, 140}, {8, 150, 199}} {
 		h := newHarness(t, manyProxiesConfig(c.proxies))
 		cached := 0
@@ -175,12 +176,14 @@
 			}
 		}
 		if cached < c.min || cached > c.max {
-			t.Errorf("%d proxies: %d of 200 singles cached, want %d to %d", c.proxies, cached, c.min, c.max)
+			t.Errorf("%d proxies: got %d of 200 parts cached on first request, want %d to %d",
+				c.proxies, cached, c.min, c.max)
 		}
 	}
 }
 
-// TestLargeFleetEvents: odd but legal events with hundreds of endpoints and the settings of many proxies.
+// TestLargeFleetEvents passes unusual but valid events with hundreds of endpoints and the settings of many proxies. The
+// harness checks the actions.
 func TestLargeFleetEvents(t *testing.T) {
 	h := newHarness(t, manyProxiesConfig(9))
 	list := testEndpoints()
@@ -202,9 +205,9 @@
 	}
 }
 
-// TestReplacedCachesDoNotWidenTheLink: each cache that was gone still counted in the zone's link, which seemed to
-// grow without end where replacements have new ids, and none was ever forgotten.
-func TestReplacedCachesDoNotWidenTheLink(t *testing.T) {
+// TestReplacedCachesDoNotAddLinks guards against two faults where replacements have new IDs: caches that are gone still
+// counted in the zone's links, which grew without bound, and they were never forgotten.
+func TestReplacedCachesDoNotAddLinks(t *testing.T) {
 	h := newHarness(t, testConfig())
 	before := h.engine.endpoints.Links()
 	for id := EndpointID(1000); id < 1100; id++ {
@@ -213,7 +216,8 @@
 		h.now += 10 * sec
 	}
 	if h.engine.endpoints.Links() > 1.5*before {
-		t.Errorf("the zone's link is %.1f, was %.1f", h.engine.endpoints.Links(), before)
+		t.Errorf("links after 100 replaced caches: got %.1f, want at most 1.5 times %.1f",
+			h.engine.endpoints.Links(), before)
 	}
 	byID := 0
 	for id := range EndpointID(1100) {
@@ -222,6 +226,6 @@
 		}
 	}
 	if n := len(h.engine.endpoints.All()); n > 20 || byID != n {
-		t.Errorf("%d endpoints are remembered, %d by id", n, byID)
+		t.Errorf("got %d endpoints in the set and %d by ID, want the same number and at most 20", n, byID)
 	}
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -8,41 +8,41 @@
 	"time"
 )
 
-func TestBadSettings(t *testing.T) {
-	for name, spoil := range map[string]func(*Config){
-		"no class": func(cfg *Config) { cfg.Classes = nil },
-		"time":     func(cfg *Config) { cfg.Classes[0].LatencyObjective = -1 },
-		"effect":   func(cfg *Config) { cfg.Classes[0].Idempotency = 9 },
-		"zone":     func(cfg *Config) { cfg.Zone = -1 },
+func TestInvalidConfig(t *testing.T) {
+	for name, invalidate := range map[string]func(*Config){
+		"no class":            func(cfg *Config) { cfg.Classes = nil },
+		"negative time":       func(cfg *Config) { cfg.Classes[0].LatencyObjective = -1 },
+		"unknown idempotency": func(cfg *Config) { cfg.Classes[0].Idempotency = 9 },
+		"negative zone":       func(cfg *Config) { cfg.Zone = -1 },
 	} {
 		cfg := testConfig()
-		spoil(&cfg)
+		invalidate(&cfg)
 		if _, err := New(cfg, 1); err == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("%s: got no error, want one", name)
 		}
 	}
 }
 
-// randomStream plays a random stream of legal and hostile events.
+// randomStream passes a random stream of valid and invalid events to an engine.
 type randomStream struct {
 	*harness
 	random   *rand.Rand
-	newest   RequestID
-	leavesAt map[RequestID]time.Duration
-	answered map[attemptName]bool
+	newestID RequestID
+	leavesAt map[RequestID]time.Duration // when the client times out
+	answered map[attemptKey]bool
 }
 
-// attemptName names an attempt of a request.
-type attemptName struct {
+// attemptKey identifies an attempt of a request.
+type attemptKey struct {
 	id RequestID
 	n  int
 }
 
-// playRandomStream gives the actions of a stream.
+// playRandomStream returns the actions of a stream.
 func playRandomStream(t *testing.T, seed int64, steps int) []Action {
 	s := &randomStream{
 		harness: newHarness(t, testConfig()), random: rand.New(rand.NewSource(seed)),
-		leavesAt: map[RequestID]time.Duration{}, answered: map[attemptName]bool{},
+		leavesAt: map[RequestID]time.Duration{}, answered: map[attemptKey]bool{},
 	}
 	for step := range steps {
 		s.now += time.Duration(s.random.Intn(8)) * ms
@@ -50,8 +50,8 @@
 		case 0, 1, 2:
 			s.sendRequest()
 		case 3, 4, 5, 6:
-			if s.newest > 0 {
-				s.respondToAny()
+			if s.newestID > 0 {
+				s.respondToRandomAttempt()
 			} else {
 				continue
 			}
@@ -59,7 +59,7 @@
 			s.handle(PurgeEvent{Object: uint64(s.random.Intn(40)), Age: time.Duration(s.random.Intn(300)) * ms})
 		case 8:
 			s.changeEndpoint()
-		case 9: // nothing of what this names exists
+		case 9: // events that name unknown requests, attempts, timers and classes
 			s.handle(ResponseEvent{ID: 1 << 30, Attempt: s.random.Intn(300) - 1, Status: StatusOK})
 			s.handle(ClientGoneEvent{ID: 1 << 30})
 			s.handle(TimerEvent{Token: 999})
@@ -67,35 +67,35 @@
 		default:
 			s.handle(TimerEvent{Token: tickToken})
 		}
-		s.withdraw()
+		s.removeExpiredClients()
 		if s.engine.fillLimiter.InFlight < 0 || s.engine.cachedOnlyLimiter.InFlight < 0 {
-			t.Fatalf("seed %d step %d: fewer than no fills in flight", seed, step)
+			t.Fatalf("seed %d step %d: got a negative number of fills in flight, want at least 0", seed, step)
 		}
 	}
 	return s.actions
 }
 
 func (s *randomStream) sendRequest() {
-	s.newest++
+	s.newestID++
 	remaining := time.Duration(200+s.random.Intn(2000)) * ms
-	s.leavesAt[s.newest] = s.now + remaining
-	s.handle(RequestEvent{ID: s.newest, Class: s.random.Intn(3), Object: uint64(s.random.Intn(40)),
+	s.leavesAt[s.newestID] = s.now + remaining
+	s.handle(RequestEvent{ID: s.newestID, Class: s.random.Intn(3), Object: uint64(s.random.Intn(40)),
 		Remaining: remaining, SizeKB: float64(s.random.Intn(400))})
 }
 
-// respondToAny ends any attempt of one of the last requests, also one that has ended.
-func (s *randomStream) respondToAny() {
-	id := s.newest - RequestID(s.random.Intn(min(int(s.newest), 20)))
+// respondToRandomAttempt responds to any attempt of one of the latest requests, even if it has ended.
+func (s *randomStream) respondToRandomAttempt() {
+	id := s.newestID - RequestID(s.random.Intn(min(int(s.newestID), 20)))
 	if len(s.sent[id]) == 0 {
 		return
 	}
 	n := s.random.Intn(len(s.sent[id]))
 	status := Status(s.random.Intn(int(StatusMiss) + 1))
-	name := attemptName{id, n}
-	if s.answered[name] && status == StatusOK {
-		status = StatusError // a second answer to an attempt is hostile, but never the client's
+	key := attemptKey{id, n}
+	if s.answered[key] && status == StatusOK {
+		status = StatusError // a second response is invalid, and must not be the client's response
 	}
-	s.answered[name] = true
+	s.answered[key] = true
 	if s.ends[id] == nil && status == StatusOK {
 		s.ends[id] = s.sent[id][n]
 	}
@@ -111,25 +111,25 @@
 	s.handle(ListEvent{Kind: ListDelta, Endpoints: []Endpoint{endpoint}})
 }
 
-// withdraw has the clients leave whose time is up.
-func (s *randomStream) withdraw() {
-	for id := RequestID(1); id <= s.newest; id++ {
-		at, waits := s.leavesAt[id]
-		if !waits || s.now < at {
+// removeExpiredClients handles a ClientGoneEvent for each client that has timed out.
+func (s *randomStream) removeExpiredClients() {
+	for id := RequestID(1); id <= s.newestID; id++ {
+		at, isWaiting := s.leavesAt[id]
+		if !isWaiting || s.now < at {
 			continue
 		}
 		delete(s.leavesAt, id)
 		if s.ends[id] == nil {
-			s.ends[id] = left{}
+			s.ends[id] = clientLeft{}
 			s.handle(ClientGoneEvent{ID: id})
 		}
 	}
 }
 
-// left stands for "the client left" among the ends of a harness.
-type left struct{}
+// clientLeft marks in harness.ends that the client of a request has left.
+type clientLeft struct{}
 
-func (left) isAction() {}
+func (clientLeft) isAction() {}
 
 func TestRandomStreams(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
@@ -139,6 +139,6 @@
 
 func TestSameEventsSameActions(t *testing.T) {
 	if !reflect.DeepEqual(playRandomStream(t, 7, 2000), playRandomStream(t, 7, 2000)) {
-		t.Error("the same events gave other actions")
+		t.Error("got different actions from the same events")
 	}
 }
--- a/internal/policy/rejection_test.go
+++ b/internal/policy/rejection_test.go
@@ -9,79 +9,82 @@
 	"sloequay/internal/policy/gaptable"
 )
 
-// TestCachedOnlyWhileFillsAreLimited: a slow origin kept clients from what the parents cache.
+// TestCachedOnlyWhileFillsAreLimited guards against a slow origin keeping clients from the parents' cached copies.
 func TestCachedOnlyWhileFillsAreLimited(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.engine.fillLimiter.Max = aimd.MinLimit
 	for id := RequestID(1); id <= 40; id++ {
 		h.request(id, 0, uint64(id))
 		if h.ends[id] == nil {
-			if sent := h.passLookups(id); sent.CachedOnly && (sent.Source == 100 || sent.Source == 101) {
+			if sent := h.missLookups(id); sent.CachedOnly && (sent.Source == 100 || sent.Source == 101) {
 				return
 			}
 		}
 	}
-	t.Error("no parent was sent a fill from what it caches")
+	t.Error("no cached-only fill was sent to a parent")
 }
 
-// TestLoadCountsOthersByOurAverage: one of eight proxies took a cache to be full at two attempts of its own.
-func TestLoadCountsOthersByOurAverage(t *testing.T) {
+// TestLoadAssumesSameAverageAtOtherProxies guards against one of eight proxies considering a cache full as soon as it
+// has two attempts of its own in flight there.
+func TestLoadAssumesSameAverageAtOtherProxies(t *testing.T) {
 	h := newHarness(t, manyProxiesConfig(8))
 	endpoint := h.endpoint(1)
 	for n := range 2 {
 		endpoint.Start(h.now, attemptRef{n: n})
 	}
 	if got := h.engine.endpoints.Load(h.engine.now, endpoint); got > 0.5 {
-		t.Errorf("two attempts in flight after a quiet time: load %.2f of a link of 8, want under 0.5", got)
+		t.Errorf("two attempts in flight after an idle time: got load %.2f on a link of 8, want at most 0.5", got)
 	}
 	h.engine.now += 20 * sec
 	if got := h.engine.endpoints.Load(h.engine.now, endpoint); got < 2 {
-		t.Errorf("two attempts in flight all the time at each of 8: load %.2f, want over 2", got)
+		t.Errorf("two attempts in flight all the time from each of 8 proxies: got load %.2f, want at least 2", got)
 	}
 }
 
-// TestBelievedHitKeepsOriginOut: believed hits whose copies were gone brought a slow origin to a halt.
-func TestBelievedHitKeepsOriginOut(t *testing.T) {
+// TestExpectedHitIsCachedOnlyWhileFillsAreLimited guards against filling expected hits whose copies are gone: these
+// fills brought a slow origin to a halt.
+func TestExpectedHitIsCachedOnlyWhileFillsAreLimited(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.request(1, 0, 7)
-	h.passLookups(1)
+	h.missLookups(1)
 	h.respond(1, StatusOK, NoteFilled)
 	h.request(2, 0, 7)
-	h.passLookups(2)
+	h.missLookups(2)
 	h.respond(2, StatusOK, NoteFilled)
 	h.engine.fillLimiter.InFlight = 1000
 	h.request(3, 0, 7)
 	if sent := h.lastSent(3); !sent.CachedOnly {
-		t.Fatalf("no more fills: %+v, want what the parent caches only", sent)
+		t.Fatalf("fill limiter full: got %+v, want a cached-only fill", sent)
 	}
 	row := h.engine.tables.Row(gaptable.Part{Object: 7})
 	if h.respond(3, StatusMiss, NoteNone); row.CachedAt != 0 {
-		t.Errorf("the row still names %d, which lacked the part", row.CachedAt)
+		t.Errorf("after a miss: got %d as the cache in the row, want none", row.CachedAt)
 	}
 }
 
-// TestSlowAnswersAddLoad: a cache that grows slower must have more load before it fails.
-func TestSlowAnswersAddLoad(t *testing.T) {
+// TestSlowResponsesRaiseSlowness: the load of a cache that becomes slower must rise before the cache fails.
+func TestSlowResponsesRaiseSlowness(t *testing.T) {
 	h := newHarness(t, testConfig())
 	for id := RequestID(1); id <= 40; id++ {
 		h.request(id, 0, 7)
 		sent := h.lastSent(id)
 		h.ends[id] = sent
-		h.handle(hit(sent, sec))
+		h.handle(hitResponse(sent, sec))
 	}
 	slowest := 0.0
 	for id := EndpointID(1); id <= 4; id++ {
 		slowest = max(slowest, h.endpoint(id).Slowness())
 	}
 	if slowest < 2 {
-		t.Errorf("40 answers at a tenth of the pace: a slowness of %.2f, want over 2", slowest)
+		t.Errorf("after 40 responses at a tenth of the rate: got slowness %.2f, want at least 2", slowest)
 	}
 }
 
-// TestCostIsNotNetOfLoad: a cost net of load had caches that had just started sent twice what they bear (i084bb9).
-func TestCostIsNotNetOfLoad(t *testing.T) {
+// TestCostIncludesLoad guards against a cost without the effect of load: caches that had just started were sent twice
+// what they can bear (i084bb9).
+func TestCostIncludesLoad(t *testing.T) {
 	cfg := testConfig()
-	cfg.FlowKBps = 0 // sizes are not known
+	cfg.FlowKBps = 0 // sizes are unknown
 	h := newHarness(t, cfg)
 	class := &h.engine.classes[0]
 	class.cost = classcost.New(1)
@@ -90,15 +93,16 @@
 		sent := h.lastSent(id)
 		h.engine.requests[id].attempts[0].load = 4
 		h.ends[id] = sent
-		h.handle(hit(sent, sec))
+		h.handle(hitResponse(sent, sec))
 	}
 	if mean, cost := class.cost.Mean(), class.cost.Cost(); mean > 0.3 || cost < 0.9 {
-		t.Errorf("answers of 1 s at a load of 4: mean %.2f, want about 0.25; cost %.2f, want about 1", mean, cost)
+		t.Errorf("responses of 1 s at a load of 4: got mean %.2f, want about 0.25; got cost %.2f, want about 1",
+			mean, cost)
 	}
 }
 
-// TestWrongSizesDoNotSpoilTheClass: one size that no object has made all of its class seem long.
-func TestWrongSizesDoNotSpoilTheClass(t *testing.T) {
+// TestWrongSizeDoesNotDistortClass guards against one impossible size making all requests of its class seem long.
+func TestWrongSizeDoesNotDistortClass(t *testing.T) {
 	h := newHarness(t, testConfig())
 	for id := RequestID(1); id <= 50; id++ {
 		h.request(id, 0, uint64(id))
@@ -106,12 +110,12 @@
 	before := h.engine.classes[0].cost.Mean()
 	h.handle(RequestEvent{ID: 99, Object: 99, Remaining: 3 * sec, SizeKB: 1e7})
 	if after := h.engine.classes[0].cost.Mean(); after > 1.5*before {
-		t.Errorf("the mean sending time went from %.2f s to %.2f s", before, after)
+		t.Errorf("the mean transfer time rose from %.2f s to %.2f s, want at most 1.5 times as much", before, after)
 	}
 }
 
-// TestRetryAfterIsWithinTheObjective: a client was asked to stay away for as long as clients keep to, 2 s at one
-// deployment, and came back when nobody wanted the answer any more.
+// TestRetryAfterIsWithinTheObjective guards against a Retry-After of the longest time that clients observe, 2 s at one
+// deployment: clients then retried when the response was of no use any more.
 func TestRetryAfterIsWithinTheObjective(t *testing.T) {
 	for _, c := range []struct{ max, objective, want time.Duration }{
 		{2 * sec, 400 * ms, 200 * ms}, {100 * ms, 400 * ms, 100 * ms}, {2 * sec, 0, 2 * sec}, {0, 400 * ms, 0},
@@ -122,24 +126,25 @@
 		h.handle(ListEvent{Kind: ListFull})
 		h.request(1, 0, 7)
 		if h.ends[1] != (Reject{1, c.want}) {
-			t.Errorf("at most %v, objective %v: %+v, want a rejection with %v", c.max, c.objective, h.ends[1], c.want)
+			t.Errorf("max Retry-After %v, objective %v: got %+v, want rejection with %v",
+				c.max, c.objective, h.ends[1], c.want)
 		}
 	}
 }
 
-// TestSlowWritesLimitFills: writes wait behind fills at the origin, which shows its load only by being slow. Counted
-// at their ends, the first one showed it 3 s after it had begun.
+// TestSlowWritesLimitFills: writes wait behind fills at the origin, which shows its load only by being slow. When
+// writes were counted at their ends, the first one lowered the limit on fills only 3 s after it had begun.
 func TestSlowWritesLimitFills(t *testing.T) {
 	for _, c := range []struct {
-		took      time.Duration
-		decreased bool
+		elapsed       time.Duration
+		wantDecreased bool
 	}{{100 * ms, false}, {300 * ms, true}} {
 		h := newHarness(t, testConfig())
 		h.request(1, 1, 7)
-		h.tick(c.took)
-		if decreased := h.engine.fillLimiter.Max < aimd.InitialLimit; decreased != c.decreased {
-			t.Errorf("a write of %v: the limit on fills is %v, decreased %v, want %v",
-				c.took, h.engine.fillLimiter.Max, decreased, c.decreased)
+		h.tick(c.elapsed)
+		if decreased := h.engine.fillLimiter.Max < aimd.InitialLimit; decreased != c.wantDecreased {
+			t.Errorf("write in flight for %v: got a limit on fills of %v, decreased %v, want decreased %v",
+				c.elapsed, h.engine.fillLimiter.Max, decreased, c.wantDecreased)
 		}
 	}
 }
--- a/internal/policy/restart_test.go
+++ b/internal/policy/restart_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestRestartsKeepWarmupBudget: rule 4 binds the sum of what a fleet sends, also where seven in ten of its proxies are
-// killed and restarted within a window: they know nothing of what they sent before.
+// TestRestartsKeepWarmupBudget: rule 4 limits what a fleet sends in total, even if seven in ten of its proxies are
+// killed and restarted within a window and so know nothing about what they sent before.
 func TestRestartsKeepWarmupBudget(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances, cfg.ZoneInstances, cfg.Hedging = 10, []int{0, 0, 10, 0}, false
@@ -53,11 +53,11 @@
 		share := cfg.ColdStartShare + (1-cfg.ColdStartShare)*age
 		allowed := cfg.OverloadMultiple * weight * share * cfg.OverloadWindow.Seconds() / cost
 		if got, limit := float64(last-first+1), allowed+2*math.Sqrt(allowed)+2; got > limit {
-			t.Fatalf("%.0f requests within a window, %v after the start, of %.0f that are allowed with the slack",
+			t.Fatalf("got %.0f requests within a window, %v after the start, want at most %.0f with the slack",
 				got, sent[last]-list[3].StartedAt, limit)
 		}
 	}
 	if len(sent) < 500 {
-		t.Errorf("%d requests were sent, want hundreds", len(sent))
+		t.Errorf("got %d requests sent, want at least 500", len(sent))
 	}
 }
--- a/internal/policy/retry_test.go
+++ b/internal/policy/retry_test.go
@@ -5,21 +5,21 @@
 	"testing"
 )
 
-// TestLostAnswerIsHedged: an answer that never came kept its request until the client gave up.
-func TestLostAnswerIsHedged(t *testing.T) {
+// TestLostResponseIsHedged guards against a lost response that blocks its request until the client times out.
+func TestLostResponseIsHedged(t *testing.T) {
 	h := newHarness(t, testConfig())
-	h.request(1, 0, 7) // 100 ms of sending; the lookup is not answered
+	h.request(1, 0, 7) // a transfer time of 100 ms; the lookup gets no response
 	h.tick(150 * ms)
 	if n := len(h.sent[1]); n != 1 {
-		t.Fatalf("%d attempts before twice the sending time has passed, want 1", n)
+		t.Fatalf("got %d attempts before twice the transfer time, want 1", n)
 	}
 	if h.tick(150 * ms); len(h.sent[1]) != 2 {
-		t.Errorf("%d attempts after 300 ms, want 2", len(h.sent[1]))
+		t.Errorf("got %d attempts after 300 ms, want 2", len(h.sent[1]))
 	}
 }
 
-// TestOvertakenAttemptIsCanceled: an answer that never came kept its request until the client gave up, where two may
-// not be in flight together. Under overload all are late alike, and nothing is canceled.
+// TestOvertakenAttemptIsCanceled guards against a lost response that blocks its request until the client times out
+// where hedging is not allowed. Under overload all responses are late alike, and no attempt is canceled.
 func TestOvertakenAttemptIsCanceled(t *testing.T) {
 	for _, overtakers := range []int{0, 2} {
 		h := newSingleCacheHarness(t)
@@ -31,22 +31,23 @@
 		}
 		h.tick(2500 * ms)
 		if canceled := slices.Contains(h.actions, Action(CancelAttempt{1, 0})); canceled != (overtakers > 0) {
-			t.Errorf("overtaken by %d answers: canceled %v", overtakers, canceled)
+			t.Errorf("overtaken by %d responses: got canceled %v", overtakers, canceled)
 		}
 		if len(h.sent[1]) != 1 {
-			t.Errorf("overtaken by %d answers: %d attempts before the end of the first", overtakers, len(h.sent[1]))
+			t.Errorf("overtaken by %d responses: got %d attempts before the first ended, want 1",
+				overtakers, len(h.sent[1]))
 		}
 		if overtakers > 0 {
 			if h.respond(1, StatusCanceled, NoteNone); len(h.sent[1]) != 2 {
-				t.Error("nothing was sent after the first was canceled")
+				t.Error("no second attempt was sent after the first one was canceled")
 			}
 		}
 	}
 }
 
-// TestOvertakenAttemptIsCanceledWithoutCap guards against settings without a cap of attempts in which a lost answer
-// kept its request until the client gave up.
-func TestOvertakenAttemptIsCanceledWithoutCap(t *testing.T) {
+// TestOvertakenAttemptIsCanceledWithoutAttemptLimit guards against a lost response that blocks its request until the
+// client times out where the number of attempts is not limited.
+func TestOvertakenAttemptIsCanceledWithoutAttemptLimit(t *testing.T) {
 	h := newSingleCacheHarness(t)
 	h.engine.cfg.MaxAttempts = 0
 	h.request(1, 0, 7)
@@ -57,6 +58,6 @@
 	}
 	h.tick(2500 * ms)
 	if !slices.Contains(h.actions, Action(CancelAttempt{1, 0})) {
-		t.Error("an attempt that two answers have overtaken was not canceled")
+		t.Error("an attempt that two responses have overtaken was not canceled")
 	}
 }
--- a/internal/policy/simulation_test.go
+++ b/internal/policy/simulation_test.go
@@ -11,7 +11,7 @@
 	"sloequay/internal/policy/outlier"
 )
 
-// behaviour is how an endpoint treats the attempts that it gets.
+// behaviour is how an endpoint responds to attempts.
 type behaviour int
 
 const (
@@ -19,22 +19,23 @@
 	slow
 	silent
 	unreachable
-	refusing
-	erring
+	rejecting
+	failing
 	resetting
-	behaviours
+	behaviourCount
 )
 
-// clientRequest is what the simulation knows of one request.
+// clientRequest is the simulation's state of a request.
 type clientRequest struct {
-	call     policy.RequestEvent
+	event    policy.RequestEvent
 	attempts int
-	open     int          // attempts without an answer
-	done     map[int]bool // attempts that were answered or cancelled
+	inFlight int          // attempts without a response
+	done     map[int]bool // attempts that have ended
 	ended    bool
 }
 
-// simulation plays one seed: it stands for the clients, the endpoints and the list, and digests the module's actions.
+// simulation runs one seed: it simulates the clients, the endpoints and the endpoint list, and digests the engine's
+// actions.
 type simulation struct {
 	random    *rand.Rand
 	engine    *policy.Engine
@@ -89,26 +90,26 @@
 	s.endpoints = append(s.endpoints, endpoint)
 }
 
-// plan has an event come after a time.
-func (s *simulation) plan(after time.Duration, event policy.Event) {
-	s.agenda.Plan(s.now+after, event)
+// plan adds an event to the agenda, due after a delay.
+func (s *simulation) plan(delay time.Duration, event policy.Event) {
+	s.agenda.Plan(s.now+delay, event)
 }
 
-// milliseconds draws a time of less than so many milliseconds.
+// milliseconds draws a duration below a number of milliseconds.
 func (s *simulation) milliseconds(below int) time.Duration {
 	return time.Duration(s.random.IntN(below*1000)) * time.Microsecond
 }
 
-// handle hands one event to the module, digests its actions and has the simulated world follow them.
+// handle passes an event to the engine, and digests and applies the resulting actions.
 func (s *simulation) handle(event policy.Event) {
 	for _, action := range s.engine.Handle(s.now, event) {
 		s.recorder.Add("%d %s", int64(s.now), actionText(action))
-		s.follow(action)
+		s.applyAction(action)
 	}
 	s.recorder.AddUncounted("open %d", s.engine.OpenRequests())
 }
 
-// actionText writes an action from plain words and numbers, so that no name in the code shows in it.
+// actionText formats an action without any identifier of the code, so that renames leave the digests unchanged.
 func actionText(action policy.Action) string {
 	switch a := action.(type) {
 	case policy.SendAttempt:
@@ -130,26 +131,26 @@
 	case policy.EndpointReadmitted:
 		return fmt.Sprintf("log trusted again %x", uint64(a.Endpoint))
 	}
-	panic("an action of an unknown kind: write its text in actionText")
+	panic("unknown kind of action: add its text to actionText")
 }
 
-// digestedCauses is the word of each cause in the digests on file, which do not tell slow fills from failures.
+// digestedCauses are the words for causes in the digests on file, which do not distinguish slow fills from failures.
 var digestedCauses = map[outlier.Cause]string{
 	outlier.Failing: "failing", outlier.Unresponsive: "silent", outlier.SlowFills: "failing",
 }
 
-// follow has the simulated world do what an action wants.
-func (s *simulation) follow(action policy.Action) {
+// applyAction carries out an action in the simulation.
+func (s *simulation) applyAction(action policy.Action) {
 	switch a := action.(type) {
 	case policy.SendAttempt:
-		s.attempt(a)
+		s.planResponse(a)
 	case policy.Reject:
 		s.counts["rejections"]++
 		s.end(a.ID)
-		if request := s.requests[a.ID]; s.random.IntN(3) == 0 { // the client comes again
-			call := request.call
-			call.Retry = true
-			s.plan(a.RetryAfter+s.milliseconds(50), call)
+		if request := s.requests[a.ID]; s.random.IntN(3) == 0 { // the client retries
+			retry := request.event
+			retry.Retry = true
+			s.plan(a.RetryAfter+s.milliseconds(50), retry)
 		}
 	case policy.Fail:
 		s.counts["failures"]++
@@ -176,7 +177,7 @@
 	}
 }
 
-// cancel ends an attempt that the module gave up, though its answer may be on its way.
+// cancel usually ends an attempt that the engine canceled; its response may be planned already.
 func (s *simulation) cancel(cancel policy.CancelAttempt) {
 	request := s.requests[cancel.ID]
 	if s.random.IntN(5) == 0 {
@@ -192,21 +193,21 @@
 	}
 }
 
-// attempt plans the answer to an attempt, as the behaviour of its endpoint and of its source has it.
-func (s *simulation) attempt(sent policy.SendAttempt) {
+// planResponse plans the response to an attempt, according to the behaviour of its endpoint and of its source.
+func (s *simulation) planResponse(sent policy.SendAttempt) {
 	request := s.requests[sent.ID]
 	s.countSend(request, sent)
 	event := policy.ResponseEvent{ID: sent.ID, Attempt: request.attempts}
 	request.attempts++
-	request.open++
-	event.Elapsed = time.Duration(request.call.SizeKB*float64(millisecond)) + s.milliseconds(30)
-	s.healthyAnswer(sent, &event)
-	s.sourceFault(sent, &event)
-	if !s.endpointFault(sent, &event) {
+	request.inFlight++
+	event.Elapsed = time.Duration(request.event.SizeKB*float64(millisecond)) + s.milliseconds(30)
+	s.drawHealthyResponse(sent, &event)
+	s.applySourceFault(sent, &event)
+	if !s.applyEndpointFault(sent, &event) {
 		return
 	}
 	s.plan(event.Elapsed, event)
-	if s.random.IntN(60) == 0 { // the same answer a second time
+	if s.random.IntN(60) == 0 { // a duplicate response
 		s.plan(event.Elapsed+s.milliseconds(100), event)
 	}
 }
@@ -214,32 +215,32 @@
 func (s *simulation) countSend(request *clientRequest, sent policy.SendAttempt) {
 	s.counts["sends"]++
 	switch {
-	case request.open > 0:
+	case request.inFlight > 0:
 		s.counts["hedges"]++
 	case request.attempts > 0:
 		s.counts["retries"]++
 	}
-	s.counts[fmt.Sprintf("sends of class %d", request.call.Class)]++
+	s.counts[fmt.Sprintf("sends of class %d", request.event.Class)]++
 	s.counts[fmt.Sprintf("copies at rank %d", sent.CacheRank)]++
-	for name, is := range map[string]bool{
-		"fills by a cache":        sent.Source != sent.Endpoint && sent.Endpoint < 100,
-		"fills by a sibling":      sent.Source < 100 && sent.Source != sent.Endpoint,
-		"sends to a parent":       sent.Endpoint >= 100 && sent.Endpoint < 200,
-		"sends to the origin":     sent.Endpoint == 200,
-		"sends for cached copies": sent.CachedOnly,
-		"sends with an age":       sent.MaxAge > 0,
-		"sends that join":         sent.JoinFill,
-		"sends that revalidate":   sent.Revalidate,
-		"trials":                  s.ejected[sent.Endpoint],
+	for name, applies := range map[string]bool{
+		"fills by a cache":         sent.Source != sent.Endpoint && sent.Endpoint < 100,
+		"fills by a sibling":       sent.Source < 100 && sent.Source != sent.Endpoint,
+		"sends to a parent":        sent.Endpoint >= 100 && sent.Endpoint < 200,
+		"sends to the origin":      sent.Endpoint == 200,
+		"sends for cached copies":  sent.CachedOnly,
+		"sends with a maximum age": sent.MaxAge > 0,
+		"sends that join fills":    sent.JoinFill,
+		"sends that revalidate":    sent.Revalidate,
+		"trials":                   s.ejected[sent.Endpoint],
 	} {
-		if is {
+		if applies {
 			s.counts[name]++
 		}
 	}
 }
 
-// healthyAnswer draws what an endpoint without faults answers.
-func (s *simulation) healthyAnswer(sent policy.SendAttempt, event *policy.ResponseEvent) {
+// drawHealthyResponse draws the response of an endpoint without faults.
+func (s *simulation) drawHealthyResponse(sent policy.SendAttempt, event *policy.ResponseEvent) {
 	if sent.Source == sent.Endpoint {
 		if event.Note = policy.NoteHit; s.random.IntN(2) == 0 && sent.Endpoint < 100 {
 			event.Status, event.Note = policy.StatusMiss, policy.NoteNone
@@ -255,8 +256,8 @@
 	}
 }
 
-// sourceFault has the source of a fill fail by its behaviour.
-func (s *simulation) sourceFault(sent policy.SendAttempt, event *policy.ResponseEvent) {
+// applySourceFault changes a response according to the behaviour of its source.
+func (s *simulation) applySourceFault(sent policy.SendAttempt, event *policy.ResponseEvent) {
 	if sent.Source == sent.Endpoint {
 		return
 	}
@@ -265,18 +266,19 @@
 		event.Elapsed += s.milliseconds(1500)
 	case silent, unreachable:
 		event.Status, event.Note = policy.StatusError, policy.NoteSourceLost
-	case refusing:
+	case rejecting:
 		event.Status, event.Note = policy.StatusAtCapacity, policy.NoteSourceRejected
-	case erring, resetting:
+	case failing, resetting:
 		event.Status, event.Note = policy.StatusError, policy.NoteOriginFailed
 	}
 }
 
-// endpointFault has the endpoint itself fail by its behaviour or by a rare fault, and says whether it answers at all.
-func (s *simulation) endpointFault(sent policy.SendAttempt, event *policy.ResponseEvent) bool {
+// applyEndpointFault changes a response according to the behaviour of the endpoint or a rare random fault, and reports
+// whether the endpoint responds at all.
+func (s *simulation) applyEndpointFault(sent policy.SendAttempt, event *policy.ResponseEvent) bool {
 	mode := s.modes[sent.Endpoint]
 	if s.random.IntN(40) == 0 {
-		mode = behaviour(s.random.IntN(int(behaviours)))
+		mode = behaviour(s.random.IntN(int(behaviourCount)))
 	}
 	switch mode {
 	case slow:
@@ -288,9 +290,9 @@
 		event.Status, event.Note, event.Elapsed = policy.StatusTimeout, policy.NoteNone, 800*millisecond
 	case unreachable:
 		event.Status, event.Note, event.Elapsed = policy.StatusConnectFailed, policy.NoteNone, s.milliseconds(20)
-	case refusing:
+	case rejecting:
 		event.Status, event.Note, event.Elapsed = policy.StatusAtCapacity, policy.NoteNone, s.milliseconds(100)
-	case erring:
+	case failing:
 		event.Status, event.Note = policy.StatusError, policy.NoteNone
 	case resetting:
 		event.Status, event.Note = policy.StatusReset, policy.NoteNone
@@ -298,20 +300,20 @@
 	return true
 }
 
-// deliver takes one planned event, whether it comes in time or not.
+// deliver handles one planned event, which may be late.
 func (s *simulation) deliver(event policy.Event) {
 	switch e := event.(type) {
 	case policy.ResponseEvent:
 		request := s.requests[e.ID]
 		if request.ended && s.random.IntN(2) == 0 {
-			return // the other half of the late answers reach the module
+			return // the other half of the late responses reaches the engine
 		}
 		if request.ended || request.done[e.Attempt] {
-			s.counts["late answers"]++
+			s.counts["late responses"]++
 		}
 		if !request.done[e.Attempt] {
 			request.done[e.Attempt] = true
-			request.open--
+			request.inFlight--
 		}
 		e.Concluded = request.ended || e.Status == policy.StatusOK
 		request.ended = e.Concluded
@@ -323,7 +325,7 @@
 			s.handle(e)
 		}
 	case policy.RequestEvent:
-		s.call(e)
+		s.sendRequest(e)
 	case policy.TimerEvent:
 		s.counts["ticks"]++
 		s.handle(e)
@@ -332,21 +334,21 @@
 	}
 }
 
-// call has a request come, under an id of its own, and its client leave in time.
-func (s *simulation) call(event policy.RequestEvent) {
+// sendRequest handles a request with a new ID, and plans when its client leaves.
+func (s *simulation) sendRequest(event policy.RequestEvent) {
 	s.lastID++
 	event.ID = s.lastID
-	s.requests[event.ID] = &clientRequest{call: event, done: map[int]bool{}}
-	patience := event.Remaining
+	s.requests[event.ID] = &clientRequest{event: event, done: map[int]bool{}}
+	clientTimeout := event.Remaining
 	if s.random.IntN(30) == 0 {
-		patience = s.milliseconds(200)
+		clientTimeout = s.milliseconds(200)
 	}
-	s.plan(patience, policy.ClientGoneEvent{ID: event.ID})
+	s.plan(clientTimeout, policy.ClientGoneEvent{ID: event.ID})
 	s.handle(event)
 }
 
-// newCall draws a request.
-func (s *simulation) newCall() policy.RequestEvent {
+// drawRequest draws a request.
+func (s *simulation) drawRequest() policy.RequestEvent {
 	event := policy.RequestEvent{Object: s.objects.Uint64() + 1, Part: s.random.IntN(2), Group: s.random.IntN(8),
 		Remaining: 500*millisecond + s.milliseconds(3000), SizeKB: 5 + 150*s.random.Float64()}
 	if s.random.IntN(3) == 0 {
@@ -354,28 +356,28 @@
 	}
 	switch s.random.IntN(10) {
 	case 0:
-		event.SizeKB = 0 // not told
+		event.SizeKB = 0 // unknown
 	case 1:
 		event.SizeKB *= 6
 	}
 	return event
 }
 
-// run plays so many steps, each with what was due before it.
+// run runs a number of steps, each after the events that are due before it.
 func (s *simulation) run(steps int) {
 	for range steps {
 		until := s.now + time.Duration(s.random.ExpFloat64()*float64(s.meanGap))
 		if s.random.IntN(1500) == 0 {
-			until += 70 * time.Second // all is quiet, and what is long gone is forgotten
+			until += 70 * time.Second // a quiet time, after which endpoints that are long gone are forgotten
 		}
 		if s.random.IntN(400) == 0 {
-			s.now = until + s.milliseconds(1500) // a standstill: what was due meanwhile comes late
+			s.now = until + s.milliseconds(1500) // a standstill: events due meanwhile come late
 			until = s.now
 		}
 		for at, event := range s.agenda.Due(until) {
 			s.now = max(s.now, at)
 			s.deliver(event)
-			if until-s.now > time.Minute { // ticks would fill the quiet: what is due in it comes at its end
+			if until-s.now > time.Minute { // deliver events of a quiet time at its end, as it would have too many ticks
 				s.now = until - millisecond
 			}
 		}
@@ -384,7 +386,7 @@
 	}
 }
 
-// step has one thing happen, mostly a request.
+// step draws one event, mostly a request.
 func (s *simulation) step() {
 	switch n := s.random.IntN(200); {
 	case n < 4:
@@ -396,24 +398,24 @@
 	case n < 11:
 		s.changeEndpoint()
 	case n < 12:
-		s.reload()
+		s.reloadList()
 	case n < 18:
 		id := s.endpoints[s.random.IntN(len(s.endpoints))].ID
-		s.modes[id] = behaviour(s.random.IntN(int(behaviours)))
+		s.modes[id] = behaviour(s.random.IntN(int(behaviourCount)))
 	case n < 24:
 		s.modes[s.endpoints[s.random.IntN(len(s.endpoints))].ID] = healthy
 	case n < 26:
-		s.hostile()
+		s.sendInvalidEvents()
 	case n < 30: // a burst
 		for range 10 {
-			s.call(s.newCall())
+			s.sendRequest(s.drawRequest())
 		}
 	default:
-		s.call(s.newCall())
+		s.sendRequest(s.drawRequest())
 	}
 }
 
-// changeEndpoint has the list tell that one endpoint drains, goes, comes back or has started anew.
+// changeEndpoint handles a list event in which one endpoint drains, leaves, returns or has restarted.
 func (s *simulation) changeEndpoint() {
 	endpoint := &s.endpoints[s.random.IntN(len(s.endpoints))]
 	states := []policy.State{policy.Gone, policy.Ready, policy.Ready, policy.Ready, policy.Draining}
@@ -429,26 +431,26 @@
 	s.handle(policy.ListEvent{Kind: policy.ListDelta, Endpoints: []policy.Endpoint{*endpoint}})
 }
 
-// reload has the whole list come, which may lack an endpoint.
-func (s *simulation) reload() {
+// reloadList handles a whole list, which may lack one endpoint, or the failure to get a list.
+func (s *simulation) reloadList() {
 	s.counts["reloaded lists"]++
 	for i := range s.endpoints {
 		s.endpoints[i].State = policy.Ready
 	}
-	nodes := append([]policy.Endpoint(nil), s.endpoints...)
-	if missing := s.random.IntN(2 * len(nodes)); missing < len(nodes) {
-		nodes = append(nodes[:missing], nodes[missing+1:]...)
+	listed := append([]policy.Endpoint(nil), s.endpoints...)
+	if missing := s.random.IntN(2 * len(listed)); missing < len(listed) {
+		listed = append(listed[:missing], listed[missing+1:]...)
 	}
 	kinds := []policy.ListKind{policy.ListFull, policy.ListCached, policy.ListFailed}
 	kind := kinds[s.random.IntN(len(kinds))]
 	if kind == policy.ListFailed {
-		nodes = nil
+		listed = nil
 	}
-	s.handle(policy.ListEvent{Kind: kind, Endpoints: nodes})
+	s.handle(policy.ListEvent{Kind: kind, Endpoints: listed})
 }
 
-// hostile tells what was never asked for.
-func (s *simulation) hostile() {
+// sendInvalidEvents handles events that name unknown requests, attempts, timers and classes.
+func (s *simulation) sendInvalidEvents() {
 	s.handle(policy.ResponseEvent{ID: 1 << 30, Attempt: s.random.IntN(9) - 1})
 	s.handle(policy.ClientGoneEvent{ID: 1 << 30})
 	s.handle(policy.TimerEvent{Token: 999})
--- a/internal/policy/size_test.go
+++ b/internal/policy/size_test.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	maxFileLines     = 250 // not blank, of one file that the deploy file names under policy
-	maxPolicyColumns = 110 // of the files of this package
-	maxColumns       = 120 // of the others
+	maxFileLines     = 250 // that are not blank, of a file listed under policy in the deploy file
+	maxPolicyColumns = 110 // of a line in this package
+	maxColumns       = 120 // of a line in the other packages
 	repository       = "../.."
 )
 
-// decisionPackages are the folders in which every file chooses an endpoint, a retry or a rejection, or is a mechanism
-// that such a choice rests on, with the folders below them.
+// decisionPackages are the folders, including those below them, in which every file decides on an endpoint, a retry or
+// a rejection, or implements a mechanism that such decisions depend on.
 var decisionPackages = []string{
 	"internal/policy",
 	"internal/retryafter",
@@ -37,13 +37,13 @@
 	"internal/proxy/descriptors",
 }
 
-// TestDecisionFilesAreNamed: the deploy file names exactly the files that decide: all of the decision packages, and of
-// other packages none that is not there.
-func TestDecisionFilesAreNamed(t *testing.T) {
-	named := policyFiles(t)
-	for _, path := range named {
+// TestDecisionFilesAreListed: the deploy file lists all files of the decision packages, and no file that does not
+// exist.
+func TestDecisionFilesAreListed(t *testing.T) {
+	listed := policyFiles(t)
+	for _, path := range listed {
 		if _, err := os.Stat(filepath.Join(repository, path)); err != nil {
-			t.Errorf("deploy/balancer.toml names %s under policy: %v", path, err)
+			t.Errorf("deploy/balancer.toml lists %s under policy: %v", path, err)
 		}
 	}
 	found := 0
@@ -56,8 +56,8 @@
 			}
 			found++
 			relative, err := filepath.Rel(repository, path)
-			if !slices.Contains(named, filepath.ToSlash(relative)) {
-				t.Errorf("deploy/balancer.toml does not name %s under policy", relative)
+			if !slices.Contains(listed, filepath.ToSlash(relative)) {
+				t.Errorf("deploy/balancer.toml does not list %s under policy", relative)
 			}
 			return err
 		}
@@ -66,11 +66,11 @@
 		}
 	}
 	if found < 20 {
-		t.Errorf("%d files found in the decision packages", found)
+		t.Errorf("got %d files in the decision packages, want at least 20", found)
 	}
 }
 
-// TestDecisionFilesAreShort holds each decision file within what its auditors read at one sitting.
+// TestDecisionFilesAreShort limits each decision file to what an auditor can read in one session.
 func TestDecisionFilesAreShort(t *testing.T) {
 	for _, path := range policyFiles(t) {
 		text, err := os.ReadFile(filepath.Join(repository, path))
@@ -87,16 +87,16 @@
 				lines++
 			}
 			if n := len([]rune(strings.ReplaceAll(line, "\t", "    "))); n > limit {
-				t.Errorf("%s:%d: %d columns, at most %d wanted", path, i+1, n, limit)
+				t.Errorf("%s:%d: got %d columns, want at most %d", path, i+1, n, limit)
 			}
 		}
 		if lines > maxFileLines {
-			t.Errorf("%s has %d lines that are not blank, at most %d wanted", path, lines, maxFileLines)
+			t.Errorf("%s: got %d lines that are not blank, want at most %d", path, lines, maxFileLines)
 		}
 	}
 }
 
-// policyFiles reads from the deploy file which files choose server, retry and rejection.
+// policyFiles returns the files that the deploy file lists under policy.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(repository, "deploy/balancer.toml"))
@@ -105,14 +105,14 @@
 	}
 	list := regexp.MustCompile(`(?ms)^policy\s*=\s*\[(.*?)\]`).FindSubmatch(text)
 	if list == nil {
-		t.Fatal("deploy/balancer.toml names no policy files")
+		t.Fatal("deploy/balancer.toml lists no policy files")
 	}
 	var paths []string
 	for _, quoted := range regexp.MustCompile(`"([^"]+)"`).FindAllSubmatch(list[1], -1) {
 		paths = append(paths, string(quoted[1]))
 	}
 	if len(paths) == 0 {
-		t.Fatal("deploy/balancer.toml names no policy files")
+		t.Fatal("deploy/balancer.toml lists no policy files")
 	}
 	return paths
 }
