--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -17,7 +17,7 @@
 const (
 	tickInterval = 10 * time.Millisecond // of checks of health, hedges and deadlines; far below any objective
 	tickToken    = 1
-	purgeSlack   = time.Second      // for which a purge is kept beyond its propagation
+	purgeSlack   = time.Second      // how long a purge is kept beyond its propagation
 	minObjective = time.Millisecond // lower bound of the initial cost estimate of a class
 )
 
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -28,7 +28,7 @@
 	e.finish(request)
 }
 
-// RetryAfter returns when a client may retry a rejected request of a class; 0: the client is not told.
+// RetryAfter returns how long a client is to wait before it retries a rejected request; 0: it is not told.
 func (c *Config) RetryAfter(class *Class) time.Duration {
 	return retryafter.Advisor{Max: c.MaxRetryAfter}.Rejected(class.LatencyObjective)
 }
--- a/internal/policy/types.go
+++ b/internal/policy/types.go
@@ -77,7 +77,7 @@
 
 	ColdStartShare         float64       // share of its capacity that a cache bears right after its start
 	WarmupTime             time.Duration // after which a cache bears its full capacity
-	OverloadMultiple       float64       // sustainable load over OverloadWindow, in multiples of its link
+	OverloadMultiple       float64       // sustainable load over OverloadWindow, in units of a cache's link
 	OverloadWindow         time.Duration
 	ParentStartShare       float64
 	ParentWarmupTime       time.Duration
