--- a/internal/broker/attempt.go
+++ b/internal/broker/attempt.go
@@ -8,38 +8,38 @@
 	"sloequay/internal/policy"
 )
 
-// Attempt is one sending of a request to an endpoint.
+// Attempt is one try to have an endpoint serve a request.
 type Attempt struct {
 	Request      *Request
 	Number       int // from 0
 	Endpoint     *Endpoint
-	Source       *Endpoint     // Endpoint itself: no fill
-	CacheRank    int           // 0: no copy, no change; 1 to 3: the rank of the copy
-	MaxAge       time.Duration // oldest copy that will do; 0: the class's own limit
-	JoinFill     bool          // wait for a fill that is in progress
-	CachedOnly   bool          // the source gives only what it has cached
-	BypassParent bool          // no copy is left at the parent
-	Revalidate   bool          // an ageing copy is fetched anew while it is served
+	Source       *Endpoint     // where Endpoint fills from; Endpoint itself: no fill
+	CacheRank    int           // 0: no copy, no change; 1 to 3: the cache rank of the copy
+	MaxAge       time.Duration // maximum age of a copy that may be served; 0: the limit of the class
+	JoinFill     bool          // may wait for a fill that is in progress
+	CachedOnly   bool          // the source serves only what it has cached
+	BypassParent bool          // the parent keeps no copy
+	Revalidate   bool          // an ageing copy is revalidated while it is served
 	Deadline     time.Duration
-	Written      bool // set by the pool: some of it may have been written to the endpoint
+	Written      bool // set by the pool once some of it may have been written to the endpoint
 
-	decidedAt time.Duration // by the policy; it may wait for its connection from then on
+	decidedAt time.Duration // when the policy decided on it; it may have waited for a connection since
 	state     attemptState
 }
 
-// attemptState is where an attempt stands. The package's doc comment has the transitions.
+// attemptState is the state of an attempt. The package's doc comment lists the transitions.
 type attemptState uint8
 
 const (
-	attemptOpen        attemptState = iota // it waits for its connection, or is in flight once Written
-	attemptEnded                           // it may have been executed
-	attemptNotExecuted                     // it ended in a way that proves that it was not executed
+	attemptOpen        attemptState = iota // waiting for a connection, or in flight once Written
+	attemptEnded                           // ended, and may have been executed
+	attemptNotExecuted                     // ended in a way that proves it was not executed
 )
 
-// Open reports whether the attempt has no end yet.
+// Open reports whether the attempt has not ended yet.
 func (a *Attempt) Open() bool { return a.state == attemptOpen }
 
-// sendAttempt makes the next attempt of a request.
+// sendAttempt adds the next attempt to a request, and sends it unless a guard or a budget blocks it.
 func (b *Broker) sendAttempt(action policy.SendAttempt) {
 	request := b.open[action.ID]
 	endpoint := b.endpoints.byID[action.Endpoint]
@@ -67,7 +67,7 @@
 	}
 	anyOpen := slices.ContainsFunc(request.attempts, (*Attempt).Open)
 	request.attempts = append(request.attempts, attempt)
-	// Without hedging never two attempts at the same time, whatever the policy says.
+	// Without hedging no two attempts may be open at the same time, whatever the policy decides.
 	if anyOpen && !b.config.Hedging {
 		b.pending = append(b.pending, AttemptEnded{Attempt: attempt, End: Blocked})
 		return
@@ -84,8 +84,8 @@
 	b.emit(SendAttempt{attempt})
 }
 
-// inRetryWindow says whether an attempt is still within the time in which endpoints drop repetitions of the ones before
-// it. The policy looks when it decides; a connection may come up seconds later.
+// inRetryWindow reports whether endpoints still drop an attempt as a repeat of the attempts before it that may have
+// run. The policy checks this when it decides on the attempt, but a connection may be ready only seconds later.
 func (b *Broker) inRetryWindow(attempt *Attempt, now time.Duration) bool {
 	class := b.class(attempt.Request)
 	if class.Idempotency != policy.IdempotentByKey {
@@ -97,7 +97,7 @@
 	})
 }
 
-// endAttempt handles the end of an attempt. Only the first end counts; the end of a request is that of its attempts.
+// endAttempt handles the end of an attempt. Only the first end counts; a request that ends has ended its attempts.
 func (b *Broker) endAttempt(event AttemptEnded) {
 	attempt := event.Attempt
 	request := attempt.Request
@@ -125,7 +125,7 @@
 	})
 }
 
-// successResponse is the response that an attempt brought.
+// successResponse returns the response to the request of a successful attempt.
 func successResponse(event AttemptEnded) Response {
 	kind := ResponseServed
 	if event.End == NotModified {
@@ -140,13 +140,13 @@
 	}
 }
 
-// timeOut ends an attempt that has run out of time.
+// timeOut cancels an attempt whose deadline, or that of its request, has passed.
 func (b *Broker) timeOut(attempt *Attempt) {
 	b.emit(CancelAttempt{Attempt: attempt})
 	b.endAttempt(AttemptEnded{Attempt: attempt, End: TimedOut})
 }
 
-// cancelAttempt has an attempt canceled, as the policy wants. Those of a request that has ended are canceled already.
+// cancelAttempt cancels an attempt for the policy. The attempts of a request that has ended are canceled already.
 func (b *Broker) cancelAttempt(action policy.CancelAttempt) {
 	request := b.open[action.ID]
 	if request == nil || action.Attempt >= len(request.attempts) {
--- a/internal/broker/attempt_test.go
+++ b/internal/broker/attempt_test.go
@@ -8,15 +8,15 @@
 	"sloequay/internal/policy"
 )
 
-// TestMaySendChecksRetryWindow: an attempt of a keyed request may have run, the next one is decided while endpoints
-// drop repetitions, and its connection comes up when they don't any more.
+// TestMaySendChecksRetryWindow covers an attempt that is decided while endpoints still drop repeats of an earlier one
+// that may have run, and that gets its connection only after they have stopped doing so.
 func TestMaySendChecksRetryWindow(t *testing.T) {
-	const untilEnd = 300 * time.Millisecond // of the first attempt
+	const untilEnd = 300 * time.Millisecond // from the decision on the first attempt to its end
 	for _, test := range []struct {
 		name  string
 		class int
 		end   End           // of the first attempt
-		wait  time.Duration // of the second one, for its connection
+		wait  time.Duration // of the second attempt for its connection
 		want  bool
 	}{
 		{"keyed, may have run, too late", keyedClass, ConnectionReset, 300 * time.Millisecond, false},
@@ -25,24 +25,24 @@
 		{"zoned, may have run, too late", zonedClass, Unresponsive, 300 * time.Millisecond, false},
 		{"safe", safeClass, ConnectionReset, 300 * time.Millisecond, true},
 	} {
-		x := newCrossing(t)
+		x := newHarness(t)
 		x.receive(test.class)
 		x.round()
 		x.write(0)
 		x.now += untilEnd
 		x.end(0, test.end)
 		if x.round(); len(x.waiting) != 1 {
-			t.Fatalf("%s: %d attempts wait", test.name, len(x.waiting))
+			t.Fatalf("%s: got %d waiting attempts, want 1", test.name, len(x.waiting))
 		}
 		if _, ok := x.broker.MaySend(x.waiting[0], x.now+test.wait); ok != test.want {
-			t.Errorf("%s: %v after the first, which ended as %v, it may be written: %v, want %v",
+			t.Errorf("%s: MaySend %v after the first attempt, which ended with %v: got %v, want %v",
 				test.name, untilEnd+test.wait, test.end, ok, test.want)
 		}
 	}
 }
 
-// TestMaySendChecksPurges: an attempt that waited for its connection asks for no copy older than what was purged
-// meanwhile.
+// TestMaySendChecksPurges checks that an attempt that waited for its connection accepts no copy from before a purge
+// that was issued meanwhile.
 func TestMaySendChecksPurges(t *testing.T) {
 	now := 1000 * time.Second
 	issued := now - time.Second
@@ -56,7 +56,7 @@
 		{"another object", Purge{Object: 8, Issued: issued}, 3, false},
 		{"its group", Purge{Group: 3, Issued: issued}, 3, true},
 		{"another group", Purge{Group: 4, Issued: issued}, 3, false},
-		{"any group, where its own is unknown", Purge{Group: 4, Issued: issued}, invalidation.AnyGroup, true},
+		{"any group, its own is unknown", Purge{Group: 4, Issued: issued}, invalidation.AnyGroup, true},
 	} {
 		broker := newBroker(t)
 		endpoint := readyEndpoint("c1", "10.0.0.1:1")
@@ -69,12 +69,12 @@
 		}
 		age, ok := broker.MaySend(attempt, now+10*time.Millisecond)
 		if !ok || age != want {
-			t.Errorf("%s: age %v, %v, want %v", test.name, age, ok, want)
+			t.Errorf("%s: MaySend: got max age %v, %v, want %v, true", test.name, age, ok, want)
 		}
 	}
 }
 
-// readyEndpoint is an endpoint that no list names.
+// readyEndpoint returns a ready endpoint that is in no list.
 func readyEndpoint(name, address string) *Endpoint {
 	return &Endpoint{Name: name, Address: address, Endpoint: policy.Endpoint{State: policy.Ready}}
 }
--- a/internal/broker/bench_test.go
+++ b/internal/broker/bench_test.go
@@ -11,17 +11,17 @@
 
 const benchStart = 1000 * time.Second
 
-// BenchmarkWrite is what one write asks the list and the purges, and then a whole request.
+// BenchmarkWrite measures the checks of the list and the purges at one write, and then a whole request.
 func BenchmarkWrite(b *testing.B) {
 	for _, n := range []int{0, 100, 10_000} {
-		b.Run(fmt.Sprintf("boxes+purges/%d", n), func(b *testing.B) { benchmarkMaySend(b, n) })
+		b.Run(fmt.Sprintf("endpoints+purges/%d", n), func(b *testing.B) { benchmarkMaySend(b, n) })
 	}
 	for _, purges := range []int{0, 10_000} {
 		b.Run(fmt.Sprintf("request/purges-%d", purges), func(b *testing.B) { benchmarkRequest(b, purges) })
 	}
 }
 
-// benchmarkMaySend looks at the list and the purges where there are n of each.
+// benchmarkMaySend measures the checks at a write with n endpoints and n purges.
 func benchmarkMaySend(b *testing.B, n int) {
 	broker := newBroker(b)
 	var list membership.List
@@ -44,7 +44,7 @@
 	}
 }
 
-// benchmarkRequest is a request and its one attempt, through the broker and the policy.
+// benchmarkRequest measures a request with one attempt, through the broker and the policy.
 func benchmarkRequest(b *testing.B, purges int) {
 	broker := newBroker(b)
 	var events []Event
@@ -79,66 +79,67 @@
 	}
 }
 
-// BenchmarkList is what lists cost the loop, through table, broker and policy: a first list in parts, one that changes
-// 1%, and a source that falls silent. hold-ms is the longest that one round holds the loop.
+// BenchmarkList measures how long lists occupy the event loop, through membership table, broker and policy: a first
+// list in parts, a list that changes 1% of the endpoints, and a source that falls silent and responds again. hold-ms is
+// the duration of the longest round, in milliseconds.
 func BenchmarkList(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000, 100_000} {
 		bench := &listBench{endpoints: manyEndpoints(n)}
-		b.Run(fmt.Sprintf("first/%d", n), bench.first)
-		bench.start(b)
+		b.Run(fmt.Sprintf("first/%d", n), bench.benchmarkFirstList)
+		bench.reset(b)
 		half := bench.endpoints[:n/2]
 		bench.broker.Round(bench.now, []Event{consulList(bench.endpoints), EndpointDelta{Endpoints: half}})
-		bench.settle()
-		b.Run(fmt.Sprintf("changed/%d", n), bench.changed)
-		b.Run(fmt.Sprintf("silent+heard/%d", n), bench.silent)
+		bench.applyAllChangesUnmeasured()
+		b.Run(fmt.Sprintf("changed/%d", n), bench.benchmarkChangedList)
+		b.Run(fmt.Sprintf("silent+seen/%d", n), bench.benchmarkSilentSource)
 	}
 }
 
-// listBench has a broker take lists, and measures its rounds.
+// listBench passes lists to a broker and measures its rounds.
 type listBench struct {
-	endpoints []membership.Endpoint
-	broker    *Broker
-	now       time.Duration
-	longest   time.Duration // round since the start of a benchmark
+	endpoints    []membership.Endpoint
+	broker       *Broker
+	now          time.Duration
+	longestRound time.Duration // since the start of a benchmark
 }
 
-// start makes a new broker.
-func (l *listBench) start(b *testing.B) {
+// reset replaces the broker with a new one.
+func (l *listBench) reset(b *testing.B) {
 	l.broker = newTwoSourceBroker(b)
 	l.now = benchStart
 }
 
-// round measures one round.
+// round plays one round and measures it.
 func (l *listBench) round(events ...Event) {
-	began := time.Now()
+	startedAt := time.Now()
 	l.broker.Round(l.now, events)
-	l.longest = max(l.longest, time.Since(began))
+	l.longestRound = max(l.longestRound, time.Since(startedAt))
 }
 
-// finish plays rounds until all changes are taken over.
-func (l *listBench) finish() {
+// applyAllChanges plays rounds until all changes are applied.
+func (l *listBench) applyAllChanges() {
 	for range len(l.endpoints)/maxChangesPerRound + 4 {
 		l.round()
 	}
 }
 
-// settle is finish without measuring.
-func (l *listBench) settle() {
-	longest := l.longest
-	l.finish()
-	l.longest = longest
+// applyAllChangesUnmeasured is applyAllChanges without measuring the rounds.
+func (l *listBench) applyAllChangesUnmeasured() {
+	longest := l.longestRound
+	l.applyAllChanges()
+	l.longestRound = longest
 }
 
 func (l *listBench) report(b *testing.B) {
-	b.ReportMetric(float64(l.longest.Microseconds())/1000, "hold-ms")
+	b.ReportMetric(float64(l.longestRound.Microseconds())/1000, "hold-ms")
 }
 
-func (l *listBench) first(b *testing.B) {
+func (l *listBench) benchmarkFirstList(b *testing.B) {
 	const partSize = 500
 	b.ReportAllocs()
-	l.longest = 0
+	l.longestRound = 0
 	for range b.N {
-		l.start(b)
+		l.reset(b)
 		for from := 0; from < len(l.endpoints); from += partSize {
 			part := l.endpoints[from:min(len(l.endpoints), from+partSize)]
 			l.round(EndpointList{Source: consulSource, List: membership.List{Endpoints: part, Part: true}})
@@ -147,17 +148,17 @@
 			}
 		}
 		l.round(consulList(l.endpoints))
-		l.finish()
+		l.applyAllChanges()
 		if n := len(l.broker.endpoints.byID); n != len(l.endpoints) {
-			b.Fatalf("%d endpoints of %d", n, len(l.endpoints))
+			b.Fatalf("got %d endpoints, want %d", n, len(l.endpoints))
 		}
 	}
 	l.report(b)
 }
 
-func (l *listBench) changed(b *testing.B) {
+func (l *listBench) benchmarkChangedList(b *testing.B) {
 	b.ReportAllocs()
-	l.longest = 0
+	l.longestRound = 0
 	n := len(l.endpoints)
 	for iteration := range b.N {
 		l.now += time.Second
@@ -166,19 +167,19 @@
 			endpoint.State = membership.Up + membership.Draining - endpoint.State
 		}
 		l.round(consulList(l.endpoints))
-		l.finish()
+		l.applyAllChanges()
 	}
 	l.report(b)
 }
 
-func (l *listBench) silent(b *testing.B) {
-	l.longest = 0
+func (l *listBench) benchmarkSilentSource(b *testing.B) {
+	l.longestRound = 0
 	for range b.N {
 		l.now += time.Second
 		l.round(SourceStatus{Source: consulSource, Silent: true})
-		l.settle()
+		l.applyAllChangesUnmeasured()
 		l.round(SourceStatus{Source: consulSource})
-		l.settle()
+		l.applyAllChangesUnmeasured()
 	}
 	l.report(b)
 }
--- a/internal/broker/blocked_test.go
+++ b/internal/broker/blocked_test.go
@@ -8,14 +8,14 @@
 	"sloequay/internal/quota"
 )
 
-// TestBlockedAttemptsEnd: a request whose attempts are all blocked by a budget has its response in the round in which
-// it came, after a bounded number of attempts, whatever the settings' cap of attempts is; 0: they name none.
-func TestBlockedAttemptsEnd(t *testing.T) {
-	const maxEvents = 1000 // of one request in one round
+// TestBlockedAttemptsEndRequest checks that a request whose attempts are all blocked by a budget gets its response in
+// the round of its arrival, after a bounded number of attempts, with and without a MaxAttempts.
+func TestBlockedAttemptsEndRequest(t *testing.T) {
+	const maxEvents = 1000 // with more the round counts as one that never ends
 	for name, maxAttempts := range map[string]int{"cap of 6": 6, "no cap": 0} {
 		t.Run(name, func(t *testing.T) {
-			x := newCrossing(t)
-			config := crossingConfig()
+			x := newHarness(t)
+			config := harnessConfig()
 			config.MaxAttempts = maxAttempts
 			sources := membership.Config{Sources: make([]membership.Source, 1)}
 			broker, err := New(config, 1, 1, nil, membership.New(sources))
@@ -38,7 +38,7 @@
 				broker.handle(broker.pending[handled])
 			}
 			if request.state != requestEnded {
-				t.Errorf("no response after %d events and %d attempts", handled, len(request.attempts))
+				t.Errorf("got no response after %d events and %d attempts", handled, len(request.attempts))
 			}
 		})
 	}
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -22,26 +22,26 @@
 	retries retryBudgets
 	members *membership.Table
 
-	now     time.Duration // the latest time that a round was given
-	offsets clock.Offsets // of the Unix clock over now
+	now     time.Duration // the latest time passed to Round
+	offsets clock.Offsets // of the Unix clock from now
 	pending []Event       // of this round, not yet handled
 	effects []Effect      // of this round
 
 	maxOpen    int
 	lastID     policy.RequestID
 	open       map[policy.RequestID]*Request
-	byClientID map[string]*Request // the open ones by their clients' ids
+	byClientID map[string]*Request // the open requests by Request.ID
 
-	monitor   *invariant.Monitor // nil: nothing is checked
+	monitor   *invariant.Monitor // nil: violations are ignored
 	endpoints endpointIndex
 	purges    *invalidation.Ledger
 	timers    timerQueue
 
-	stampLoggedAt time.Duration // when a purge's stamp was logged last; 0: never
+	stampLoggedAt time.Duration // when an implausible purge stamp was last logged; 0: never
 }
 
-// New makes a broker that holds at most maxOpen requests. With quotas nil every team may do everything; members is the
-// merged view of the endpoint list's sources.
+// New returns a broker that holds at most maxOpen open requests. A nil quotas sets no limits on any team. members is
+// the merged view of the sources of the endpoint list.
 func New(config policy.Config, seed uint64, maxOpen int, quotas *quota.Ledger,
 	members *membership.Table) (*Broker, error) {
 	engine, err := policy.New(config, seed)
@@ -64,22 +64,21 @@
 	}, nil
 }
 
-// LimitRetries sets the retry budgets of each tenant and of each endpoint. What is left in them stays.
+// LimitRetries sets the limits of the retry budgets of each tenant and of each endpoint. The budgets keep their tokens.
 func (b *Broker) LimitRetries(tenants, endpoints retry.Config) {
 	b.retries.configure(tenants, endpoints)
 }
 
-// SetOffset sets the offset of the Unix clock over the times that the broker is given. What others have stamped, the
-// starts of endpoints, is converted once, so that a step of that clock changes nothing that is under way. Where the
-// clock was stepped, the latest time counts that a stamp may stand for: an endpoint is then rather too young than too
-// old.
+// SetOffset sets the offset of the Unix clock from the times passed to the broker. A reported start of an endpoint is
+// converted only once, so that later steps of the Unix clock do not move it. After a step a stamp is taken for the
+// latest time that it may mean: an endpoint then counts as too young rather than too old.
 func (b *Broker) SetOffset(offset time.Duration) {
 	b.offsets.Set(offset)
 	b.members.SetOffset(offset)
 }
 
-// Round handles the events that have come by now and the timers that are due, and returns what is to be done. The
-// result is valid until the next call.
+// Round handles the events that have arrived and the timers that are due by now, and returns the effects to carry out.
+// The result is valid until the next call.
 func (b *Broker) Round(now time.Duration, events []Event) []Effect {
 	b.now = max(b.now, now)
 	b.effects = b.effects[:0]
@@ -88,16 +87,16 @@
 	if next := b.members.Next(); next != 0 && next <= b.now {
 		b.members.Step(b.now)
 	}
-	b.followList()
-	// Events go before timers: a response that is here in time counts, and after a standstill the policy would take
-	// endpoints for unresponsive whose responses are in this round.
+	b.applyListChanges()
+	// Events come before timers: a response that arrived in time counts, and after a standstill the policy would
+	// otherwise judge endpoints unresponsive although their responses are in this round.
 	b.handlePending()
 	b.fireTimers()
 	b.handlePending()
 	return b.effects
 }
 
-// Next is when the next round is due at the latest; 0: no time is set.
+// Next returns the time by which the next round is due; 0: none is due until an event arrives.
 func (b *Broker) Next() time.Duration {
 	if b.members.HasChanges() {
 		return b.now
@@ -109,8 +108,9 @@
 	return next
 }
 
-// MaySend says at the moment of writing whether an attempt may still go out, and the oldest copy that will do then: the
-// list and the purges may have moved on while it waited for its connection.
+// MaySend reports, just before an attempt is written, whether it may still be sent, and the maximum age of a copy that
+// may serve it (0: the limit of its class). The endpoint list and the purges may have changed while the attempt waited
+// for its connection.
 func (b *Broker) MaySend(attempt *Attempt, now time.Duration) (maxAge time.Duration, ok bool) {
 	switch {
 	case !attempt.Open() || now >= attempt.Deadline:
@@ -124,25 +124,26 @@
 	return b.maxAge(attempt, now), true
 }
 
-// EndpointByName finds an endpoint of the list by its name, without regard to case; nil if there is none.
-func (b *Broker) EndpointByName(name string) *Endpoint { return b.endpoints.named(name) }
+// EndpointByName returns the endpoint with a name, ignoring case, or nil if there is none.
+func (b *Broker) EndpointByName(name string) *Endpoint { return b.endpoints.findByName(name) }
 
-// AddressBlocked says whether an address that a name server gave is that of a listed endpoint which takes nothing new.
-// The list outranks the name server: its answers may be older.
+// AddressBlocked reports whether an address resolved by a name server belongs to a listed endpoint that takes no new
+// requests. The endpoint list takes precedence because a name server's answer may be older.
 func (b *Broker) AddressBlocked(address string) bool {
 	return b.endpoints.addressBlocked(address, b.now)
 }
 
-// OpenRequests is the number of requests without an end.
+// OpenRequests returns the number of admitted requests that have not ended.
 func (b *Broker) OpenRequests() int { return len(b.open) }
 
-// Sizes is how much a broker holds. Open, PolicyRequests and Timers follow the requests that are open, Endpoints and
-// GoneEndpoints the lists of the last minute, Purges what was issued in the time that endpoints take to drop copies.
+// Sizes holds the number of entries that a broker keeps. Open, PolicyRequests and Timers grow with the open requests,
+// Endpoints and GoneEndpoints with the endpoint lists of the last minute, and Purges with the purges issued within the
+// time that endpoints take to drop copies.
 type Sizes struct {
 	Open, PolicyRequests, Timers, Endpoints, GoneEndpoints, Purges int
 }
 
-// Sizes returns how much is held, for operators and for tests that nothing grows.
+// Sizes returns the current sizes, for operators and for tests that check for leaks.
 func (b *Broker) Sizes() Sizes {
 	return Sizes{
 		Open:           len(b.open),
@@ -154,7 +155,7 @@
 	}
 }
 
-// handlePending handles the events of the round, and those that the broker adds to them meanwhile.
+// handlePending handles the events of the round, including those that the broker adds while handling them.
 func (b *Broker) handlePending() {
 	for i := 0; i < len(b.pending); i++ {
 		b.handle(b.pending[i])
@@ -162,7 +163,6 @@
 	b.pending = b.pending[:0]
 }
 
-// handle handles one event.
 func (b *Broker) handle(event Event) {
 	switch event := event.(type) {
 	case RequestReceived:
@@ -173,15 +173,15 @@
 		b.endAttempt(event)
 	case EndpointList:
 		b.members.ReplaceList(b.now, event.Source, event.List)
-		b.followList()
+		b.applyListChanges()
 	case EndpointDelta:
 		b.members.ApplyDelta(b.now, event.Source, event.Version, event.Endpoints)
-		b.followList()
+		b.applyListChanges()
 	case SourceStatus:
 		b.setSourceStatus(event)
 	case SnapshotRestored:
 		b.log("snapshot-restored", "endpoints", b.members.Restore(b.now, event.Reports))
-		b.followList()
+		b.applyListChanges()
 	case Purge:
 		b.purge(event)
 	case FailInFlight:
@@ -189,7 +189,7 @@
 	}
 }
 
-// failInFlight ends all open requests, in the order in which they came, as if their deadlines had passed.
+// failInFlight ends all open requests, in the order of their admission, as if their deadlines had passed.
 func (b *Broker) failInFlight() {
 	if len(b.open) == 0 {
 		return
@@ -197,19 +197,19 @@
 	b.log("drain-deadline", "open", len(b.open))
 	for _, id := range slices.Sorted(maps.Keys(b.open)) {
 		if request := b.open[id]; request != nil {
-			b.passDeadline(request)
+			b.handleDeadline(request)
 		}
 	}
 }
 
-// notify hands one event to the policy and carries out the actions that it wants.
+// notify passes one event to the policy and applies the actions that it returns.
 func (b *Broker) notify(event policy.Event) {
 	for _, action := range b.engine.Handle(b.now, event) {
 		b.apply(action)
 	}
 }
 
-// apply carries out one action of the policy.
+// apply applies one action of the policy.
 func (b *Broker) apply(action policy.Action) {
 	switch action := action.(type) {
 	case policy.SendAttempt:
--- a/internal/broker/clockstep_test.go
+++ b/internal/broker/clockstep_test.go
@@ -7,10 +7,10 @@
 	"sloequay/internal/membership"
 )
 
-// TestStampsSurviveClockSteps: the Unix clock of this machine is stepped; those of the list service and of the
-// endpoints are not, or it is this one that is put right. A purge must never be taken for older than it is, or copies
-// from before it would do; nor an endpoint that has just started, or it would be sent more than it bears. Neither may
-// be taken for so late that it lies in the future, or it would bind for as long as the step.
+// TestStampsSurviveClockSteps steps the Unix clock of this machine, while stamps by others go by the clock before or
+// after the step. A purge must not count as older than it is, or older copies would be served. An endpoint must not
+// count as older than it is, or it would be overloaded just after its start. Neither may lie in the future, or its
+// restrictions would last as long as the step.
 func TestStampsSurviveClockSteps(t *testing.T) {
 	const now, offset, object = 1000 * time.Second, 400 * 24 * time.Hour, 0xaa
 	const age = 300 * time.Millisecond
@@ -31,47 +31,46 @@
 			})
 			issued, found := b.purges.Newest(object, 0)
 			if !found || issued < now-age || issued > now {
-				t.Errorf("step of %v, stamps by %s: a purge of %v ago counts as issued %v ago (known: %v), "+
+				t.Errorf("step of %v, stamps by %s: purge issued %v ago: got age %v (found: %v), "+
 					"want %v to 0 s", step, stampedBy, age, now-issued, found, age)
 			}
 			startedAt := b.EndpointByName("c1").StartedAt
 			if startedAt < now-age || startedAt > now+maxFutureStart {
-				t.Errorf("step of %v, stamps by %s: a start of %v ago counts as %v ago, want %v to %v",
+				t.Errorf("step of %v, stamps by %s: endpoint started %v ago: got age %v, want %v to %v",
 					step, stampedBy, age, now-startedAt, age, -maxFutureStart)
 			}
 		}
 	}
 }
 
-// TestPurgeOnCurrentWatchIsNew: this proxy was started after its clock was stepped an hour ahead, so that it knows no
-// other offset. A purge that comes on a watch which was up to date a second ago is not an hour old.
-func TestPurgeOnCurrentWatchIsNew(t *testing.T) {
+// TestPurgeFromWatchWithClockAhead covers a proxy that started after its clock was stepped an hour ahead, so that it
+// knows no other offset. A purge from a watch that was up to date a second ago must not count as an hour old.
+func TestPurgeFromWatchWithClockAhead(t *testing.T) {
 	const now, offset, object = 1000 * time.Second, 400 * 24 * time.Hour, 0xaa
 	b := newBroker(t)
 	b.SetOffset(offset + time.Hour)
 	b.Round(now, []Event{Purge{Object: object, Issued: now + offset}})
 	if issued, found := b.purges.Newest(object, 0); !found || issued < now-time.Second || issued > now {
-		t.Errorf("the purge counts as issued %v ago (known: %v), want 1 s at the most", now-issued, found)
+		t.Errorf("purge issued now: got age %v (found: %v), want 0 s to 1 s", now-issued, found)
 	}
 }
 
-// TestPurgeOfStartWithClockAhead: this proxy was started with its clock an hour ahead. A purge that its configuration
-// names was issued just before the start, and must not count as an hour old, or copies from before it would do.
-func TestPurgeOfStartWithClockAhead(t *testing.T) {
+// TestPurgeFromConfigurationWithClockAhead covers a proxy that started with its clock an hour ahead. A purge in its
+// configuration, issued just before the start, must not count as an hour old, or older copies would be served.
+func TestPurgeFromConfigurationWithClockAhead(t *testing.T) {
 	const now, offset, object = 1000 * time.Second, 400 * 24 * time.Hour, 0xaa
 	const age = 300 * time.Millisecond
 	b := newBroker(t)
 	b.SetOffset(offset + time.Hour)
 	b.Round(now, []Event{Purge{Object: object, Issued: now - age + offset}})
 	if issued, found := b.purges.Newest(object, 0); !found || issued < now-age || issued > now {
-		t.Errorf("a purge of %v ago counts as issued %v ago (known: %v)", age, now-issued, found)
+		t.Errorf("purge issued %v ago: got age %v (found: %v), want 0 s to its true age", age, now-issued, found)
 	}
 }
 
-// TestPurgeIsNotOlderThanWhenItCame guards against stale copies by a clock that is off, of this machine or of whoever
-// stamped the purge: from the start of the configuration on, and whether it is the first one or comes on a watch that
-// has run for long.
-func TestPurgeIsNotOlderThanWhenItCame(t *testing.T) {
+// TestPurgeCountsFromReceipt guards against stale copies because the clock of this machine or of the issuer is wrong,
+// for the first purge after the start as well as for later ones.
+func TestPurgeCountsFromReceipt(t *testing.T) {
 	const offset, object, group = 400 * 24 * time.Hour, 0xaa, 7
 	for _, ahead := range []time.Duration{
 		0, time.Second, -time.Second, 5 * time.Second, -5 * time.Second,
@@ -89,7 +88,7 @@
 				"a group":   func() (time.Duration, bool) { return b.purges.Newest(object+1, group) },
 			} {
 				if issued, found := newest(); !found || issued != now {
-					t.Errorf("clock ahead by %v, the purge of %s at %v counts as issued %v ago (known: %v)",
+					t.Errorf("clock ahead by %v, purge of %s at %v: got age %v (found: %v), want 0 s",
 						ahead, name, now, now-issued, found)
 				}
 			}
@@ -97,7 +96,7 @@
 	}
 }
 
-// TestImplausibleStampIsLogged: on-call learns of a clock that is off, once a minute at the most.
+// TestImplausibleStampIsLogged checks that a wrong clock is logged, at most once a minute.
 func TestImplausibleStampIsLogged(t *testing.T) {
 	const offset = 400 * 24 * time.Hour
 	for _, c := range []struct {
@@ -109,13 +108,13 @@
 		logged := 0
 		for now := 1000 * time.Second; now < 1100*time.Second; now += 10 * time.Second {
 			for _, effect := range b.Round(now, []Event{Purge{Object: 1, Issued: now + offset}}) {
-				if entry, isLog := effect.(LogEntry); isLog && entry.Event == "purge-stamp-implausible" {
+				if entry, isLogEntry := effect.(LogEntry); isLogEntry && entry.Event == "purge-stamp-implausible" {
 					logged++
 				}
 			}
 		}
 		if logged != c.want {
-			t.Errorf("clock ahead by %v: logged %d times in 100 s, want %d", c.ahead, logged, c.want)
+			t.Errorf("clock ahead by %v: got %d log entries in 100 s, want %d", c.ahead, logged, c.want)
 		}
 	}
 }
--- a/internal/broker/crossing_test.go
+++ b/internal/broker/crossing_test.go
@@ -11,8 +11,8 @@
 	"sloequay/internal/policy"
 )
 
-// The classes of a crossing. Requests of zonedClass and onceClass must not be rejected once they may have run; those of
-// onceClass must not be sent again either.
+// The classes of a harness. Requests of zonedClass and onceClass must not be rejected once they may have run, and those
+// of onceClass must not be sent again either.
 const (
 	safeClass = iota
 	keyedClass
@@ -20,12 +20,12 @@
 	onceClass
 )
 
-// crossingDedupWindow is how long the endpoints of a crossing drop repetitions of keyed requests.
-const crossingDedupWindow = 500 * time.Millisecond
+// harnessDedupWindow is how long the endpoints of a harness drop repeats of keyed requests.
+const harnessDedupWindow = 500 * time.Millisecond
 
-// crossing drives a broker as a pool of connections and a frontend do, with what comes and when left to the test. It
-// checks after each round what must always hold.
-type crossing struct {
+// harness drives a broker as a pool of connections and a frontend do, and leaves the events and their times to the
+// test. It checks the broker's invariants at each write and each response.
+type harness struct {
 	t              rapid.TB
 	broker         *Broker
 	now            time.Duration
@@ -34,28 +34,28 @@
 	version        uint64 // of the endpoint list
 	requests       []*Request
 	responses      map[*Request]int
-	waiting        []*Attempt                 // to be sent, not written
+	waiting        []*Attempt                 // sent by the broker, not yet written
 	inFlight       []*Attempt                 // written, neither ended nor canceled
-	canceled       []*Attempt                 // in flight and canceled, their ends still to be reported
-	ended          []*Attempt                 // that were in flight, their ends reported
-	mayHaveRun     map[*Request]bool          // an attempt may
+	canceled       []*Attempt                 // canceled in flight, their ends not yet reported
+	ended          []*Attempt                 // written, and their ends reported
+	mayHaveRun     map[*Request]bool          // an attempt of the request may have run
 	writtenAt      map[*Attempt]time.Duration // of attempts that may have run
-	written        map[*Request]int           // the number of its attempts that were
+	written        map[*Request]int           // number of written attempts
 	canceledBefore map[*Request]bool          // canceled in an earlier round
 }
 
-func crossingConfig() policy.Config {
+func harnessConfig() policy.Config {
 	class := policy.Class{LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second}
 	safe, keyed, zoned, once := class, class, class, class
 	safe.Name = "safe"
 	keyed.Name = "keyed"
 	keyed.Idempotency = policy.IdempotentByKey
-	keyed.DedupWindow = crossingDedupWindow
+	keyed.DedupWindow = harnessDedupWindow
 	keyed.Write = true
 	zoned.Name = "zoned"
 	zoned.Idempotency = policy.IdempotentByKey
 	zoned.DedupScope = policy.DedupZone
-	zoned.DedupWindow = crossingDedupWindow
+	zoned.DedupWindow = harnessDedupWindow
 	zoned.Write = true
 	once.Name = "once"
 	once.Idempotency = policy.NotIdempotent
@@ -72,16 +72,16 @@
 	}
 }
 
-func newCrossing(t rapid.TB) *crossing { return newCrossingOf(t, crossingConfig()) }
+func newHarness(t rapid.TB) *harness { return newHarnessWith(t, harnessConfig()) }
 
-// newCrossingOf makes a crossing whose settings differ from crossingConfig's in other things than the classes.
-func newCrossingOf(t rapid.TB, config policy.Config) *crossing {
+// newHarnessWith returns a harness with a config, which must have the classes of harnessConfig.
+func newHarnessWith(t rapid.TB, config policy.Config) *harness {
 	members := membership.New(membership.Config{Sources: []membership.Source{{Name: "bulletin"}}})
 	broker, err := New(config, 1, 100, nil, members)
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &crossing{
+	x := &harness{
 		t:              t,
 		broker:         broker,
 		now:            1000 * time.Second,
@@ -103,11 +103,11 @@
 	return x
 }
 
-// add has an event come in the next round.
-func (x *crossing) add(event Event) { x.events = append(x.events, event) }
+// add adds an event to the next round.
+func (x *harness) add(event Event) { x.events = append(x.events, event) }
 
-// receive has a request of a class come.
-func (x *crossing) receive(class int) *Request {
+// receive adds a request of a class to the next round.
+func (x *harness) receive(class int) *Request {
 	request := &Request{
 		ID:         fmt.Sprintf("%016x", len(x.requests)+1),
 		Class:      class,
@@ -125,34 +125,34 @@
 	return request
 }
 
-// cancel has a request's client cancel it.
-func (x *crossing) cancel(request *Request) {
+// cancel cancels a request as its client.
+func (x *harness) cancel(request *Request) {
 	request.Canceled = true
 	x.add(RequestCanceled{request})
 }
 
-// report has the list report the state of an endpoint.
-func (x *crossing) report(index int, state membership.State) {
+// report makes the list report the state of the endpoint at an index.
+func (x *harness) report(index int, state membership.State) {
 	x.version++
 	x.endpoints[index].State = state
 	x.add(EndpointDelta{Version: x.version, Endpoints: []membership.Endpoint{x.endpoints[index]}})
 }
 
-// reportNamed has the list report the state of the endpoint of a name.
-func (x *crossing) reportNamed(name string, state membership.State) {
+// reportNamed makes the list report the state of the endpoint with a name.
+func (x *harness) reportNamed(name string, state membership.State) {
 	named := func(endpoint membership.Endpoint) bool { return endpoint.ID == name }
 	x.report(slices.IndexFunc(x.endpoints, named), state)
 }
 
-// takeWaiting removes the attempt at an index from those that wait.
-func (x *crossing) takeWaiting(index int) *Attempt {
+// takeWaiting removes and returns the waiting attempt at an index.
+func (x *harness) takeWaiting(index int) *Attempt {
 	attempt := x.waiting[index]
 	x.waiting = slices.Delete(x.waiting, index, index+1)
 	return attempt
 }
 
-// write is the moment of writing the attempt at an index of those that wait.
-func (x *crossing) write(index int) {
+// write writes the waiting attempt at an index if MaySend allows it.
+func (x *harness) write(index int) {
 	attempt := x.takeWaiting(index)
 	if _, ok := x.broker.MaySend(attempt, x.now); !ok {
 		x.add(AttemptEnded{Attempt: attempt, End: Blocked})
@@ -167,24 +167,24 @@
 	x.inFlight = append(x.inFlight, attempt)
 }
 
-// writeAll writes all attempts that wait.
-func (x *crossing) writeAll() {
+// writeAll writes all waiting attempts.
+func (x *harness) writeAll() {
 	for len(x.waiting) > 0 {
 		x.write(0)
 	}
 }
 
-// checkWrite checks that an attempt may be written now.
-func (x *crossing) checkWrite(attempt *Attempt) {
+// checkWrite checks the invariants that concern the write of an attempt.
+func (x *harness) checkWrite(attempt *Attempt) {
 	request, endpoint, source := attempt.Request, attempt.Endpoint, attempt.Source
 	switch {
 	case x.canceledBefore[request]:
-		x.t.Fatalf("request %s was canceled in an earlier round, and is written to %s", request.ID, endpoint.Name)
+		x.t.Fatalf("request %s was canceled in an earlier round but is written to %s", request.ID, endpoint.Name)
 	case endpoint.State != policy.Ready || source.State != policy.Ready:
-		x.t.Fatalf("request %s is written to %s, filled from %s: states %v, %v",
+		x.t.Fatalf("request %s is written to %s, which fills from %s: got states %v and %v, want both ready",
 			request.ID, endpoint.Name, source.Name, endpoint.State, source.State)
 	case request.Class == onceClass && x.mayHaveRun[request]:
-		x.t.Fatalf("request %s may have run, may not be repeated, and is written to %s", request.ID, endpoint.Name)
+		x.t.Fatalf("request %s may have run and must not be repeated, but is written to %s", request.ID, endpoint.Name)
 	}
 	for _, other := range slices.Concat(x.inFlight, x.canceled) {
 		if other.Request == request {
@@ -194,31 +194,31 @@
 	}
 	for _, other := range request.attempts {
 		writtenAt := x.writtenAt[other]
-		if writtenAt > 0 && request.Key != "" && x.now-writtenAt > crossingDedupWindow {
-			x.t.Fatalf("request %s is written to %s %v after an attempt that may have run, not within %v",
-				request.ID, endpoint.Name, x.now-writtenAt, crossingDedupWindow)
+		if writtenAt > 0 && request.Key != "" && x.now-writtenAt > harnessDedupWindow {
+			x.t.Fatalf("request %s is written to %s %v after an attempt that may have run, want at most %v",
+				request.ID, endpoint.Name, x.now-writtenAt, harnessDedupWindow)
 		}
 	}
 }
 
-// end has the attempt at an index of those in flight end.
-func (x *crossing) end(index int, end End) { x.endInFlight(index, AttemptEnded{End: end}) }
+// end ends the attempt in flight at an index.
+func (x *harness) end(index int, end End) { x.endInFlight(index, AttemptEnded{End: end}) }
 
-// endInFlight has the attempt at an index of those in flight end as an event says.
-func (x *crossing) endInFlight(index int, event AttemptEnded) {
+// endInFlight ends the attempt in flight at an index with an event.
+func (x *harness) endInFlight(index int, event AttemptEnded) {
 	attempt := x.inFlight[index]
 	x.inFlight = slices.Delete(x.inFlight, index, index+1)
 	x.ended = append(x.ended, attempt)
 	if !event.MayHaveRun && slices.Contains([]End{CacheMiss, Rejected, AlreadyEnded}, event.End) {
-		x.mayHaveRun[attempt.Request] = false // as far as this one goes: it is the only one that was in flight
+		x.mayHaveRun[attempt.Request] = false // it was the only attempt in flight
 		delete(x.writtenAt, attempt)
 	}
 	event.Attempt = attempt
 	x.add(event)
 }
 
-// round hands over the events in the order in which they stand, and follows the effects.
-func (x *crossing) round() {
+// round passes the events to the broker in their order and carries out the effects.
+func (x *harness) round() {
 	events := x.events
 	x.events = nil // of the next round
 	for _, effect := range x.broker.Round(x.now, events) {
@@ -236,9 +236,9 @@
 	}
 }
 
-// cancelAttempt follows a CancelAttempt. An attempt that waits and is canceled without awaiting its end may still be
-// about to be written.
-func (x *crossing) cancelAttempt(effect CancelAttempt) {
+// cancelAttempt carries out a CancelAttempt. A waiting attempt that is canceled without AwaitEnd stays in waiting: the
+// pool may be about to write it.
+func (x *harness) cancelAttempt(effect CancelAttempt) {
 	remove := func(attempts *[]*Attempt) bool {
 		index := slices.Index(*attempts, effect.Attempt)
 		if index >= 0 {
@@ -256,16 +256,16 @@
 	}
 }
 
-// checkResponse checks that a request may get a response now.
-func (x *crossing) checkResponse(effect Respond) {
+// checkResponse checks the invariants that concern a response.
+func (x *harness) checkResponse(effect Respond) {
 	request := effect.Request
 	x.responses[request]++
 	if x.responses[request] > 1 || x.canceledBefore[request] {
-		x.t.Fatalf("request %s has %d responses, canceled before: %v",
+		x.t.Fatalf("request %s: got %d responses, canceled in an earlier round: %v",
 			request.ID, x.responses[request], x.canceledBefore[request])
 	}
 	rejected := effect.Response.Kind == ResponseRejected
 	if rejected && x.mayHaveRun[request] && request.Class >= zonedClass {
-		x.t.Fatalf("request %s may have run, and is rejected: %s", request.ID, effect.Response.Reason)
+		x.t.Fatalf("request %s may have run but is rejected: %s", request.ID, effect.Response.Reason)
 	}
 }
--- a/internal/broker/crossings_test.go
+++ b/internal/broker/crossings_test.go
@@ -12,17 +12,18 @@
 	"sloequay/internal/policy"
 )
 
-// inFlightEnds are the ends that an attempt in flight may have, but those that the broker itself gives it.
+// inFlightEnds are the ends that the pool may report for an attempt in flight, other than Canceled.
 var inFlightEnds = []End{
 	Served, CacheMiss, Rejected, Failed, AlreadyEnded, ConnectionReset, ProtocolError, Unresponsive,
 }
 
-// TestCrossings: whatever comes in whatever order, each request has exactly one end, in its time; nothing is written to
-// an endpoint that drains or is gone, or is filled from one, nor for a client that has canceled; no two attempts are in
-// flight together; what may have run and may not be repeated is not; and nothing is held in the end.
+// TestCrossings checks the invariants under random events in random order: each request ends exactly once and in time;
+// nothing is written to an endpoint that is draining or gone, filled from one, or written for a client that canceled;
+// no two attempts of a request are in flight together; a request that may have run and must not be repeated is not; and
+// no state is left in the end.
 func TestCrossings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		x := newCrossing(t)
+		x := newHarness(t)
 		for range rapid.IntRange(5, 60).Draw(t, "rounds") {
 			for range rapid.IntRange(1, 5).Draw(t, "events") {
 				drawEvent(t, x)
@@ -36,17 +37,17 @@
 		}
 		for _, request := range x.requests {
 			if x.responses[request] == 0 && !request.Canceled {
-				t.Fatalf("request %s has no response", request.ID)
+				t.Fatalf("request %s: got no response, want one", request.ID)
 			}
 		}
 		if sizes := x.broker.Sizes(); sizes.Open+sizes.PolicyRequests > 0 {
-			t.Fatalf("held in the end: %+v", sizes)
+			t.Fatalf("sizes after all requests ended: got %+v, want no open requests", sizes)
 		}
 	})
 }
 
-// drawEvent has one thing happen, if there is what it happens to.
-func drawEvent(t *rapid.T, x *crossing) {
+// drawEvent draws one event and adds it, if there is a request, attempt or endpoint that it can apply to.
+func drawEvent(t *rapid.T, x *harness) {
 	pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "which") }
 	states := []membership.State{membership.Up, membership.Draining, membership.Gone}
 	switch kind := rapid.IntRange(0, 9).Draw(t, "event"); {
@@ -81,30 +82,30 @@
 	}
 }
 
-// order says which of two things comes first in a round.
+// order says which of two events comes first in a round.
 type order string
 
 const (
-	changeFirst  order = "the change first"
-	requestFirst order = "the request first"
+	changeFirst  order = "change first"
+	requestFirst order = "request first"
 )
 
-// TestDrainCrossesRequest: a request and what the list says of its endpoint, or of its source, come in one round, in
-// both orders.
+// TestDrainCrossesRequest has a request and a list change of its endpoint or source arrive in one round, in both
+// orders.
 func TestDrainCrossesRequest(t *testing.T) {
 	const cache1, cache2, parent1 = 0, 1, 2
 	for _, test := range []struct {
 		name   string
-		report func(x *crossing)
+		report func(x *harness)
 	}{
-		{"an endpoint drains", func(x *crossing) { x.report(cache1, membership.Draining) }},
-		{"an endpoint drains, is up and drains again", func(x *crossing) {
+		{"an endpoint drains", func(x *harness) { x.report(cache1, membership.Draining) }},
+		{"an endpoint drains, is up and drains again", func(x *harness) {
 			x.report(cache1, membership.Draining)
 			x.report(cache1, membership.Up)
 			x.report(cache1, membership.Draining)
 		}},
-		{"a source drains", func(x *crossing) { x.report(parent1, membership.Draining) }},
-		{"an endpoint is gone", func(x *crossing) { x.report(cache2, membership.Gone) }},
+		{"a source drains", func(x *harness) { x.report(parent1, membership.Draining) }},
+		{"an endpoint is gone", func(x *harness) { x.report(cache2, membership.Gone) }},
 	} {
 		for _, order := range []order{changeFirst, requestFirst} {
 			t.Run(fmt.Sprintf("%s, %s", test.name, order), func(t *testing.T) {
@@ -114,10 +115,10 @@
 	}
 }
 
-func checkDrainCrossesRequest(t *testing.T, report func(x *crossing), order order) {
+func checkDrainCrossesRequest(t *testing.T, report func(x *harness), order order) {
 	t.Helper()
-	const requests = 3 // fills are limited
-	x := newCrossing(t)
+	const requests = 3 // few, as the number of fills is limited
+	x := newHarness(t)
 	if order == changeFirst {
 		report(x)
 	}
@@ -128,67 +129,67 @@
 		report(x)
 	}
 	for x.round(); len(x.responses) < requests; x.round() {
-		x.writeAll() // which checks where they go
+		x.writeAll() // checks the endpoints
 		for len(x.inFlight) > 0 {
 			x.end(0, Served)
 		}
 		if x.now += time.Millisecond; x.now > 1003*time.Second {
-			t.Fatalf("%d of %d requests have a response", len(x.responses), requests)
+			t.Fatalf("got responses to %d requests, want %d", len(x.responses), requests)
 		}
 	}
 	for _, request := range x.requests {
 		if x.written[request] == 0 {
-			t.Errorf("request %s was sent nowhere", request.ID)
+			t.Errorf("request %s: got no written attempt, want at least one", request.ID)
 		}
 	}
 }
 
-// attemptEvent is something that happens to an attempt, or to what it needs.
-type attemptEvent func(*crossing, *Attempt)
+// attemptEvent adds an event that concerns an attempt, its endpoint, its object or its client.
+type attemptEvent func(*harness, *Attempt)
 
-func attemptServed(x *crossing, attempt *Attempt) {
+func attemptServed(x *harness, attempt *Attempt) {
 	x.add(AttemptEnded{Attempt: attempt, End: Served, Body: []byte("done")})
 }
 
-func connectionReset(x *crossing, attempt *Attempt) {
+func connectionReset(x *harness, attempt *Attempt) {
 	x.add(AttemptEnded{Attempt: attempt, End: ConnectionReset})
 }
 
-func endpointDrains(x *crossing, attempt *Attempt) {
+func endpointDrains(x *harness, attempt *Attempt) {
 	x.reportNamed(attempt.Endpoint.Name, membership.Draining)
 }
 
-func endpointGone(x *crossing, attempt *Attempt) {
+func endpointGone(x *harness, attempt *Attempt) {
 	x.reportNamed(attempt.Endpoint.Name, membership.Gone)
 }
 
-func objectPurged(x *crossing, attempt *Attempt) {
+func objectPurged(x *harness, attempt *Attempt) {
 	x.add(Purge{Object: attempt.Request.Object, Issued: x.now})
 }
 
-func clientCancels(x *crossing, attempt *Attempt) { x.cancel(attempt.Request) }
+func clientCancels(x *harness, attempt *Attempt) { x.cancel(attempt.Request) }
 
-// oneRoundCase is a pair of events in one round, and what each order of them has to come to.
-type oneRoundCase struct {
+// twoEventsCase is a pair of events in one round, and the outcome that both of their orders must have.
+type twoEventsCase struct {
 	name       string
 	event      attemptEvent
 	other      attemptEvent // nil: none
 	class      int
-	atDeadline bool           // the round is that of the deadline
-	want       []ResponseKind // one of these; nil: none
+	atDeadline bool           // the round is at the request's deadline
+	want       []ResponseKind // the allowed responses; nil: no response
 	retried    bool           // at another endpoint
 }
 
-// TestOneRound: two events of one request come in one round, in both orders. What each of them has to come to is the
-// same.
-func TestOneRound(t *testing.T) {
+// TestTwoEventsInOneRound has two events of one request arrive in one round, in both orders. Both orders must have the
+// same outcome.
+func TestTwoEventsInOneRound(t *testing.T) {
 	served := []ResponseKind{ResponseServed}
 	failed := []ResponseKind{ResponseFailed}
-	for _, test := range []oneRoundCase{
+	for _, test := range []twoEventsCase{
 		{name: "a response at the deadline", event: attemptServed, atDeadline: true, want: served},
 		{name: "a reset at the deadline", event: connectionReset, atDeadline: true,
 			want: []ResponseKind{ResponseRejected, ResponseFailed}},
-		{name: "a reset at the deadline, of what may run once", event: connectionReset, class: onceClass,
+		{name: "a reset at the deadline, not idempotent", event: connectionReset, class: onceClass,
 			atDeadline: true, want: failed},
 		{name: "a drain at the deadline", event: endpointDrains, class: onceClass, atDeadline: true, want: failed},
 		{name: "a response, and its endpoint drains", event: attemptServed, other: endpointDrains, want: served},
@@ -197,9 +198,9 @@
 		{name: "a response and a reset", event: attemptServed, other: connectionReset, class: onceClass,
 			want: []ResponseKind{ResponseServed, ResponseFailed}},
 		{name: "a reset, and its endpoint drains", event: connectionReset, other: endpointDrains, retried: true},
-		{name: "a reset, and its endpoint drains, of what may run once", event: connectionReset,
+		{name: "a reset, and its endpoint drains, not idempotent", event: connectionReset,
 			other: endpointDrains, class: onceClass, want: failed},
-		{name: "a drain while it is in flight", event: endpointDrains, class: onceClass},
+		{name: "a drain while the attempt is in flight", event: endpointDrains, class: onceClass},
 		{name: "a reset, and its client cancels", event: connectionReset, other: clientCancels,
 			want: []ResponseKind{}},
 		{name: "a response, and its client cancels", event: attemptServed, other: clientCancels, want: served},
@@ -207,31 +208,31 @@
 		t.Run(test.name+", in the order written", func(t *testing.T) {
 			test.check(t, []attemptEvent{test.event, test.other})
 		})
-		t.Run(test.name+", the other way round", func(t *testing.T) {
+		t.Run(test.name+", in reverse order", func(t *testing.T) {
 			test.check(t, []attemptEvent{test.other, test.event})
 		})
 	}
 }
 
-// check has the events come in one round.
-func (c oneRoundCase) check(t *testing.T, events []attemptEvent) {
+// check adds the events to one round and checks the outcome.
+func (c twoEventsCase) check(t *testing.T, events []attemptEvent) {
 	t.Helper()
-	x := newCrossing(t)
+	x := newHarness(t)
 	request := x.receive(c.class)
 	for x.round(); len(x.waiting) > 0 && len(x.inFlight) == 0; x.round() {
 		x.write(0)
 	}
 	if len(x.inFlight) != 1 {
-		t.Fatalf("%d attempts are in flight", len(x.inFlight))
+		t.Fatalf("got %d attempts in flight, want 1", len(x.inFlight))
 	}
 	attempt := x.inFlight[0]
-	x.inFlight = nil // its end comes with the events; write must not take it for one that is in flight
+	x.inFlight = nil // the events end it, so checkWrite must not count it as in flight
 	if x.now += 20 * time.Millisecond; c.atDeadline {
 		x.now = request.deadline
 	}
-	for _, happen := range events {
-		if happen != nil {
-			happen(x, attempt)
+	for _, event := range events {
+		if event != nil {
+			event(x, attempt)
 		}
 	}
 	var responses []ResponseKind
@@ -240,7 +241,7 @@
 		case Respond:
 			responses = append(responses, e.Response.Kind)
 		case SendAttempt:
-			// As it is asked when it is written, at the end of the round.
+			// The pool asks this when it writes the attempt, at the end of the round.
 			if _, ok := x.broker.MaySend(e.Attempt, x.now); ok {
 				x.waiting = append(x.waiting, e.Attempt)
 			}
@@ -248,24 +249,24 @@
 	}
 	retried := len(x.waiting) > 0
 	if !c.allows(request, responses) || retried != c.retried {
-		t.Errorf("responses %v, want one of %v; retried %v, want %v", responses, c.want, retried, c.retried)
+		t.Errorf("got responses %v, want one of %v; got retried %v, want %v", responses, c.want, retried, c.retried)
 	}
-	x.writeAll() // which checks where they go
+	x.writeAll() // checks the endpoints
 }
 
-// allows reports whether the responses are among those that are wanted.
-func (c oneRoundCase) allows(request *Request, responses []ResponseKind) bool {
+// allows reports whether the responses are among the allowed ones.
+func (c twoEventsCase) allows(request *Request, responses []ResponseKind) bool {
 	if len(responses) == 0 {
 		return c.want == nil || request.Canceled
 	}
 	return len(responses) == 1 && slices.Contains(c.want, responses[0])
 }
 
-// TestResponsesAfterStandstill: responses that lie in the first round after a standstill are taken before the policy
-// looks for unresponsive endpoints. It ejected them.
+// TestResponsesAfterStandstill checks that responses in the first round after a standstill are handled before the
+// policy looks for unresponsive endpoints. It guards against ejecting the endpoints that sent them.
 func TestResponsesAfterStandstill(t *testing.T) {
 	for _, responded := range []bool{true, false} {
-		x := newCrossing(t)
+		x := newHarness(t)
 		for range 60 {
 			x.receive(safeClass)
 		}
@@ -285,13 +286,13 @@
 			}
 		}
 		if (ejected > 0) == responded {
-			t.Errorf("their responses are there: %v; endpoints that are taken for unresponsive: %d", responded, ejected)
+			t.Errorf("endpoints responded: %v; got %d endpoints ejected, want none if and only if they did", responded, ejected)
 		}
 	}
 }
 
-// TestPurgeCrossesRequest: a purge and a request for its object, or for one of its group, come in one round, in both
-// orders. Only a copy from after the purge will do.
+// TestPurgeCrossesRequest has a purge and a request for its object, or for one of its group, arrive in one round, in
+// both orders. Only a copy from after the purge may be served.
 func TestPurgeCrossesRequest(t *testing.T) {
 	const group = 7
 	for _, test := range []struct {
@@ -303,7 +304,7 @@
 		{"a group", Purge{Group: group}, group},
 	} {
 		for _, order := range []order{changeFirst, requestFirst} {
-			x := newCrossing(t)
+			x := newHarness(t)
 			x.now += time.Minute
 			purge := test.purge
 			purge.Issued = x.now - 100*time.Millisecond
@@ -315,13 +316,13 @@
 				x.add(purge)
 			}
 			if x.round(); len(x.waiting) == 0 {
-				t.Fatal("nothing is sent")
+				t.Fatal("got no attempt, want one")
 			}
-			for _, wait := range []time.Duration{0, 40 * time.Millisecond} { // for its connection
+			for _, wait := range []time.Duration{0, 40 * time.Millisecond} { // for a connection
 				writtenAt := x.now + wait
 				age, ok := x.broker.MaySend(x.waiting[0], writtenAt)
 				if !ok || age <= 0 || writtenAt-age < purge.Issued {
-					t.Errorf("%s, %s: a copy of %v will do, %v after the purge",
+					t.Errorf("%s, %s: got max age %v, want a positive one of at most %v, the time since the purge",
 						test.name, order, age, writtenAt-purge.Issued)
 				}
 			}
@@ -329,12 +330,12 @@
 	}
 }
 
-// TestGuardsBeyondPolicy: what the policy would not do either, the broker does not let through.
-func TestGuardsBeyondPolicy(t *testing.T) {
-	x := newCrossing(t)
+// TestBrokerGuardsIndependentlyOfPolicy checks that the broker itself blocks what the policy should never decide.
+func TestBrokerGuardsIndependentlyOfPolicy(t *testing.T) {
+	x := newHarness(t)
 	x.cancel(x.receive(safeClass))
 	if x.round(); len(x.waiting) > 0 {
-		t.Error("a request that was canceled in the round of its coming is forwarded")
+		t.Error("a request that was canceled in the round of its arrival is sent to an endpoint")
 	}
 	request := x.receive(safeClass)
 	x.round()
@@ -349,12 +350,12 @@
 		}
 	}
 	if _, ok := x.broker.MaySend(first, x.now); ok || !attemptCanceled || first.Open() {
-		t.Errorf("its client has canceled; the attempt may still be written: %v, was canceled: %v, is open: %v",
+		t.Errorf("attempt of a canceled request: got MaySend %v, canceled %v, open %v, want false, true, false",
 			ok, attemptCanceled, first.Open())
 	}
 }
 
-// checkNoSecondAttempt has the policy want another attempt beside one that is in flight.
+// checkNoSecondAttempt lets the policy send another attempt beside one in flight, and checks that it ends as Blocked.
 func checkNoSecondAttempt(t *testing.T, broker *Broker, first *Attempt) {
 	t.Helper()
 	broker.effects = broker.effects[:0]
@@ -362,13 +363,13 @@
 	broker.sendAttempt(policy.SendAttempt{ID: first.Request.id, Endpoint: endpoint, Source: endpoint})
 	for _, effect := range broker.effects {
 		if _, ok := effect.(SendAttempt); ok {
-			t.Error("a second attempt goes out beside the first, where hedging is not allowed")
+			t.Error("a second attempt is sent beside the first, though hedging is not configured")
 		}
 	}
 	if n := len(broker.pending); n == 0 {
-		t.Error("the second attempt has no end")
+		t.Error("second attempt: got no end, want Blocked")
 	} else if e, ok := broker.pending[n-1].(AttemptEnded); !ok || e.Attempt == first || e.End != Blocked {
-		t.Errorf("the second attempt ends with %+v, want that it was not executed", broker.pending[n-1])
+		t.Errorf("second attempt: got %+v, want an AttemptEnded with Blocked", broker.pending[n-1])
 	}
 	broker.pending = nil
 }
--- a/internal/broker/decisions_test.go
+++ b/internal/broker/decisions_test.go
@@ -15,7 +15,7 @@
 
 const decisionSeeds = 24
 
-// effectText writes an effect from plain words and numbers, so that no name in the code shows in it.
+// effectText formats an effect for the digests. Its words are fixed and independent of the names in the code.
 func (s *simulation) effectText(effect broker.Effect) string {
 	switch e := effect.(type) {
 	case broker.SendAttempt:
@@ -34,11 +34,11 @@
 		}
 		return "line " + e.Event + s.fieldsText(e)
 	}
-	panic("an effect of an unknown kind: write its text in effectText")
+	panic("unknown type of effect: add a case to effectText")
 }
 
-// ejectionText writes the entry of an ejection or readmission in the words that the digests on file were made from:
-// then it was one event with a text that named the endpoint by its id, the FNV-1a hash of its name.
+// ejectionText formats the log entry of an ejection or readmission as it was when the digests were recorded: a single
+// event outlier-detection, whose text named the endpoint by its id, the FNV-1a hash of its name.
 func ejectionText(entry broker.LogEntry) (string, bool) {
 	if entry.Event != "endpoint-ejected" && entry.Event != "endpoint-readmitted" {
 		return "", false
@@ -88,7 +88,7 @@
 	case broker.ResponseDenied:
 		return "denied"
 	}
-	panic("a response of an unknown kind: write its text in kindText")
+	panic("unknown kind of response: add a case to kindText")
 }
 
 func endpointText(e *broker.Endpoint) string {
@@ -104,10 +104,10 @@
 		strconv.FormatFloat(e.Weight, 'g', -1, 64), int64(e.StartedAt))
 }
 
-// fieldsText writes the values of a log line. The words for operators are behaviour, and stay.
+// fieldsText formats the values of a log entry. They include the strings that operators read, which must not change.
 func (s *simulation) fieldsText(entry broker.LogEntry) string {
 	if entry.Event == "policy-invalid-action" {
-		s.t.Error("the policy names an endpoint or a request that the broker does not know")
+		s.t.Error("the policy sent an attempt of a request or to an endpoint that the broker does not know")
 		return ""
 	}
 	text := ""
@@ -122,14 +122,14 @@
 		case fmt.Stringer:
 			text += fmt.Sprintf(" %q", value.String())
 		default:
-			panic("a log value of an unknown type: write its text in fieldsText")
+			panic("unknown type of log value: add a case to fieldsText")
 		}
 	}
 	return text
 }
 
-// decisionMinimums is how often each kind of thing happens at least, over all seeds. Fewer would mean that the
-// digests pin less than they seem to.
+// decisionMinimums gives the minimum number of events of each kind over all seeds. With fewer the digests would not
+// cover that kind well enough.
 var decisionMinimums = map[string]int{
 	"blocked at writing": 300, "cancels": 1000, "cancels that await the end": 30, "changed endpoints": 300,
 	"clients that canceled": 300, "refetches": 20, "shutdowns": 6, "drains": 80, "ejections": 100,
@@ -137,12 +137,12 @@
 	"responses: same": 600, "hedges": 300, "ends after cancels": 300, "log endpoint-added": 100,
 	"log endpoint-recovered": 40, "log endpoint-draining": 60, "log endpoint-suppressed": 7, "log endpoint-removed": 80,
 	"log endpoint-moved": 50, "log endpoint-released": 5, "log endpoint-restarted": 50, "log drain-deadline": 6,
-	"log list-loss-suspected": 20, "log list-loss-refuted": 20, "log snapshot-restored": 3, "over a budget": 1000,
+	"log list-loss-suspected": 20, "log list-loss-refuted": 20, "log snapshot-restored": 3, "budget exhausted": 1000,
 	"purges": 300, "readmissions": 50, "reloaded lists": 100, "restarted endpoints": 100, "retries": 3000,
-	"sends": 10000, "sources seen or silent": 100, "written with an age": 5000,
+	"sends": 10000, "source status changes": 100, "written with a max age": 5000,
 }
 
-// TestDecisions plays random event sequences and compares the digests of all effects with those that are on file.
+// TestDecisions plays random event sequences and compares the digests of all effects with the recorded ones.
 func TestDecisions(t *testing.T) {
 	counts := map[string]int{}
 	digesttest.Check(t, decisionSeeds, func(seed uint64, recorder *digesttest.Recorder) {
--- a/internal/broker/endpoints.go
+++ b/internal/broker/endpoints.go
@@ -10,11 +10,11 @@
 	"sloequay/internal/policy"
 )
 
-// rememberDeparted is how long an endpoint that is gone is remembered: its connections may not have ended yet, its name
-// may come again, and its address is blocked for endpoints that a name server gives it to.
-const rememberDeparted = time.Minute
+// departedRetention is how long an endpoint that is gone stays in the index: its connections may still be open, its
+// name may return, and its address stays blocked for other endpoints whose names resolve to it.
+const departedRetention = time.Minute
 
-// maxFutureStart is how far in the future a start may be reported.
+// maxFutureStart is how far in the future a reported start may lie.
 const maxFutureStart = 10 * time.Second
 
 // The offset basis and the prime of the 64-bit FNV-1a hash.
@@ -23,39 +23,39 @@
 	fnvPrime  = 1099511628211
 )
 
-// Endpoint is a server of the list: a cache, a parent or the origin. Its fields follow the list.
+// Endpoint is a server in the endpoint list: a cache, a parent or the origin. Its fields change with the list.
 type Endpoint struct {
 	policy.Endpoint
-	Name    string // its id in the list and to clients
+	Name    string // its id in the list and in responses to clients
 	Address string // host:port
 
 	changedAt     time.Duration // when the list last changed it
-	reportedStart time.Duration // its most recent start as reported, on the Unix clock; 0: long ago
+	reportedStart time.Duration // its latest start as reported, in Unix time; 0: long ago
 }
 
 // usable reports whether attempts may be sent to the endpoint.
 func (e *Endpoint) usable() bool { return e.State == policy.Ready }
 
-// endpointIndex finds endpoints by their id, name and address. It forgets those that departed long ago.
+// endpointIndex finds endpoints by id, name and address. It drops endpoints departedRetention after they departed.
 type endpointIndex struct {
 	byID       map[policy.EndpointID]*Endpoint
 	ids        map[string]policy.EndpointID // by name
 	byName     map[string]*Endpoint         // by name in lower case
-	byAddress  map[string][]*Endpoint       // mostly one, and those that were there before
-	departures []departure                  // in the order of time
+	byAddress  map[string][]*Endpoint       // mostly one endpoint, and departed ones that had the address before
+	departures []departure                  // the earliest first
 }
 
-// departure is that an endpoint was gone at a time. It may be back, or have departed again, since.
+// departure records when an endpoint departed. It may have returned, or departed again, since then.
 type departure struct {
 	endpoint *Endpoint
 	at       time.Duration
 }
 
-// endpointUpdate is what a change of the list came to.
+// endpointUpdate describes how a change of the list affected an endpoint.
 type endpointUpdate struct {
 	endpoint  *Endpoint
 	isNew     bool
-	restarted bool // it has started anew or is at another address
+	restarted bool // it restarted or moved to another address
 }
 
 func newEndpointIndex() endpointIndex {
@@ -67,10 +67,10 @@
 	}
 }
 
-// named finds an endpoint by its name, without regard to case.
-func (x *endpointIndex) named(name string) *Endpoint { return x.byName[strings.ToLower(name)] }
+// findByName returns the endpoint with a name, ignoring case, or nil if there is none.
+func (x *endpointIndex) findByName(name string) *Endpoint { return x.byName[strings.ToLower(name)] }
 
-// nameOf is the name of an endpoint for the log; of one that was forgotten its id stands for it.
+// nameOf returns the name of an endpoint for the log, or its id in hex if the index no longer has it.
 func (x *endpointIndex) nameOf(id policy.EndpointID) string {
 	if endpoint := x.byID[id]; endpoint != nil {
 		return endpoint.Name
@@ -78,20 +78,21 @@
 	return strconv.FormatUint(uint64(id), 16)
 }
 
-// addressBlocked reports whether an address is that of endpoints which take nothing new, or lately did.
+// addressBlocked reports whether an address belongs only to endpoints that take no new requests: draining ones, and
+// those that departed within departedRetention.
 func (x *endpointIndex) addressBlocked(address string, now time.Duration) bool {
 	blocked := false
 	for _, endpoint := range x.byAddress[address] {
 		if endpoint.usable() {
 			return false
 		}
-		blocked = blocked || endpoint.State == policy.Draining || now-endpoint.changedAt < rememberDeparted
+		blocked = blocked || endpoint.State == policy.Draining || now-endpoint.changedAt < departedRetention
 	}
 	return blocked
 }
 
-// update takes over what the list says of one endpoint, if that is anything new. The offsets are those of the Unix
-// clock over now.
+// update applies a reported change to an endpoint. It returns false if an endpoint is reported gone that the index does
+// not have or has as gone. The offsets are those of the Unix clock from the broker's.
 func (x *endpointIndex) update(
 	reported Endpoint, now time.Duration, offsets *clock.Offsets,
 ) (endpointUpdate, bool) {
@@ -111,11 +112,11 @@
 	previous := *endpoint
 	reported.ID = previous.ID
 	reported.StartedAt = previous.StartedAt
-	if reported.reportedStart != previous.reportedStart { // compared as reported: the offset may have changed since
+	if reported.reportedStart != previous.reportedStart { // compared in Unix time, as the offset may have changed
 		reported.StartedAt = startTime(reported.reportedStart, now, offsets)
 	}
-	isMoved := reported.Address != previous.Address
-	if isNew || isMoved {
+	hasMoved := reported.Address != previous.Address
+	if isNew || hasMoved {
 		x.detach(endpoint, previous.Address)
 		x.byAddress[reported.Address] = append(x.byAddress[reported.Address], endpoint)
 	}
@@ -127,12 +128,12 @@
 	return endpointUpdate{
 		endpoint:  endpoint,
 		isNew:     isNew,
-		restarted: isMoved || reported.StartedAt != previous.StartedAt,
+		restarted: hasMoved || reported.StartedAt != previous.StartedAt,
 	}, true
 }
 
-// add gives a name its id and an endpoint that nothing is known of. The id is the same at every proxy, for the hashes
-// that they share.
+// add adds an empty endpoint with a name. Its id is a hash of the name, so that all proxies compute the same rendezvous
+// hashes from it.
 func (x *endpointIndex) add(name string) *Endpoint {
 	id := policy.EndpointID(fnvOffset)
 	for i := range len(name) {
@@ -148,8 +149,8 @@
 	return endpoint
 }
 
-// startTime converts a reported start to the broker's clock; 0: long ago. One that lies far in the future is the report
-// of a clock that was stepped: the endpoint has started by now.
+// startTime converts a reported start to the broker's clock; 0: long ago. A start more than maxFutureStart ahead was
+// stamped by a clock that was stepped, so it is taken for now.
 func startTime(reported, now time.Duration, offsets *clock.Offsets) time.Duration {
 	if reported == 0 {
 		return 0
@@ -161,12 +162,12 @@
 	return max(1, startedAt)
 }
 
-// forget drops endpoints that have been gone for long, the earliest first.
+// forget removes the endpoints that have been gone for longer than departedRetention.
 func (x *endpointIndex) forget(now time.Duration) {
-	for len(x.departures) > 0 && now-x.departures[0].at > rememberDeparted {
+	for len(x.departures) > 0 && now-x.departures[0].at > departedRetention {
 		endpoint := x.departures[0].endpoint
 		x.departures = x.departures[1:]
-		isBack := endpoint.State != policy.Gone || now-endpoint.changedAt <= rememberDeparted
+		isBack := endpoint.State != policy.Gone || now-endpoint.changedAt <= departedRetention
 		if isBack || x.byID[endpoint.ID] != endpoint {
 			continue
 		}
@@ -179,7 +180,7 @@
 	}
 }
 
-// detach takes an endpoint off an address.
+// detach removes an endpoint from those of an address.
 func (x *endpointIndex) detach(endpoint *Endpoint, address string) {
 	rest := slices.DeleteFunc(x.byAddress[address], func(other *Endpoint) bool { return other == endpoint })
 	if len(rest) == 0 {
--- a/internal/broker/endpoints_test.go
+++ b/internal/broker/endpoints_test.go
@@ -11,8 +11,8 @@
 	"sloequay/internal/policy"
 )
 
-// walkByName and walkAddressBlocked are the plain ways: a look at every endpoint.
-func walkByName(broker *Broker, name string) *Endpoint {
+// searchByName and searchAddressBlocked are reference implementations that search all endpoints.
+func searchByName(broker *Broker, name string) *Endpoint {
 	for _, endpoint := range broker.endpoints.byID {
 		if strings.EqualFold(endpoint.Name, name) {
 			return endpoint
@@ -21,7 +21,7 @@
 	return nil
 }
 
-func walkAddressBlocked(broker *Broker, address string) bool {
+func searchAddressBlocked(broker *Broker, address string) bool {
 	blocked := false
 	for _, endpoint := range broker.endpoints.byID {
 		if endpoint.Address != address {
@@ -30,15 +30,16 @@
 		if endpoint.usable() {
 			return false
 		}
-		lately := broker.now-endpoint.changedAt < rememberDeparted
-		blocked = blocked || endpoint.State == policy.Draining || lately
+		isRecentlyGone := broker.now-endpoint.changedAt < departedRetention
+		blocked = blocked || endpoint.State == policy.Draining || isRecentlyGone
 	}
 	return blocked
 }
 
-// TestEndpointIndexAgainstWalks compares the indexes of the endpoints with walks, over random changes of the list in
-// which endpoints move, depart, come back, and take over addresses; and nothing of what is gone for long is remembered.
-func TestEndpointIndexAgainstWalks(t *testing.T) {
+// TestEndpointIndexAgainstLinearSearch compares the endpoint index with linear searches under random changes of the
+// list, in which endpoints move, depart, return, and take over addresses. It also checks that the index keeps nothing
+// of endpoints that have been gone for longer than departedRetention.
+func TestEndpointIndexAgainstLinearSearch(t *testing.T) {
 	names := []string{"c1", "C2", "c3", "c4", "c5", "c6"}
 	addresses := []string{"10.0.0.1:1", "10.0.0.2:1", "c3.example:1", "10.0.0.3:1"}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -49,32 +50,32 @@
 			broker.Round(now, []Event{drawList(rt, names, addresses)})
 			for _, name := range names {
 				name = strings.ToUpper(name)
-				if got, want := broker.EndpointByName(name), walkByName(broker, name); got != want {
-					rt.Fatalf("EndpointByName(%s): %v, want %v", name, got, want)
+				if got, want := broker.EndpointByName(name), searchByName(broker, name); got != want {
+					rt.Fatalf("EndpointByName(%s): got %v, want %v", name, got, want)
 				}
 			}
 			for _, address := range addresses {
-				got, want := broker.AddressBlocked(address), walkAddressBlocked(broker, address)
+				got, want := broker.AddressBlocked(address), searchAddressBlocked(broker, address)
 				if got != want {
-					rt.Fatalf("AddressBlocked(%s): %v, want %v", address, got, want)
+					rt.Fatalf("AddressBlocked(%s): got %v, want %v", address, got, want)
 				}
 			}
 		}
 		last := EndpointDelta{Endpoints: []membership.Endpoint{testEndpoint("last", "10.0.0.9:1", membership.Up)}}
 		broker.Round(now, []Event{EndpointList{}})
-		broker.Round(now+2*rememberDeparted, []Event{last})
-		broker.Round(now+2*rememberDeparted, []Event{EndpointList{}})
-		broker.Round(now+4*rememberDeparted, []Event{last})
-		broker.Round(now+4*rememberDeparted, []Event{EndpointList{}})
+		broker.Round(now+2*departedRetention, []Event{last})
+		broker.Round(now+2*departedRetention, []Event{EndpointList{}})
+		broker.Round(now+4*departedRetention, []Event{last})
+		broker.Round(now+4*departedRetention, []Event{EndpointList{}})
 		index := &broker.endpoints
 		entries := len(index.byID) + len(index.ids) + len(index.byName) + len(index.byAddress) + len(index.departures)
 		if entries != 5 {
-			rt.Fatalf("%d entries are left of endpoints that are gone for long, want the 5 of the last one", entries)
+			rt.Fatalf("got %d index entries, want the 5 of the last endpoint", entries)
 		}
 	})
 }
 
-// drawList draws a complete list or changes to it.
+// drawList draws a complete list or a delta.
 func drawList(t *rapid.T, names, addresses []string) Event {
 	states := []membership.State{membership.Gone, membership.Draining, membership.Up}
 	var endpoints []membership.Endpoint
--- a/internal/broker/ends_test.go
+++ b/internal/broker/ends_test.go
@@ -9,11 +9,11 @@
 	"sloequay/internal/retry"
 )
 
-// maxRoundEvents bounds the events of a request in one round: with more the round counts as one that never ends.
+// maxRoundEvents bounds the events that handleBounded handles. A round with more counts as one that never ends.
 const maxRoundEvents = 1000
 
-// handleBounded handles what has come as a round does, up to maxRoundEvents, and gives the responses.
-func (x *crossing) handleBounded() []Response {
+// handleBounded handles the pending events as a round does, but at most maxRoundEvents, and returns the responses.
+func (x *harness) handleBounded() []Response {
 	b := x.broker
 	b.now = x.now
 	b.effects = b.effects[:0]
@@ -35,12 +35,12 @@
 	return responses
 }
 
-// noRetries allows no retry: what the few first attempts of a test deposit never makes a token.
+// noRetries allows no retry: the few first attempts of a test never deposit a whole token.
 var noRetries = retry.Config{Share: 0.01}
 
-// TestUsedUpRetryBudgetEndsRequest guards against a used-up retry budget that holds the loop: the request has its
-// response in the round in which its attempt ended, and the response names the budget.
-func TestUsedUpRetryBudgetEndsRequest(t *testing.T) {
+// TestExhaustedRetryBudgetEndsRequest guards against an exhausted retry budget that keeps the event loop busy: the
+// request must get its response in the round in which its attempt ended, and the response must name the budget.
+func TestExhaustedRetryBudgetEndsRequest(t *testing.T) {
 	budgets := map[string]struct{ tenants, endpoints retry.Config }{
 		"tenant":   {tenants: noRetries},
 		"endpoint": {endpoints: noRetries},
@@ -48,9 +48,9 @@
 	for name, budget := range budgets {
 		for capName, maxAttempts := range map[string]int{"cap of 6": 6, "no cap": 0} {
 			t.Run(name+", "+capName, func(t *testing.T) {
-				config := crossingConfig()
+				config := harnessConfig()
 				config.MaxAttempts = maxAttempts
-				x := newCrossingOf(t, config)
+				x := newHarnessWith(t, config)
 				x.broker.LimitRetries(budget.tenants, budget.endpoints)
 				request := x.receive(safeClass)
 				x.round()
@@ -58,20 +58,20 @@
 				x.end(0, ConnectionReset)
 				responses := x.handleBounded()
 				if len(responses) != 1 || responses[0].Kind != ResponseRejected || responses[0].Budget == "" {
-					t.Errorf("%d attempts, responses %+v, want a rejection by a budget", len(request.attempts),
+					t.Errorf("got %d attempts and responses %+v, want one rejection by a budget", len(request.attempts),
 						responses)
 				}
 				if limit := 1 + len(x.endpoints); len(request.attempts) > limit {
-					t.Errorf("%d attempts, want at most %d: none is withheld twice", len(request.attempts), limit)
+					t.Errorf("got %d attempts, want at most %d: each is blocked only once", len(request.attempts), limit)
 				}
 			})
 		}
 	}
 }
 
-// TestUsedUpTenantBudgetBlocksOnce guards against attempts that are spent on a budget that can't have recovered.
-func TestUsedUpTenantBudgetBlocksOnce(t *testing.T) {
-	x := newCrossing(t)
+// TestExhaustedTenantBudgetBlocksOnce guards against further attempts while a budget can't have recovered.
+func TestExhaustedTenantBudgetBlocksOnce(t *testing.T) {
+	x := newHarness(t)
 	x.broker.LimitRetries(noRetries, retry.Config{})
 	request := x.receive(safeClass)
 	x.round()
@@ -80,13 +80,13 @@
 	x.end(0, ConnectionReset)
 	x.handleBounded()
 	if len(request.attempts) != 2 {
-		t.Errorf("%d attempts, want the one that was written and one that was withheld", len(request.attempts))
+		t.Errorf("got %d attempts, want 2: the one that was written and one blocked by the budget", len(request.attempts))
 	}
 }
 
-// endAll ends each attempt of a request as soon as it goes out, all in one way and without a moment passing, and gives
-// the number of attempts until the request has its end, or the limit.
-func (x *crossing) endAll(request *Request, event AttemptEnded, written bool, limit int) int {
+// endAll ends each attempt of a request as soon as it is sent, each with the same event and at the same time. It
+// returns the number of attempts once the request has ended or the limit is reached.
+func (x *harness) endAll(request *Request, event AttemptEnded, written bool, limit int) int {
 	x.round()
 	for len(request.attempts) < limit && request.state != requestEnded && len(x.waiting) > 0 {
 		if written {
@@ -101,28 +101,28 @@
 	return len(request.attempts)
 }
 
-// TestEveryEndEndsItsRequest guards against ends that leave a request as it was: without a cap of attempts, each led to
-// the same decision at once, and a request spun for as long as its client waited.
-func TestEveryEndEndsItsRequest(t *testing.T) {
+// TestEveryAttemptEndLeadsToResponse guards against ends that leave the state of a request unchanged: without a limit
+// of attempts each end led to the same decision at once, and the request looped until its client's timeout.
+func TestEveryAttemptEndLeadsToResponse(t *testing.T) {
 	unsent := []End{
 		ConnectFailed, NotSent, Blocked, BudgetExhausted, EndpointBudgetExhausted, NoConnectionCapacity,
 	}
-	const limit = 100 // two attempts at each endpoint, and the sources of fills tried in turn, are far fewer
+	const limit = 100 // far more than two attempts at each endpoint, with each source of a fill tried in turn
 	for end := CacheMiss; end < endCount; end++ {
 		for class, className := range []string{"safe", "keyed", "zoned", "once"} {
 			for _, mayHaveRun := range []bool{false, true} {
 				isUnsent := slices.Contains(unsent, end)
 				if isUnsent && mayHaveRun {
-					continue // that is of an endpoint's response
+					continue // only an endpoint's response sets MayHaveRun
 				}
-				config := crossingConfig()
+				config := harnessConfig()
 				config.MaxAttempts = 0
-				x := newCrossingOf(t, config)
+				x := newHarnessWith(t, config)
 				request := x.receive(class)
 				event := AttemptEnded{End: end, MayHaveRun: mayHaveRun}
 				attempts := x.endAll(request, event, !isUnsent, limit)
 				if request.state != requestEnded {
-					t.Errorf("%v, class %s, may have run %v: no response after %d attempts", end, className, mayHaveRun,
+					t.Errorf("end %v, class %s, MayHaveRun %v: got no response after %d attempts", end, className, mayHaveRun,
 						attempts)
 				}
 			}
@@ -130,10 +130,10 @@
 	}
 }
 
-// TestAnswerNamesNoBudgetThatALaterAttemptPassed guards against an answer that names a budget though a later attempt
-// went out: its client waits for a budget that was not what its request lacked.
-func TestAnswerNamesNoBudgetThatALaterAttemptPassed(t *testing.T) {
-	x := newCrossing(t)
+// TestRejectionOmitsBudgetOfEarlierAttempt guards against a rejection that names the budget of a blocked attempt though
+// a later attempt was sent: its client would wait for a budget that did not cause the rejection.
+func TestRejectionOmitsBudgetOfEarlierAttempt(t *testing.T) {
+	x := newHarness(t)
 	budgets := retry.Config{Share: 1}
 	x.broker.LimitRetries(retry.Config{}, budgets)
 	request := x.receive(safeClass)
@@ -142,7 +142,7 @@
 	for _, endpoint := range x.broker.endpoints.byID {
 		budget := x.broker.retries.endpoints.Get(endpoint.ID)
 		if strings.HasPrefix(endpoint.Name, "c") {
-			*budget = retry.Budget{} // the caches' are used up
+			*budget = retry.Budget{} // exhausts the budgets of the caches
 			continue
 		}
 		for range 5 {
@@ -152,8 +152,8 @@
 	x.end(0, ConnectionReset)
 	x.round()
 	if request.attempts[1].Open() || len(x.waiting) != 1 {
-		t.Fatalf("%d attempts, %d wait; want one withheld at a cache and one elsewhere", len(request.attempts),
-			len(x.waiting))
+		t.Fatalf("got %d attempts, %d of them waiting; want one blocked at a cache and one waiting elsewhere",
+			len(request.attempts), len(x.waiting))
 	}
 	var responses []Response
 	for len(x.waiting) > 0 && len(responses) == 0 {
@@ -162,6 +162,6 @@
 		responses = x.handleBounded()
 	}
 	if len(responses) != 1 || responses[0].Kind != ResponseRejected || responses[0].Budget != "" {
-		t.Errorf("%+v, want a rejection that names no budget", responses)
+		t.Errorf("got responses %+v, want one rejection that names no budget", responses)
 	}
 }
--- a/internal/broker/events.go
+++ b/internal/broker/events.go
@@ -7,25 +7,25 @@
 	"sloequay/internal/policy"
 )
 
-// Event is something that has happened, as Round takes it.
+// Event is an input of Round.
 type Event interface{ isEvent() }
 
 // RequestReceived is a new request.
 type RequestReceived struct{ Request *Request }
 
-// RequestCanceled says that nobody waits for a request any more.
+// RequestCanceled reports that no client waits for a request any more.
 type RequestCanceled struct{ Request *Request }
 
-// AttemptEnded says how an attempt ended.
+// AttemptEnded reports how an attempt ended.
 type AttemptEnded struct {
 	Attempt *Attempt
 	End     End
 	Note    policy.Note
-	Address string // of the connection that the response came by
+	Address string // of the connection that the response arrived on
 	Body    []byte
 	Fields  []Field
-	// MayHaveRun says that the endpoint may have meant the attempt before, and that this one was canceled: it may have
-	// been executed, whatever End says.
+	// MayHaveRun says that the response may have been a repeat of the response to an earlier attempt, so this attempt
+	// was canceled: it may have been executed, whatever End says.
 	MayHaveRun bool
 }
 
@@ -35,34 +35,34 @@
 	List   membership.List
 }
 
-// EndpointDelta is the changes that one source of endpoints reports.
+// EndpointDelta holds the changes that one source of endpoints reports.
 type EndpointDelta struct {
 	Source    int // its index in the membership table
 	Version   uint64
 	Endpoints []membership.Endpoint
 }
 
-// SourceStatus says that a source of endpoints is alive, though it has nothing new to report, or that it is silent.
+// SourceStatus reports that a source of endpoints responds, though it has nothing new to report, or that it is silent.
 type SourceStatus struct {
 	Source int // its index in the membership table
 	Silent bool
 }
 
-// SnapshotRestored brings what the sources had reported before a restart.
+// SnapshotRestored holds the reports of the sources from before a restart, as read from the snapshot.
 type SnapshotRestored struct{ Reports []membership.SourceReport }
 
-// Purge says that copies from before it are out of date: those of an object, or of a group when Object is 0. It counts
-// from the round that takes it.
+// Purge invalidates the cached copies of an object that are older than it, or those of a group when Object is 0. It
+// counts as issued in the round that handles it.
 type Purge struct {
 	Object uint64
 	Group  int
-	Issued time.Duration // on the Unix clock of whoever stamped it
+	Issued time.Duration // Unix time, by the clock of its issuer
 }
 
-// ObjectZero stands for the object 0, since an Object of 0 means a group in a Purge.
+// ObjectZero stands for the object 0, because a Purge whose Object is 0 names a group.
 const ObjectZero = 1 << 63
 
-// FailInFlight ends all requests that are open: the process can't wait for them any longer.
+// FailInFlight ends all open requests because the process can't wait for them any longer.
 type FailInFlight struct{}
 
 func (RequestReceived) isEvent()  {}
--- a/internal/broker/helpers_test.go
+++ b/internal/broker/helpers_test.go
@@ -28,19 +28,19 @@
 	}
 }
 
-// newBroker makes a broker with one source of endpoints, which forgets what is gone at once.
+// newBroker returns a broker with one source of endpoints, whose membership table forgets gone endpoints at once.
 func newBroker(t testing.TB) *Broker {
 	t.Helper()
-	return newBrokerOf(t, membership.Config{Sources: make([]membership.Source, 1), Forget: time.Millisecond})
+	return newBrokerWithMembers(t, membership.Config{Sources: make([]membership.Source, 1), Forget: time.Millisecond})
 }
 
 // consulSource is the index of the second source of a broker with two.
 const consulSource = 1
 
-// newTwoSourceBroker makes a broker with two sources, which suspects losses of 30%.
+// newTwoSourceBroker returns a broker with two sources, which suspects a list that lost 30% of its endpoints.
 func newTwoSourceBroker(t testing.TB) *Broker {
 	t.Helper()
-	return newBrokerOf(t, membership.Config{
+	return newBrokerWithMembers(t, membership.Config{
 		MaxLossShare: 0.3,
 		MinLoss:      2,
 		Sources: []membership.Source{
@@ -50,7 +50,7 @@
 	})
 }
 
-func newBrokerOf(t testing.TB, members membership.Config) *Broker {
+func newBrokerWithMembers(t testing.TB, members membership.Config) *Broker {
 	t.Helper()
 	broker, err := New(testConfig(), 1, 1000, nil, membership.New(members))
 	if err != nil {
@@ -63,7 +63,7 @@
 	return membership.Endpoint{ID: name, Address: address, Zone: 1, State: state, Weight: 8}
 }
 
-// manyEndpoints are n endpoints that are up, in 20 zones.
+// manyEndpoints returns n endpoints that are up, in 20 zones.
 func manyEndpoints(n int) []membership.Endpoint {
 	endpoints := make([]membership.Endpoint, n)
 	for i := range endpoints {
@@ -79,7 +79,7 @@
 	return endpoints
 }
 
-// consulList is the event that brings a complete list of the second source.
+// consulList returns the event for a complete list from the second source.
 func consulList(endpoints []membership.Endpoint) EndpointList {
 	return EndpointList{Source: consulSource, List: membership.List{Endpoints: endpoints}}
 }
--- a/internal/broker/invariants.go
+++ b/internal/broker/invariants.go
@@ -10,8 +10,8 @@
 // SetMonitor makes the broker check its invariants at run time and report violations to monitor.
 func (b *Broker) SetMonitor(monitor *invariant.Monitor) { b.monitor = monitor }
 
-// checkWrite checks an attempt that MaySend has let pass, by what its request and its endpoints are now and not by the
-// guards that were to see to it.
+// checkWrite checks an attempt that MaySend has allowed. It derives the rules from the current state of the request and
+// its endpoints, independently of the guards that should enforce them.
 func (b *Broker) checkWrite(attempt *Attempt, now time.Duration) {
 	request := attempt.Request
 	if request.state != requestAdmitted || request.Canceled || b.open[request.id] != request {
@@ -23,10 +23,10 @@
 	if attempt.Deadline > request.ReceivedAt+request.Timeout || now >= attempt.Deadline {
 		b.monitor.Violated(invariant.DeadlineInTime, request.ID)
 	}
-	isBeside := slices.ContainsFunc(request.attempts, func(other *Attempt) bool {
+	isAnotherInFlight := slices.ContainsFunc(request.attempts, func(other *Attempt) bool {
 		return other != attempt && other.Written && other.Open()
 	})
-	if isBeside && !b.config.Hedging {
+	if isAnotherInFlight && !b.config.Hedging {
 		b.monitor.Violated(invariant.OneAttemptInFlight, request.ID)
 	}
 }
--- a/internal/broker/invariants_test.go
+++ b/internal/broker/invariants_test.go
@@ -8,16 +8,17 @@
 	"sloequay/internal/policy"
 )
 
-// TestCheckWriteFindsViolations breaks each rule in turn behind the guards' back, and wants it found and nothing else.
+// TestCheckWriteFindsViolations violates each rule in turn, bypassing the guards, and checks that exactly that rule is
+// reported.
 func TestCheckWriteFindsViolations(t *testing.T) {
 	const now = 100 * time.Second
 	for _, c := range []struct {
-		name  string
-		spoil func(b *Broker, attempt *Attempt)
-		want  []invariant.Rule
+		name    string
+		violate func(b *Broker, attempt *Attempt)
+		want    []invariant.Rule
 	}{
 		{"nothing", func(*Broker, *Attempt) {}, nil},
-		{"the client has left", func(_ *Broker, a *Attempt) { a.Request.Canceled = true },
+		{"the client has canceled", func(_ *Broker, a *Attempt) { a.Request.Canceled = true },
 			[]invariant.Rule{invariant.RequestOpenAtWrite}},
 		{"the request has ended", func(b *Broker, a *Attempt) { delete(b.open, a.Request.id) },
 			[]invariant.Rule{invariant.RequestOpenAtWrite}},
@@ -39,10 +40,10 @@
 		endpoint := &Endpoint{Endpoint: policy.Endpoint{State: policy.Ready}}
 		attempt := &Attempt{Request: request, Endpoint: endpoint, Source: endpoint, Deadline: now + time.Second/2}
 		request.attempts = []*Attempt{attempt}
-		c.spoil(b, attempt)
+		c.violate(b, attempt)
 		b.checkWrite(attempt, now)
 		if len(found) != len(c.want) || len(found) > 0 && found[0] != c.want[0] {
-			t.Errorf("%s: found %v, want %v", c.name, found, c.want)
+			t.Errorf("%s: got violations %v, want %v", c.name, found, c.want)
 		}
 	}
 }
--- a/internal/broker/list.go
+++ b/internal/broker/list.go
@@ -6,36 +6,37 @@
 )
 
 const (
-	// maxChangesPerRound bounds the changes of the list in one round: the rest waits for the next, with requests in
-	// between.
+	// maxChangesPerRound bounds the changes of the list that one round applies. The others wait for the next round, so
+	// that a long list does not delay requests.
 	maxChangesPerRound = 200
-	// maxChangeEntries bounds the log entries that one round's changes make.
+	// maxChangeEntries bounds the log entries about the changes of one round.
 	maxChangeEntries = 20
 )
 
-// policyStates is what the states of the merged view are to the policy.
+// policyStates maps the states of the merged view to those of the policy.
 var policyStates = [...]policy.State{
 	membership.Gone:     policy.Gone,
 	membership.Draining: policy.Draining,
 	membership.Up:       policy.Ready,
 }
 
-// setSourceStatus takes over whether a source of endpoints is silent.
+// setSourceStatus tells the membership table whether a source responds or is silent.
 func (b *Broker) setSourceStatus(event SourceStatus) {
 	if event.Silent {
 		b.members.SourceSilent(b.now, event.Source)
 	} else {
 		b.members.SourceSeen(b.now, event.Source)
 	}
-	b.followList()
+	b.applyListChanges()
 }
 
-// followList takes over what is new in the merged view of the endpoints.
-func (b *Broker) followList() {
+// applyListChanges applies the changes of the merged view, up to maxChangesPerRound, and notifies the policy of them.
+// It also emits the refetches and notes of the membership table.
+func (b *Broker) applyListChanges() {
 	for _, source := range b.members.SourcesToRefetch() {
 		b.emit(RefetchList{source})
 	}
-	b.logListNotes()
+	b.logMembershipNotes()
 	if !b.members.HasChanges() {
 		return
 	}
@@ -63,7 +64,7 @@
 	b.endpoints.forget(b.now)
 }
 
-// reportedEndpoint converts an endpoint of the merged view.
+// reportedEndpoint converts an endpoint of the merged view to one of the broker.
 func reportedEndpoint(member membership.Endpoint) Endpoint {
 	return Endpoint{
 		Name:    member.ID,
--- a/internal/broker/list_test.go
+++ b/internal/broker/list_test.go
@@ -8,8 +8,8 @@
 	"sloequay/internal/policy"
 )
 
-// TestLargeListTakesSeveralRounds: no round takes over more than its bound of changes, those first that take an
-// endpoint away; the next round is due at once while any are left, and every endpoint arrives.
+// TestLargeListTakesSeveralRounds checks that no round applies more than maxChangesPerRound changes, and that those
+// which restrict an endpoint come first. While changes are left the next round is due at once, until all are applied.
 func TestLargeListTakesSeveralRounds(t *testing.T) {
 	broker := newTwoSourceBroker(t)
 	now := 1000 * time.Second
@@ -18,19 +18,20 @@
 	rounds := 1
 	for broker.members.HasChanges() {
 		if broker.Next() > now {
-			t.Fatalf("the next round is due at %v, now is %v", broker.Next(), now)
+			t.Fatalf("Next: got %v with changes left, want at most %v", broker.Next(), now)
 		}
 		before := len(broker.endpoints.byID)
 		broker.Round(now, nil)
 		if n := len(broker.endpoints.byID) - before; n > maxChangesPerRound {
-			t.Fatalf("one round took over %d endpoints", n)
+			t.Fatalf("got %d endpoints added in one round, want at most maxChangesPerRound", n)
 		}
 		rounds++
 	}
 	if len(broker.endpoints.byID) != len(endpoints) || rounds < 3 {
-		t.Errorf("%d endpoints of %d in %d rounds", len(broker.endpoints.byID), len(endpoints), rounds)
+		t.Errorf("got %d endpoints, want %d; got %d rounds, want at least 3",
+			len(broker.endpoints.byID), len(endpoints), rounds)
 	}
-	// A drain among many changes is taken over in the first round.
+	// A drain among many changes is applied in the first round.
 	for i := range endpoints {
 		endpoints[i].Weight = 4
 	}
@@ -38,11 +39,12 @@
 	last.State = membership.Draining
 	broker.Round(now, []Event{consulList(endpoints)})
 	if endpoint := broker.EndpointByName(last.ID); endpoint.State != policy.Draining {
-		t.Errorf("after one round the draining endpoint is %v", endpoint.State)
+		t.Errorf("state of the draining endpoint after one round: got %v, want draining", endpoint.State)
 	}
 }
 
-// TestSuspectedSourceIsRefetched: the suspicion of the membership table becomes an effect, and its notes are logged.
+// TestSuspectedSourceIsRefetched checks that a suspicion of the membership table leads to a RefetchList, that its note
+// is logged, and that no endpoint is dropped.
 func TestSuspectedSourceIsRefetched(t *testing.T) {
 	broker := newTwoSourceBroker(t)
 	now := 1000 * time.Second
@@ -57,6 +59,7 @@
 		}
 	}
 	if !refetched || !logged || len(broker.endpoints.byID) != 10 {
-		t.Errorf("refetched %v, logged %v, %d endpoints", refetched, logged, len(broker.endpoints.byID))
+		t.Errorf("got refetched %v, logged %v and %d endpoints, want true, true and 10",
+			refetched, logged, len(broker.endpoints.byID))
 	}
 }
--- a/internal/broker/log.go
+++ b/internal/broker/log.go
@@ -2,10 +2,10 @@
 
 import "sloequay/internal/membership"
 
-// log adds an entry to the effects: an event of docs/on-call.md and its fields, names and values in turn.
+// log emits a log entry: an event that docs/on-call.md describes, and its fields as alternating names and values.
 func (b *Broker) log(event string, fields ...any) { b.emit(LogEntry{event, fields}) }
 
-// logChange reports what is new about an endpoint, and which source decided.
+// logChange logs a change of an endpoint, and the source that decided it.
 func (b *Broker) logChange(change membership.Change) {
 	event := "endpoint-" + change.Kind.String()
 	fields := []any{"endpoint", change.Endpoint.ID, "address", change.Endpoint.Address}
@@ -18,8 +18,8 @@
 	b.log(event, fields...)
 }
 
-// logListNotes reports what the merged view notes of its sources.
-func (b *Broker) logListNotes() {
+// logMembershipNotes logs the notes that the membership table has made on its sources.
+func (b *Broker) logMembershipNotes() {
 	notes, omitted := b.members.Notes()
 	for _, note := range notes {
 		fields := []any{"source", b.members.Sources()[note.Source].Name}
--- a/internal/broker/outcome.go
+++ b/internal/broker/outcome.go
@@ -2,41 +2,40 @@
 
 import "sloequay/internal/policy"
 
-// End is how an attempt ended. Every way in which a response can come, or a connection can end under an attempt, is
-// one of these values.
+// End says how an attempt ended: by a response, by the end of its connection, or without being sent.
 type End int
 
 // The ends of an attempt.
 const (
-	Served                  End = iota // all bytes of the response came
-	NotModified                        // the client's own copy is the one that would be served
-	CacheMiss                          // the endpoint has no copy that will do, and none was filled
+	Served                  End = iota // the complete response arrived
+	NotModified                        // the client's own copy is up to date
+	CacheMiss                          // the endpoint has no acceptable copy, and none was filled
 	Rejected                           // the endpoint or its source is at capacity
-	Failed                             // the endpoint says that it failed
-	AlreadyEnded                       // the endpoint says that the request had ended already
-	ConnectFailed                      // no connection came up: refused, or not within the time-out
-	NotSent                            // the connection ended before anything of the attempt was written
-	Blocked                            // another attempt was open, or the list forbade it before it was written
-	BudgetExhausted                    // a budget of the tenant, of attempts or of retries, is used up
-	EndpointBudgetExhausted            // the endpoint's retry budget is used up
-	NoConnectionCapacity               // no descriptor or place is left for it here
-	ConnectionReset                    // the connection ended after something of the attempt was written
-	ProtocolError                      // the endpoint's response can't be read, and so its connection was closed
-	Unresponsive                       // nothing came on its connection any more, and so it was closed
-	TimedOut                           // nothing came within the attempt's time
-	Canceled                           // it was canceled here
+	Failed                             // the endpoint reported a failure
+	AlreadyEnded                       // the endpoint reported that the request had ended already
+	ConnectFailed                      // the dial failed or timed out
+	NotSent                            // the connection ended before any byte of the attempt was written
+	Blocked                            // another attempt was open, or sending it was no longer allowed
+	BudgetExhausted                    // a budget of the tenant, of attempts or of retries, is exhausted
+	EndpointBudgetExhausted            // the endpoint's retry budget is exhausted
+	NoConnectionCapacity               // the proxy has no descriptor or connection slot left for it
+	ConnectionReset                    // the connection ended after some of the attempt was written
+	ProtocolError                      // the endpoint's response was unreadable, so the connection was closed
+	Unresponsive                       // the connection received nothing for too long, so it was closed
+	TimedOut                           // the attempt's deadline passed without a response
+	Canceled                           // canceled by the proxy
 	endCount
 )
 
-// outcome is what an End is to people and to the policy.
+// outcome describes an End to the log and to the policy.
 type outcome struct {
-	name   string // that the log uses
+	name   string // used in the log
 	status policy.Status
 }
 
-// outcomes is the one place that maps ends to statuses of the policy. Some statuses promise that the attempt was not
-// executed (policy.Status.ProvesNotExecuted); so no End of an attempt of which a byte was written may have one of them
-// but by the endpoint's own word.
+// outcomes maps each End to the policy's status. Some statuses promise that the attempt was not executed
+// (policy.Status.ProvesNotExecuted). An End of an attempt of which a byte was written may have such a status only if
+// the endpoint itself reported it.
 var outcomes = [endCount]outcome{
 	Served:                  {"served", policy.StatusOK},
 	NotModified:             {"unchanged", policy.StatusOK},
@@ -57,14 +56,14 @@
 	Canceled:                {"called-off", policy.StatusCanceled},
 }
 
-// String returns the name that the log uses.
+// String returns the name used in the log.
 func (e End) String() string { return outcomes[e].name }
 
-// Succeeded reports whether the attempt brought the request's response.
+// Succeeded reports whether the attempt ended with the response to its request.
 func (e End) Succeeded() bool { return e.status() == policy.StatusOK }
 
-// status is what the policy is notified of.
+// status returns the status that the policy is notified of.
 func (e End) status() policy.Status { return outcomes[e].status }
 
-// provesNotExecuted reports whether the end promises that the attempt had no effect.
+// provesNotExecuted reports whether the end proves that the attempt was not executed.
 func (e End) provesNotExecuted() bool { return e.status().ProvesNotExecuted() }
--- a/internal/broker/purge.go
+++ b/internal/broker/purge.go
@@ -7,24 +7,24 @@
 	"sloequay/internal/policy"
 )
 
-// purgeSlack is beyond the time in which endpoints drop older copies by themselves; the policy takes less, since
-// MaySend looks again when an attempt that waited is written.
+// purgeSlack is how long the broker keeps a purge beyond the time in which endpoints drop older copies by themselves.
+// The policy keeps it for less, because MaySend checks an attempt that waited for its connection again at its write.
 const purgeSlack = 2 * time.Second
 
-// stampLogInterval is the least time between two log entries on stamps.
+// stampLogInterval is the minimum time between two log entries on implausible stamps.
 const stampLogInterval = time.Minute
 
-// purge records a purge, for attempts that wait for their connections, and notifies the policy. It counts as issued
-// when it is taken, whatever its stamp says: by a clock that is off, the issuer's or this machine's, copies from before
-// it would do. A copy from between is fetched once more than it has to be.
+// purge records a purge for attempts that wait for their connections, and notifies the policy. The purge counts as
+// issued now, whatever its stamp says: if the issuer's clock or this machine's is wrong, the stamp could allow copies
+// from before the purge. The cost is that a copy made between the issue and now is fetched once more than necessary.
 func (b *Broker) purge(event Purge) {
 	b.checkStamp(event)
 	b.purges.Record(b.now, event.Object, event.Group, b.now)
 	b.notify(policy.PurgeEvent{Object: event.Object, Group: event.Group})
 }
 
-// checkStamp logs where a purge is stamped for a time at which it can't have been issued, unless it came very late:
-// endpoints would have dropped the older copies by now, or it lies in the future.
+// checkStamp logs an implausible stamp of a purge: one in the future, or one so old that endpoints would have dropped
+// the older copies by now. Unless the purge was badly delayed, a clock is wrong.
 func (b *Broker) checkStamp(event Purge) {
 	age := b.now - b.offsets.Latest(event.Issued)
 	isPlausible := age <= b.config.PurgePropagation+purgeSlack && age >= -purgeSlack
@@ -36,13 +36,13 @@
 	b.log("purge-stamp-implausible", "age", age)
 }
 
-// maxAge is the age of the oldest copy that will do for an attempt that is written now; 0: the class's own limit.
+// maxAge returns the maximum age of a copy that may serve an attempt written now; 0: the limit of the class.
 func (b *Broker) maxAge(attempt *Attempt, now time.Duration) time.Duration {
 	request := attempt.Request
 	sincePurge := b.purges.MaxAge(now, request.Object, request.Group, b.class(request).FreshFor)
 	if sincePurge == 0 {
 		return attempt.MaxAge
 	}
-	// What the policy asked for is as old as the decision, and so asks for a younger copy by now than it has to.
+	// The policy's limit dates from its decision, so by now it is stricter than necessary.
 	return min(cmp.Or(attempt.MaxAge, sincePurge), sincePurge)
 }
--- a/internal/broker/request.go
+++ b/internal/broker/request.go
@@ -13,58 +13,57 @@
 
 const bytesPerKB = 1024
 
-// Request is what a client requested. A frontend fills in the exported fields; the rest is the broker's.
+// Request is a client's request. Its frontend fills in the exported fields; the others belong to the broker.
 type Request struct {
 	Frontend    Frontend
-	ID          string       // the client's own id of this attempt
-	Class       int          // its index in policy.Config.Classes
-	Team        string       // whose quota it is charged to
-	Service     string       // of the team; empty: its only one
-	Zone        string       // that a DNS query named; empty: another frontend
-	Route       route.Choice // which pool it went to
+	ID          string       // given by the client to this one of its attempts; unique among the open requests
+	Class       int          // index in policy.Config.Classes
+	Team        string       // the team whose quota is charged
+	Service     string       // of the team; empty: its only service
+	Zone        string       // zone named by a DNS query; empty for other frontends
+	Route       route.Choice // the pool that it is routed to
 	Object      uint64
 	ObjectName  string // Object as the client wrote it
 	Part        int
 	Group       int    // invalidation.AnyGroup: unknown
-	Key         string // in classes with an idempotency key: the same for all attempts
+	Key         string // idempotency key, the same for all of the client's attempts; empty in classes without one
 	ETag        string // the tag of the copy that the client has
 	SizeKB      float64
 	MarkedRetry bool // the client marked it as its own retry
 	Body        []byte
-	Token       string           // that the caller showed; empty: none
-	Caller      *identity.Caller // the connection that it came by, as identity knows it
-	ReceivedAt  time.Duration    // of its last byte
-	Timeout     time.Duration    // that the client waits
-	// Canceled is set by the frontend with RequestCanceled. A request that is canceled in the round it came in is not
-	// admitted at all: hundreds of those must not reach the endpoints.
+	Token       string           // token presented by the caller; empty: none
+	Caller      *identity.Caller // the connection that it arrived on
+	ReceivedAt  time.Duration    // when its last byte arrived
+	Timeout     time.Duration    // how long the client waits
+	// Canceled is set by the frontend when it emits RequestCanceled. A request that is canceled in the round of its
+	// arrival is not admitted, so that a burst of hundreds of them does not reach the endpoints.
 	Canceled bool
 
 	id        policy.RequestID
 	state     requestState
 	deadline  time.Duration // by which the response must be on its way
 	attempts  []*Attempt
-	grant     quota.Grant      // that it and its attempts are charged to while it is open
-	blockedBy *quota.Rejection // the budget that blocked the latest attempt; nil: none did
+	grant     quota.Grant      // charged for the request and its attempts while it is open
+	blockedBy *quota.Rejection // by the budget that blocked the latest attempt; nil: none did
 }
 
-// requestState is where a request stands. The package's doc comment has the transitions.
+// requestState is the state of a request. The package's doc comment lists the transitions.
 type requestState uint8
 
 const (
 	requestNew      requestState = iota // not admitted
-	requestAdmitted                     // admitted: it has its grant, its ids and its timers
-	requestEnded                        // it has its response, or was canceled
+	requestAdmitted                     // open, with a grant, an id and timers
+	requestEnded                        // it has its response or was canceled
 )
 
-// anyWritten reports whether an attempt of the request has reached an endpoint, as far as is known.
+// anyWritten reports whether any attempt of the request may have been written to an endpoint.
 func (r *Request) anyWritten() bool {
 	return slices.ContainsFunc(r.attempts, func(attempt *Attempt) bool { return attempt.Written })
 }
 
-// class returns the class of a request.
 func (b *Broker) class(request *Request) *policy.Class { return &b.config.Classes[request.Class] }
 
-// receive takes a request in: from here on it is due exactly one response, unless it is canceled.
+// receive admits a request or responds to it at once. Unless it is canceled, it gets exactly one response.
 func (b *Broker) receive(request *Request) {
 	if request.Canceled {
 		request.state = requestEnded
@@ -72,7 +71,7 @@
 	}
 	request.deadline = responseDeadline(request.ReceivedAt, request.Timeout)
 	if b.byClientID[request.ID] != nil {
-		// Endpoints and responses tell requests apart by this id: a second one could get the first one's response.
+		// Endpoints and responses identify requests by this id: a second one could get the response to the first.
 		b.respond(request, Response{Kind: ResponseFailed, Reason: reasonDuplicateID})
 		return
 	}
@@ -90,7 +89,7 @@
 	b.admit(request, grant)
 }
 
-// admit opens a request and has the policy decide about it.
+// admit opens a request and notifies the policy of it.
 func (b *Broker) admit(request *Request, grant quota.Grant) {
 	b.lastID++
 	request.id = b.lastID
@@ -98,9 +97,9 @@
 	request.grant = grant
 	b.open[request.id] = request
 	b.byClientID[request.ID] = request
-	halfTime := rejectionDeadline(request.ReceivedAt, request.Timeout)
+	halfTimeAt := rejectionDeadline(request.ReceivedAt, request.Timeout)
 	b.timers.push(timer{at: request.deadline, kind: deadlineTimer, request: request})
-	b.timers.push(timer{at: halfTime, kind: halfTimeTimer, request: request})
+	b.timers.push(timer{at: halfTimeAt, kind: halfTimeTimer, request: request})
 	b.notify(policy.RequestEvent{
 		ID:        request.id,
 		Class:     request.Class,
@@ -113,7 +112,7 @@
 	})
 }
 
-// cancel ends a request whose client does not wait any more. It may not have been received yet.
+// cancel ends a request whose client no longer waits. The request may not have been received yet.
 func (b *Broker) cancel(request *Request) {
 	if request.state == requestEnded {
 		return
@@ -122,8 +121,8 @@
 	b.notify(policy.ClientGoneEvent{ID: request.id})
 }
 
-// passHalfTime rejects a request of which nothing has reached an endpoint in half of its time.
-func (b *Broker) passHalfTime(request *Request) {
+// handleHalfTime rejects a request if none of its attempts has been written by its half time.
+func (b *Broker) handleHalfTime(request *Request) {
 	if request.state == requestEnded || request.anyWritten() {
 		return
 	}
@@ -131,9 +130,9 @@
 	b.notify(policy.ClientGoneEvent{ID: request.id})
 }
 
-// passDeadline ends a request. The policy responds to the end of its attempts, by a rejection where a retry does no
-// harm; only if it does not, the request has failed.
-func (b *Broker) passDeadline(request *Request) {
+// handleDeadline ends a request at its deadline. Its open attempts time out, and the policy may respond to that with a
+// rejection if a retry is harmless; otherwise the request fails.
+func (b *Broker) handleDeadline(request *Request) {
 	if request.state == requestEnded {
 		return
 	}
@@ -149,8 +148,8 @@
 	b.notify(policy.ClientGoneEvent{ID: request.id})
 }
 
-// conclude responds to a request as the policy decided. The response of a budget that blocked an attempt says more than
-// the policy's rejection.
+// conclude responds to a request as the policy decided. If a budget blocked the latest attempt, a rejection is replaced
+// by that budget's, which is more specific.
 func (b *Broker) conclude(id policy.RequestID, response Response) {
 	request := b.open[id]
 	if request == nil {
@@ -162,7 +161,7 @@
 	b.respond(request, response)
 }
 
-// respond gives a request its one response.
+// respond ends a request with its only response.
 func (b *Broker) respond(request *Request, response Response) {
 	if request.state == requestEnded {
 		return
@@ -171,7 +170,7 @@
 	b.emit(Respond{request, response})
 }
 
-// loadSignal is what a response says of the load on the endpoints.
+// loadSignal returns what a response tells the concurrency limiter about the load on the endpoints.
 func (b *Broker) loadSignal(request *Request, response Response) concurrency.Outcome {
 	switch {
 	case response.Kind == ResponseServed || response.Kind == ResponseNotModified:
@@ -186,7 +185,7 @@
 	return concurrency.Rejected
 }
 
-// latencyObjective is the time in which a response is wanted, which grows with its size; 0: there is none.
+// latencyObjective returns the latency objective of a request, which grows with its size; 0: it has none.
 func (b *Broker) latencyObjective(request *Request) time.Duration {
 	class := b.class(request)
 	objective := class.LatencyObjective
@@ -197,7 +196,7 @@
 	return objective
 }
 
-// close ends a request: its grant is released, and the attempts that are still open are canceled.
+// close ends a request: it releases the grant and cancels the attempts that are still open.
 func (b *Broker) close(request *Request, outcome concurrency.Outcome) {
 	if request.state == requestAdmitted {
 		delete(b.open, request.id)
--- a/internal/broker/request_test.go
+++ b/internal/broker/request_test.go
@@ -9,8 +9,8 @@
 	"sloequay/internal/policy"
 )
 
-// TestRejectionRetryAfter: the broker's own rejections advise half of the time in which a response is wanted, as the
-// policy's do. They named the longest wait that clients heed.
+// TestRejectionRetryAfter checks that the broker's own rejections advise clients to wait for half of the latency
+// objective, as the policy's do. It guards against advising MaxRetryAfter instead.
 func TestRejectionRetryAfter(t *testing.T) {
 	config := policy.Config{
 		Classes: []policy.Class{
@@ -31,7 +31,7 @@
 		maxOpen int
 	}{
 		{"too many open", 1},
-		{"no endpoint reached by half its time", 10},
+		{"no attempt written by the half time", 10},
 	} {
 		members := membership.New(membership.Config{Sources: []membership.Source{{Name: "bulletin"}}})
 		broker, err := New(config, 1, test.maxOpen, nil, members)
@@ -58,12 +58,12 @@
 			}
 			rejected++
 			if response := respond.Response; response.RetryAfter != 300*time.Millisecond {
-				t.Errorf("%s: %q advises to stay away for %v, want half of 600 ms",
+				t.Errorf("%s: rejection %q: got Retry-After %v, want half of 600 ms",
 					test.name, response.Reason, response.RetryAfter)
 			}
 		}
 		if rejected == 0 {
-			t.Errorf("%s: nothing was rejected", test.name)
+			t.Errorf("%s: got no rejection, want at least one", test.name)
 		}
 	}
 }
--- a/internal/broker/response.go
+++ b/internal/broker/response.go
@@ -6,7 +6,8 @@
 	"sloequay/internal/quota"
 )
 
-// Frontend is what a request came by. It gets the response exactly once, unless it canceled the request.
+// Frontend receives requests from clients and sends the responses. It gets one response to each of its requests, or
+// none if it canceled the request.
 type Frontend interface {
 	Respond(request *Request, response Response)
 }
@@ -14,32 +15,32 @@
 // Response is the one response to a request.
 type Response struct {
 	Kind       ResponseKind
-	Endpoint   *Endpoint     // that served it
-	Address    string        // where it did
+	Endpoint   *Endpoint     // the endpoint that served the request
+	Address    string        // the address of Endpoint that the response came from
 	Body       []byte        // of ResponseServed
-	Fields     []Field       // that the endpoint sent with its response
-	RetryAfter time.Duration // of ResponseRejected: how long to stay away; 0: no advice
-	Budget     string        // of ResponseRejected: the one that was used up; empty: none
-	Reason     string        // of ResponseRejected and ResponseFailed for people, of ResponseDenied a word of identity
+	Fields     []Field       // sent by the endpoint with its response
+	RetryAfter time.Duration // of ResponseRejected: how long the client should wait; 0: no advice
+	Budget     string        // of ResponseRejected: the exhausted budget; empty: none
+	Reason     string        // for people, but of ResponseDenied the name of an identity.Reason
 }
 
-// ResponseKind says what a response promises.
+// ResponseKind says what a response promises to the client.
 type ResponseKind int
 
 // The kinds of responses.
 const (
 	ResponseServed      ResponseKind = iota
-	ResponseNotModified              // the client's copy is the one that would be served
-	ResponseRejected                 // a retry is harmless: nothing was executed, or a second time does no harm
+	ResponseNotModified              // the client's copy is up to date
+	ResponseRejected                 // a retry is harmless: nothing was executed, or a second execution does no harm
 	ResponseFailed                   // nothing is promised
-	ResponseDenied                   // the caller may not; Reason says why
+	ResponseDenied                   // the caller is not authorized; Reason says why
 )
 
-// Field is a name with its value.
+// Field is a named value.
 type Field struct{ Name, Value string }
 
-// The reasons that responses give. Those of failures go out by DNS, so that they are behaviour; those of rejections are
-// in no answer and no log yet.
+// The reasons that responses give. The DNS frontend sends the reasons of failures to clients, so they must not change.
+// Those of rejections are not sent or logged yet.
 const (
 	reasonRefused           = "refused"
 	reasonFailed            = "failed"
@@ -49,12 +50,12 @@
 	reasonDeadlinePassed    = "past its deadline"
 )
 
-// rejection is the broker's own rejection of a request.
+// rejection returns a rejection of a request by the broker itself.
 func (b *Broker) rejection(request *Request, reason string) Response {
 	return Response{Kind: ResponseRejected, RetryAfter: b.config.RetryAfter(b.class(request)), Reason: reason}
 }
 
-// quotaRejection is the response to a request that a quota or a retry budget has no capacity for.
+// quotaRejection returns the response to a request that exceeds a quota or a retry budget.
 func quotaRejection(rejection *quota.Rejection) Response {
 	return Response{
 		Kind:       ResponseRejected,
--- a/internal/broker/retries.go
+++ b/internal/broker/retries.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// maxRetryBudgets bounds the retry budgets that are remembered, of tenants and of endpoints each.
+	// maxRetryBudgets bounds the number of retry budgets of tenants, and likewise of endpoints.
 	maxRetryBudgets = 16384
-	// endpointNode begins the name that operators and clients read of an endpoint's budget.
-	endpointNode = "box "
+	// endpointNodePrefix precedes the endpoint's name in the name of its budget, which operators and clients read.
+	endpointNodePrefix = "box "
 )
 
-// retryBudgets limits retries to a share of first attempts, by tenant and by endpoint; nil: no limit.
+// retryBudgets limits retries to a share of first attempts, per tenant and per endpoint. A nil set limits nothing.
 type retryBudgets struct {
 	tenants   *retry.Set[string]
 	endpoints *retry.Set[policy.EndpointID]
 }
 
-// configure sets what the budgets allow. What is left in them stays.
+// configure sets the limits of the budgets, which keep their tokens.
 func (r *retryBudgets) configure(tenants, endpoints retry.Config) {
 	r.tenants = configureRetrySet(r.tenants, tenants)
 	r.endpoints = configureRetrySet(r.endpoints, endpoints)
 }
 
-// configureRetrySet sets what the budgets of a set allow, and makes the set when it is first limited.
+// configureRetrySet sets the limits of a set of budgets, and creates the set when a limit is first configured.
 func configureRetrySet[Key comparable](budgets *retry.Set[Key], config retry.Config) *retry.Set[Key] {
 	if budgets == nil && config.Share > 0 {
 		budgets = retry.NewSet[Key](config, maxRetryBudgets)
@@ -37,14 +37,14 @@
 	return budgets
 }
 
-// exhaustedBudget is a budget that has no capacity for an attempt.
+// exhaustedBudget describes how a budget without capacity blocks an attempt.
 type exhaustedBudget struct {
 	end       End // of the attempt
 	rejection *quota.Rejection
 }
 
-// charge charges an attempt to the quotas of its request and to the retry budgets; nil: all of them had capacity. Only
-// an attempt after one that was written is a retry, since nothing else has cost an endpoint anything.
+// charge charges an attempt to the quotas of its request and to the retry budgets. It returns nil if all of them had
+// capacity. An attempt is a retry only if an earlier one was written, because others have put no load on an endpoint.
 func (b *Broker) charge(attempt *Attempt) *exhaustedBudget {
 	if attempt.Request.anyWritten() {
 		return b.chargeRetry(attempt)
@@ -52,7 +52,7 @@
 	return b.chargeFirst(attempt)
 }
 
-// chargeFirst charges an attempt that is no retry. It adds to the retry budgets.
+// chargeFirst charges an attempt that is not a retry, and deposits it in the retry budgets.
 func (b *Broker) chargeFirst(attempt *Attempt) *exhaustedBudget {
 	grant := attempt.Request.grant
 	if rejection := grant.SpendAttempt(b.now); rejection != nil {
@@ -67,36 +67,36 @@
 	return nil
 }
 
-// chargeRetry charges a retry. It takes from both retry budgets, or from none.
+// chargeRetry charges a retry. It withdraws from both retry budgets or from neither.
 func (b *Broker) chargeRetry(attempt *Attempt) *exhaustedBudget {
 	grant := attempt.Request.grant
-	var ofTenant, ofEndpoint *retry.Budget
+	var tenantBudget, endpointBudget *retry.Budget
 	if tenants := b.retries.tenants; tenants != nil {
-		ofTenant = tenants.Get(grant.Tenant())
-		if left := ofTenant.Available(b.now, tenants.Config()); left < 1 {
+		tenantBudget = tenants.Get(grant.Tenant())
+		if left := tenantBudget.Available(b.now, tenants.Config()); left < 1 {
 			return &exhaustedBudget{BudgetExhausted, retriesExhausted(grant.Tenant(), left)}
 		}
 	}
 	if endpoints := b.retries.endpoints; endpoints != nil {
-		ofEndpoint = endpoints.Get(attempt.Endpoint.ID)
-		if left := ofEndpoint.Available(b.now, endpoints.Config()); left < 1 {
-			rejection := retriesExhausted(endpointNode+attempt.Endpoint.Name, left)
+		endpointBudget = endpoints.Get(attempt.Endpoint.ID)
+		if left := endpointBudget.Available(b.now, endpoints.Config()); left < 1 {
+			rejection := retriesExhausted(endpointNodePrefix+attempt.Endpoint.Name, left)
 			return &exhaustedBudget{EndpointBudgetExhausted, rejection}
 		}
 	}
 	if rejection := grant.SpendRetry(b.now); rejection != nil {
 		return &exhaustedBudget{BudgetExhausted, rejection}
 	}
-	if ofTenant != nil {
-		ofTenant.Withdraw()
+	if tenantBudget != nil {
+		tenantBudget.Withdraw()
 	}
-	if ofEndpoint != nil {
-		ofEndpoint.Withdraw()
+	if endpointBudget != nil {
+		endpointBudget.Withdraw()
 	}
 	return nil
 }
 
-// retriesExhausted says whose retry budget is used up.
+// retriesExhausted returns the rejection by the exhausted retry budget of a node.
 func retriesExhausted(node string, left float64) *quota.Rejection {
 	return &quota.Rejection{
 		Node:       node,
--- a/internal/broker/simulation_requests_test.go
+++ b/internal/broker/simulation_requests_test.go
@@ -10,43 +10,43 @@
 	"sloequay/internal/policy"
 )
 
-// simulatedRequest is what the simulation knows of one request.
+// simulatedRequest is a request with the state that the simulation keeps of it.
 type simulatedRequest struct {
 	*broker.Request
 	attempts  []*simulatedAttempt
 	responses int
 }
 
-// simulatedAttempt is what the simulation knows of one attempt.
+// simulatedAttempt is an attempt with the state that the simulation keeps of it.
 type simulatedAttempt struct {
 	*broker.Attempt
 	canceled bool // by the broker
 	ended    bool // its end was reported
 }
 
-// respond takes the one response to a request. Of the clients that are rejected some come again.
+// respond receives the response to a request. Some of the rejected clients retry.
 func (s *simulation) respond(request *simulatedRequest, response broker.Response) {
 	request.responses++
 	if request.responses > 1 {
-		s.t.Errorf("request %s has %d responses", request.ID, request.responses)
+		s.t.Errorf("request %s: got %d responses, want 1", request.ID, request.responses)
 	}
 	s.counts["responses: "+kindText(response.Kind)]++
 	if response.Budget != "" {
-		s.counts["over a budget"]++
+		s.counts["budget exhausted"]++
 	}
 	if response.Kind == broker.ResponseRejected && s.random.IntN(3) == 0 {
-		s.plan(response.RetryAfter+s.milliseconds(50), func() {
-			again := s.newRequest()
-			again.Class = request.Class
-			again.Object = request.Object
-			again.Part = request.Part
-			again.MarkedRetry = true
-			s.receive(again)
+		s.schedule(response.RetryAfter+s.randomMilliseconds(50), func() {
+			repeated := s.newRequest()
+			repeated.Class = request.Class
+			repeated.Object = request.Object
+			repeated.Part = request.Part
+			repeated.MarkedRetry = true
+			s.receive(repeated)
 		})
 	}
 }
 
-// sendAttempt has a connection come up for an attempt, or not.
+// sendAttempt schedules the write of an attempt once its connection is up, or its end if no connection comes up.
 func (s *simulation) sendAttempt(sent *broker.Attempt) {
 	request := s.requests[sent.Request]
 	attempt := &simulatedAttempt{Attempt: sent}
@@ -59,77 +59,77 @@
 	}
 	s.attempts[sent] = attempt
 	request.attempts = append(request.attempts, attempt)
-	wait := s.milliseconds(10)
+	wait := s.randomMilliseconds(10)
 	switch mode := s.modes[sent.Endpoint.Name]; {
 	case mode == unreachable:
-		s.plan(wait, func() { s.end(attempt, broker.AttemptEnded{End: broker.ConnectFailed}) })
+		s.schedule(wait, func() { s.end(attempt, broker.AttemptEnded{End: broker.ConnectFailed}) })
 	case s.random.IntN(60) == 0:
-		s.plan(wait, func() { s.end(attempt, broker.AttemptEnded{End: broker.NoConnectionCapacity}) })
+		s.schedule(wait, func() { s.end(attempt, broker.AttemptEnded{End: broker.NoConnectionCapacity}) })
 	case s.random.IntN(60) == 0:
-		s.plan(wait, func() { s.end(attempt, broker.AttemptEnded{End: broker.NotSent}) })
+		s.schedule(wait, func() { s.end(attempt, broker.AttemptEnded{End: broker.NotSent}) })
 	case s.random.IntN(25) == 0: // the connection comes up late
-		s.plan(wait+s.milliseconds(1000), func() { s.write(attempt) })
+		s.schedule(wait+s.randomMilliseconds(1000), func() { s.write(attempt) })
 	default:
-		s.plan(wait, func() { s.write(attempt) })
+		s.schedule(wait, func() { s.write(attempt) })
 	}
 }
 
-// write is the moment of writing an attempt.
+// write writes an attempt if MaySend allows it.
 func (s *simulation) write(attempt *simulatedAttempt) {
 	if attempt.ended {
 		return
 	}
-	age, may := s.broker.MaySend(attempt.Attempt, s.now)
+	maxAge, maySend := s.broker.MaySend(attempt.Attempt, s.now)
 	s.recorder.AddUncounted("%d may %s %d %d %s",
-		int64(s.now), attempt.Request.ID, attempt.Number, int64(age), digesttest.Flags(may))
-	if !may {
+		int64(s.now), attempt.Request.ID, attempt.Number, int64(maxAge), digesttest.Flags(maySend))
+	if !maySend {
 		s.counts["blocked at writing"]++
 		s.end(attempt, broker.AttemptEnded{End: broker.Blocked})
 		return
 	}
-	if age > 0 {
-		s.counts["written with an age"]++
+	if maxAge > 0 {
+		s.counts["written with a max age"]++
 	}
 	attempt.Written = true
-	s.reply(attempt)
+	s.scheduleEnd(attempt)
 }
 
-// reply plans how an attempt that was written ends, as the behaviour of its endpoint has it.
-func (s *simulation) reply(attempt *simulatedAttempt) {
-	took := time.Duration(attempt.Request.SizeKB*float64(millisecond)) + s.milliseconds(30)
-	ending := s.healthyEnding(attempt)
+// scheduleEnd schedules the end of a written attempt according to the behaviour of its endpoint.
+func (s *simulation) scheduleEnd(attempt *simulatedAttempt) {
+	took := time.Duration(attempt.Request.SizeKB*float64(millisecond)) + s.randomMilliseconds(30)
+	event := s.healthyEnd(attempt)
 	mode := s.modes[attempt.Endpoint.Name]
 	if s.random.IntN(40) == 0 {
-		mode = behaviour(s.random.IntN(int(behaviours)))
+		mode = behaviour(s.random.IntN(int(behaviourCount)))
 	}
 	switch mode {
 	case slow:
-		took += s.milliseconds(1500)
+		took += s.randomMilliseconds(1500)
 	case silent:
 		if s.random.IntN(3) > 0 {
 			return
 		}
-		ending = broker.AttemptEnded{End: broker.Unresponsive}
+		event = broker.AttemptEnded{End: broker.Unresponsive}
 		took = 600 * millisecond
-	case refusing:
-		ending = broker.AttemptEnded{End: broker.Rejected, Note: policy.NoteSourceRejected}
-	case erring:
-		ending = broker.AttemptEnded{End: broker.Failed}
-	case breaking:
+	case rejecting:
+		event = broker.AttemptEnded{End: broker.Rejected, Note: policy.NoteSourceRejected}
+	case failing:
+		event = broker.AttemptEnded{End: broker.Failed}
+	case misbehaving:
 		ends := []broker.End{broker.ConnectionReset, broker.ProtocolError, broker.AlreadyEnded}
-		ending = broker.AttemptEnded{End: ends[s.random.IntN(len(ends))]}
+		event = broker.AttemptEnded{End: ends[s.random.IntN(len(ends))]}
 	}
-	ending.MayHaveRun = s.random.IntN(20) == 0
-	s.plan(took, func() { s.end(attempt, ending) })
-	if s.random.IntN(40) == 0 { // a second end of it
-		s.plan(took+s.milliseconds(50), func() {
+	event.MayHaveRun = s.random.IntN(20) == 0
+	s.schedule(took, func() { s.end(attempt, event) })
+	if s.random.IntN(40) == 0 { // a second end of the same attempt
+		s.schedule(took+s.randomMilliseconds(50), func() {
 			s.events = append(s.events, broker.AttemptEnded{Attempt: attempt.Attempt})
 		})
 	}
 }
 
-// healthyEnding draws what an endpoint without faults answers; a fill fails with its source.
-func (s *simulation) healthyEnding(attempt *simulatedAttempt) broker.AttemptEnded {
+// healthyEnd draws the response of a healthy endpoint. A fill fails if its source does.
+func (s *simulation) healthyEnd(attempt *simulatedAttempt) broker.AttemptEnded {
 	served := broker.AttemptEnded{
 		End:     broker.Served,
 		Note:    policy.NoteHit,
@@ -150,9 +150,9 @@
 	switch s.modes[attempt.Source.Name] {
 	case silent, unreachable:
 		return broker.AttemptEnded{End: broker.Failed, Note: policy.NoteSourceLost}
-	case refusing:
+	case rejecting:
 		return broker.AttemptEnded{End: broker.Rejected, Note: policy.NoteSourceRejected}
-	case erring, breaking:
+	case failing, misbehaving:
 		return broker.AttemptEnded{End: broker.Failed, Note: policy.NoteOriginFailed}
 	}
 	if attempt.CachedOnly && s.random.IntN(2) == 0 {
@@ -160,12 +160,12 @@
 	}
 	notes := []policy.Note{policy.NoteFilled, policy.NoteFilledOrigin, policy.NoteJoined, policy.NoteNoCapacity}
 	served.Note = notes[s.random.IntN(len(notes))]
-	s.milliseconds(50) // a draw of what is reported no more: it stays, for the digests on file
+	s.randomMilliseconds(50) // unused draw, which keeps the random sequence of the recorded digests
 	return served
 }
 
-// end reports how an attempt ended. What was canceled ends later, if at all.
-func (s *simulation) end(attempt *simulatedAttempt, ending broker.AttemptEnded) {
+// end reports the end of an attempt. Half of the canceled attempts report none.
+func (s *simulation) end(attempt *simulatedAttempt, event broker.AttemptEnded) {
 	if attempt.ended || attempt.canceled && s.random.IntN(2) == 0 {
 		return
 	}
@@ -173,20 +173,20 @@
 		s.counts["ends after cancels"]++
 	}
 	attempt.ended = true
-	ending.Attempt = attempt.Attempt
-	s.events = append(s.events, ending)
+	event.Attempt = attempt.Attempt
+	s.events = append(s.events, event)
 }
 
-// cancelAttempt cancels an attempt for the broker. With awaitEnd its end must still be reported.
+// cancelAttempt cancels an attempt as the broker asked. With awaitEnd its end must still be reported.
 func (s *simulation) cancelAttempt(attempt *simulatedAttempt, awaitEnd bool) {
-	if attempt == nil { // it was never to be sent
+	if attempt == nil { // the broker blocked it, so it was never sent
 		return
 	}
 	s.counts["cancels"]++
 	attempt.canceled = true
 	if awaitEnd {
 		s.counts["cancels that await the end"]++
-		s.plan(s.milliseconds(20), func() {
+		s.schedule(s.randomMilliseconds(20), func() {
 			if attempt.ended {
 				return
 			}
@@ -200,13 +200,13 @@
 func (s *simulation) newRequest() *broker.Request {
 	teams := []string{"small", "large", "other"}
 	request := &broker.Request{
-		ID:         fmt.Sprintf("%08x", len(s.order)+1),
+		ID:         fmt.Sprintf("%08x", len(s.arrivals)+1),
 		Object:     s.objects.Uint64() + 1,
 		Part:       s.random.IntN(2),
 		Group:      s.random.IntN(9) - 1,
 		SizeKB:     5 + 100*s.random.Float64(),
-		ReceivedAt: s.now - s.milliseconds(5),
-		Timeout:    300*millisecond + s.milliseconds(2000),
+		ReceivedAt: s.now - s.randomMilliseconds(5),
+		Timeout:    300*millisecond + s.randomMilliseconds(2000),
 		Team:       teams[s.random.IntN(len(teams))],
 	}
 	if s.random.IntN(3) == 0 {
@@ -222,20 +222,20 @@
 	case 1:
 		request.SizeKB *= 6
 	}
-	if n := len(s.order); n > 0 && s.random.IntN(100) == 0 {
-		request.ID = s.order[n-1].ID // that may be open
+	if n := len(s.arrivals); n > 0 && s.random.IntN(100) == 0 {
+		request.ID = s.arrivals[n-1].ID // a duplicate, if that request is still open
 	}
 	return request
 }
 
-// receive has a request come; some clients cancel early, a few of them in the same round.
+// receive adds a request to the next round. Some clients cancel early, a few of them in the same round.
 func (s *simulation) receive(request *broker.Request) {
 	if class := s.config.Classes[request.Class]; class.Idempotency == policy.IdempotentByKey {
 		request.Key = request.ID
 	}
 	simulated := &simulatedRequest{Request: request}
 	s.requests[request] = simulated
-	s.order = append(s.order, simulated)
+	s.arrivals = append(s.arrivals, simulated)
 	s.events = append(s.events, broker.RequestReceived{Request: request})
 	if s.random.IntN(25) > 0 {
 		return
@@ -244,7 +244,7 @@
 		s.cancel(simulated)
 		return
 	}
-	s.plan(s.milliseconds(200), func() { s.cancel(simulated) })
+	s.schedule(s.randomMilliseconds(200), func() { s.cancel(simulated) })
 }
 
 func (s *simulation) cancel(request *simulatedRequest) {
--- a/internal/broker/simulation_test.go
+++ b/internal/broker/simulation_test.go
@@ -23,7 +23,7 @@
 	cacheKind, parentKind, originKind = 0, 1, 2
 )
 
-// behaviour is how an endpoint treats the attempts that it gets.
+// behaviour is how a simulated endpoint handles attempts.
 type behaviour int
 
 const (
@@ -31,14 +31,14 @@
 	slow
 	silent
 	unreachable
-	refusing
-	erring
-	breaking
-	behaviours
+	rejecting
+	failing
+	misbehaving
+	behaviourCount
 )
 
-// simulation plays one seed: it stands for the frontend, the pool of connections, the endpoints and the sources of the
-// list, and digests the broker's effects.
+// simulation plays one seed. It simulates the frontend, the pool of connections, the endpoints and the sources of the
+// endpoint list, and digests the broker's effects.
 type simulation struct {
 	t         *testing.T
 	random    *rand.Rand
@@ -52,7 +52,7 @@
 	version   uint64
 	requests  map[*broker.Request]*simulatedRequest
 	attempts  map[*broker.Attempt]*simulatedAttempt
-	order     []*simulatedRequest
+	arrivals  []*simulatedRequest
 	objects   *rand.Zipf
 	recorder  *digesttest.Recorder
 	counts    map[string]int
@@ -101,7 +101,7 @@
 		MaxRetryAfter:    time.Second,
 		Classes:          simulationClasses(),
 	}
-	if seed%3 != 1 { // else nothing is spared for having just started
+	if seed%3 != 1 { // otherwise there is no slow start
 		config.ColdStartShare = 0.2
 		config.WarmupTime = 5 * time.Second
 		config.OverloadMultiple = 3
@@ -120,7 +120,7 @@
 	}
 	small := &quota.Spec{Name: "small"}
 	small.Rates[quota.Requests] = quota.Limit{Set: true, Ceiling: 15}
-	small.MaxOpen[0] = 5 // requests that are open
+	small.MaxOpen[0] = 5 // open requests
 	return quota.NewLedger(&quota.Spec{Children: []*quota.Spec{small, {}}})
 }
 
@@ -145,18 +145,18 @@
 		},
 	})
 	config := simulationConfig(seed)
-	core, err := broker.New(config, seed, maxOpen, simulationQuotas(seed), members)
+	tested, err := broker.New(config, seed, maxOpen, simulationQuotas(seed), members)
 	if err != nil {
 		t.Fatal(err)
 	}
-	core.SetOffset(clockOffset)
+	tested.SetOffset(clockOffset)
 	if seed%3 == 2 {
-		core.LimitRetries(retry.Config{Share: 0.1, Floor: 1}, retry.Config{Share: 0.2, Floor: 1})
+		tested.LimitRetries(retry.Config{Share: 0.1, Floor: 1}, retry.Config{Share: 0.2, Floor: 1})
 	}
 	s := &simulation{
 		t:        t,
 		random:   random,
-		broker:   core,
+		broker:   tested,
 		config:   config,
 		now:      1000 * time.Second,
 		modes:    map[string]behaviour{},
@@ -167,7 +167,7 @@
 		counts:   counts,
 	}
 	s.addEndpoints()
-	s.firstList(seed)
+	s.deliverFirstList(seed)
 	return s
 }
 
@@ -192,47 +192,47 @@
 	add("o", originKind, 0, 1)
 }
 
-// firstList has the first list come complete, in parts, or as what was reported before a restart.
-func (s *simulation) firstList(seed uint64) {
+// deliverFirstList delivers the first list complete, in parts, or as a snapshot from before a restart.
+func (s *simulation) deliverFirstList(seed uint64) {
 	half := len(s.endpoints) / 2
 	switch seed % 4 {
 	case 0:
 		s.events = append(s.events, broker.SnapshotRestored{Reports: []membership.SourceReport{
 			{Source: "bulletin", Version: 1, LastSeen: s.now - time.Second, Endpoints: slices.Clone(s.endpoints)}}})
-		s.plan(300*millisecond, func() { s.reload(0, false) })
+		s.schedule(300*millisecond, func() { s.deliverList(0, false) })
 	case 1:
 		s.events = append(s.events, broker.EndpointList{
 			List: membership.List{Part: true, Endpoints: slices.Clone(s.endpoints[:half])}})
-		s.plan(20*millisecond, func() { s.reload(0, false) })
+		s.schedule(20*millisecond, func() { s.deliverList(0, false) })
 	default:
-		s.reload(0, false)
+		s.deliverList(0, false)
 	}
 	s.round()
 }
 
-// plan has something done after a time.
-func (s *simulation) plan(after time.Duration, run func()) {
+// schedule calls run after a time.
+func (s *simulation) schedule(after time.Duration, run func()) {
 	s.agenda.Plan(s.now+after, run)
 }
 
-// milliseconds draws a time of less than so many milliseconds.
-func (s *simulation) milliseconds(limit int) time.Duration {
+// randomMilliseconds draws a duration of less than limit milliseconds.
+func (s *simulation) randomMilliseconds(limit int) time.Duration {
 	return time.Duration(s.random.IntN(limit*1000)) * time.Microsecond
 }
 
-// round hands over what has come, digests the effects and follows them.
+// round passes the pending events to the broker, and digests and applies its effects.
 func (s *simulation) round() {
 	events := s.events
 	s.events = nil // of the next round
 	for _, effect := range s.broker.Round(s.now, events) {
 		s.recorder.Add("%d %s", int64(s.now), s.effectText(effect))
-		s.follow(effect)
+		s.applyEffect(effect)
 	}
 	s.recorder.AddUncounted("next %d open %d", int64(s.broker.Next()), s.broker.OpenRequests())
 }
 
-// follow has the simulated world do what an effect wants.
-func (s *simulation) follow(effect broker.Effect) {
+// applyEffect makes the simulated environment carry out an effect.
+func (s *simulation) applyEffect(effect broker.Effect) {
 	switch e := effect.(type) {
 	case broker.SendAttempt:
 		s.sendAttempt(e.Attempt)
@@ -247,13 +247,13 @@
 		}
 	case broker.RefetchList:
 		s.counts["refetches"]++
-		s.plan(s.milliseconds(50), func() { s.reload(e.Source, true) })
+		s.schedule(s.randomMilliseconds(50), func() { s.deliverList(e.Source, true) })
 	case broker.LogEntry:
-		s.countEntry(e)
+		s.countLogEntry(e)
 	}
 }
 
-func (s *simulation) countEntry(entry broker.LogEntry) {
+func (s *simulation) countLogEntry(entry broker.LogEntry) {
 	name := "log " + entry.Event
 	switch entry.Event {
 	case "endpoint-ejected":
@@ -264,21 +264,22 @@
 	s.counts[name]++
 }
 
-// run plays so many rounds, each with what was due before it.
+// run plays a number of rounds, each with random events.
 func (s *simulation) run(rounds int) {
 	for range rounds {
-		s.pass(s.milliseconds(30))
+		s.advance(s.randomMilliseconds(30))
 		for range 1 + s.random.IntN(2) {
-			s.step()
+			s.addRandomEvent()
 		}
 		s.round()
 	}
 }
 
-// pass lets time go by; now and then the program stands still, or all is quiet for long.
-func (s *simulation) pass(span time.Duration) {
+// advance moves the time forward and runs what is due. Sometimes it adds a standstill of the process or a long time
+// without any events.
+func (s *simulation) advance(span time.Duration) {
 	if s.random.IntN(300) == 0 {
-		span += s.milliseconds(1500)
+		span += s.randomMilliseconds(1500)
 	}
 	if s.random.IntN(1000) == 0 {
 		span += 70 * time.Second
@@ -289,12 +290,12 @@
 	}
 }
 
-// step has one thing happen, mostly a request.
-func (s *simulation) step() {
+// addRandomEvent adds one event, mostly a request.
+func (s *simulation) addRandomEvent() {
 	switch n := s.random.IntN(200); {
 	case n < 6:
 		s.counts["purges"]++
-		purge := broker.Purge{Object: s.objects.Uint64() + 1, Issued: s.now + clockOffset - s.milliseconds(100)}
+		purge := broker.Purge{Object: s.objects.Uint64() + 1, Issued: s.now + clockOffset - s.randomMilliseconds(100)}
 		if s.random.IntN(3) == 0 {
 			purge.Object = 0
 			purge.Group = 1 + s.random.IntN(7)
@@ -303,16 +304,16 @@
 	case n < 12:
 		s.changeEndpoint()
 	case n < 14:
-		s.reload(s.random.IntN(2), false)
+		s.deliverList(s.random.IntN(2), false)
 	case n < 16:
-		s.counts["sources seen or silent"]++
+		s.counts["source status changes"]++
 		s.events = append(s.events, broker.SourceStatus{Source: s.random.IntN(2), Silent: s.random.IntN(2) == 0})
 	case n < 24:
-		s.modes[s.anyEndpoint().ID] = behaviour(s.random.IntN(int(behaviours)))
+		s.modes[s.randomEndpoint().ID] = behaviour(s.random.IntN(int(behaviourCount)))
 	case n < 32:
-		s.modes[s.anyEndpoint().ID] = healthy
+		s.modes[s.randomEndpoint().ID] = healthy
 	case n < 33:
-		s.events = append(s.events, broker.RequestCanceled{Request: &broker.Request{}}) // one that never came
+		s.events = append(s.events, broker.RequestCanceled{Request: &broker.Request{}}) // never received
 
 	case n < 37: // a burst
 		for range 10 {
@@ -323,13 +324,13 @@
 	}
 }
 
-func (s *simulation) anyEndpoint() *membership.Endpoint {
+func (s *simulation) randomEndpoint() *membership.Endpoint {
 	return &s.endpoints[s.random.IntN(len(s.endpoints))]
 }
 
-// changeEndpoint has a source report that one endpoint drains, goes, comes back, has started anew or is elsewhere.
+// changeEndpoint makes a source report that one endpoint drains, departs, returns, restarted or moved.
 func (s *simulation) changeEndpoint() {
-	endpoint := s.anyEndpoint()
+	endpoint := s.randomEndpoint()
 	states := []membership.State{membership.Gone, membership.Up, membership.Up, membership.Up, membership.Draining}
 	endpoint.State = states[s.random.IntN(len(states))]
 	if endpoint.State == membership.Draining {
@@ -337,7 +338,7 @@
 	}
 	switch s.random.IntN(4) {
 	case 0:
-		endpoint.StartedAt = s.now + clockOffset - s.milliseconds(1000)
+		endpoint.StartedAt = s.now + clockOffset - s.randomMilliseconds(1000)
 		s.modes[endpoint.ID] = healthy
 	case 1:
 		endpoint.Address = fmt.Sprintf("10.0.1.%d:1", s.random.IntN(30))
@@ -347,24 +348,24 @@
 		Endpoints: []membership.Endpoint{*endpoint}})
 }
 
-// reload has the complete list of a source come, which may lack some endpoints unless it confirms.
-func (s *simulation) reload(source int, confirms bool) {
+// deliverList delivers the complete list of a source. It may lack some endpoints unless it is confirming.
+func (s *simulation) deliverList(source int, isConfirming bool) {
 	s.counts["reloaded lists"]++
 	if s.random.IntN(2) == 0 {
 		for i := range s.endpoints {
 			s.endpoints[i].State = membership.Up
 		}
 	}
-	all := slices.Clone(s.endpoints)
-	if missing := s.random.IntN(5); !confirms && missing < len(all) {
-		all = all[missing:]
+	listed := slices.Clone(s.endpoints)
+	if missingCount := s.random.IntN(5); !isConfirming && missingCount < len(listed) {
+		listed = listed[missingCount:]
 	}
 	s.version++
 	s.events = append(s.events, broker.EndpointList{Source: source,
-		List: membership.List{Version: s.version, Endpoints: all, Confirms: confirms}})
+		List: membership.List{Version: s.version, Endpoints: listed, Confirms: isConfirming}})
 }
 
-// finish ends what is open, by itself or by failing it, and checks that each request has its one end.
+// finish lets the open requests end or fails them, and checks that each request has a response or was canceled.
 func (s *simulation) finish(failInFlight bool) {
 	if failInFlight {
 		s.counts["shutdowns"]++
@@ -372,12 +373,12 @@
 		s.round()
 	}
 	for range 300 {
-		s.pass(10 * millisecond)
+		s.advance(10 * millisecond)
 		s.round()
 	}
-	for _, request := range s.order {
+	for _, request := range s.arrivals {
 		if request.responses == 0 && !request.Canceled && s.now > request.ReceivedAt+request.Timeout {
-			s.t.Errorf("request %s has no response", request.ID)
+			s.t.Errorf("request %s: got no response, want one", request.ID)
 		}
 	}
 	sizes := s.broker.Sizes()
--- a/internal/broker/timers.go
+++ b/internal/broker/timers.go
@@ -7,20 +7,20 @@
 	"sloequay/internal/policy"
 )
 
-// minSweepSize is a number of timers below which a sweep is not worth its cost.
+// minSweepSize is the number of timers below which a sweep is not worth its cost.
 const minSweepSize = 1024
 
-// timerKind is what a timer is about.
+// timerKind says which event a timer triggers.
 type timerKind uint8
 
 const (
-	policyTimer   timerKind = iota // a token of the policy
+	policyTimer   timerKind = iota // a timer that the policy set, with its token
 	attemptTimer                   // the deadline of an attempt
-	halfTimeTimer                  // half of a request's time
+	halfTimeTimer                  // the half time of a request
 	deadlineTimer                  // the deadline of a request
 )
 
-// timer is something that falls due at a time.
+// timer is an event that is due at a time.
 type timer struct {
 	at      time.Duration
 	kind    timerKind
@@ -29,7 +29,7 @@
 	request *Request // of halfTimeTimer and deadlineTimer
 }
 
-// stale reports whether what the timer is about has ended.
+// stale reports whether the attempt or request of the timer has ended.
 func (t timer) stale() bool {
 	switch t.kind {
 	case attemptTimer:
@@ -42,17 +42,17 @@
 
 // timerQueue is a binary heap of timers, the earliest first. Its zero value is empty.
 //
-// The order in which timers of the same time come is that of container/heap, which this is the typed form of: decisions
-// depend on it. Being typed it allocates nothing for a timer.
+// It is a typed version of container/heap, which avoids an allocation per timer. Timers that are due at the same time
+// must come in the same order as from container/heap, because decisions depend on that order.
 type timerQueue struct {
 	heap    []timer
-	sweepAt int // the number of timers at which the stale ones are dropped
+	sweepAt int // number of timers at which push drops the stale ones
 }
 
-// len is the number of timers, stale ones included.
+// len returns the number of timers, including stale ones.
 func (q *timerQueue) len() int { return len(q.heap) }
 
-// next is the time of the earliest timer, if there is one.
+// next returns the time of the earliest timer, if there is one.
 func (q *timerQueue) next() (time.Duration, bool) {
 	if len(q.heap) == 0 {
 		return 0, false
@@ -60,9 +60,9 @@
 	return q.heap[0].at, true
 }
 
-// push sets a timer. What has ended leaves its timers in the queue, and a client may name a time-out of ten minutes and
-// cancel at once: kept until they are due they would grow with what clients send. They are swept out when the timers
-// have doubled, so that a timer costs a constant number of looks.
+// push adds a timer. Attempts and requests that end leave their timers in the queue, and a client may give a timeout of
+// ten minutes and cancel at once: if stale timers stayed until due, clients could make the queue grow. So push drops
+// them when the queue has doubled since the last sweep, at constant amortized cost per timer.
 func (q *timerQueue) push(t timer) {
 	if len(q.heap) >= max(minSweepSize, q.sweepAt) {
 		q.sweep()
@@ -124,7 +124,7 @@
 	}
 }
 
-// fireTimers takes what is due, in the order of its times, also what is set meanwhile.
+// fireTimers fires the due timers in the order of their times, including those that are set meanwhile.
 func (b *Broker) fireTimers() {
 	for {
 		due, ok := b.timers.popDue(b.now)
@@ -135,7 +135,7 @@
 	}
 }
 
-// fire has a timer's event happen. The timer may be stale.
+// fire handles the event of a due timer, which may be stale.
 func (b *Broker) fire(due timer) {
 	switch due.kind {
 	case policyTimer:
@@ -145,8 +145,8 @@
 			b.timeOut(due.attempt)
 		}
 	case halfTimeTimer:
-		b.passHalfTime(due.request)
+		b.handleHalfTime(due.request)
 	case deadlineTimer:
-		b.passDeadline(due.request)
+		b.handleDeadline(due.request)
 	}
 }
--- a/internal/broker/timers_test.go
+++ b/internal/broker/timers_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// modelTimers is the queue's model: the same timers in the standard library's heap.
+// modelTimers is a reference model of timerQueue on container/heap.
 type modelTimers []timer
 
 func (m modelTimers) Len() int           { return len(m) }
@@ -21,7 +21,8 @@
 	return last
 }
 
-// TestTimerQueueAgainstHeap: timers come in the order of container/heap, also those of the same time.
+// TestTimerQueueAgainstHeap checks that timers come in the same order as from container/heap, including those that are
+// due at the same time.
 func TestTimerQueueAgainstHeap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var queue timerQueue
@@ -38,21 +39,21 @@
 			for len(model) > 0 && model[0].at <= now {
 				want := heap.Pop(&model).(timer)
 				if got, ok := queue.popDue(now); !ok || got != want {
-					t.Fatalf("at %v: %+v, %v, want %+v", now, got, ok, want)
+					t.Fatalf("popDue(%v): got %+v, %v, want %+v, true", now, got, ok, want)
 				}
 			}
 			if got, ok := queue.popDue(now); ok {
-				t.Fatalf("at %v: %+v is not due", now, got)
+				t.Fatalf("popDue(%v): got %+v, want none", now, got)
 			}
 			next, ok := queue.next()
 			if ok != (len(model) > 0) || ok && next != model[0].at || queue.len() != len(model) {
-				t.Fatalf("at %v: next %v, %v of %d, want %d timers", now, next, ok, queue.len(), len(model))
+				t.Fatalf("at %v: got next %v, %v and %d timers, want %d timers", now, next, ok, queue.len(), len(model))
 			}
 		}
 	})
 }
 
-// TestTimerQueueSweeps: timers of what has ended don't grow beyond the bound, and those of what is open come.
+// TestTimerQueueSweeps checks that the timers of ended requests and attempts are dropped and the others are kept.
 func TestTimerQueueSweeps(t *testing.T) {
 	var queue timerQueue
 	ended := &Request{state: requestEnded}
@@ -66,7 +67,7 @@
 		queue.push(timer{at: at, kind: halfTimeTimer, request: ended})
 		queue.push(timer{at: at, kind: attemptTimer, attempt: endedAttempt})
 		if queue.len() > minSweepSize {
-			t.Fatalf("%d timers after %d pushes", queue.len(), 3*(i+1))
+			t.Fatalf("got %d timers after %d pushes, want at most minSweepSize", queue.len(), 3*(i+1))
 		}
 	}
 	want := []timer{
@@ -81,10 +82,10 @@
 	queue.sweep()
 	for _, set := range want {
 		if got, ok := queue.popDue(rounds); !ok || got != set {
-			t.Errorf("%+v, %v, want %+v", got, ok, set)
+			t.Errorf("popDue: got %+v, %v, want %+v, true", got, ok, set)
 		}
 	}
 	if queue.len() != 0 {
-		t.Errorf("%d timers are left", queue.len())
+		t.Errorf("got %d timers left, want 0", queue.len())
 	}
 }
--- a/internal/broker/transitions_test.go
+++ b/internal/broker/transitions_test.go
@@ -9,19 +9,19 @@
 	"sloequay/internal/quota"
 )
 
-// transition is one row of the table in the package's doc comment: in a state something happens.
+// transition is one row of the tables in the package's doc comment: an event in a state.
 type transition struct {
 	name    string
 	class   int
-	happen  func(x *crossing, request *Request)
+	trigger func(x *harness, request *Request)
 	want    requestState
-	effects []string // those that the table has for it; actions of the policy but SendAttempt are left out
+	effects []string // as in the table, but of the policy's actions only SendAttempt
 }
 
-// effectsOf returns the effects of what happens, in the words of the table.
-func (x *crossing) effectsOf(happen func()) []string {
+// effectsOf returns the effects of an event, by their names in the table.
+func (x *harness) effectsOf(trigger func()) []string {
 	x.broker.effects = x.broker.effects[:0]
-	happen()
+	trigger()
 	x.broker.handlePending()
 	var effects []string
 	for _, effect := range x.broker.effects {
@@ -42,59 +42,60 @@
 	return effects
 }
 
-func (row transition) check(t *testing.T, x *crossing, request *Request) {
+func (row transition) check(t *testing.T, x *harness, request *Request) {
 	t.Helper()
-	effects := x.effectsOf(func() { row.happen(x, request) })
+	effects := x.effectsOf(func() { row.trigger(x, request) })
 	if request.state != row.want || !slices.Equal(effects, row.effects) {
-		t.Errorf("%s: state %d, want %d; effects %q, want %q", row.name, request.state, row.want, effects, row.effects)
+		t.Errorf("%s: got state %d, want %d; got effects %q, want %q",
+			row.name, request.state, row.want, effects, row.effects)
 	}
 }
 
-func received(x *crossing, request *Request) { x.broker.handle(RequestReceived{request}) }
+func received(x *harness, request *Request) { x.broker.handle(RequestReceived{request}) }
 
-func attemptEnds(end End) func(*crossing, *Request) {
-	return func(x *crossing, request *Request) {
+func attemptEnds(end End) func(*harness, *Request) {
+	return func(x *harness, request *Request) {
 		x.broker.handle(AttemptEnded{Attempt: request.attempts[0], End: end})
 	}
 }
 
-func timerFires(kind timerKind) func(*crossing, *Request) {
-	return func(x *crossing, request *Request) {
+func timerFires(kind timerKind) func(*harness, *Request) {
+	return func(x *harness, request *Request) {
 		x.broker.fire(timer{kind: kind, request: request, attempt: request.attempts[0]})
 	}
 }
 
-// TestTransitionsOfNewRequest checks the rows of the state new.
+// TestTransitionsOfNewRequest checks the rows for the state new.
 func TestTransitionsOfNewRequest(t *testing.T) {
 	for _, row := range []transition{
-		{name: "received", happen: received, want: requestAdmitted, effects: []string{"SendAttempt"}},
-		{name: "received, canceled before", want: requestEnded, happen: func(x *crossing, request *Request) {
+		{name: "received", trigger: received, want: requestAdmitted, effects: []string{"SendAttempt"}},
+		{name: "received, already canceled", want: requestEnded, trigger: func(x *harness, request *Request) {
 			request.Canceled = true
 			received(x, request)
 		}},
-		{name: "received, its client id is open", want: requestEnded, effects: []string{"Respond: failed"},
-			happen: func(x *crossing, request *Request) {
+		{name: "received, its ID is in use", want: requestEnded, effects: []string{"Respond: failed"},
+			trigger: func(x *harness, request *Request) {
 				request.ID = x.requests[0].ID
 				received(x, request)
 			}},
 		{name: "received, maxOpen reached", want: requestEnded, effects: []string{"Respond: rejected"},
-			happen: func(x *crossing, request *Request) {
+			trigger: func(x *harness, request *Request) {
 				x.broker.maxOpen = 1
 				received(x, request)
 			}},
 		{name: "received, a quota reached", want: requestEnded, effects: []string{"Respond: rejected"},
-			happen: func(x *crossing, request *Request) {
+			trigger: func(x *harness, request *Request) {
 				team := &quota.Spec{Name: "small"}
 				team.Rates[quota.Requests] = quota.Limit{Set: true}
 				x.broker.quotas = quota.NewLedger(&quota.Spec{Children: []*quota.Spec{team}})
 				request.Team = team.Name
 				received(x, request)
 			}},
-		{name: "canceled", want: requestEnded, happen: func(x *crossing, request *Request) {
+		{name: "canceled", want: requestEnded, trigger: func(x *harness, request *Request) {
 			x.broker.handle(RequestCanceled{request})
 		}},
 	} {
-		x := newCrossing(t)
+		x := newHarness(t)
 		x.receive(safeClass)
 		x.round()
 		request := &Request{ID: "new", Object: 9, Group: -1, ReceivedAt: x.now, Timeout: 2 * time.Second, SizeKB: 1}
@@ -102,56 +103,56 @@
 	}
 }
 
-// openRows are the rows of the state open, for a request with one attempt in flight.
+// openRows are the rows for the state open, for a request with one attempt in flight.
 var openRows = []transition{
 	{name: "canceled", want: requestEnded, effects: []string{"CancelAttempt"},
-		happen: func(x *crossing, request *Request) { x.broker.handle(RequestCanceled{request}) }},
-	{name: "served", want: requestEnded, happen: attemptEnds(Served), effects: []string{"Respond: served"}},
-	{name: "not modified", want: requestEnded, happen: attemptEnds(NotModified),
+		trigger: func(x *harness, request *Request) { x.broker.handle(RequestCanceled{request}) }},
+	{name: "served", want: requestEnded, trigger: attemptEnds(Served), effects: []string{"Respond: served"}},
+	{name: "not modified", want: requestEnded, trigger: attemptEnds(NotModified),
 		effects: []string{"Respond: not modified"}},
-	{name: "another end", want: requestAdmitted, happen: attemptEnds(ConnectionReset),
+	{name: "another end", want: requestAdmitted, trigger: attemptEnds(ConnectionReset),
 		effects: []string{"SendAttempt"}},
-	{name: "another end, of what may run once", class: onceClass, want: requestEnded,
-		happen: attemptEnds(ConnectionReset), effects: []string{"Respond: failed"}},
+	{name: "another end, not idempotent", class: onceClass, want: requestEnded,
+		trigger: attemptEnds(ConnectionReset), effects: []string{"Respond: failed"}},
 	{name: "policy.Reject", want: requestEnded, effects: []string{"CancelAttempt", "Respond: rejected"},
-		happen: func(x *crossing, request *Request) { x.broker.apply(policy.Reject{ID: request.id}) }},
+		trigger: func(x *harness, request *Request) { x.broker.apply(policy.Reject{ID: request.id}) }},
 	{name: "policy.Fail", want: requestEnded, effects: []string{"CancelAttempt", "Respond: failed"},
-		happen: func(x *crossing, request *Request) { x.broker.apply(policy.Fail{ID: request.id}) }},
+		trigger: func(x *harness, request *Request) { x.broker.apply(policy.Fail{ID: request.id}) }},
 	{name: "policy.CancelAttempt", want: requestAdmitted, effects: []string{"CancelAttempt with AwaitEnd"},
-		happen: func(x *crossing, request *Request) { x.broker.apply(policy.CancelAttempt{ID: request.id}) }},
-	{name: "half-time timer, written", want: requestAdmitted, happen: timerFires(halfTimeTimer)},
+		trigger: func(x *harness, request *Request) { x.broker.apply(policy.CancelAttempt{ID: request.id}) }},
+	{name: "half-time timer, written", want: requestAdmitted, trigger: timerFires(halfTimeTimer)},
 	{name: "half-time timer, not written", want: requestEnded,
 		effects: []string{"CancelAttempt", "Respond: rejected"},
-		happen: func(x *crossing, request *Request) {
+		trigger: func(x *harness, request *Request) {
 			request.attempts[0].Written = false
 			timerFires(halfTimeTimer)(x, request)
 		}},
-	{name: "deadline timer", class: onceClass, want: requestEnded, happen: timerFires(deadlineTimer),
+	{name: "deadline timer", class: onceClass, want: requestEnded, trigger: timerFires(deadlineTimer),
 		effects: []string{"CancelAttempt", "Respond: failed"}},
 	{name: "deadline timer, the policy rejects", want: requestEnded,
 		effects: []string{"CancelAttempt", "Respond: rejected"},
-		happen: func(x *crossing, request *Request) {
+		trigger: func(x *harness, request *Request) {
 			x.broker.now = request.deadline
 			timerFires(deadlineTimer)(x, request)
 		}},
 	{name: "FailInFlight", class: onceClass, want: requestEnded,
 		effects: []string{"CancelAttempt", "Respond: failed"},
-		happen:  func(x *crossing, _ *Request) { x.broker.handle(FailInFlight{}) }},
-	{name: "attempt timer", want: requestAdmitted, happen: timerFires(attemptTimer),
+		trigger: func(x *harness, _ *Request) { x.broker.handle(FailInFlight{}) }},
+	{name: "attempt timer", want: requestAdmitted, trigger: timerFires(attemptTimer),
 		effects: []string{"CancelAttempt", "SendAttempt"}},
 }
 
-// newInFlight makes a request with one attempt in flight.
-func newInFlight(t *testing.T, class int) (*crossing, *Request) {
+// newInFlight returns a harness and a request with one attempt in flight.
+func newInFlight(t *testing.T, class int) (*harness, *Request) {
 	t.Helper()
-	x := newCrossing(t)
+	x := newHarness(t)
 	request := x.receive(class)
 	x.round()
 	x.write(0)
 	return x, request
 }
 
-// TestTransitionsOfOpenRequest checks the rows of the state open, and that nothing happens in the state ended.
+// TestTransitionsOfOpenRequest checks the rows for the state open, and that no event has an effect in the state ended.
 func TestTransitionsOfOpenRequest(t *testing.T) {
 	for _, row := range openRows {
 		x, request := newInFlight(t, row.class)
@@ -161,7 +162,7 @@
 		}
 		for _, attempt := range request.attempts {
 			if attempt.Open() {
-				t.Errorf("%s: attempt %d is open after the end", row.name, attempt.Number)
+				t.Errorf("%s: attempt %d is open after the request ended", row.name, attempt.Number)
 			}
 		}
 		for _, after := range openRows {
@@ -173,7 +174,7 @@
 	}
 }
 
-// TestTransitionsOfAttempt checks what state each End leaves an attempt in.
+// TestTransitionsOfAttempt checks the state of an attempt after each End.
 func TestTransitionsOfAttempt(t *testing.T) {
 	notExecuted := []End{
 		CacheMiss, Rejected, AlreadyEnded, ConnectFailed, NotSent, Blocked, BudgetExhausted, EndpointBudgetExhausted,
@@ -189,7 +190,7 @@
 			attempt := request.attempts[0]
 			x.broker.handle(AttemptEnded{Attempt: attempt, End: end, MayHaveRun: mayHaveRun})
 			if attempt.state != want {
-				t.Errorf("%v, may have run %v: state %d, want %d", end, mayHaveRun, attempt.state, want)
+				t.Errorf("end %v, MayHaveRun %v: got state %d, want %d", end, mayHaveRun, attempt.state, want)
 			}
 		}
 	}
