--- a/internal/expiry/expiry.go
+++ b/internal/expiry/expiry.go
@@ -1,10 +1,10 @@
-// Package expiry keeps a bounded set of keys, each until a time of its own.
+// Package expiry provides a bounded set of keys, each with its own expiry time.
 //
-// Invariants: a key that was put stays until DropBefore is called with a time after its own; a later Put moves the time
-// of a key forward, never back.
+// Invariants: a key stays in the set until DropBefore is called with a time after its expiry time. Another Put of the
+// key can move its expiry time forward, never back.
 //
-// Bounds: a Set has at most its capacity of keys. Put and DropBefore take logarithmic time for each key that comes or
-// goes, and DropBefore looks at no key whose first time is not reached; Until takes constant time.
+// Bounds: a Set holds at most its capacity of keys. Put and DropBefore take logarithmic time for each key that is added
+// or removed, and DropBefore does not visit a key before the expiry time of its first Put. Until takes constant time.
 package expiry
 
 import (
@@ -12,20 +12,20 @@
 	"time"
 )
 
-// Set is keys with the time until which each stays. It is not safe for concurrent use.
+// Set holds keys with their expiry times. It is not safe for concurrent use.
 type Set[K comparable] struct {
 	capacity int
 	until    map[K]time.Duration
-	queue    queue[K] // each key once, by the time that it was put with first or found with last
+	queue    queue[K] // each key once, by the time of its first Put or of its last move by DropBefore
 }
 
-// New returns an empty set.
+// New returns an empty set that holds at most capacity keys.
 func New[K comparable](capacity int) *Set[K] {
 	return &Set[K]{capacity: capacity, until: map[K]time.Duration{}}
 }
 
-// Put keeps a key until a time, if that is later than the time that it has already. It reports whether the key is in
-// the set for that long; it is not where there is no place.
+// Put adds a key that expires at until, or extends the expiry time of a key in the set if until is later. It returns
+// false if the key is new and the set is full.
 func (s *Set[K]) Put(key K, until time.Duration) bool {
 	old, known := s.until[key]
 	switch {
@@ -33,24 +33,24 @@
 		return true
 	case !known && len(s.until) >= s.capacity:
 		return false
-	case !known: // a known key keeps its place in the queue; DropBefore moves it
+	case !known: // a known key keeps its place in the queue until DropBefore moves it
 		heap.Push(&s.queue, item[K]{until, key})
 	}
 	s.until[key] = until
 	return true
 }
 
-// Until returns the time of a key, and whether it is in the set.
+// Until returns the expiry time of a key, and whether the key is in the set.
 func (s *Set[K]) Until(key K) (time.Duration, bool) {
 	until, known := s.until[key]
 	return until, known
 }
 
-// DropBefore drops the keys whose time is before another.
+// DropBefore removes the keys whose expiry time is before bound.
 func (s *Set[K]) DropBefore(bound time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].until < bound {
 		first := &s.queue[0]
-		if until := s.until[first.key]; until > first.until { // it was put again meanwhile
+		if until := s.until[first.key]; until > first.until { // extended by a later Put
 			first.until = until
 			heap.Fix(&s.queue, 0)
 			continue
@@ -63,13 +63,13 @@
 // Len returns the number of keys.
 func (s *Set[K]) Len() int { return len(s.until) }
 
-// item is a key in the queue.
+// item is a key in the queue, with the time that orders it there.
 type item[K comparable] struct {
 	until time.Duration
 	key   K
 }
 
-// queue is a heap with the earliest time at its root.
+// queue is a binary heap, the earliest time first.
 type queue[K comparable] []item[K]
 
 // Len, Less, Swap, Push and Pop implement heap.Interface.
--- a/internal/expiry/expiry_test.go
+++ b/internal/expiry/expiry_test.go
@@ -8,45 +8,45 @@
 	"pgregory.net/rapid"
 )
 
-// TestSetAgainstAMap compares random keys with a map that is walked, and with the bound.
-func TestSetAgainstAMap(t *testing.T) {
+// TestSetAgainstMap compares a set with a plain map under random operations, and checks its capacity.
+func TestSetAgainstMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const capacity = 5
 		set := New[int](capacity)
-		plain := map[int]time.Duration{}
+		model := map[int]time.Duration{}
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			if rapid.IntRange(0, 3).Draw(t, "drop") == 0 {
 				bound := time.Duration(rapid.IntRange(0, 100).Draw(t, "bound"))
 				set.DropBefore(bound)
-				for key, until := range plain {
+				for key, until := range model {
 					if until < bound {
-						delete(plain, key)
+						delete(model, key)
 					}
 				}
 			}
 			key, until := rapid.IntRange(0, 8).Draw(t, "key"), time.Duration(rapid.IntRange(0, 120).Draw(t, "until"))
-			old, known := plain[key]
-			fits := known || len(plain) < capacity
+			old, known := model[key]
+			fits := known || len(model) < capacity
 			if got := set.Put(key, until); got != fits {
-				t.Fatalf("put %d among %d: %v, want %v", key, len(plain), got, fits)
+				t.Fatalf("Put(%d) in a set of %d keys: got %v, want %v", key, len(model), got, fits)
 			}
 			if fits {
-				plain[key] = max(old, until)
+				model[key] = max(old, until)
 			}
 			for key := range 9 {
-				want, wanted := plain[key]
-				if got, ok := set.Until(key); got != want || ok != wanted {
-					t.Fatalf("%d: %v %v, want %v %v", key, got, ok, want, wanted)
+				want, isWanted := model[key]
+				if got, ok := set.Until(key); got != want || ok != isWanted {
+					t.Fatalf("Until(%d): got %v, %v, want %v, %v", key, got, ok, want, isWanted)
 				}
 			}
-			if set.Len() != len(plain) || len(set.queue) != len(plain) {
-				t.Fatalf("%d keys, %d in the queue, want %d", set.Len(), len(set.queue), len(plain))
+			if set.Len() != len(model) || len(set.queue) != len(model) {
+				t.Fatalf("got %d keys, %d of them in the queue, want %d", set.Len(), len(set.queue), len(model))
 			}
 		}
 	})
 }
 
-// BenchmarkSet is a key that comes and one that goes.
+// BenchmarkSet measures adding one key and removing another.
 func BenchmarkSet(b *testing.B) {
 	for _, count := range []int{100, 100_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
--- a/internal/retry/decisions_test.go
+++ b/internal/retry/decisions_test.go
@@ -11,7 +11,7 @@
 
 const decisionSeeds = 12
 
-// decisionMinimums is how often each kind of thing happens at least, over all seeds.
+// decisionMinimums gives the minimum number of events of each kind over all seeds.
 var decisionMinimums = map[string]int{"deposits": 5000, "retries": 1500, "rejections": 2000, "settings": 100}
 
 func drawConfig(random *rand.Rand) retry.Config {
@@ -30,12 +30,12 @@
 	return config
 }
 
-// TestDecisions plays random attempts of several keys and compares the digests of all budgets with those on file.
+// TestDecisions plays random attempts of several keys and compares the digests of all budgets with the recorded ones.
 func TestDecisions(t *testing.T) {
 	counts := map[string]int{}
 	digesttest.Check(t, decisionSeeds, func(seed uint64, recorder *digesttest.Recorder) {
 		random := rand.New(rand.NewPCG(seed, 0x4e_74))
-		set := retry.NewSet[int](drawConfig(random), random.IntN(6)) // 0: it has one budget all the same
+		set := retry.NewSet[int](drawConfig(random), random.IntN(6)) // a set made for 0 still holds one budget
 		now := time.Duration(seed%2) * 1000 * time.Second
 		for range 1000 + 100*seed {
 			now += time.Duration(random.ExpFloat64() * float64(30*time.Millisecond))
@@ -43,7 +43,7 @@
 			case 0:
 				now += time.Duration(random.IntN(20)) * time.Second
 			case 1:
-				now = max(0, now-time.Second) // a clock that went back
+				now = max(0, now-time.Second) // the clock goes back
 			case 2:
 				counts["settings"]++
 				set.Configure(drawConfig(random))
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -11,8 +11,9 @@
 
 const start = 1_800_000_000 * time.Second
 
-// TestBound: over every span of a random day the retries are within share, floor and the tokens at its beginning.
-func TestBound(t *testing.T) {
+// TestRetriesStayWithinBound checks that the retries in every span of a random run are within the bound of the package:
+// Share of the first attempts, Floor of the time, and the tokens at the start of the span.
+func TestRetriesStayWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := Config{
 			Share: rapid.Float64Range(0.01, 1).Draw(t, "share"), Floor: rapid.Float64Range(0, 5).Draw(t, "floor"),
@@ -40,7 +41,7 @@
 				span := now - since.at
 				bound := config.Share*float64(firsts-since.firsts) + config.Floor*span.Seconds() + since.tokens
 				if got := float64(retries - since.retries); got > bound+1e-6 {
-					t.Fatalf("%g retries in %v, at most %g were due", got, span, bound)
+					t.Fatalf("got %g retries in %v, want at most %g", got, span, bound)
 				}
 			}
 			past = append(past, moment{now, firsts, retries, budget.Available(now, config)})
@@ -48,9 +49,10 @@
 	})
 }
 
-// TestStorm: an endpoint fails everything that 200 clients a second send, each wanting five retries: the attempts stay
-// under 1.2 times the first ones. A client that sends once an hour still has its retry by the floor.
-func TestStorm(t *testing.T) {
+// TestRetryStormIsBounded has an endpoint fail all requests, 200 a second, while each client tries five retries: the
+// total number of attempts stays below 1.2 times the first attempts. A client that sends one request an hour still gets
+// its retry, because of the floor.
+func TestRetryStormIsBounded(t *testing.T) {
 	config := Config{Share: 0.15, Floor: 1}
 	var budget Budget
 	now, firsts, retries := start, 0, 0
@@ -67,24 +69,24 @@
 		}
 	}
 	if ratio := float64(firsts+retries) / float64(firsts); ratio > 1.2 || ratio < 1.1 {
-		t.Errorf("%.3f attempts for each first one", ratio)
+		t.Errorf("got %.3f attempts per first attempt, want 1.1 to 1.2", ratio)
 	}
-	var rare Budget
+	var infrequent Budget
 	for _, floor := range []float64{0.02, 1} {
 		now += time.Hour
-		rareConfig := Config{Share: 0.1, Floor: floor}
-		rare.Deposit(now, rareConfig)
-		if rare.Available(now, rareConfig) < 1 {
-			t.Errorf("floor %g: nothing for a client that sends little", floor)
+		infrequentConfig := Config{Share: 0.1, Floor: floor}
+		infrequent.Deposit(now, infrequentConfig)
+		if infrequent.Available(now, infrequentConfig) < 1 {
+			t.Errorf("floor %g: got no token for a client that sends one request an hour, want at least 1", floor)
 		}
 	}
 	if available := budget.Available(now, Config{}); !math.IsInf(available, 1) {
-		t.Errorf("without settings %g are available", available)
+		t.Errorf("zero Config: got %g tokens available, want infinity", available)
 	}
 }
 
-// TestSet: it is bounded, and a key that was forgotten has no more than one that is new.
-func TestSet(t *testing.T) {
+// TestSetEvictsLeastRecentlyUsed checks that a set is bounded, and that an evicted key starts with an empty budget.
+func TestSetEvictsLeastRecentlyUsed(t *testing.T) {
 	config := Config{Share: 1}
 	set := NewSet[int](config, 3)
 	for key := range 10 {
@@ -95,11 +97,12 @@
 	}
 	length, newest, forgotten := set.Len(), set.Get(9).Available(start, config), set.Get(0).Available(start, config)
 	if length != 3 || newest < 5 || forgotten != 0 {
-		t.Errorf("%d budgets; the newest has %g, one that was forgotten %g", length, newest, forgotten)
+		t.Errorf("got %d budgets, %g tokens for the newest, %g for an evicted one; want 3, at least 5, 0",
+			length, newest, forgotten)
 	}
 }
 
-func BenchmarkRepeat(b *testing.B) {
+func BenchmarkDepositAndWithdraw(b *testing.B) {
 	for _, endpoints := range []int{10, 10_000} {
 		b.Run(fmt.Sprint(endpoints), func(b *testing.B) {
 			b.ReportAllocs()
--- a/internal/retry/set.go
+++ b/internal/retry/set.go
@@ -2,13 +2,14 @@
 
 import "container/list"
 
-// Set is the budgets of many keys: endpoints, or teams. When it is full, the budget that was used the longest ago makes
-// way. Its key begins anew: with one retry if there is a floor, else with none. It is not safe for concurrent use.
+// Set holds the budgets of many keys, such as endpoints or tenants. When it is full, it evicts the least recently used
+// budget. An evicted key starts over when it is used again: with one token if there is a floor, otherwise with none.
+// Set is not safe for concurrent use.
 type Set[K comparable] struct {
 	config     Config
 	maxBudgets int
 	elements   map[K]*list.Element
-	recent     *list.List // of *entry[K], that which was used last first
+	byUse      *list.List // of *entry[K], the most recently used first
 }
 
 type entry[K comparable] struct {
@@ -16,33 +17,33 @@
 	budget Budget
 }
 
-// NewSet returns an empty set of at most so many budgets, and at least one.
+// NewSet returns an empty set that holds up to maxBudgets budgets, or one if maxBudgets is less.
 func NewSet[K comparable](config Config, maxBudgets int) *Set[K] {
 	return &Set[K]{
 		config: config, maxBudgets: max(1, maxBudgets),
-		elements: map[K]*list.Element{}, recent: list.New(),
+		elements: map[K]*list.Element{}, byUse: list.New(),
 	}
 }
 
-// Config returns the settings in force.
+// Config returns the current settings.
 func (s *Set[K]) Config() Config { return s.config }
 
-// Configure puts other settings in force; the tokens stay.
+// Configure replaces the settings. The budgets keep their tokens.
 func (s *Set[K]) Configure(config Config) { s.config = config }
 
-// Get returns the budget of a key, which it adds if the set does not have it.
+// Get returns the budget of a key, and adds it first if the set does not have it.
 func (s *Set[K]) Get(key K) *Budget {
 	if element := s.elements[key]; element != nil {
-		s.recent.MoveToFront(element)
+		s.byUse.MoveToFront(element)
 		return &element.Value.(*entry[K]).budget
 	}
 	if len(s.elements) >= s.maxBudgets {
-		oldest := s.recent.Back()
+		oldest := s.byUse.Back()
 		delete(s.elements, oldest.Value.(*entry[K]).key)
-		s.recent.Remove(oldest)
+		s.byUse.Remove(oldest)
 	}
 	added := &entry[K]{key: key}
-	s.elements[key] = s.recent.PushFront(added)
+	s.elements[key] = s.byUse.PushFront(added)
 	return &added.budget
 }
 
--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -1,8 +1,8 @@
-// Package retryafter says how long a rejected client is asked to stay away, where nothing tells when there will be
-// room again. Who can compute that time does so itself and passes it on as it is: the budgets of quota.Ledger, the
-// limit of concurrency.Limit and the charges of identity.Authenticator.
+// Package retryafter computes the Retry-After advice for rejected clients where it is not known when there will be
+// capacity again. Packages that can compute that time do so themselves and do not use this one: quota.Ledger for its
+// budgets, concurrency.Limit for its limit, and identity.Authenticator for its charges.
 //
-// Invariants: no function of an Advisor returns more than Advisor.Max; where that is 0, no client is advised at all.
+// Invariants: no method of an Advisor returns more than Advisor.Max; if that is 0, clients get no advice.
 //
 // Bounds: constant time and no memory. The package does no I/O and reads no clock.
 package retryafter
@@ -10,25 +10,25 @@
 import "time"
 
 const (
-	// RetryBudgetExhausted is for a request whose retry budget is used up: when it comes again it counts as a first
-	// attempt, which needs no retry budget.
+	// RetryBudgetExhausted is the advice for a request whose retry budget is exhausted. It can be short because a
+	// request that the client sends again counts as a first attempt, which needs no retry budget.
 	RetryBudgetExhausted = 100 * time.Millisecond
-	// connectionFull is for a client that has too many requests open on one connection, or while memory is short.
+	// connectionFull is the advice when a client has too many requests open on one connection, or memory is short.
 	connectionFull = 100 * time.Millisecond
-	// queriesFull is for a DNS client while too many queries are open: its resolver waits longer by itself.
+	// queriesFull is the advice to a DNS client when too many queries are open; its resolver waits longer by itself.
 	queriesFull = 200 * time.Millisecond
 )
 
-// Advisor gives the times of one proxy. Its zero value advises nobody.
+// Advisor computes the Retry-After advice of a proxy. Its zero value gives no advice.
 type Advisor struct {
-	Max time.Duration // the longest time that clients heed; 0: no client may be told one
+	Max time.Duration // the longest advice that clients follow; 0: no advice is allowed
 }
 
-// MayAdvise reports whether clients may be told a time at all, whoever rejects them.
+// MayAdvise reports whether rejections may carry Retry-After advice at all, whichever package computes it.
 func (a Advisor) MayAdvise() bool { return a.Max > 0 }
 
-// Rejected is for a request that no endpoint can answer in time: half of its class's latency objective, as whoever
-// comes back after the objective comes for nothing. An objective of 0 is none.
+// Rejected returns the advice for a request that no endpoint can serve in time: half of the latency objective of its
+// class, because a retry after the objective is of no use. Without an objective (0) it returns Max.
 func (a Advisor) Rejected(latencyObjective time.Duration) time.Duration {
 	if latencyObjective <= 0 {
 		return a.Max
@@ -36,14 +36,16 @@
 	return min(a.Max, latencyObjective/2)
 }
 
-// Milliseconds gives a time as clients are told it: rounded up, as who comes a part of a millisecond early is rejected
-// once more.
+// Milliseconds converts advice to the unit that clients are sent. It rounds up because a client that retries a fraction
+// of a millisecond early is rejected again.
 func Milliseconds(after time.Duration) int64 {
 	return int64((after + time.Millisecond - 1) / time.Millisecond)
 }
 
-// ConnectionFull is for a client of the RPC frontend that has too many requests open, or while memory is short.
+// ConnectionFull returns the advice to a client of the RPC frontend that has too many requests open on one connection,
+// or whose request was rejected because memory is short.
 func (a Advisor) ConnectionFull() time.Duration { return min(a.Max, connectionFull) }
 
-// QueriesFull is for a client of the DNS frontend while too many queries are open, in all or for one key.
+// QueriesFull returns the advice to a client of the DNS frontend when too many queries are open, in total or for one
+// key.
 func (a Advisor) QueriesFull() time.Duration { return min(a.Max, queriesFull) }
