--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -23,7 +23,7 @@
 	members *membership.Table
 
 	now     time.Duration // the latest time passed to Round
-	offsets clock.Offsets // of the Unix clock from now
+	offsets clock.Offsets // of the Unix clock from the times passed to Round
 	pending []Event       // of this round, not yet handled
 	effects []Effect      // of this round
 
@@ -108,9 +108,9 @@
 	return next
 }
 
-// MaySend reports, just before an attempt is written, whether it may still be sent, and the maximum age of a copy that
-// may serve it (0: the limit of its class). The endpoint list and the purges may have changed while the attempt waited
-// for its connection.
+// MaySend reports, just before an attempt is written, whether it may still be sent, and the maximum age of a cached
+// copy that may serve it (0: the limit of its class). The endpoint list and the purges may have changed while the
+// attempt waited for its connection.
 func (b *Broker) MaySend(attempt *Attempt, now time.Duration) (maxAge time.Duration, ok bool) {
 	switch {
 	case !attempt.Open() || now >= attempt.Deadline:
--- a/internal/broker/crossings_test.go
+++ b/internal/broker/crossings_test.go
@@ -19,8 +19,8 @@
 
 // TestCrossings checks the invariants under random events in random order: each request ends exactly once and in time;
 // nothing is written to an endpoint that is draining or gone, filled from one, or written for a client that canceled;
-// no two attempts of a request are in flight together; a request that may have run and must not be repeated is not; and
-// no state is left in the end.
+// no two attempts of a request are in flight together; a request that may have run and must not be repeated is not
+// repeated; and the broker and the policy hold no request in the end.
 func TestCrossings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := newHarness(t)
@@ -82,12 +82,12 @@
 	}
 }
 
-// order says which of two events comes first in a round.
-type order string
+// eventOrder says which of two events comes first in a round.
+type eventOrder string
 
 const (
-	changeFirst  order = "change first"
-	requestFirst order = "request first"
+	changeFirst  eventOrder = "change first"
+	requestFirst eventOrder = "request first"
 )
 
 // TestDrainCrossesRequest has a request and a list change of its endpoint or source arrive in one round, in both
@@ -107,7 +107,7 @@
 		{"a source drains", func(x *harness) { x.report(parent1, membership.Draining) }},
 		{"an endpoint is gone", func(x *harness) { x.report(cache2, membership.Gone) }},
 	} {
-		for _, order := range []order{changeFirst, requestFirst} {
+		for _, order := range []eventOrder{changeFirst, requestFirst} {
 			t.Run(fmt.Sprintf("%s, %s", test.name, order), func(t *testing.T) {
 				checkDrainCrossesRequest(t, test.report, order)
 			})
@@ -115,7 +115,7 @@
 	}
 }
 
-func checkDrainCrossesRequest(t *testing.T, report func(x *harness), order order) {
+func checkDrainCrossesRequest(t *testing.T, report func(x *harness), order eventOrder) {
 	t.Helper()
 	const requests = 3 // few, as the number of fills is limited
 	x := newHarness(t)
@@ -169,7 +169,7 @@
 
 func clientCancels(x *harness, attempt *Attempt) { x.cancel(attempt.Request) }
 
-// twoEventsCase is a pair of events in one round, and the outcome that both of their orders must have.
+// twoEventsCase is a pair of events in one round, and the outcomes allowed for either order.
 type twoEventsCase struct {
 	name       string
 	event      attemptEvent
@@ -180,8 +180,8 @@
 	retried    bool           // at another endpoint
 }
 
-// TestTwoEventsInOneRound has two events of one request arrive in one round, in both orders. Both orders must have the
-// same outcome.
+// TestTwoEventsInOneRound has two events of one request arrive in one round, in both orders. The allowed outcomes are
+// the same for both.
 func TestTwoEventsInOneRound(t *testing.T) {
 	served := []ResponseKind{ResponseServed}
 	failed := []ResponseKind{ResponseFailed}
@@ -286,7 +286,8 @@
 			}
 		}
 		if (ejected > 0) == responded {
-			t.Errorf("endpoints responded: %v; got %d endpoints ejected, want none if and only if they did", responded, ejected)
+			t.Errorf("endpoints responded: %v; got %d endpoints ejected, want none if and only if they did",
+				responded, ejected)
 		}
 	}
 }
@@ -303,7 +304,7 @@
 		{"an object", Purge{Object: 1}, -1},
 		{"a group", Purge{Group: group}, group},
 	} {
-		for _, order := range []order{changeFirst, requestFirst} {
+		for _, order := range []eventOrder{changeFirst, requestFirst} {
 			x := newHarness(t)
 			x.now += time.Minute
 			purge := test.purge
--- a/internal/broker/ends_test.go
+++ b/internal/broker/ends_test.go
@@ -58,11 +58,12 @@
 				x.end(0, ConnectionReset)
 				responses := x.handleBounded()
 				if len(responses) != 1 || responses[0].Kind != ResponseRejected || responses[0].Budget == "" {
-					t.Errorf("got %d attempts and responses %+v, want one rejection by a budget", len(request.attempts),
-						responses)
+					t.Errorf("got %d attempts and responses %+v, want one rejection by a budget",
+						len(request.attempts), responses)
 				}
 				if limit := 1 + len(x.endpoints); len(request.attempts) > limit {
-					t.Errorf("got %d attempts, want at most %d: each is blocked only once", len(request.attempts), limit)
+					t.Errorf("got %d attempts, want at most %d: the first, and one blocked at each endpoint",
+						len(request.attempts), limit)
 				}
 			})
 		}
@@ -80,7 +81,7 @@
 	x.end(0, ConnectionReset)
 	x.handleBounded()
 	if len(request.attempts) != 2 {
-		t.Errorf("got %d attempts, want 2: the one that was written and one blocked by the budget", len(request.attempts))
+		t.Errorf("got %d attempts, want 2: one that was written, one blocked by the budget", len(request.attempts))
 	}
 }
 
@@ -122,8 +123,8 @@
 				event := AttemptEnded{End: end, MayHaveRun: mayHaveRun}
 				attempts := x.endAll(request, event, !isUnsent, limit)
 				if request.state != requestEnded {
-					t.Errorf("end %v, class %s, MayHaveRun %v: got no response after %d attempts", end, className, mayHaveRun,
-						attempts)
+					t.Errorf("end %v, class %s, MayHaveRun %v: got no response after %d attempts",
+						end, className, mayHaveRun, attempts)
 				}
 			}
 		}
--- a/internal/broker/invariants_test.go
+++ b/internal/broker/invariants_test.go
@@ -17,14 +17,14 @@
 		violate func(b *Broker, attempt *Attempt)
 		want    []invariant.Rule
 	}{
-		{"nothing", func(*Broker, *Attempt) {}, nil},
+		{"no violation", func(*Broker, *Attempt) {}, nil},
 		{"the client has canceled", func(_ *Broker, a *Attempt) { a.Request.Canceled = true },
 			[]invariant.Rule{invariant.RequestOpenAtWrite}},
 		{"the request has ended", func(b *Broker, a *Attempt) { delete(b.open, a.Request.id) },
 			[]invariant.Rule{invariant.RequestOpenAtWrite}},
 		{"the endpoint drains", func(_ *Broker, a *Attempt) { a.Endpoint.State = policy.Draining },
 			[]invariant.Rule{invariant.EndpointReadyAtWrite}},
-		{"the deadline is beyond the client's", func(_ *Broker, a *Attempt) { a.Deadline = now + time.Minute },
+		{"the deadline is after the client's", func(_ *Broker, a *Attempt) { a.Deadline = now + time.Minute },
 			[]invariant.Rule{invariant.DeadlineInTime}},
 		{"the deadline has passed", func(_ *Broker, a *Attempt) { a.Deadline = now },
 			[]invariant.Rule{invariant.DeadlineInTime}},
--- a/internal/broker/request_test.go
+++ b/internal/broker/request_test.go
@@ -46,7 +46,7 @@
 			}
 		}
 		effects := slices.Clone(broker.Round(now, []Event{received("a1", 1), received("a2", 2)}))
-		for range 400 { // nothing is ever written
+		for range 400 { // no attempt is ever written
 			now += 10 * time.Millisecond
 			effects = append(effects, broker.Round(now, nil)...)
 		}
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -49,9 +49,9 @@
 	})
 }
 
-// TestRetryStormIsBounded has an endpoint fail all requests, 200 a second, while each client tries five retries: the
-// total number of attempts stays below 1.2 times the first attempts. A client that sends one request an hour still gets
-// its retry, because of the floor.
+// TestRetryStormIsBounded has an endpoint fail all requests, 200 a second, each with up to five retries: the total
+// number of attempts must stay within 1.2 times the first attempts. A client that sends one request an hour must still
+// get its retry, because of the floor.
 func TestRetryStormIsBounded(t *testing.T) {
 	config := Config{Share: 0.15, Floor: 1}
 	var budget Budget
