--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// flatBuckets is one token bucket a team in a map, as the contracts were before: the plain way to compare with.
+// flatBuckets has one token bucket per team in a map: the simple implementation that the benchmark compares with.
 type flatBuckets map[string]*flatBucket
 
 type flatBucket struct {
@@ -29,8 +29,8 @@
 
 const benchTenants = 100_000
 
-// BenchmarkAdmit is an admission and its end, among 100,000 tenants of which 10,000 are in use, by the depth of the
-// tree.
+// BenchmarkAdmit measures an admission and its release by the depth of the tree, with 100,000 tenants of which 10,000
+// send requests.
 func BenchmarkAdmit(b *testing.B) {
 	names := make([]string, benchTenants)
 	for i := range names {
@@ -85,15 +85,15 @@
 					grant.Release(now)
 				}
 				if rejected > 0 {
-					b.Errorf("%d of %d were rejected", rejected, b.N)
+					b.Errorf("rejected requests: got %d of %d, want none", rejected, b.N)
 				}
 			})
 		}
 	}
 }
 
-// BenchmarkRefuse is a rejection with its Retry-After, at depth 3.
-func BenchmarkRefuse(b *testing.B) {
+// BenchmarkReject measures a rejection with its Retry-After, at depth 3.
+func BenchmarkReject(b *testing.B) {
 	spec := tenant("a", 1, 1, 1)
 	spec.Children = []*Spec{tenant("s", 1, 1, 1)}
 	ledger := NewLedger(installation(100, spec))
@@ -101,7 +101,7 @@
 	b.ReportAllocs()
 	for range b.N {
 		if _, rejection := ledger.Admit(start, "a", "s", "", Cost{}); rejection == nil {
-			b.Fatal("admitted")
+			b.Fatal("request beyond the guaranteed rate: got admission, want rejection")
 		}
 	}
 }
--- a/internal/quota/grant.go
+++ b/internal/quota/grant.go
@@ -6,14 +6,15 @@
 	"sloequay/internal/concurrency"
 )
 
-// Grant is what an admission has taken. Its zero value is that of a request without a contract.
+// Grant holds what an admitted request has taken from the budgets. The zero Grant, of a request without a contract,
+// holds nothing.
 type Grant struct {
 	leaf  *node
 	cost  Cost
 	limit *concurrency.Limit
 }
 
-// Tenant returns the name of the tenant whose contract it is; empty where there is none.
+// Tenant returns the name of the tenant whose contract applies; empty if there is none.
 func (g Grant) Tenant() string {
 	if g.leaf == nil {
 		return ""
@@ -21,30 +22,31 @@
 	return g.leaf.tenant().name
 }
 
-// SpendAttempt charges a first attempt to the budgets of a grant, or returns the one that is used up.
+// SpendAttempt charges a first attempt to the budgets of the grant, or returns a rejection that names the exhausted
+// one.
 func (g Grant) SpendAttempt(now time.Duration) *Rejection { return g.spend(now, Attempts) }
 
-// SpendRetry charges a later attempt to the budgets of a grant, or returns the one that is used up.
+// SpendRetry charges a retry to the budgets of the grant, or returns a rejection that names the exhausted one.
 func (g Grant) SpendRetry(now time.Duration) *Rejection { return g.spend(now, Retries) }
 
-// spend charges one unit of each kind from Attempts to last, or of none.
+// spend charges one unit of each kind from Attempts to last, or nothing at all if one of them is exhausted.
 func (g Grant) spend(now time.Duration, last Kind) *Rejection {
 	if g.leaf == nil {
 		return nil
 	}
 	var found draws
-	if rejection := g.leaf.findRoom(now, Attempts, last, Cost{}, &found); rejection != nil {
+	if rejection := g.leaf.findSources(now, Attempts, last, Cost{}, &found); rejection != nil {
 		return rejection
 	}
 	found.charge(now, Cost{})
 	return nil
 }
 
-// Release gives back what the admission has open, and says nothing about the load. Either it or ReleaseWithOutcome must
-// be called once.
+// Release ends the request without a signal about the load, and returns its share of the limits on what is open. Either
+// Release or ReleaseWithOutcome must be called, exactly once.
 func (g Grant) Release(now time.Duration) { g.ReleaseWithOutcome(now, concurrency.NoSignal, 0) }
 
-// ReleaseWithOutcome is Release with what the end of the request says about the load, and how long it took.
+// ReleaseWithOutcome is like Release, and reports to the concurrency limit how the request ended and how long it took.
 func (g Grant) ReleaseWithOutcome(now time.Duration, outcome concurrency.Outcome, took time.Duration) {
 	if g.limit != nil {
 		g.limit.Release(now, outcome, took)
--- a/internal/quota/kind.go
+++ b/internal/quota/kind.go
@@ -6,51 +6,51 @@
 	"time"
 )
 
-// Kind is what a budget counts.
+// Kind is what a budget counts, or another reason to reject a request.
 type Kind uint8
 
-// The kinds: rates first, then what is open until it is released, then reasons of a rejection that are no budget.
+// The kinds: rates first, then what is open until it is released, then reasons for a rejection that are not budgets.
 const (
-	Requests       Kind = iota // a second
-	PriorityWeight             // a second
-	Bytes                      // a second
-	Attempts                   // a second, first ones and retries
-	Retries                    // a second
+	Requests       Kind = iota // per second
+	PriorityWeight             // per second
+	Bytes                      // per second
+	Attempts                   // per second, first attempts and retries
+	Retries                    // per second
 	rateKinds
 	OpenRequests = rateKinds
 	OpenBytes    = OpenRequests + 1
 	kindCount    = OpenBytes + 1
-	NoClass      = kindCount     // the contract does not have the class
+	NoClass      = kindCount     // the contract does not allow the class
 	NoContract   = kindCount + 1 // there is no contract
-	Concurrency  = kindCount + 2 // the concurrency limit, as learned
+	Concurrency  = kindCount + 2 // the adaptive concurrency limit
 )
 
 const openKinds = kindCount - rateKinds
 
-// kindWords are the words of settings and of rejections.
-var kindWords = [...]string{
+// kindNames holds the names of the kinds in settings and rejections.
+var kindNames = [...]string{
 	Requests: "requests", PriorityWeight: "worth", Bytes: "bytes", Attempts: "attempts", Retries: "repeats",
 	OpenRequests: "open", OpenBytes: "open-bytes",
 	NoClass: "class", NoContract: "contract", Concurrency: "capacity",
 }
 
-// String returns the word that settings and rejections use.
-func (k Kind) String() string { return kindWords[k] }
+// String returns the name of the kind in settings and rejections.
+func (k Kind) String() string { return kindNames[k] }
 
-// Limit is what a contract says of one kind of rate.
+// Limit is the limit of a contract on one kind of rate.
 type Limit struct {
 	Set        bool
-	Guaranteed float64 // units a second
-	Ceiling    float64 // units a second, at least Guaranteed
+	Guaranteed float64 // units per second
+	Ceiling    float64 // units per second, at least Guaranteed
 }
 
-// Cost is what one request takes of each kind at its admission.
+// Cost holds the units that a request takes at its admission. It always counts as one request.
 type Cost struct {
 	PriorityWeight float64
 	Bytes          float64
 }
 
-// of returns the cost of a kind. Requests and attempts count one each.
+// of returns the units of a kind. Requests, attempts and retries count one each.
 func (c Cost) of(kind Kind) float64 {
 	switch kind {
 	case PriorityWeight:
@@ -61,16 +61,16 @@
 	return 1
 }
 
-// Rejection is the budget that a request is over.
+// Rejection says which budget a request exceeds, or why it is rejected otherwise.
 type Rejection struct {
-	Node       string // its path, as "lanes/lookup"; "installation" for the root
+	Node       string // path of the budget's node, such as "lanes/lookup"; "installation" for the root
 	Kind       Kind
-	Requested  float64
-	Left       float64       // that could have been had
-	RetryAfter time.Duration // when it would fit; 0: no time is known
+	Requested  float64       // units
+	Left       float64       // units that were still available
+	RetryAfter time.Duration // until the request is expected to fit; 0: unknown
 }
 
-// String returns the sentence that a client is given.
+// String returns the reason of the rejection as clients are told.
 func (r *Rejection) String() string {
 	switch r.Kind {
 	case NoContract:
@@ -82,8 +82,8 @@
 		r.Node, r.Kind, formatUnits(r.Requested), formatUnits(r.Left))
 }
 
-// BudgetName returns the budget alone, as a field of a response has it.
+// BudgetName returns the name of the budget for the responses to clients: the node's path and the kind.
 func (r *Rejection) BudgetName() string { return r.Node + " " + r.Kind.String() }
 
-// formatUnits writes a number for people, with four digits.
+// formatUnits formats a number with four significant digits.
 func formatUnits(units float64) string { return strconv.FormatFloat(units, 'g', 4, 64) }
--- a/internal/quota/lending.go
+++ b/internal/quota/lending.go
@@ -2,33 +2,36 @@
 
 import "time"
 
-// A limit lends to the limits below it in the manner of weighted fair queueing (Demers, Keshav and Shenker, 1989): the
-// lender's virtual time grows by what it lends over the weights of its borrowers, a borrower's tag by what it borrows
-// over its own weight, and one whose tag is too far beyond the virtual time waits.
+// A limit lends units to the limits below it by weighted fair queueing (Demers, Keshav and Shenker, 1989). A loan
+// advances the lender's virtual time by its units divided by the sum of the borrowers' weights, and the borrower's
+// virtual finish time by its units divided by the borrower's weight. A borrower whose virtual finish time is too far
+// ahead of the lender's virtual time has to wait.
 
 const (
-	// borrowsFor is how long a limit counts as a borrower after it last wanted to borrow.
-	borrowsFor = 200 * time.Millisecond
-	// freeLendShare is the part of the spare burst from which on it is lent whatever the weights say.
-	freeLendShare = 0.5
+	// borrowerTimeout is how long a limit counts as a borrower after its last attempt to borrow.
+	borrowerTimeout = 200 * time.Millisecond
+	// unweightedLendShare is a share of the spare burst. While at least that much is left, units are lent regardless of
+	// the weights. A borrower may run ahead by the virtual time that lending this share takes.
+	unweightedLendShare = 0.5
 )
 
-// lendWait returns how long it takes until the limit that a request meets first may draw here by weight: not at all
-// where that is r itself, which has nothing to borrow, and where at least freeLendShare of the spare burst is left.
-func (r *rate) lendWait(now time.Duration, first *rate) time.Duration {
-	if r == first {
+// lendWait returns how long a request with the given nearest limit must wait until the weights let it draw from r. It
+// returns 0 if nearest is r itself, which has nothing to borrow, or if at least unweightedLendShare of the spare burst
+// is left. It counts the limit right below r as a borrower.
+func (r *rate) lendWait(now time.Duration, nearest *rate) time.Duration {
+	if r == nearest {
 		return 0
 	}
-	borrower := first
+	borrower := nearest
 	for borrower.parent != r {
 		borrower = borrower.parent
 	}
-	borrower.wantToBorrow(now)
-	if r.guaranteed.available(now)-r.reserve >= freeLendShare*r.spare {
+	borrower.startBorrowing(now)
+	if r.guaranteed.available(now)-r.reserve >= unweightedLendShare*r.spare {
 		return 0
 	}
 	weights := max(r.activeWeight, borrower.weight)
-	lead := borrower.tag - r.virtualTime - freeLendShare*r.spare/weights
+	lead := borrower.virtualFinish - r.virtualTime - unweightedLendShare*r.spare/weights
 	if lead <= 0 {
 		return 0
 	}
@@ -36,39 +39,40 @@
 	return time.Duration(min(nanos, float64(maxRetryAfter))) + 1
 }
 
-// wantToBorrow counts a limit among the borrowers of its parent, and drops those that wanted nothing for long.
-func (r *rate) wantToBorrow(now time.Duration) {
+// startBorrowing adds r to the borrowers of its parent, or renews its entry, and removes the borrowers whose last
+// attempt to borrow is longer ago than borrowerTimeout.
+func (r *rate) startBorrowing(now time.Duration) {
 	lender := r.parent
-	if r.borrows {
-		lender.unlink(r)
+	if r.borrowing {
+		lender.unlinkBorrower(r)
 	} else {
-		r.borrows = true
+		r.borrowing = true
 		lender.activeWeight += r.weight
-		r.tag = max(r.tag, lender.virtualTime)
+		r.virtualFinish = max(r.virtualFinish, lender.virtualTime)
 	}
-	r.lastWanted = now
-	lender.link(r)
-	for lender.firstBorrower != nil && now-lender.firstBorrower.lastWanted > borrowsFor {
+	r.lastBorrowAttempt = now
+	lender.linkBorrower(r)
+	for lender.firstBorrower != nil && now-lender.firstBorrower.lastBorrowAttempt > borrowerTimeout {
 		lender.firstBorrower.stopBorrowing()
 	}
 }
 
-// stopBorrowing takes a limit out of the borrowers of its parent.
+// stopBorrowing removes r from the borrowers of its parent.
 func (r *rate) stopBorrowing() {
-	if !r.borrows {
+	if !r.borrowing {
 		return
 	}
-	r.borrows = false
+	r.borrowing = false
 	lender := r.parent
-	lender.unlink(r)
+	lender.unlinkBorrower(r)
 	lender.activeWeight -= r.weight
 	if lender.firstBorrower == nil {
-		lender.activeWeight = 0 // what rounding leaves
+		lender.activeWeight = 0 // clears the rounding error
 	}
 }
 
-// link puts a borrower at the end of the list.
-func (r *rate) link(borrower *rate) {
+// linkBorrower appends a borrower to r's list of borrowers.
+func (r *rate) linkBorrower(borrower *rate) {
 	borrower.prevBorrower = r.lastBorrower
 	if r.lastBorrower != nil {
 		r.lastBorrower.nextBorrower = borrower
@@ -78,8 +82,8 @@
 	r.lastBorrower = borrower
 }
 
-// unlink takes a borrower out of the list.
-func (r *rate) unlink(borrower *rate) {
+// unlinkBorrower removes a borrower from r's list of borrowers.
+func (r *rate) unlinkBorrower(borrower *rate) {
 	if borrower.prevBorrower != nil {
 		borrower.prevBorrower.nextBorrower = borrower.nextBorrower
 	} else {
--- a/internal/quota/node.go
+++ b/internal/quota/node.go
@@ -3,40 +3,42 @@
 import "time"
 
 const (
-	// minOpenWait and maxOpenWait bound the Retry-After where too much is open: the average time between two releases.
+	// minOpenWait and maxOpenWait bound the Retry-After where too much is open, which is the average time between two
+	// releases.
 	minOpenWait = 5 * time.Millisecond
 	maxOpenWait = 5 * time.Second
-	// defaultOpenWait is the Retry-After where no two releases were seen yet.
+	// defaultOpenWait is that Retry-After before two releases have been seen.
 	defaultOpenWait = 100 * time.Millisecond
-	// releaseSmoothing is the part that the newest time between two releases has in their moving average.
+	// releaseSmoothing is the weight of the newest time between two releases in their moving average.
 	releaseSmoothing = 0.2
 )
 
-// node is a node in service. It is made when it is first used, and forgotten when it is full and nothing is open.
+// node is the state of a Spec that is in use. It is created on first use. A tenant's node is dropped, with those below
+// it, once it is idle.
 type node struct {
-	name     string // its path
-	spec     *Spec
-	parent   *node
-	children map[string]*node
-	ended    bool // the contract has, and requests admitted before may still be open
-	lastUsed time.Duration
-
-	rates     [rateKinds]*rate // nil: no limit
+	name          string // path, as in Rejection.Node
+	spec          *Spec
+	parent        *node
+	children      map[string]*node
+	contractEnded bool // no new requests; those admitted before may still be open
+	lastUsed      time.Duration
+
+	rates     [rateKinds]*rate // by kind; nil: no limit
 	openUnits [openKinds]float64
-	inFlight  int // grants of it or of a node below
+	inFlight  int // grants of this node and of the nodes below
 
 	lastRelease     time.Duration
-	releaseInterval float64 // moving average of the nanoseconds between two releases
+	releaseInterval float64 // moving average of the time between two releases, in nanoseconds
 }
 
-// draw is the nearest limit of a kind, and that whose guaranteed part a cost of it is drawn from; nil: nobody's, as no
-// limit above applies.
-type draw struct{ limit, drawn *rate }
+// draw says which limits a cost of one kind is charged to: limit is the nearest one, source that whose guaranteed part
+// the cost is drawn from. A nil source means that only ceilings apply.
+type draw struct{ limit, source *rate }
 
-// draws is a draw by kind of rate; without a limit where a request costs nothing of the kind or nothing limits it.
+// draws holds a draw for each kind of rate, without a limit if the request costs nothing of the kind or none applies.
 type draws [rateKinds]draw
 
-// newNode puts a node below a parent.
+// newNode returns a node for a spec, below a parent; nil: it is the root.
 func newNode(spec *Spec, parent *node) *node {
 	n := &node{name: spec.Name, spec: spec, parent: parent}
 	if parent != nil && parent.parent != nil {
@@ -46,7 +48,7 @@
 	return n
 }
 
-// applyLimits takes the limits of its spec; what is used of them stays.
+// applyLimits sets the limits of the rates from the spec. A limit that existed before keeps what was used of it.
 func (n *node) applyLimits() {
 	for k := range n.rates {
 		old := n.rates[k]
@@ -60,27 +62,28 @@
 	}
 }
 
-// renew takes another spec; nil: the contract has ended, and what is open runs out.
-func (n *node) renew(now time.Duration, spec *Spec) {
-	n.ended = spec == nil
-	if n.ended {
+// replaceSpec replaces the specs of the node and of those below it. A nil spec ends the contract: requests that are
+// open keep their grants, and no more are admitted to the node.
+func (n *node) replaceSpec(now time.Duration, spec *Spec) {
+	n.contractEnded = spec == nil
+	if n.contractEnded {
 		spec = &Spec{Name: n.spec.Name}
 	}
 	n.spec = spec
 	n.lastUsed = now
 	n.applyLimits()
 	for name, child := range n.children {
-		child.renew(now, spec.child(name))
+		child.replaceSpec(now, spec.child(name))
 	}
 }
 
-// child returns the node below of a name, made when it is first used; nil: the contract has none.
+// child returns the child node of a name, creating it on first use; nil: the contract has no such child.
 func (n *node) child(name string) *node {
 	if name == "" || len(n.spec.Children) == 0 {
 		return nil
 	}
 	if child := n.children[name]; child != nil {
-		if child.ended {
+		if child.contractEnded {
 			return nil
 		}
 		return child
@@ -97,7 +100,7 @@
 	return child
 }
 
-// tenant returns the node on its path that is below the root.
+// tenant returns the tenant's node on the path: the one right below the root.
 func (n *node) tenant() *node {
 	for n.parent != nil && n.parent.parent != nil {
 		n = n.parent
@@ -105,8 +108,8 @@
 	return n
 }
 
-// limitOf returns the nearest limit of a kind, its own or that of a node above; nil: none.
-func (n *node) limitOf(kind Kind) *rate {
+// nearestLimit returns the node's own limit of a kind, or that of the nearest node above that has one; nil: none.
+func (n *node) nearestLimit(kind Kind) *rate {
 	for ; n != nil; n = n.parent {
 		if n.rates[kind] != nil {
 			return n.rates[kind]
@@ -115,8 +118,8 @@
 	return nil
 }
 
-// checkOpenLimits returns a rejection where a cost is more than may be open at some node of the path. A request larger
-// than the limit is admitted where nothing else is open.
+// checkOpenLimits returns a rejection if the cost exceeds a limit on what is open at some node of the path. A request
+// larger than the limit is admitted if nothing else is open.
 func (n *node) checkOpenLimits(cost Cost) *Rejection {
 	for p := n; p != nil; p = p.parent {
 		for k, open := range p.openUnits {
@@ -133,7 +136,7 @@
 	return nil
 }
 
-// openWait returns when the next request is likely to end.
+// openWait returns how long it is likely to take until the next request ends.
 func (n *node) openWait() time.Duration {
 	if n.releaseInterval == 0 {
 		return defaultOpenWait
@@ -141,30 +144,31 @@
 	return min(max(time.Duration(n.releaseInterval), minOpenWait), maxOpenWait)
 }
 
-// findRoom finds where a cost is drawn from for each kind from first to last, and takes nothing yet.
-func (n *node) findRoom(now time.Duration, first, last Kind, cost Cost, found *draws) *Rejection {
+// findSources stores in found where the cost of each kind from first to last can be drawn from. It charges nothing yet.
+// It returns a rejection if some kind has to wait.
+func (n *node) findSources(now time.Duration, first, last Kind, cost Cost, found *draws) *Rejection {
 	for kind := first; kind <= last; kind++ {
-		limit, units := n.limitOf(kind), cost.of(kind)
+		limit, units := n.nearestLimit(kind), cost.of(kind)
 		if limit == nil || units == 0 {
 			continue
 		}
-		room := limit.findRoom(now, units)
-		if room.wait > 0 {
+		decision := limit.findSource(now, units)
+		if decision.wait > 0 {
 			return &Rejection{
-				Node: room.blocked.node.name, Kind: kind, Requested: units,
-				Left: room.left, RetryAfter: limit.scheduleRetry(now, units),
+				Node: decision.blockedBy.node.name, Kind: kind, Requested: units,
+				Left: decision.left, RetryAfter: limit.scheduleRetry(now, units),
 			}
 		}
-		found[kind] = draw{limit, room.drawn}
+		found[kind] = draw{limit, decision.source}
 	}
 	return nil
 }
 
-// charge takes a cost from where findRoom has found it.
+// charge charges a cost to the limits that findSources has found.
 func (found *draws) charge(now time.Duration, cost Cost) {
 	for kind := range found {
 		if d := &found[kind]; d.limit != nil {
-			d.limit.charge(now, d.drawn, cost.of(Kind(kind)))
+			d.limit.charge(now, d.source, cost.of(Kind(kind)))
 		}
 	}
 }
@@ -179,14 +183,14 @@
 	}
 }
 
-// release ends a request that countOpen has counted.
+// release undoes countOpen at the end of a request, and updates the average time between releases.
 func (n *node) release(now time.Duration, cost Cost) {
 	for p := n; p != nil; p = p.parent {
 		p.inFlight--
 		for k := range p.openUnits {
 			p.openUnits[k] -= cost.of(rateKinds + Kind(k))
 			if p.inFlight == 0 {
-				p.openUnits[k] = 0 // what rounding leaves
+				p.openUnits[k] = 0 // clears the rounding error
 			}
 		}
 		if p.lastRelease > 0 {
@@ -197,9 +201,9 @@
 	}
 }
 
-// full reports whether a node and all below it have nothing open and owe nothing, so that one made anew would be the
-// same.
-func (n *node) full(now time.Duration) bool {
+// idle reports whether the node and all nodes below it have nothing open and full buckets, so that new nodes would have
+// the same state.
+func (n *node) idle(now time.Duration) bool {
 	if n.inFlight > 0 {
 		return false
 	}
@@ -209,14 +213,14 @@
 		}
 	}
 	for _, child := range n.children {
-		if !child.full(now) {
+		if !child.idle(now) {
 			return false
 		}
 	}
 	return true
 }
 
-// stopBorrowing takes a node and all below it out of the borrowers of the nodes above.
+// stopBorrowing removes the limits of the node and of all nodes below it from the borrowers of the limits above.
 func (n *node) stopBorrowing() {
 	for _, r := range n.rates {
 		if r != nil {
@@ -228,8 +232,8 @@
 	}
 }
 
-// budgets returns how the node's own budgets stand.
-func (n *node) budgets(now time.Duration) []Usage {
+// usages returns the state of the node's own budgets.
+func (n *node) usages(now time.Duration) []Usage {
 	var usages []Usage
 	for k, r := range n.rates {
 		if r != nil {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,14 +1,15 @@
-// Package quota enforces what teams have agreed to, as a tree of budgets: the installation, its tenants, their services
-// and the services' classes. A node may limit any Kind: rates, and what is open until it is released. A node's
-// guaranteed part is always its own; what it doesn't use is lent, by weight, and available to it again at once. It is
-// the block `contracts` of the settings.
+// Package quota enforces the teams' contracts as a tree of budgets: the installation, its tenants, their services and
+// the services' classes. A node may limit any Kind: rates, and what is open until it is released. The guaranteed part
+// of a node is reserved for it; what the node does not use is lent to others by weight, and available to it again at
+// once. The settings have the contracts in the block `contracts`.
 //
-// Invariants, for contracts that are not over-committed: what is admitted at a node within any window is at most its
-// ceiling's rate times the window, its burst, and one request that is larger than the burst; a request within the
-// guaranteed part of its node is admitted, whatever others do; what a grant has taken is given back to the last unit.
+// Invariants, for contracts that are not over-committed: within any window, a node admits at most its ceiling's rate
+// times the window, plus its burst, plus one request that is larger than the burst; a request within the guaranteed
+// part of its node is admitted, whatever the load of others; releasing a grant returns what it holds open, to the last
+// unit.
 //
-// Bounds: nodes in service are those of tenants that are named in the contracts and in use. An admission looks at the
-// nodes on one path and at two others, and does no I/O; the caller passes the time.
+// Bounds: there are nodes only for the tenants that are named in the contracts and in use. An admission looks at the
+// nodes on one path, and at two more for the sweep. It does no I/O; the caller passes the time.
 package quota
 
 import (
@@ -19,46 +20,48 @@
 )
 
 const (
-	// permanentRetryAfter is the Retry-After of a request that no time makes admissible.
+	// permanentRetryAfter is the Retry-After of a request that the contracts do not admit at any time.
 	permanentRetryAfter = time.Second
-	// idleFor is how long a tenant's node that is full and has nothing open is kept.
-	idleFor = 10 * time.Second
-	// sweptNodes is the number of nodes that each admission looks at for that.
-	sweptNodes = 2
-	// othersName is the node's name for the tenants that the contracts don't name.
+	// idleTimeout is how long the node of an idle tenant is kept after its last use.
+	idleTimeout = 10 * time.Second
+	// sweptPerAdmission is the number of tenants that each admission checks for being idle.
+	sweptPerAdmission = 2
+	// othersName is the name of the node that the tenants not named in the contracts share.
 	othersName = "others"
 )
 
-// Ledger is all contracts in force. A nil Ledger admits everything. It is not safe for concurrent use.
+// Ledger holds the contracts in force and what is used of them. A nil Ledger admits every request. It is not safe for
+// concurrent use.
 type Ledger struct {
 	Version int // of the contracts: 1, and one more with each ReplaceContracts
 
-	root      *node
-	tenants   map[string]*Spec   // as written
-	others    *Spec              // of tenants that are not named, together; nil: they are rejected
-	nodes     map[string]*node   // tenants in service, others under ""
-	inService []*node            // the same, in no order, for the sweep
-	sweepAt   int                // index in inService
-	limit     *concurrency.Limit // nil: none
+	root       *node
+	tenants    map[string]*Spec   // by name, as configured
+	others     *Spec              // shared by the tenants that are not named; nil: they are rejected
+	nodes      map[string]*node   // of the tenants in service, by name; that of others is under ""
+	inService  []*node            // the same nodes, unordered, for sweep
+	sweepIndex int                // index in inService of the tenant swept last
+	limit      *concurrency.Limit // nil: concurrency is not limited
 }
 
-// NewLedger returns a ledger of contracts. The children of root are the tenants; one without a name stands for all
-// tenants that are not named.
+// NewLedger returns a ledger of contracts. The children of root are the tenants; a child without a name is shared by
+// all tenants that are not named.
 func NewLedger(root *Spec) *Ledger {
 	l := &Ledger{nodes: map[string]*node{}}
 	l.apply(root)
 	return l
 }
 
-// LimitConcurrency bounds all open requests by a limit that is learned from how requests end; nil: no bound. Each
-// tenant always has its portion of it, by what it is guaranteed, or by weight where nobody is guaranteed anything.
+// LimitConcurrency bounds the number of all open requests by an adaptive limit; nil: no bound. Each tenant may always
+// use its portion of the limit, in proportion to its guaranteed rate of requests, or to its weight if no tenant has
+// one.
 func (l *Ledger) LimitConcurrency(limit *concurrency.Limit) { l.limit = limit }
 
-// ConcurrencyLimit returns that limit; nil: none.
+// ConcurrencyLimit returns the limit that LimitConcurrency has set; nil: none.
 func (l *Ledger) ConcurrencyLimit() *concurrency.Limit { return l.limit }
 
-// Admit takes a request in, or returns the budget that it is over. It takes from all budgets or from none. Each grant
-// must be released once.
+// Admit admits a request, or returns a rejection with the reason. It charges all budgets or none. Each grant must be
+// released once.
 func (l *Ledger) Admit(now time.Duration, tenant, service, class string, cost Cost) (Grant, *Rejection) {
 	if l == nil {
 		return Grant{}, nil
@@ -72,11 +75,11 @@
 		return Grant{}, rejection
 	}
 	var found draws
-	if rejection = leaf.findRoom(now, Requests, Bytes, cost, &found); rejection != nil {
+	if rejection = leaf.findSources(now, Requests, Bytes, cost, &found); rejection != nil {
 		return Grant{}, rejection
 	}
 	if l.limit != nil {
-		if rejection = l.admitConcurrent(now, leaf.tenant()); rejection != nil {
+		if rejection = l.admitConcurrency(now, leaf.tenant()); rejection != nil {
 			return Grant{}, rejection
 		}
 	}
@@ -85,8 +88,8 @@
 	return Grant{leaf, cost, l.limit}, nil
 }
 
-// admitConcurrent takes a place of the concurrency limit.
-func (l *Ledger) admitConcurrent(now time.Duration, tenant *node) *Rejection {
+// admitConcurrency counts a request against the concurrency limit, or returns a rejection.
+func (l *Ledger) admitConcurrency(now time.Duration, tenant *node) *Rejection {
 	wait, ok := l.limit.Admit(now, tenant.inFlight, tenant.spec.portion)
 	if ok {
 		return nil
@@ -107,11 +110,11 @@
 		if name == "" {
 			spec = l.others
 		}
-		tenant.renew(now, spec)
+		tenant.replaceSpec(now, spec)
 	}
 }
 
-// apply takes contracts as they are written.
+// apply puts contracts in force at the root, and indexes the tenants.
 func (l *Ledger) apply(root *Spec) {
 	l.Version++
 	l.tenants = make(map[string]*Spec, len(root.Children))
@@ -132,8 +135,8 @@
 	l.root.applyLimits()
 }
 
-// find returns the node of a tenant, or that of one of its services or their classes where the contract has such. The
-// rejection is for a tenant without a contract or a class that is not in it.
+// find returns the lowest node that applies to a request: that of the class, the service or the tenant, as far as the
+// contract has them. It returns a rejection if the tenant has no contract, or if the contract does not allow the class.
 func (l *Ledger) find(now time.Duration, tenant, service, class string) (*node, *Rejection) {
 	spec, key := l.tenants[tenant], tenant
 	if spec == nil {
@@ -159,7 +162,7 @@
 	return found, nil
 }
 
-// addTenant makes the node of a tenant that is used for the first time.
+// addTenant creates the node of a tenant at its first use.
 func (l *Ledger) addTenant(key string, spec *Spec) *node {
 	tenant := newNode(spec, l.root)
 	if key == "" {
@@ -170,26 +173,26 @@
 	return tenant
 }
 
-// sweep forgets some tenants that are full and have nothing open.
+// sweep checks some tenants, and drops the nodes of those that have been idle for idleTimeout.
 func (l *Ledger) sweep(now time.Duration) {
-	for i := 0; i < sweptNodes && len(l.inService) > 0; i++ {
-		l.sweepAt = (l.sweepAt + 1) % len(l.inService)
-		tenant := l.inService[l.sweepAt]
-		if now-tenant.lastUsed < idleFor || !tenant.full(now) {
+	for i := 0; i < sweptPerAdmission && len(l.inService) > 0; i++ {
+		l.sweepIndex = (l.sweepIndex + 1) % len(l.inService)
+		tenant := l.inService[l.sweepIndex]
+		if now-tenant.lastUsed < idleTimeout || !tenant.idle(now) {
 			continue
 		}
 		tenant.stopBorrowing()
 		delete(l.nodes, tenant.spec.Name)
 		last := len(l.inService) - 1
-		l.inService[l.sweepAt] = l.inService[last]
+		l.inService[l.sweepIndex] = l.inService[last]
 		l.inService[last] = nil
 		l.inService = l.inService[:last]
-		l.sweepAt-- // the node that came to its place is next
+		l.sweepIndex-- // check the tenant that took its place next
 	}
 }
 
 // Tenants returns the number of tenants in service.
 func (l *Ledger) Tenants() int { return len(l.nodes) }
 
-// InFlight returns the number of requests that were admitted and not released.
+// InFlight returns the number of admitted requests that have not been released.
 func (l *Ledger) InFlight() int { return l.root.inFlight }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -29,7 +29,8 @@
 	return &Spec{Name: name, Rates: rates(Requests, guaranteed, ceiling), Weight: weight}
 }
 
-// demand is what one tenant sends: at a rate, evenly, from a time.
+// demand is the load of one tenant: requests at a rate, with exponential pauses, from a time on. A to of 0 means no
+// end.
 type demand struct {
 	name     string
 	rate     float64
@@ -39,36 +40,36 @@
 	next     time.Duration
 }
 
-// play runs demands side by side in simulated time, and ends each request at once.
-func play(ledger *Ledger, length time.Duration, demands ...*demand) {
+// simulate sends the requests of all demands in simulated time, and releases each admitted one at once.
+func simulate(ledger *Ledger, length time.Duration, demands ...*demand) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for i := range demands {
 		demands[i].next = start + demands[i].from
 	}
 	for {
-		first := demands[0]
+		earliest := demands[0]
 		for _, other := range demands {
-			if other.next < first.next {
-				first = other
+			if other.next < earliest.next {
+				earliest = other
 			}
 		}
-		now := first.next
+		now := earliest.next
 		if now > start+length {
 			return
 		}
-		if first.to == 0 || now < start+first.to {
-			if grant, rejection := ledger.Admit(now, first.name, "", "", Cost{}); rejection == nil {
+		if earliest.to == 0 || now < start+earliest.to {
+			if grant, rejection := ledger.Admit(now, earliest.name, "", "", Cost{}); rejection == nil {
 				grant.Release(now)
-				first.admitted = append(first.admitted, now-start)
+				earliest.admitted = append(earliest.admitted, now-start)
 			} else {
-				first.rejected++
+				earliest.rejected++
 			}
 		}
-		first.next += time.Duration(random.ExpFloat64() / first.rate * 1e9)
+		earliest.next += time.Duration(random.ExpFloat64() / earliest.rate * 1e9)
 	}
 }
 
-func (d *demand) between(from, to time.Duration) (n int) {
+func (d *demand) admittedBetween(from, to time.Duration) (n int) {
 	for _, at := range d.admitted {
 		if at >= from && at < to {
 			n++
@@ -77,36 +78,37 @@
 	return n
 }
 
-// TestNodeWithoutGuaranteeLendsNothing guards against a node that guarantees nothing above a child that is guaranteed
-// something: it lent its spare burst without end, and took what a sibling is guaranteed.
+// TestNodeWithoutGuaranteeLendsNothing guards against a node without a guaranteed rate above a child that has one: it
+// lent its spare burst without end, and so used up what its sibling is guaranteed.
 func TestNodeWithoutGuaranteeLendsNothing(t *testing.T) {
-	greedy := tenant("greedy", 0, 100, 1)
-	greedy.Children = []*Spec{{Name: "service", Rates: rates(Requests, 1, 100)}}
-	ledger := NewLedger(installation(20, greedy, tenant("modest", 10, 10, 1)))
+	unguaranteed := tenant("unguaranteed", 0, 100, 1)
+	unguaranteed.Children = []*Spec{{Name: "service", Rates: rates(Requests, 1, 100)}}
+	ledger := NewLedger(installation(20, unguaranteed, tenant("sibling", 10, 10, 1)))
 	const length = 20 * time.Second
-	modest, admitted := 0, 0
+	siblingAdmitted, admitted := 0, 0
 	for now := start; now < start+length; now += 5 * ms {
-		if grant, rejection := ledger.Admit(now, "greedy", "service", "", Cost{}); rejection == nil {
+		if grant, rejection := ledger.Admit(now, "unguaranteed", "service", "", Cost{}); rejection == nil {
 			grant.Release(now)
 			admitted++
 		}
 		if (now-start)%(100*ms) != 0 {
 			continue
 		}
-		if grant, rejection := ledger.Admit(now, "modest", "", "", Cost{}); rejection == nil {
+		if grant, rejection := ledger.Admit(now, "sibling", "", "", Cost{}); rejection == nil {
 			grant.Release(now)
-			modest++
+			siblingAdmitted++
 		}
 	}
-	if want := int(length / (100 * ms)); modest != want {
-		t.Errorf("%d of %d requests within the guaranteed part were admitted, beside %d of the sibling's",
-			modest, want, admitted)
+	if want := int(length / (100 * ms)); siblingAdmitted != want {
+		t.Errorf("admitted requests of the sibling within its guarantee: got %d, want %d, beside %d of the other node",
+			siblingAdmitted, want, admitted)
 	}
 }
 
-// TestSpareByWeight: what nobody has a guarantee of is divided by weight among a hundred that want more than there is,
-// and all of it is used. Measured by Jain's index of what each has over its weight.
-func TestSpareByWeight(t *testing.T) {
+// TestSpareIsSharedByWeight checks that a rate that is not guaranteed to anybody is divided by weight among a hundred
+// tenants that demand more than there is, and that all of it is used. Fairness is Jain's index of the tenants' admitted
+// requests divided by their weights.
+func TestSpareIsSharedByWeight(t *testing.T) {
 	root := installation(1000)
 	var demands []*demand
 	for i := range 100 {
@@ -114,11 +116,11 @@
 		root.Children = append(root.Children, tenant(fmt.Sprint("t", i), 0, 1000, weight))
 		demands = append(demands, &demand{name: fmt.Sprint("t", i), rate: 60})
 	}
-	play(NewLedger(root), 20*time.Second, demands...)
+	simulate(NewLedger(root), 20*time.Second, demands...)
 	var perWeight []float64
 	total := 0
 	for i, d := range demands {
-		admitted := d.between(5*time.Second, 20*time.Second)
+		admitted := d.admittedBetween(5*time.Second, 20*time.Second)
 		total += admitted
 		perWeight = append(perWeight, float64(admitted)/float64(1+i%5))
 	}
@@ -128,105 +130,108 @@
 		squares += rate * rate
 	}
 	jain := mean * mean * float64(len(perWeight)) / squares
-	t.Logf("Jain's index %.4f, %d of 15000 used", jain, total)
+	t.Logf("Jain's index %.4f; %d of 15000 requests admitted", jain, total)
 	if jain < 0.98 || total < 14_700 || total > 15_600 {
-		t.Errorf("Jain's index %.4f, %d of 15000 used", jain, total)
+		t.Errorf("got Jain's index %.4f, want at least 0.98; %d requests admitted, want 14700 to 15600",
+			jain, total)
 	}
 }
 
-// TestOwnerComesBack: the lender has its guarantee from its first request on, and the borrower what is left; alone, the
-// borrower has it all.
-func TestOwnerComesBack(t *testing.T) {
+// TestLenderReclaimsItsGuarantee checks that a borrower gets the whole rate while the lender is idle, and that the
+// lender has its guarantee from its first request on, and the borrower the rest.
+func TestLenderReclaimsItsGuarantee(t *testing.T) {
 	ledger := NewLedger(installation(100, tenant("owner", 80, 80, 1), tenant("other", 10, 100, 1)))
 	owner, other := &demand{name: "owner", rate: 70, from: 10 * time.Second}, &demand{name: "other", rate: 300}
-	play(ledger, 20*time.Second, owner, other)
+	simulate(ledger, 20*time.Second, owner, other)
 	if owner.rejected > 0 {
-		t.Errorf("%d of the owner's requests within its guarantee were rejected", owner.rejected)
+		t.Errorf("rejected requests of the owner within its guarantee: got %d, want 0", owner.rejected)
 	}
-	if admitted := other.between(2*time.Second, 10*time.Second); admitted < 780 || admitted > 820 {
-		t.Errorf("alone, the borrower had %d in 8 s, want 800", admitted)
+	if admitted := other.admittedBetween(2*time.Second, 10*time.Second); admitted < 780 || admitted > 820 {
+		t.Errorf("requests of the borrower alone in 8 s: got %d, want 780 to 820", admitted)
 	}
-	if admitted := other.between(11*time.Second, 20*time.Second); admitted < 9*10 || admitted > 9*35 {
-		t.Errorf("beside the owner the borrower had %d in 9 s", admitted)
+	if admitted := other.admittedBetween(11*time.Second, 20*time.Second); admitted < 9*10 || admitted > 9*35 {
+		t.Errorf("requests of the borrower beside the owner in 9 s: got %d, want 90 to 315", admitted)
 	}
 }
 
-// TestUnlimitedAbove: where the installation has no limit, ceilings alone bound what is borrowed.
-func TestUnlimitedAbove(t *testing.T) {
+// TestCeilingAloneBoundsBorrowing checks that a tenant may send up to its ceiling if the installation has no limit.
+func TestCeilingAloneBoundsBorrowing(t *testing.T) {
 	ledger := NewLedger(&Spec{Name: "installation", Children: []*Spec{tenant("a", 10, 50, 1)}})
-	d := &demand{name: "a", rate: 400}
-	play(ledger, 10*time.Second, d)
-	if admitted := d.between(2*time.Second, 10*time.Second); admitted < 390 || admitted > 410 {
-		t.Errorf("%d in 8 s, want 400", admitted)
+	load := &demand{name: "a", rate: 400}
+	simulate(ledger, 10*time.Second, load)
+	if admitted := load.admittedBetween(2*time.Second, 10*time.Second); admitted < 390 || admitted > 410 {
+		t.Errorf("admitted requests in 8 s: got %d, want 390 to 410", admitted)
 	}
 }
 
-// TestRetryAfter: who is rejected comes back after its Retry-After, and is admitted then, or nearly: 300 clients of one
-// tenant that each want one request, at three times what it may send. The error is that of the Retry-After against the
-// time until admission.
+// TestRetryAfter checks that a rejected client that comes back after its Retry-After is admitted at about that time.
+// 300 clients of one tenant send one request each, at three times the rate of the tenant. The error of a Retry-After is
+// its relative deviation from the time until admission.
 func TestRetryAfter(t *testing.T) {
 	for name, root := range map[string]*Spec{
-		"its own":  installation(1000, tenant("a", 50, 50, 1)),
-		"borrowed": installation(50, tenant("a", 10, 50, 1)),
+		"guaranteed": installation(1000, tenant("a", 50, 50, 1)),
+		"borrowed":   installation(50, tenant("a", 10, 50, 1)),
 	} {
 		ledger := NewLedger(root)
 		random := rand.New(rand.NewPCG(3, 4))
-		type client struct{ at, first, retryAfter time.Duration }
+		type client struct{ nextTry, firstRejected, retryAfter time.Duration }
 		var waiting []client
 		at := start
 		for range 300 {
 			at += time.Duration(random.ExpFloat64() / 150 * 1e9)
-			waiting = append(waiting, client{at: at})
+			waiting = append(waiting, client{nextTry: at})
 		}
 		var deviations []float64
 		rejectedTwice := 0
 		for len(waiting) > 0 {
 			i := 0
 			for j := range waiting {
-				if waiting[j].at < waiting[i].at {
+				if waiting[j].nextTry < waiting[i].nextTry {
 					i = j
 				}
 			}
 			earliest := &waiting[i]
-			grant, rejection := ledger.Admit(earliest.at, "a", "", "", Cost{})
+			grant, rejection := ledger.Admit(earliest.nextTry, "a", "", "", Cost{})
 			if rejection == nil {
-				grant.Release(earliest.at)
-				if earliest.first > 0 {
-					ratio := float64(earliest.at-earliest.first) / float64(earliest.retryAfter)
+				grant.Release(earliest.nextTry)
+				if earliest.firstRejected > 0 {
+					ratio := float64(earliest.nextTry-earliest.firstRejected) / float64(earliest.retryAfter)
 					deviations = append(deviations, math.Abs(ratio-1))
 				}
 				waiting = slices.Delete(waiting, i, i+1)
 				continue
 			}
-			if earliest.first == 0 {
-				earliest.first, earliest.retryAfter = earliest.at, rejection.RetryAfter
+			if earliest.firstRejected == 0 {
+				earliest.firstRejected, earliest.retryAfter = earliest.nextTry, rejection.RetryAfter
 			} else {
 				rejectedTwice++
 			}
-			earliest.at += rejection.RetryAfter
+			earliest.nextTry += rejection.RetryAfter
 		}
 		slices.Sort(deviations)
 		median := stat.Quantile(0.5, stat.Empirical, deviations, nil)
 		p95 := stat.Quantile(0.95, stat.Empirical, deviations, nil)
-		t.Logf("%s: %d had a Retry-After; error median %.3f, 95th percentile %.3f; %d were rejected once more",
+		t.Logf("%s rate: %d clients had a Retry-After; error: median %.3f, 95th percentile %.3f; %d retries rejected",
 			name, len(deviations), median, p95, rejectedTwice)
 		if median > 0.2 || p95 > 0.2 {
-			t.Errorf("%s: error of the Retry-After: median %.3f, 95th percentile %.3f", name, median, p95)
+			t.Errorf("%s rate: Retry-After error: got median %.3f, 95th percentile %.3f, want at most 0.2",
+				name, median, p95)
 		}
 	}
 }
 
-// TestChangesInFlight: contracts change while requests are open, once to nothing and back: grants are given back where
-// they were taken, and what is open counts again when its tenant is back.
-func TestChangesInFlight(t *testing.T) {
-	with := func(open float64) *Spec {
+// TestReplaceContractsWithOpenRequests replaces the contracts while requests are open, once by empty ones and back
+// again. Grants must be released at the nodes that admitted them, and requests that are still open must count again
+// once their tenant is back.
+func TestReplaceContractsWithOpenRequests(t *testing.T) {
+	withMaxOpen := func(maxOpen float64) *Spec {
 		spec := tenant("a", 1000, 1000, 1)
-		spec.MaxOpen[0] = open
+		spec.MaxOpen[0] = maxOpen
 		spec.Children = []*Spec{{Name: "s", Rates: rates(Bytes, 1e6, 1e6)}}
 		return &Spec{Name: "installation", Children: []*Spec{spec}}
 	}
-	const admitted = Kind(0xff) // no kind
-	ledger := NewLedger(with(0))
+	const admitted = Kind(0xff) // stands for an admitted request; not a Kind
+	ledger := NewLedger(withMaxOpen(0))
 	now := start
 	var grants []Grant
 	admit := func() *Rejection {
@@ -241,7 +246,9 @@
 			t.Fatal(rejection)
 		}
 	}
-	for i, root := range []*Spec{with(600), with(400), {Name: "installation"}, with(501), with(500)} {
+	for i, root := range []*Spec{
+		withMaxOpen(600), withMaxOpen(400), {Name: "installation"}, withMaxOpen(501), withMaxOpen(500),
+	} {
 		now += ms
 		ledger.ReplaceContracts(now, root)
 		rejection := admit()
@@ -251,11 +258,11 @@
 			got = rejection.Kind
 		}
 		if got != want {
-			t.Errorf("change %d: %v", i, rejection)
+			t.Errorf("after contract change %d: got rejection %v, want another outcome", i, rejection)
 		}
 		grants[0].Release(now)
 		grants = grants[1:]
-		if i == 0 { // at 500 again
+		if i == 0 { // 500 requests are open again
 			continue
 		}
 		if rejection == nil {
@@ -272,11 +279,11 @@
 		grant.Release(now)
 	}
 	if ledger.InFlight() != 0 {
-		t.Errorf("%d are in flight at the end", ledger.InFlight())
+		t.Errorf("in flight after all releases: got %d, want 0", ledger.InFlight())
 	}
 }
 
-// TestRejections: each names its budget.
+// TestRejections checks the reasons of rejections, and the reports of over-commitments.
 func TestRejections(t *testing.T) {
 	team := tenant("a", 1, 1, 1)
 	team.Classes = []string{"lookup"}
@@ -301,19 +308,19 @@
 		got := ""
 		if rejection != nil {
 			if got = rejection.String(); rejection.RetryAfter <= 0 {
-				t.Errorf("%s: no Retry-After", got)
+				t.Errorf("rejection %q: got no Retry-After, want one", got)
 			}
 		}
 		if got != test.want {
-			t.Errorf("%s %s: %q, want %q", test.tenant, test.class, got, test.want)
+			t.Errorf("rejection of tenant %s, class %s: got %q, want %q", test.tenant, test.class, got, test.want)
 		}
 	}
-	over := installation(10, tenant("a", 8, 8, 1), &Spec{Name: "b", Children: []*Spec{tenant("s", 5, 5, 1)}})
+	overcommitted := installation(10, tenant("a", 8, 8, 1), &Spec{Name: "b", Children: []*Spec{tenant("s", 5, 5, 1)}})
 	const want = "installation requests: 13/s are guaranteed below, of 10/s"
-	if found := over.Overcommitments(); len(found) != 1 || found[0].String() != want {
-		t.Errorf("over-commitment: %v, want %s", found, want)
+	if found := overcommitted.Overcommitments(); len(found) != 1 || found[0].String() != want {
+		t.Errorf("over-commitments: got %v, want %s", found, want)
 	}
-	if found := over.Share(4).Overcommitments(); len(found) != 1 || found[0].Guaranteed != 13.0/4 {
-		t.Errorf("a share of over-commitment: %v", found)
+	if found := overcommitted.Share(4).Overcommitments(); len(found) != 1 || found[0].Guaranteed != 13.0/4 {
+		t.Errorf("over-commitments of one of 4 instances: got %v, want 13/4 guaranteed", found)
 	}
 }
--- a/internal/quota/rate.go
+++ b/internal/quota/rate.go
@@ -3,36 +3,36 @@
 import "time"
 
 const (
-	// minRetryAfter and maxRetryAfter bound the Retry-After of a rate.
+	// minRetryAfter and maxRetryAfter bound the Retry-After of a request that exceeds a rate.
 	minRetryAfter = time.Millisecond
 	maxRetryAfter = time.Minute
 )
 
-// rate is the limit of one kind of rate at a node: a guaranteed part and a ceiling. What the guaranteed part has beyond
-// the reserve is lent to the nodes below (lending.go).
+// rate is a node's limit of one kind of rate: a guaranteed part and a ceiling. The guaranteed units beyond the reserve
+// may be lent to the nodes below (lending.go).
 type rate struct {
 	node       *node
-	parent     *rate // of the nearest limited node above; nil: nothing above limits it
+	parent     *rate // limit of the nearest limited node above; nil: there is none
 	guaranteed bucket
 	ceiling    bucket
-	reserve    float64 // guaranteed bursts of the nearest limited nodes below
-	spare      float64 // burst beyond the reserve
+	reserve    float64 // sum of the guaranteed bursts of the nearest limited nodes below
+	spare      float64 // guaranteed burst beyond the reserve
 
 	// As a lender.
-	virtualTime  float64 // of what is lent to those below
-	activeWeight float64 // of the borrowers together
-	// The borrowers, that which wanted to borrow the longest ago first.
+	virtualTime  float64 // of the lending to the limits below
+	activeWeight float64 // sum of the borrowers' weights
+	// The list of borrowers, ordered by their last attempts to borrow, the oldest first.
 	firstBorrower, lastBorrower *rate
 
 	// As a borrower from parent.
 	weight                     float64
-	borrows                    bool
-	lastWanted                 time.Duration
-	tag                        float64
+	borrowing                  bool
+	lastBorrowAttempt          time.Duration
+	virtualFinish              float64
 	prevBorrower, nextBorrower *rate
 }
 
-// newRate makes the limit of a kind from a node's spec. What is used of the old limit stays; nil: there was none.
+// newRate returns a node's limit of a kind by its spec. It keeps what was used of the old limit; nil: there was none.
 func newRate(n *node, kind Kind, old *rate) *rate {
 	guaranteed, ceiling := n.spec.meters(kind)
 	r := &rate{
@@ -41,62 +41,62 @@
 	}
 	r.spare = max(0, guaranteed.burst-r.reserve)
 	if old != nil {
-		r.guaranteed = old.guaranteed.resized(n.lastUsed, guaranteed)
-		r.ceiling = old.ceiling.resized(n.lastUsed, ceiling)
+		r.guaranteed = old.guaranteed.withMeter(n.lastUsed, guaranteed)
+		r.ceiling = old.ceiling.withMeter(n.lastUsed, ceiling)
 		r.virtualTime = old.virtualTime
 	}
 	if n.parent != nil {
-		r.parent = n.parent.limitOf(kind)
+		r.parent = n.parent.nearestLimit(kind)
 	}
 	return r
 }
 
-// room is where a cost is drawn from, or why it isn't.
-type room struct {
-	drawn   *rate         // whose guaranteed part it is drawn from; nil: no limit above applies
-	wait    time.Duration // until there is room; 0: there is
-	blocked *rate         // the limit that a rejection names
-	left    float64       // what that has
+// drawDecision says where a cost can be drawn from, or what it has to wait for.
+type drawDecision struct {
+	source    *rate         // whose guaranteed part it is drawn from; nil: only ceilings apply
+	wait      time.Duration // until the limits have room; 0: they have now
+	blockedBy *rate         // limit that a rejection names
+	left      float64       // what blockedBy has left, in units
 }
 
-// findRoom finds the nearest limit upward whose guaranteed part a cost can be drawn from. Below that the cost is
-// borrowed, and needs room in each ceiling beyond what is guaranteed.
-func (r *rate) findRoom(now time.Duration, cost float64) room {
-	var blocked, top *rate
+// findSource finds the nearest limit, from r upward, whose guaranteed part a cost can be drawn from. The limits below
+// that one borrow the cost, so the ceiling of each needs room for it beyond the guaranteed part.
+func (r *rate) findSource(now time.Duration, cost float64) drawDecision {
+	var blockedBy, topmost *rate
 	soonest := never
-	below := time.Duration(0) // until the ceilings below have room
-	for p := r; p != nil && below < never; p = p.parent {
-		wait := max(p.ownWait(now, cost), below)
+	belowWait := time.Duration(0) // until the ceilings below have room
+	for p := r; p != nil && belowWait < never; p = p.parent {
+		wait := max(p.ownWait(now, cost), belowWait)
 		if wait == 0 {
 			wait = p.lendWait(now, r)
 		}
 		if wait == 0 {
-			return room{drawn: p, wait: p.ceilingWait(now, cost), blocked: p}
+			return drawDecision{source: p, wait: p.ceilingWait(now, cost), blockedBy: p}
 		}
 		if wait < soonest {
-			soonest, blocked = wait, p
+			soonest, blockedBy = wait, p
 		}
-		below = max(below, p.borrowWait(now, cost))
-		if below > 0 && blocked == nil {
-			blocked = p
+		belowWait = max(belowWait, p.borrowWait(now, cost))
+		if belowWait > 0 && blockedBy == nil {
+			blockedBy = p
 		}
-		top = p
+		topmost = p
 	}
-	if below == 0 { // nothing above the top limits it: only ceilings count
-		return room{}
+	if belowWait == 0 { // no limit above topmost: only ceilings apply
+		return drawDecision{}
 	}
-	if below < soonest {
-		soonest, blocked = below, top
+	if belowWait < soonest {
+		soonest, blockedBy = belowWait, topmost
 	}
-	return room{wait: max(soonest, 1), blocked: blocked, left: blocked.left(now)}
+	return drawDecision{wait: max(soonest, 1), blockedBy: blockedBy, left: blockedBy.left(now)}
 }
 
-// left returns what is guaranteed and not used yet, without the reserve.
+// left returns the guaranteed units that are not used yet, without the reserve.
 func (r *rate) left(now time.Duration) float64 {
 	return max(0, r.guaranteed.available(now)-r.reserve)
 }
 
-// ownWait returns how long it takes until a cost can be drawn from the guaranteed part beyond the reserve.
+// ownWait returns how long it takes until a cost can be drawn from r's guaranteed part beyond the reserve.
 func (r *rate) ownWait(now time.Duration, cost float64) time.Duration {
 	if r.spare <= 0 {
 		return never
@@ -113,8 +113,8 @@
 	return r.ceiling.wait(now, r.guaranteed.burst+min(cost, borrowable))
 }
 
-// ceilingWait returns how long it takes until the ceilings from here upward have room for a cost that is drawn here.
-// Only over-committed contracts make it more than 0.
+// ceilingWait returns how long it takes until the ceilings from r upward have room for a cost that is drawn from r. It
+// is above 0 for over-committed contracts only.
 func (r *rate) ceilingWait(now time.Duration, cost float64) time.Duration {
 	wait := time.Duration(0)
 	for p := r; p != nil; p = p.parent {
@@ -123,49 +123,50 @@
 	return wait
 }
 
-// charge takes a cost that findRoom has found to be drawn from a limit; nil: from none.
-func (r *rate) charge(now time.Duration, drawn *rate, cost float64) {
+// charge charges a cost to the ceilings from r upward, to the guaranteed parts from source upward, and to the virtual
+// times if it is borrowed from source. A nil source means that only ceilings apply.
+func (r *rate) charge(now time.Duration, source *rate, cost float64) {
 	borrowed := true
 	for p := r; p != nil; p = p.parent {
 		p.ceiling.take(now, cost)
-		if p == drawn {
+		if p == source {
 			borrowed = false
 		}
 		if !borrowed {
 			p.guaranteed.take(now, cost)
 		}
-		if p.parent != nil && p.parent == drawn {
-			p.tag += cost / p.weight
-			drawn.virtualTime += cost / max(drawn.activeWeight, p.weight)
+		if p.parent != nil && p.parent == source {
+			p.virtualFinish += cost / p.weight
+			source.virtualTime += cost / max(source.activeWeight, p.weight)
 		}
 	}
 }
 
-// scheduleRetry returns the Retry-After of a cost that there is no room for, and counts it as one that comes then. That
-// is the soonest time at which some limit that it could be drawn from has room, after all that were scheduled before;
-// 0: never.
+// scheduleRetry returns the Retry-After of a cost that does not fit now, and schedules its retry, so that later ones
+// get later times. The retry comes at the earliest time at which some limit that the cost could be drawn from has room
+// after the retries scheduled before. It returns 0 if the cost never fits.
 func (r *rate) scheduleRetry(now time.Duration, cost float64) time.Duration {
-	ceilings := now // when every ceiling has room for what was scheduled before
+	ceilingsFreeAt := now // when every ceiling has room after the retries scheduled before
 	for p := r; p != nil; p = p.parent {
-		ceilings = max(ceilings, p.ceiling.nextRetry(cost))
+		ceilingsFreeAt = max(ceilingsFreeAt, p.ceiling.nextRetry(cost))
 	}
-	var drawn *rate
+	var source *rate
 	soonest := never
-	below := time.Duration(0)
-	for p := r; p != nil && below < never; p = p.parent {
-		wait := max(p.ownWait(now, cost), below)
+	belowWait := time.Duration(0)
+	for p := r; p != nil && belowWait < never; p = p.parent {
+		wait := max(p.ownWait(now, cost), belowWait)
 		if wait < never && p.guaranteed.rate > 0 {
-			at := max(now+wait, p.guaranteed.nextRetry(cost), ceilings)
+			at := max(now+wait, p.guaranteed.nextRetry(cost), ceilingsFreeAt)
 			if at < soonest {
-				soonest, drawn = at, p
+				soonest, source = at, p
 			}
 		}
-		below = max(below, p.borrowWait(now, cost))
+		belowWait = max(belowWait, p.borrowWait(now, cost))
 	}
-	if below < never {
-		at := max(now+below, ceilings)
+	if belowWait < never {
+		at := max(now+belowWait, ceilingsFreeAt)
 		if at < soonest {
-			soonest, drawn = at, nil
+			soonest, source = at, nil
 		}
 	}
 	switch {
@@ -174,8 +175,8 @@
 	case soonest-now > maxRetryAfter:
 		return maxRetryAfter
 	}
-	if drawn != nil {
-		drawn.guaranteed.lastRetry = soonest
+	if source != nil {
+		source.guaranteed.lastRetry = soonest
 	}
 	for p := r; p != nil; p = p.parent {
 		p.ceiling.lastRetry = soonest
@@ -183,10 +184,10 @@
 	return max(soonest-now, minRetryAfter)
 }
 
-// full reports whether both parts are full.
+// full reports whether the buckets of both parts are full.
 func (r *rate) full(now time.Duration) bool { return r.guaranteed.full(now) && r.ceiling.full(now) }
 
-// usage returns how the limit stands.
+// usage returns the state of the limit.
 func (r *rate) usage(now time.Duration, kind Kind) Usage {
 	return Usage{
 		Node: r.node.name, Kind: kind, Guaranteed: r.guaranteed.rate, Ceiling: r.ceiling.rate,
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -18,49 +18,49 @@
 )
 
 const (
-	maxRate       = 1e12 // units a second
+	maxRate       = 1e12 // units per second
 	maxBurst      = time.Hour
 	maxNameLength = 256 // bytes
 	maxInstances  = 10_000
 )
 
-// Contracts is the block `contracts` as written.
+// Contracts is the block `contracts`, as configured.
 type Contracts struct {
 	Root            *Spec
-	Instances       int // that share the contracts
+	Instances       int // number of instances that share the contracts
 	TeamRetries     retry.Config
 	EndpointRetries retry.Config
-	Adaptive        *concurrency.Config // nil: no concurrency limit is learned
+	Adaptive        *concurrency.Config // nil: no concurrency limit
 }
 
-// Section returns the directives of the block `contracts`, and what they say once it was read.
+// Section returns the directives of the block `contracts`, and the Contracts that reading it fills in.
 func Section() (*config.Section, *Contracts) {
 	contracts := &Contracts{Root: &Spec{Name: installationName}, Instances: 1}
 	section := contracts.Root.section(oneRate)
 	section.Int("instances", &contracts.Instances, 1, maxInstances,
-		"proxies that these contracts are shared by; each has its part of every budget")
-	section.Block("retries", false, "how many repeated attempts there may be to first ones", contracts.retriesSection)
-	section.Block("adaptive", false, "a limit on all that is open, learned from how requests end",
+		"number of proxies that share these contracts; each enforces an equal part of every budget")
+	section.Block("retries", false, "limits on retries, relative to first attempts", contracts.retriesSection)
+	section.Block("adaptive", false, "adaptive limit on all open requests, adjusted by how requests end",
 		contracts.adaptiveSection)
-	named := map[string]bool{}
-	section.Block("team", true, "what one team has agreed to", func(words []string) (*config.Section, error) {
+	seen := map[string]bool{}
+	section.Block("team", true, "contract of one team", func(words []string) (*config.Section, error) {
 		if len(words) != 1 {
 			return nil, fmt.Errorf("expected the team's name, got %d words", len(words))
 		}
 		name := words[0]
-		if !validName(name) || named[name] {
-			return nil, fmt.Errorf("the team %.80q is named twice, or is no name of 1 to %d letters",
+		if !validName(name) || seen[name] {
+			return nil, fmt.Errorf("the name %.80q is already in use, or is not 1 to %d bytes long",
 				name, maxNameLength)
 		}
-		named[name] = true
+		seen[name] = true
 		return contracts.tenantSection(name), nil
 	})
-	section.Block("others", false, "what all teams have that are not named, together; without it they are refused",
+	section.Block("others", false, "contract shared by all teams that are not named; without it they are rejected",
 		func([]string) (*config.Section, error) { return contracts.tenantSection(""), nil })
 	return section, contracts
 }
 
-// Ledger returns the ledger of this instance's share of the contracts.
+// Ledger returns a new ledger of this instance's share of the contracts.
 func (c *Contracts) Ledger() *Ledger {
 	ledger := NewLedger(c.Root.Share(c.Instances))
 	if c.Adaptive != nil {
@@ -72,12 +72,16 @@
 func (c *Contracts) retriesSection([]string) (*config.Section, error) {
 	c.TeamRetries.Window = time.Second
 	section := &config.Section{}
-	section.Number("team-share", &c.TeamRetries.Share, 0, 5, "of one team; 0: no limit")
-	section.Rate("team-floor", &c.TeamRetries.Floor, 0, 1e6, "that one team has whatever its first attempts")
-	section.Number("box-share", &c.EndpointRetries.Share, 0, 5, "to one endpoint; 0: no limit")
-	section.Rate("box-floor", &c.EndpointRetries.Floor, 0, 1e6, "that one endpoint gets whatever its first attempts")
+	section.Number("team-share", &c.TeamRetries.Share, 0, 5,
+		"retries of one team, relative to its first attempts; 0: no limit")
+	section.Rate("team-floor", &c.TeamRetries.Floor, 0, 1e6,
+		"retries that one team may always make, regardless of its first attempts")
+	section.Number("box-share", &c.EndpointRetries.Share, 0, 5,
+		"retries to one endpoint, relative to first attempts; 0: no limit")
+	section.Rate("box-floor", &c.EndpointRetries.Floor, 0, 1e6,
+		"retries that one endpoint may always get, regardless of first attempts")
 	section.Duration("window", &c.TeamRetries.Window, 10*time.Millisecond, time.Minute,
-		"in which what lies unused melts to a third")
+		"time in which unused retries decay to about a third")
 	section.Check(func() error {
 		c.EndpointRetries.Window = c.TeamRetries.Window
 		return nil
@@ -91,12 +95,13 @@
 	}
 	c.Adaptive = limit
 	section := &config.Section{}
-	section.Number("least", &limit.Min, 1, 1e6, "requests that may always be open")
-	section.Number("most", &limit.Max, 1, 1e6, "and that may never be exceeded")
-	section.Number("start", &limit.Start, 1, 1e6, "what it begins with")
+	section.Number("least", &limit.Min, 1, 1e6, "lower bound of the limit: requests that may always be open")
+	section.Number("most", &limit.Max, 1, 1e6, "upper bound of the limit")
+	section.Number("start", &limit.Start, 1, 1e6, "initial limit")
 	section.Number("late", &limit.MaxOverloadShare, 0.001, 0.9,
-		"share of requests, late or rejected by endpoints, from which it is cut")
-	section.Duration("window", &limit.Window, 10*time.Millisecond, 10*time.Second, "how often it is looked at")
+		"share of requests late or rejected by endpoints, above which the limit is cut")
+	section.Duration("window", &limit.Window, 10*time.Millisecond, 10*time.Second,
+		"interval at which the limit is adjusted")
 	section.Check(func() error {
 		if limit.Min > limit.Max {
 			return errMinAboveMax
@@ -106,25 +111,25 @@
 	return section, nil
 }
 
-// tenantSection adds a tenant and returns the directives of its block; an empty name stands for all others.
+// tenantSection adds a tenant and returns the directives of its block. An empty name stands for all tenants not named.
 func (c *Contracts) tenantSection(name string) *config.Section {
 	tenant := &Spec{Name: name}
 	c.Root.Children = append(c.Root.Children, tenant)
-	section := tenant.memberSection()
-	section.Words("class", &tenant.Classes, nil, "classes that it may use; all without it")
-	tenant.childBlock(section, "service", "what one of its services has of it",
+	section := tenant.nonRootSection()
+	section.Words("class", &tenant.Classes, nil, "classes that the team may use; all if not given")
+	tenant.childBlock(section, "service", "contract of one of its services",
 		func(service *Spec, section *config.Section) {
-			service.childBlock(section, "for", "what one class of the service has of it", nil)
+			service.childBlock(section, "for", "contract of one class of the service", nil)
 		})
-	tenant.childBlock(section, "for", "what one class has of it", nil)
+	tenant.childBlock(section, "for", "contract of one class", nil)
 	return section
 }
 
 // childBlock adds a block for the children of a node. extend adds directives to each child's block; nil: none.
-func (s *Spec) childBlock(section *config.Section, word, help string, extend func(*Spec, *config.Section)) {
-	section.Block(word, true, help, func(words []string) (*config.Section, error) {
+func (s *Spec) childBlock(section *config.Section, directive, help string, extend func(*Spec, *config.Section)) {
+	section.Block(directive, true, help, func(words []string) (*config.Section, error) {
 		if len(words) != 1 || !validName(words[0]) {
-			return nil, fmt.Errorf("expected a name of 1 to %d letters", maxNameLength)
+			return nil, fmt.Errorf("expected one name of 1 to %d bytes", maxNameLength)
 		}
 		name := words[0]
 		if s.child(name) != nil {
@@ -132,7 +137,7 @@
 		}
 		child := &Spec{Name: name}
 		s.Children = append(s.Children, child)
-		childSection := child.memberSection()
+		childSection := child.nonRootSection()
 		if extend != nil {
 			extend(child, childSection)
 		}
@@ -142,32 +147,32 @@
 
 func validName(name string) bool { return name != "" && len(name) <= maxNameLength }
 
-// memberSection returns the directives of every node but the installation.
-func (s *Spec) memberSection() *config.Section {
+// nonRootSection returns the directives of a node other than the installation.
+func (s *Spec) nonRootSection() *config.Section {
 	section := s.section(rateAndCeiling)
-	section.Number("weight", &s.Weight, 0, 1e6, "its part of what is spare, among its siblings; 1 without it")
+	section.Number("weight", &s.Weight, 0, 1e6, "share of the spare units, relative to its siblings; 1 if not given")
 	return section
 }
 
 // section returns the directives that every node has.
-func (s *Spec) section(form rateForm) *config.Section {
+func (s *Spec) section(syntax rateSyntax) *config.Section {
 	section := &config.Section{}
 	for k := Requests; k < rateKinds; k++ {
 		section.Each(k.String(), func(words []string) error {
 			if s.Rates[k].Set {
 				return errGivenTwice
 			}
-			limit, err := form.parse(words)
+			limit, err := syntax.parse(words)
 			s.Rates[k] = limit
 			return err
-		}, k.String()+form.help)
+		}, k.String()+syntax.help)
 	}
 	section.Number(OpenRequests.String(), &s.MaxOpen[OpenRequests-rateKinds], 0, 1e9,
-		"requests open together; 0: no limit")
+		"requests that may be open at the same time; 0: no limit")
 	var openBytes int64
-	section.Size(OpenBytes.String(), &openBytes, 0, 1<<50, "what open requests may come to together; 0B: no limit")
+	section.Size(OpenBytes.String(), &openBytes, 0, 1<<50, "total size of the open requests; 0B: no limit")
 	section.Duration("burst", &s.Burst, 0, maxBurst,
-		"whose worth of each rate may come at once; a second's without it")
+		"time whose amount of each rate may come at once; one second if not given")
 	section.Check(func() error {
 		s.MaxOpen[OpenBytes-rateKinds] = float64(openBytes)
 		return nil
@@ -175,25 +180,25 @@
 	return section
 }
 
-// rateForm is how the directives of a node's rates are written.
-type rateForm struct {
+// rateSyntax is the syntax of the directives for a node's rates.
+type rateSyntax struct {
 	maxRates int
 	expected string
-	help     string // after the kind's word
+	help     string // follows the name of the kind
 }
 
 var (
-	// oneRate is `200/s`: the installation has nobody to borrow from.
-	oneRate = rateForm{maxRates: 1, expected: "one rate", help: " a second"}
-	// rateAndCeiling is `200/s` or `200/s 600/s`.
-	rateAndCeiling = rateForm{
-		maxRates: 2, expected: "one rate, or two",
-		help: " a second: guaranteed, and the ceiling where more may be borrowed",
+	// oneRate reads `200/s`. The installation has nobody to borrow from, and so no higher ceiling.
+	oneRate = rateSyntax{maxRates: 1, expected: "one rate", help: " per second"}
+	// rateAndCeiling reads `200/s` or `200/s 600/s`.
+	rateAndCeiling = rateSyntax{
+		maxRates: 2, expected: "one or two rates",
+		help: " per second: guaranteed, and the ceiling if more may be borrowed",
 	}
 )
 
-// parse reads the rates of a directive.
-func (f rateForm) parse(words []string) (Limit, error) {
+// parse parses the rates of a directive.
+func (f rateSyntax) parse(words []string) (Limit, error) {
 	if len(words) == 0 || len(words) > f.maxRates {
 		return Limit{}, fmt.Errorf("expected %s, got %d words", f.expected, len(words))
 	}
@@ -210,16 +215,16 @@
 		return Limit{}, err
 	}
 	if limit.Ceiling < limit.Guaranteed {
-		return Limit{}, fmt.Errorf("the ceiling %s is under what is guaranteed, %s", words[1], words[0])
+		return Limit{}, fmt.Errorf("the ceiling %s is below the guaranteed rate %s", words[1], words[0])
 	}
 	return limit, nil
 }
 
-// parseRate reads a rate like `200/s`.
+// parseRate parses a rate such as `200/s`.
 func parseRate(word string) (float64, error) {
 	digits, suffixed := strings.CutSuffix(word, "/s")
 	rate, err := strconv.ParseFloat(digits, 64)
-	if !suffixed || err != nil || !(rate >= 0 && rate <= maxRate) { // NaN is neither
+	if !suffixed || err != nil || !(rate >= 0 && rate <= maxRate) { // false for NaN
 		return 0, fmt.Errorf("expected a rate of 0/s to %g/s, got %.80q", float64(maxRate), word)
 	}
 	return rate, nil
--- a/internal/quota/settings_test.go
+++ b/internal/quota/settings_test.go
@@ -5,17 +5,17 @@
 	"testing"
 )
 
-// TestSettings: an error in contracts names its line and directive, and contracts without one make the tree they say.
+// TestSettings checks that errors name the line and the directive, and that valid contracts give the described tree.
 func TestSettings(t *testing.T) {
 	for text, want := range map[string]string{
 		"requests 5":                        `f:1: requests: expected a rate of 0/s to 1e+12/s, got "5"`,
 		"requests 5/s 9/s":                  "f:1: requests: expected one rate, got 2 words",
 		"team a {\nrequests NaN/s\n}":       `f:2: team.requests: expected a rate of 0/s to 1e+12/s, got "NaN/s"`,
-		"team a {\nworth 9/s 5/s\n}":        "f:2: team.worth: the ceiling 5/s is under what is guaranteed, 9/s",
+		"team a {\nworth 9/s 5/s\n}":        "f:2: team.worth: the ceiling 5/s is below the guaranteed rate 9/s",
 		"team a {\nbytes 1/s\nbytes 1/s\n}": "f:3: team.bytes: given twice",
-		"team a {\n}\nteam a {\n}": `f:3: team: the team "a" is named twice,` +
-			" or is no name of 1 to 256 letters",
-		"team " + strings.Repeat("x", 64<<10) + " {\n}": "is no name of 1 to 256 letters",
+		"team a {\n}\nteam a {\n}": `f:3: team: the name "a" is already in use,` +
+			" or is not 1 to 256 bytes long",
+		"team " + strings.Repeat("x", 64<<10) + " {\n}": "is not 1 to 256 bytes long",
 		"team a {\nservice s {\n}\nservice s {\n}\n}":   "f:4: team.service: s is named twice",
 		"team a {\nburst 2\n}":                          "f:2: team.burst: expected a duration",
 		"adaptive {\nleast 9\nmost 3\n}":                "least is above most",
@@ -25,7 +25,7 @@
 	} {
 		section, _ := Section()
 		if err := section.Parse("f", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%.60q: %v, want %s", text, err, want)
+			t.Errorf("error of %.60q: got %v, want %s", text, err, want)
 		}
 	}
 	section, contracts := Section()
@@ -37,15 +37,15 @@
 	usages, rejection := contracts.Ledger().Explain(start, "a", "s", "c")
 	if rejection != nil || len(usages) != 5 || usages[0].Node != "a/s/c" || usages[0].Guaranteed != 2 ||
 		usages[1].Kind != PriorityWeight || usages[2].Ceiling != 20 || usages[3].Ceiling != 2.25 {
-		t.Errorf("%v %v", usages, rejection)
+		t.Errorf("budgets of class c: got %v, rejection %v", usages, rejection)
 	}
 	usages, _ = contracts.Ledger().Explain(start, "x", "", "")
 	if len(usages) != 2 || usages[0].Node != "others" || usages[0].Ceiling != 1<<18 {
-		t.Errorf("others: %v", usages)
+		t.Errorf("budgets of a team that is not named: got %v", usages)
 	}
 }
 
-// FuzzSettings: any text is read or is an error, and what was read admits or rejects without a panic.
+// FuzzSettings checks that any text is either an error or gives a ledger that admits and rejects without a panic.
 func FuzzSettings(f *testing.F) {
 	f.Add("requests 100/s\nteam a {\nrequests 40/s 80/s\nburst 0s\nservice s {\nfor c {\nworth 0/s 1e12/s\n}\n}\n}\n" +
 		"others {\n}\nadaptive {\n}")
@@ -60,7 +60,7 @@
 			grant, rejection := ledger.Admit(start, tenant, "s", "c", Cost{PriorityWeight: float64(i), Bytes: 1e6})
 			if rejection != nil {
 				if rejection.String() == "" || rejection.RetryAfter < 0 {
-					t.Fatalf("%+v", rejection)
+					t.Fatalf("rejection %+v has no reason, or a Retry-After below 0", rejection)
 				}
 				continue
 			}
@@ -72,7 +72,7 @@
 			grant.Release(start)
 		}
 		if ledger.InFlight() != 0 {
-			t.Fatalf("%d are in flight", ledger.InFlight())
+			t.Fatalf("in flight after all releases: got %d, want 0", ledger.InFlight())
 		}
 	})
 }
--- a/internal/quota/spec.go
+++ b/internal/quota/spec.go
@@ -6,33 +6,33 @@
 )
 
 const (
-	// minLendTime is how much of its rate a node has at least to lend at once, beyond the bursts that it guarantees
-	// below.
+	// minLendTime sets the least that a node can lend at once, beyond the bursts that it guarantees to the nodes below:
+	// what its rate amounts to in this time.
 	minLendTime = 100 * time.Millisecond
-	// defaultBurstSeconds is the burst where none is written.
+	// defaultBurstSeconds is the burst of a node whose contract does not set one.
 	defaultBurstSeconds = 1.0
-	// roundingFactor is by how much the sum of many parts may exceed their total.
+	// roundingFactor is the factor by which rounding may make the sum of many parts exceed their total.
 	roundingFactor = 1 + 1e-9
-	// installationName is the name of the root, which the paths of nodes leave out.
+	// installationName is the name of the root. The paths of other nodes leave it out.
 	installationName = "installation"
 )
 
-// Spec is one node of the contracts as written.
+// Spec is one node of the contracts, as configured.
 type Spec struct {
 	Name     string
-	Weight   float64 // its part of what is spare among its siblings; 0: 1
+	Weight   float64 // share of the spare units, relative to its siblings; 0: 1
 	Rates    [rateKinds]Limit
-	MaxOpen  [openKinds]float64 // from OpenRequests on; 0: no limit
-	Burst    time.Duration      // how much of each rate may come at once; 0: a second
-	Classes  []string           // that a tenant may use; empty: all
+	MaxOpen  [openKinds]float64 // by kind, from OpenRequests on; 0: no limit
+	Burst    time.Duration      // a burst is what a rate amounts to in this time; 0: one second
+	Classes  []string           // classes that a tenant may use; empty: all
 	Children []*Spec
 
-	portion float64 // of a tenant: its part of the concurrency limit
+	portion float64 // of a tenant: its share of the concurrency limit, from 0 to 1
 }
 
-// Share returns the contracts of one instance out of several: each budget divided by their number. The rates are what
-// all instances admit together where clients spread evenly; one that all clients of a tenant come to admits its share
-// alone.
+// Share returns the contracts that one of several instances enforces: each budget divided by the number of instances.
+// All instances together admit the full rates only if clients spread their requests evenly. If all clients of a tenant
+// send to one instance, that one admits no more than its share.
 func (s *Spec) Share(instances int) *Spec {
 	if instances <= 1 {
 		return s
@@ -54,21 +54,21 @@
 	return &share
 }
 
-// Overcommitment is something that contracts guarantee and can't keep.
+// Overcommitment is a budget of which a node guarantees more to the nodes below than it has.
 type Overcommitment struct {
 	Node       string
 	Kind       Kind
-	Guaranteed float64 // to the nodes below, together
-	Available  float64
+	Guaranteed float64 // sum over the nodes below, units per second
+	Available  float64 // guaranteed to the node itself, units per second
 }
 
-// String returns a sentence for operators.
+// String describes the over-commitment for operators.
 func (o Overcommitment) String() string {
 	return fmt.Sprintf("%s %s: %s/s are guaranteed below, of %s/s",
 		o.Node, o.Kind, formatUnits(o.Guaranteed), formatUnits(o.Available))
 }
 
-// Overcommitments returns the nodes that guarantee more than they are guaranteed themselves.
+// Overcommitments returns the budgets of which a node guarantees more than it is guaranteed itself.
 func (s *Spec) Overcommitments() []Overcommitment { return s.overcommitments(s.Name, nil) }
 
 func (s *Spec) overcommitments(path string, found []Overcommitment) []Overcommitment {
@@ -94,7 +94,7 @@
 	return found
 }
 
-// guaranteedBelow returns what the nearest limited nodes below are guaranteed together.
+// guaranteedBelow returns the sum of the guaranteed rates of the nearest limited nodes below.
 func (s *Spec) guaranteedBelow(kind Kind) float64 {
 	sum := 0.0
 	for _, child := range s.Children {
@@ -107,7 +107,7 @@
 	return sum
 }
 
-// reserve returns what the nearest limited nodes below are guaranteed at once.
+// reserve returns the sum of the guaranteed bursts of the nearest limited nodes below.
 func (s *Spec) reserve(kind Kind) float64 {
 	sum := 0.0
 	for _, child := range s.Children {
@@ -121,17 +121,17 @@
 	return sum
 }
 
-// meters returns the guaranteed part and the ceiling of a kind. The ceiling's burst contains the guaranteed one, and a
-// guaranteed burst contains those that are guaranteed below.
+// meters returns the meters of the guaranteed part and of the ceiling of a kind. The ceiling's burst includes the
+// guaranteed burst, which includes the bursts that are guaranteed to the nodes below.
 func (s *Spec) meters(kind Kind) (guaranteed, ceiling meter) {
 	limit := s.Rates[kind]
 	guaranteed = meter{rate: limit.Guaranteed, burst: limit.Guaranteed * s.burstSeconds()}
 	if limit.Guaranteed > 0 {
 		guaranteed.burst = max(guaranteed.burst, 1)
 	}
-	if below := s.reserve(kind); below > 0 { // what is guaranteed below, and something to lend
+	if below := s.reserve(kind); below > 0 { // the bursts guaranteed below, and some units to lend
 		lendable := 0.0
-		if limit.Guaranteed > 0 { // else nothing that is lent would ever come back
+		if limit.Guaranteed > 0 { // otherwise lent units would never be refilled
 			lendable = max(1, limit.Guaranteed*minLendTime.Seconds())
 		}
 		guaranteed.burst = max(guaranteed.burst, below+lendable)
@@ -143,7 +143,7 @@
 	return guaranteed, ceiling
 }
 
-// setPortions sets the portion that each tenant has of the concurrency limit.
+// setPortions sets each tenant's portion of the concurrency limit, by guaranteed rates of requests or else by weights.
 func (s *Spec) setPortions() {
 	guaranteed, weights := 0.0, 0.0
 	for _, tenant := range s.Children {
@@ -159,7 +159,7 @@
 	}
 }
 
-// child returns the child of a name; nil: there is none.
+// child returns the child with a name; nil: there is none.
 func (s *Spec) child(name string) *Spec {
 	for _, child := range s.Children {
 		if child.Name == name {
--- a/internal/quota/tree_test.go
+++ b/internal/quota/tree_test.go
@@ -9,39 +9,39 @@
 	"pgregory.net/rapid"
 )
 
-// roundingError is what sums in the model may differ by.
+// roundingError is the number of units by which the sums of the model and of the ledger may differ.
 const roundingError = 1e-6
 
-// charge is one admission at a node.
+// charge is what one admission has charged to a node.
 type charge struct {
 	at   time.Duration
 	cost float64
 }
 
-// tokenBucket is the plain way to count against a guaranteed part.
+// tokenBucket is the model of a guaranteed part: a token bucket that counts its tokens.
 type tokenBucket struct {
 	tokens float64
 	at     time.Duration
 }
 
-// refill adds what has come since the last time.
+// refill adds the tokens since the last refill.
 func (b *tokenBucket) refill(now time.Duration, limit *rate) {
 	b.tokens = min(limit.guaranteed.burst, b.tokens+(now-b.at).Seconds()*limit.guaranteed.rate)
 	b.at = now
 }
 
-// treeModel plays random requests against a ledger and keeps, in the plainest way, what it has admitted.
+// treeModel sends random requests to a ledger and records what it admits, as a simple reference to compare with.
 type treeModel struct {
 	t       *rapid.T
 	ledger  *Ledger
-	paths   [][]string // tenant and service
+	paths   [][]string // each the names of a tenant and of one of its services
 	now     time.Duration
 	open    []Grant
 	charges map[*node][]charge
-	buckets map[*rate]*tokenBucket // of the guaranteed parts of leaves
+	buckets map[*rate]*tokenBucket // models of the guaranteed parts of leaves
 }
 
-// drawTree draws contracts that are not over-committed, and the paths of their nodes.
+// drawTree draws random contracts that are not over-committed, and the paths of their nodes.
 func drawTree(t *rapid.T) (root *Spec, paths [][]string) {
 	root = &Spec{Name: "installation"}
 	sum := 0.0
@@ -74,15 +74,15 @@
 	return root, paths
 }
 
-// TestTree plays random trees and random demands. After each admission the plain model counts, for each node on the
-// path, all that it was charged over every window that ends now, against its ceiling; what lies within a leaf's own
-// guaranteed part by a token bucket of its own is never rejected; a rejection takes nothing; and at the end nothing is
-// open.
-func TestTree(t *testing.T) {
+// TestTreeAgainstModel compares a ledger of random contracts with a simple model, for random requests. At each
+// admission, the charges to every node on the path must keep its ceiling over all windows that end now. A request
+// within the guaranteed part of a leaf, which the model counts by a token bucket, must be admitted. A rejection must
+// take nothing, and nothing may be open at the end.
+func TestTreeAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		root, paths := drawTree(t)
 		if found := root.Overcommitments(); len(found) > 0 {
-			t.Fatalf("a sound tree is over-committed: %v", found)
+			t.Fatalf("over-commitments of contracts that keep their guarantees: got %v, want none", found)
 		}
 		m := &treeModel{
 			t: t, ledger: NewLedger(root), paths: paths, now: start,
@@ -90,15 +90,15 @@
 		}
 		for range rapid.IntRange(1, 300).Draw(t, "requests") {
 			m.now += time.Duration(rapid.IntRange(0, 120).Draw(t, "pause")) * ms
-			if len(m.open) > 0 && rapid.IntRange(0, 2).Draw(t, "an end") == 0 {
-				i := rapid.IntRange(0, len(m.open)-1).Draw(t, "of")
+			if len(m.open) > 0 && rapid.IntRange(0, 2).Draw(t, "release") == 0 {
+				i := rapid.IntRange(0, len(m.open)-1).Draw(t, "grant")
 				m.open[i].Release(m.now)
 				m.open = slices.Delete(m.open, i, i+1)
 				continue
 			}
 			m.admit()
 		}
-		m.end()
+		m.checkEnd()
 	})
 }
 
@@ -106,40 +106,40 @@
 func (m *treeModel) admit() {
 	path := rapid.SampledFrom(m.paths).Draw(m.t, "leaf")
 	leaf, _ := m.ledger.find(m.now, path[0], path[1], "")
-	full := false
+	openLimitReached := false
 	for n := leaf; n != nil; n = n.parent {
-		full = full || n.spec.MaxOpen[0] > 0 && n.openUnits[0] >= n.spec.MaxOpen[0]
+		openLimitReached = openLimitReached || n.spec.MaxOpen[0] > 0 && n.openUnits[0] >= n.spec.MaxOpen[0]
 	}
 	bucket := m.bucket(leaf)
-	within := false
+	withinGuarantee := false
 	if bucket != nil {
-		within = bucket.tokens >= 1+roundingError
-		if !within && bucket.tokens >= 1-roundingError {
-			return // on the edge, where rounding decides
+		withinGuarantee = bucket.tokens >= 1+roundingError
+		if !withinGuarantee && bucket.tokens >= 1-roundingError {
+			return // so close to a full token that rounding decides
 		}
 	}
 	before := m.ledger.InFlight()
 	grant, rejection := m.ledger.Admit(m.now, path[0], path[1], "", Cost{})
 	switch {
-	case rejection != nil && within && !full:
-		m.t.Fatalf("%v is within its guaranteed part and was rejected: %v", path, rejection)
+	case rejection != nil && withinGuarantee && !openLimitReached:
+		m.t.Fatalf("request of %v within its guaranteed part: got rejection %v, want admission", path, rejection)
 	case rejection != nil && (rejection.Node == "" || m.ledger.InFlight() != before):
-		m.t.Fatalf("a rejection without a budget, or that took something: %+v", rejection)
+		m.t.Fatalf("rejection %+v names no budget, or has changed the requests in flight", rejection)
 	case rejection != nil:
 		return
-	case full:
-		m.t.Fatalf("%v was admitted beyond what may be open", path)
+	case openLimitReached:
+		m.t.Fatalf("request of %v beyond its limit on open requests: got admission, want rejection", path)
 	}
 	m.open = append(m.open, grant)
-	if within {
+	if withinGuarantee {
 		bucket.tokens--
 	}
 	m.checkCeilings(leaf)
 }
 
-// bucket returns the refilled bucket of a leaf's own guaranteed part; nil: it has none.
+// bucket returns the refilled token bucket for the guaranteed part of a leaf; nil: it has none of its own.
 func (m *treeModel) bucket(leaf *node) *tokenBucket {
-	limit := leaf.limitOf(Requests)
+	limit := leaf.nearestLimit(Requests)
 	if limit == nil || len(limit.node.spec.Children) > 0 || limit.guaranteed.rate <= 0 {
 		return nil
 	}
@@ -152,7 +152,8 @@
 	return bucket
 }
 
-// checkCeilings counts an admission at each node of the path over every window that ends now.
+// checkCeilings records an admission at each node of the path, and compares the charges over every window that ends now
+// with the node's ceiling.
 func (m *treeModel) checkCeilings(leaf *node) {
 	for n := leaf; n != nil; n = n.parent {
 		m.charges[n] = append(m.charges[n], charge{m.now, 1})
@@ -166,25 +167,25 @@
 			window := m.now - c.at
 			bound := limit.ceiling.rate*window.Seconds() + limit.ceiling.burst
 			if total > bound+roundingError {
-				m.t.Fatalf("%s was charged %g in %v, and its ceiling is %g", n.name, total, window, bound)
+				m.t.Fatalf("charges of %s: got %g in %v, want at most its ceiling of %g", n.name, total, window, bound)
 			}
 		}
 	}
 }
 
-// end releases all that is open, and checks that nothing is left of it and of idle tenants.
-func (m *treeModel) end() {
+// checkEnd releases all grants, and checks that nothing is open then and that idle tenants are dropped.
+func (m *treeModel) checkEnd() {
 	for _, grant := range m.open {
 		grant.Release(m.now)
 	}
 	if m.ledger.InFlight() != 0 || m.ledger.root.openUnits != [openKinds]float64{} {
-		m.t.Fatalf("%d are in flight at the end", m.ledger.InFlight())
+		m.t.Fatalf("requests in flight at the end: got %d, want 0, and nothing open at the root", m.ledger.InFlight())
 	}
 	m.now += 2 * time.Hour
 	for range 100 {
 		m.ledger.sweep(m.now)
 	}
 	if m.ledger.Tenants() != 0 {
-		m.t.Fatalf("%d idle tenants are left", m.ledger.Tenants())
+		m.t.Fatalf("idle tenants after the sweeps: got %d, want 0", m.ledger.Tenants())
 	}
 }
--- a/internal/quota/usage.go
+++ b/internal/quota/usage.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// Usage is how one budget stands.
+// Usage is the state of one budget.
 type Usage struct {
 	Node       string
 	Kind       Kind
-	Guaranteed float64 // of a rate, a second
-	Ceiling    float64 // of a rate, a second; of what is open, the limit
-	Left       float64 // guaranteed and not used yet; of what is open, how much more may be
-	Borrowable float64 // that its own ceiling would let it borrow
+	Guaranteed float64 // of a rate: units per second
+	Ceiling    float64 // of a rate: units per second; of what is open: the limit
+	Left       float64 // of a rate: guaranteed units not used yet; of what is open: how much more may be open
+	Borrowable float64 // of a rate: units that its own ceiling lets it borrow now
 }
 
-// Explain returns the budgets that apply to a request, the nearest first, and what is left of each.
+// Explain returns the state of the budgets that apply to a request, from the nearest node upward.
 func (l *Ledger) Explain(now time.Duration, tenant, service, class string) ([]Usage, *Rejection) {
 	leaf, rejection := l.find(now, tenant, service, class)
 	if rejection != nil {
@@ -27,35 +27,35 @@
 	}
 	var usages []Usage
 	for n := leaf; n != nil; n = n.parent {
-		usages = append(usages, n.budgets(now)...)
+		usages = append(usages, n.usages(now)...)
 	}
 	return usages, nil
 }
 
-// TenantStatus is how one tenant in service stands.
+// TenantStatus is the state of one tenant in service.
 type TenantStatus struct {
 	Node     string
 	InFlight int
 	Usages   []Usage
 }
 
-// BusiestTenants returns how tenants stand, those with the most requests in flight first and at most limit of them, and
-// how many tenants are in service.
+// BusiestTenants returns the state of at most limit tenants, those with the most requests in flight first, and the
+// number of tenants in service.
 func (l *Ledger) BusiestTenants(now time.Duration, limit int) (busiest []TenantStatus, inService int) {
 	tenants := slices.Clone(l.inService)
 	slices.SortFunc(tenants, func(a, b *node) int {
 		return cmp.Or(cmp.Compare(b.inFlight, a.inFlight), cmp.Compare(a.name, b.name))
 	})
 	for _, tenant := range tenants[:min(limit, len(tenants))] {
-		busiest = append(busiest, TenantStatus{tenant.name, tenant.inFlight, tenant.budgets(now)})
+		busiest = append(busiest, TenantStatus{tenant.name, tenant.inFlight, tenant.usages(now)})
 	}
 	return busiest, len(tenants)
 }
 
-// InstallationUsage returns how the installation's own budgets stand.
-func (l *Ledger) InstallationUsage(now time.Duration) []Usage { return l.root.budgets(now) }
+// InstallationUsage returns the state of the installation's own budgets.
+func (l *Ledger) InstallationUsage(now time.Duration) []Usage { return l.root.usages(now) }
 
-// WriteTable writes budgets as a table for people.
+// WriteTable writes the state of budgets as an aligned text table.
 func WriteTable(w io.Writer, usages []Usage) error {
 	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "budget\tkind\tguaranteed\tceiling\tleft\tto borrow")
