--- a/internal/concurrency/concurrency_test.go
+++ b/internal/concurrency/concurrency_test.go
@@ -14,12 +14,12 @@
 	ms    = time.Millisecond
 )
 
-// backends is the plainest model of what is behind the limit: so many places, each request taking an exponential time,
-// those beyond waiting in one queue.
+// backends is a simple model of the servers behind the limit: each slot serves one request at a time, for an
+// exponentially distributed time, and the requests beyond wait in one queue.
 type backends struct {
-	places int
-	busy   int
-	queue  []*job
+	slots int
+	busy  int
+	queue []*job
 }
 
 type job struct {
@@ -27,7 +27,8 @@
 	arrived time.Duration
 }
 
-// event is the end of a job; without one, the arrival of a request, or of the time to look at the tenant's rate again.
+// event is the end of a job or, without a job, the arrival of a request. If neither, it is time to check the tenant's
+// rate again.
 type event struct {
 	at      time.Duration
 	job     *job
@@ -47,57 +48,57 @@
 	return last
 }
 
-// cluster plays tenants that send at rates against backends behind a limit; without one all requests are admitted.
-type cluster struct {
+// simulation sends requests of several tenants to backends behind a limit. Without a limit, all requests are admitted.
+type simulation struct {
 	backends    backends
 	limit       *Limit
-	rates       []func(at time.Duration) float64 // by tenant, and so the next ones
+	rates       []func(at time.Duration) float64 // requests per second by tenant; the next slices are by tenant too
 	portions    []float64
 	open        []int
 	inTime      []int
 	sent        []int
 	rejected    []int
-	countFrom   time.Duration // when counting begins
+	countFrom   time.Duration // requests count from this time on
 	serviceTime time.Duration
 	objective   time.Duration
-	placesAt    func(time.Duration) int
+	slotsAt     func(time.Duration) int
 
 	random *rand.Rand
 	events events
-	now    time.Duration // since the start
+	now    time.Duration // time since the start
 }
 
-func (c *cluster) run(length time.Duration) {
+func (c *simulation) run(duration time.Duration) {
 	c.random = rand.New(rand.NewPCG(7, 8))
 	tenants := len(c.rates)
 	c.open, c.inTime = make([]int, tenants), make([]int, tenants)
 	c.sent, c.rejected = make([]int, tenants), make([]int, tenants)
 	for tenant := range c.rates {
-		c.planArrival(tenant)
+		c.scheduleArrival(tenant)
 	}
 	for {
 		next := heap.Pop(&c.events).(event)
 		c.now = next.at
-		if c.now > length {
+		if c.now > duration {
 			return
 		}
-		if c.placesAt != nil {
-			c.backends.places = c.placesAt(c.now)
+		if c.slotsAt != nil {
+			c.backends.slots = c.slotsAt(c.now)
 		}
 		switch {
 		case next.job != nil:
-			c.end(next.job)
+			c.finish(next.job)
 		case next.arrival:
-			c.planArrival(next.tenant)
+			c.scheduleArrival(next.tenant)
 			c.arrive(next.tenant)
 		default:
-			c.planArrival(next.tenant)
+			c.scheduleArrival(next.tenant)
 		}
 	}
 }
 
-// planArrival plans the next request of a tenant by its rate.
-func (c *cluster) planArrival(tenant int) {
+// scheduleArrival schedules the next request of a tenant by its rate, or another check if the rate is 0.
+func (c *simulation) scheduleArrival(tenant int) {
 	rate := c.rates[tenant](c.now)
 	if rate <= 0 {
 		heap.Push(&c.events, event{at: c.now + 10*ms, tenant: tenant})
@@ -107,9 +108,9 @@
 	heap.Push(&c.events, event{at: c.now + pause, tenant: tenant, arrival: true})
 }
 
-func (c *cluster) counting() bool { return c.now >= c.countFrom }
+func (c *simulation) counting() bool { return c.now >= c.countFrom }
 
-func (c *cluster) arrive(tenant int) {
+func (c *simulation) arrive(tenant int) {
 	if c.counting() {
 		c.sent[tenant]++
 	}
@@ -121,20 +122,20 @@
 	}
 	c.open[tenant]++
 	arrived := &job{tenant: tenant, arrived: c.now}
-	if c.backends.busy < c.backends.places {
-		c.begin(arrived)
+	if c.backends.busy < c.backends.slots {
+		c.startService(arrived)
 	} else {
 		c.backends.queue = append(c.backends.queue, arrived)
 	}
 }
 
-func (c *cluster) begin(j *job) {
+func (c *simulation) startService(j *job) {
 	c.backends.busy++
 	service := time.Duration(c.random.ExpFloat64() * float64(c.serviceTime))
 	heap.Push(&c.events, event{at: c.now + service, job: j})
 }
 
-func (c *cluster) end(j *job) {
+func (c *simulation) finish(j *job) {
 	c.backends.busy--
 	c.open[j.tenant]--
 	took, outcome := c.now-j.arrived, InTime
@@ -146,8 +147,8 @@
 	if c.limit != nil {
 		c.limit.Release(start+c.now, outcome, took)
 	}
-	for len(c.backends.queue) > 0 && c.backends.busy < c.backends.places {
-		c.begin(c.backends.queue[0])
+	for len(c.backends.queue) > 0 && c.backends.busy < c.backends.slots {
+		c.startService(c.backends.queue[0])
 		c.backends.queue = c.backends.queue[1:]
 	}
 }
@@ -156,11 +157,11 @@
 	return func(time.Duration) float64 { return rate }
 }
 
-// newCluster has 50 places of 20 ms: 2,500 requests a second. One tenant sends 700 a second and has six tenths of the
-// limit, the other sends at a rate.
-func newCluster(limit *Limit, other func(time.Duration) float64) *cluster {
-	return &cluster{
-		backends: backends{places: 50}, limit: limit, portions: []float64{0.6, 0.4},
+// newSimulation returns a simulation with 50 slots and a mean service time of 20 ms: a capacity of 2,500 requests per
+// second. One tenant sends 700 per second and has a portion of 0.6 of the limit; the other sends at the given rate.
+func newSimulation(limit *Limit, other func(time.Duration) float64) *simulation {
+	return &simulation{
+		backends: backends{slots: 50}, limit: limit, portions: []float64{0.6, 0.4},
 		rates:       []func(time.Duration) float64{constant(700), other},
 		serviceTime: 20 * ms, objective: 150 * ms, countFrom: 5 * time.Second,
 	}
@@ -168,33 +169,35 @@
 
 func newLimit() *Limit { return New(Config{Min: 4, Max: 10_000, Start: 20}) }
 
-// TestOverload: the other tenant sends three times what all backends can do. The quiet one keeps its on-time share,
-// most of what the backends can do is used in time, and without the limit nearly nothing is in time.
+// TestOverload checks a tenant beside another one that sends three times the capacity. It must keep its share of
+// requests in time, and most of the capacity must serve requests in time. Without the limit nearly none are in time.
 func TestOverload(t *testing.T) {
-	alone := newCluster(newLimit(), constant(0))
+	alone := newSimulation(newLimit(), constant(0))
 	alone.run(20 * time.Second)
-	solo := float64(alone.inTime[0]) / float64(alone.sent[0])
-	loaded := newCluster(newLimit(), constant(7500))
+	aloneShare := float64(alone.inTime[0]) / float64(alone.sent[0])
+	loaded := newSimulation(newLimit(), constant(7500))
 	loaded.run(20 * time.Second)
-	share := float64(loaded.inTime[0]) / float64(loaded.sent[0])
-	used := float64(loaded.inTime[0]+loaded.inTime[1]) / 15 / 2500
-	bare := newCluster(nil, constant(7500))
-	bare.run(20 * time.Second)
-	t.Logf("on time %.3f alone and %.3f beside three times the capacity; %.3f of that is used; without the limit %.3f",
-		solo, share, used, float64(bare.inTime[0])/float64(bare.sent[0]))
-	if share < 0.95*solo || used < 0.85 || solo < 0.98 {
-		t.Errorf("on time %.3f alone and %.3f beside three times the capacity; %.3f used", solo, share, used)
+	loadedShare := float64(loaded.inTime[0]) / float64(loaded.sent[0])
+	capacityUsed := float64(loaded.inTime[0]+loaded.inTime[1]) / 15 / 2500
+	unlimited := newSimulation(nil, constant(7500))
+	unlimited.run(20 * time.Second)
+	t.Logf("share in time: %.3f alone, %.3f under overload (%.3f of the capacity used), %.3f without limit",
+		aloneShare, loadedShare, capacityUsed, float64(unlimited.inTime[0])/float64(unlimited.sent[0]))
+	if loadedShare < 0.95*aloneShare || capacityUsed < 0.85 || aloneShare < 0.98 {
+		t.Errorf("share in time: got %.3f alone, %.3f under overload, %.3f of capacity; want 0.98, 0.95 of it, 0.85",
+			aloneShare, loadedShare, capacityUsed)
 	}
 	if loaded.rejected[0] > loaded.sent[0]/50 {
-		t.Errorf("%d of the quiet tenant's %d were rejected", loaded.rejected[0], loaded.sent[0])
+		t.Errorf("rejected requests of the tenant within its portion: got %d of %d, want at most 1 in 50",
+			loaded.rejected[0], loaded.sent[0])
 	}
 }
 
-// TestBackendsGoAndComeBack: four fifths of the places go for five seconds. The limit follows down, and is up again
-// within a few seconds of their return, with no more than one dip of what is in time.
-func TestBackendsGoAndComeBack(t *testing.T) {
-	loaded := newCluster(newLimit(), constant(1500))
-	loaded.placesAt = func(at time.Duration) int {
+// TestCapacityLossAndRecovery removes four fifths of the slots for five seconds. The limit must follow the capacity
+// down, and recover within a few seconds of its return, with at most one dip in the share of requests in time.
+func TestCapacityLossAndRecovery(t *testing.T) {
+	loaded := newSimulation(newLimit(), constant(1500))
+	loaded.slotsAt = func(at time.Duration) int {
 		if at > 8*time.Second && at < 13*time.Second {
 			return 10
 		}
@@ -202,16 +205,17 @@
 	}
 	loaded.countFrom = 17 * time.Second
 	loaded.run(25 * time.Second)
-	sent, in := loaded.sent[0]+loaded.sent[1], loaded.inTime[0]+loaded.inTime[1]
-	t.Logf("from 4 s after their return %d of %d are in time", in, sent)
-	if float64(in) < 0.97*float64(sent) {
-		t.Errorf("from 4 s after their return %d of %d are in time", in, sent)
+	sent, inTime := loaded.sent[0]+loaded.sent[1], loaded.inTime[0]+loaded.inTime[1]
+	t.Logf("requests in time from 4 s after the slots return: %d of %d", inTime, sent)
+	if float64(inTime) < 0.97*float64(sent) {
+		t.Errorf("requests in time from 4 s after the slots return: got %d of %d, want at least 0.97", inTime, sent)
 	}
 }
 
-// TestLimit: whatever comes, the value keeps its bounds, what is open is what was admitted and not released, and a
-// tenant below its part is admitted.
-func TestLimit(t *testing.T) {
+// TestLimitInvariants checks for random requests that the limit keeps its bounds, that Open is the number of requests
+// admitted and not released, and that a request is admitted exactly if its tenant is below its portion or the total
+// below the limit.
+func TestLimitInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := Config{
 			Min: float64(rapid.IntRange(1, 10).Draw(t, "min")), Max: float64(rapid.IntRange(10, 50).Draw(t, "max")),
@@ -224,18 +228,19 @@
 		for range rapid.IntRange(1, 300).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 60).Draw(t, "pause")) * ms
 			i := rapid.IntRange(0, 2).Draw(t, "tenant")
-			if open[i] > 0 && rapid.Bool().Draw(t, "an end") {
+			if open[i] > 0 && rapid.Bool().Draw(t, "release") {
 				outcome := Outcome(rapid.IntRange(0, 3).Draw(t, "outcome"))
 				limit.Release(now, outcome, time.Duration(rapid.IntRange(0, 500).Draw(t, "took"))*ms)
 				open[i]--
 				total--
 			} else {
 				limit.adjust(now)
-				below := float64(open[i])+1 <= limit.GuaranteedFor(portions[i])
-				room := float64(total) < limit.Value()
+				belowPortion := float64(open[i])+1 <= limit.GuaranteedFor(portions[i])
+				belowLimit := float64(total) < limit.Value()
 				wait, ok := limit.Admit(now, open[i], portions[i])
-				if ok != (below || room) || !ok && wait <= 0 {
-					t.Fatalf("admitted %v, below its part %v, room %v, wait %v", ok, below, room, wait)
+				if ok != (belowPortion || belowLimit) || !ok && wait <= 0 {
+					t.Fatalf("got admitted %v; below the portion %v, below the limit %v; Retry-After %v",
+						ok, belowPortion, belowLimit, wait)
 				}
 				if ok {
 					open[i]++
@@ -243,7 +248,7 @@
 				}
 			}
 			if v := limit.Value(); v < config.Min || v > config.Max || limit.Open() != total {
-				t.Fatalf("the limit is %g, open %d of %d", v, limit.Open(), total)
+				t.Fatalf("got limit %g and %d open requests, want it in bounds and %d open", v, limit.Open(), total)
 			}
 		}
 	})
--- a/internal/concurrency/decisions_test.go
+++ b/internal/concurrency/decisions_test.go
@@ -11,12 +11,12 @@
 
 const decisionSeeds = 12
 
-// decisionMinimums is how often each kind of thing happens at least, over all seeds.
+// decisionMinimums is how often each outcome must occur at least, over all seeds, so that the digests cover it.
 var decisionMinimums = map[string]int{
-	"admissions": 10000, "rejections": 3000, "increases": 500, "decreases": 400, "quiet times": 10,
+	"admissions": 10000, "rejections": 3000, "increases": 500, "decreases": 400, "idle gaps": 10,
 }
 
-// decisionConfig varies the settings from seed to seed; some are left to their defaults.
+// decisionConfig returns settings that vary by seed; some keep their defaults.
 func decisionConfig(seed uint64) concurrency.Config {
 	config := concurrency.Config{Min: float64(seed % 5), Max: 30 + float64(10*seed), Start: float64(seed * 3)}
 	if seed%2 == 0 {
@@ -31,7 +31,7 @@
 	return config
 }
 
-// TestDecisions plays random requests of three tenants and compares the digests of all decisions with those on file.
+// TestDecisions runs random requests of three tenants and compares the digests of all decisions with the golden file.
 func TestDecisions(t *testing.T) {
 	counts := map[string]int{}
 	digesttest.Check(t, decisionSeeds, func(seed uint64, recorder *digesttest.Recorder) {
@@ -40,32 +40,32 @@
 		portions := []float64{0.5, 0.3, 0}
 		open := make([]int, len(portions))
 		now := time.Duration(seed%2) * 1000 * time.Second
-		pace := float64(5 * time.Millisecond)
-		if seed%4 == 3 { // few requests: windows go on until there are enough
-			pace = float64(300 * time.Millisecond)
+		meanPause := float64(5 * time.Millisecond)
+		if seed%4 == 3 { // few requests: windows are extended until enough have completed
+			meanPause = float64(300 * time.Millisecond)
 		}
-		faultShare := 0.0
+		overloadShare := 0.0
 		for range 2000 + 200*seed {
-			now += time.Duration(random.ExpFloat64() * pace)
+			now += time.Duration(random.ExpFloat64() * meanPause)
 			switch random.IntN(300) {
 			case 0:
-				counts["quiet times"]++
+				counts["idle gaps"]++
 				now += time.Duration(random.IntN(20)) * time.Second
 			case 1, 2, 3, 4, 5, 6:
-				faultShare = random.Float64() * random.Float64()
+				overloadShare = random.Float64() * random.Float64()
 			case 7, 8, 9:
-				faultShare = 0
+				overloadShare = 0
 			}
 			before := limit.Value()
 			tenant := random.IntN(len(portions))
 			if open[tenant] > 0 && random.IntN(100) < 48 {
 				outcome := concurrency.Outcome(0)
-				if random.Float64() < faultShare {
+				if random.Float64() < overloadShare {
 					outcome = concurrency.Outcome(1 + random.IntN(3))
 				}
 				took := time.Duration(random.ExpFloat64() * float64(50*time.Millisecond))
 				if random.IntN(200) == 0 {
-					took = -took // by a clock that went back
+					took = -took // as after a clock that was set back
 				}
 				limit.Release(now, outcome, took)
 				open[tenant]--
