--- a/internal/invalidation/decisions_test.go
+++ b/internal/invalidation/decisions_test.go
@@ -12,13 +12,13 @@
 
 const decisionSeeds = 12
 
-// decisionMinimums is how often each kind of thing happens at least, over all seeds.
+// decisionMinimums is how often each outcome must occur at least, over all seeds, so that the digests cover it.
 var decisionMinimums = map[string]int{
-	"purges": 5000, "purges of a full ledger": 500, "answers": 5000, "answers without a purge": 500, "keys": 1000,
-	"keys that are wrong": 500,
+	"purges": 5000, "purges with the ledger full": 500, "answers": 5000, "answers without a purge": 500, "keys": 1000,
+	"invalid keys": 500,
 }
 
-// drawKey draws a key and its value as a store has them, right or wrong.
+// drawKey draws a key and a value of a store, valid or not.
 func drawKey(random *rand.Rand) (key, value string) {
 	names := []string{
 		fmt.Sprintf("object/%016x", random.Uint64()), fmt.Sprintf("/object/%016x/", random.Uint64()),
@@ -36,7 +36,7 @@
 	return names[random.IntN(len(names))], value
 }
 
-// TestDecisions plays random purges and look-ups and compares the digests of all answers with those on file.
+// TestDecisions runs random purges and look-ups and compares the digests of all answers with the golden file.
 func TestDecisions(t *testing.T) {
 	counts := map[string]int{}
 	digesttest.Check(t, decisionSeeds, func(seed uint64, recorder *digesttest.Recorder) {
@@ -48,7 +48,7 @@
 		ledger := invalidation.New(config)
 		now := 1000 * time.Second
 		for range 1000 + 100*seed {
-			now += time.Duration(40*random.ExpFloat64()) * time.Millisecond // so that some purges fall due exactly now
+			now += time.Duration(40*random.ExpFloat64()) * time.Millisecond // so that some expire exactly now
 			if random.IntN(100) == 0 {
 				now += time.Duration(random.IntN(6)) * time.Second
 			}
@@ -59,7 +59,7 @@
 				}
 				counts["purges"]++
 				if ledger.Len() == config.MaxPurges {
-					counts["purges of a full ledger"]++
+					counts["purges with the ledger full"]++
 				}
 				ledger.Record(now, object, group, now-time.Duration(random.IntN(5000))*time.Millisecond)
 			}
@@ -77,7 +77,7 @@
 				key, value := drawKey(random)
 				purge, err := invalidation.ParsePurge(key, value)
 				if err != nil {
-					counts["keys that are wrong"]++
+					counts["invalid keys"]++
 				}
 				isObject := err == nil && purge.Scope == invalidation.ObjectScope
 				recorder.Add("%d %d %v %d %v", purge.Object, purge.Group, isObject, int64(purge.Issued), err)
--- a/internal/invalidation/invalidation_test.go
+++ b/internal/invalidation/invalidation_test.go
@@ -10,15 +10,15 @@
 
 const ms = time.Millisecond
 
-// purge is one purge of the plain model: a list that is walked.
+// purge is an entry of the reference model, a list of all purges.
 type purge struct {
 	object uint64
 	group  int
 	issued time.Duration
 }
 
-// newestByWalk walks all purges, as the broker did at each write.
-func newestByWalk(all []purge, liveSince time.Duration, object uint64, group int) (at time.Duration, ok bool) {
+// newestByScan is the reference for Ledger.Newest: a linear scan of all purges.
+func newestByScan(all []purge, liveSince time.Duration, object uint64, group int) (at time.Duration, ok bool) {
 	for _, purged := range all {
 		concerns := purged.object == object
 		if purged.object == 0 {
@@ -31,8 +31,8 @@
 	return at, ok
 }
 
-// TestLedgerAgainstAWalk compares random purges and look-ups with a walk over all.
-func TestLedgerAgainstAWalk(t *testing.T) {
+// TestLedgerAgainstLinearScan compares Newest with a linear scan for random purges and look-ups.
+func TestLedgerAgainstLinearScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := Config{Propagation: 6 * time.Second, Slack: 2 * time.Second}
 		ledger := New(config)
@@ -52,36 +52,38 @@
 			object := uint64(rapid.IntRange(1, 5).Draw(t, "of object"))
 			group := rapid.IntRange(AnyGroup, 3).Draw(t, "of group")
 			got, ok := ledger.Newest(object, group)
-			want, wanted := newestByWalk(all, now-config.Propagation-config.Slack, object, group)
-			if got != want || ok != wanted {
-				t.Fatalf("object %d of group %d at %v: %v %v, want %v %v", object, group, now, got, ok, want, wanted)
+			want, wantOK := newestByScan(all, now-config.Propagation-config.Slack, object, group)
+			if got != want || ok != wantOK {
+				t.Fatalf("newest purge of object %d, group %d at %v: got %v %v, want %v %v",
+					object, group, now, got, ok, want, wantOK)
 			}
 		}
 		ledger.Expire(now + time.Minute)
 		if ledger.Len() != 0 {
-			t.Fatalf("%d purges are left after a minute", ledger.Len())
+			t.Fatalf("purges left after a minute: got %d, want 0", ledger.Len())
 		}
 	})
 }
 
-// TestFullLedgerAsksForYounger: what there is no place for must not let an old copy through.
-func TestFullLedgerAsksForYounger(t *testing.T) {
+// TestFullLedgerRequiresNewerCopies checks that no purged copy may be served if the ledger has no space for a purge:
+// the purge must apply to all objects until it expires.
+func TestFullLedgerRequiresNewerCopies(t *testing.T) {
 	now := 1000 * time.Second
 	ledger := New(Config{Propagation: 6 * time.Second, MaxPurges: 10})
 	for object := uint64(1); object <= 11; object++ {
 		ledger.Record(now, object, 0, now-time.Second+time.Duration(object)*ms)
 	}
 	if ledger.Len() != 10 {
-		t.Errorf("%d purges, want the bound of 10", ledger.Len())
+		t.Errorf("purges of a full ledger: got %d, want the bound of 10", ledger.Len())
 	}
 	for _, object := range []uint64{1, 11, 99} {
 		if at, ok := ledger.Newest(object, 0); !ok || at < now-time.Second+11*ms {
-			t.Errorf("object %d: %v %v, want no copy older than the purge that had no place", object, at, ok)
+			t.Errorf("newest purge of object %d: got %v %v, want at least that without space", object, at, ok)
 		}
 	}
 	ledger.Expire(now + 7*time.Second)
 	if at, ok := ledger.Newest(11, 0); ok {
-		t.Errorf("the purge is live after its time: %v", at)
+		t.Errorf("expired purge: got %v from Newest, want none", at)
 	}
 }
 
@@ -101,10 +103,10 @@
 				ledger.Newest(uint64(i), i&255)
 			}
 		})
-		b.Run(fmt.Sprintf("walk/%d", count), func(b *testing.B) {
+		b.Run(fmt.Sprintf("scan/%d", count), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range b.N {
-				newestByWalk(all, now-8*time.Second, uint64(i), i&255)
+				newestByScan(all, now-8*time.Second, uint64(i), i&255)
 			}
 		})
 	}
--- a/internal/invalidation/purge.go
+++ b/internal/invalidation/purge.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Scope is what a purge names.
+// Scope is what a purge applies to.
 type Scope uint8
 
 // The scopes.
@@ -16,35 +16,35 @@
 	GroupScope
 )
 
-// Purge is a purge as a store has it.
+// Purge is a purge as kept in a store.
 type Purge struct {
 	Scope  Scope
-	Object uint64        // of ObjectScope
-	Group  int           // of GroupScope
-	Issued time.Duration // on the Unix clock
+	Object uint64        // for ObjectScope
+	Group  int           // for GroupScope
+	Issued time.Duration // Unix time
 }
 
 const (
-	// maxIssuedMillis is the last Unix millisecond that is taken for one, some hundred years from now.
+	// maxIssuedMillis is the latest issue time accepted, in Unix milliseconds: about a hundred years from now.
 	maxIssuedMillis = 1 << 42
-	// objectDigits is the length of an object's name, in hex digits.
+	// objectDigits is the number of hex digits of an object's name.
 	objectDigits = 16
-	// groupBits bounds the numbers of groups.
+	// groupBits is the number of bits of the largest group number.
 	groupBits = 30
 )
 
-// KeyError is returned for a key of a store, or its value, that is no purge.
+// KeyError is returned for a key or a value of a store that does not describe a purge.
 type KeyError struct {
 	Key     string
 	Problem string
 }
 
-// Error names the key, cut to a length that a log line has room for.
+// Error names the key, truncated to fit a log line, and the problem.
 func (e *KeyError) Error() string { return fmt.Sprintf("%.80q: %s", e.Key, e.Problem) }
 
-// ParsePurge reads a purge from a key and its value, as a KV store has it: object/16 hex digits or group/NUMBER below
-// the store's prefix, with the Unix millisecond at which it was issued as the value. key is without the prefix. Every
-// error is a *KeyError.
+// ParsePurge parses a purge from a key and a value of a KV store. The key, without the store's prefix, is object/ and
+// 16 hex digits, or group/ and a number. The value is the Unix time in milliseconds at which the purge was issued.
+// Every error is a *KeyError.
 func ParsePurge(key, value string) (Purge, error) {
 	millis, err := strconv.ParseInt(strings.TrimSpace(value), 10, 64)
 	if err != nil || millis < 0 || millis > maxIssuedMillis {
