--- a/internal/route/decisions_test.go
+++ b/internal/route/decisions_test.go
@@ -12,13 +12,13 @@
 
 const decisionSeeds = 12
 
-// decisionMinimums is how often each kind of thing happens at least, over all seeds.
+// decisionMinimums is how often each outcome must occur at least, over all seeds, so that the digests cover it.
 var decisionMinimums = map[string]int{
 	"choices": 10000, "choices by a rule": 5000, "choices of the new pool": 700, "shares that rose": 80,
-	"shares that fell": 30, "moving": 2000, "resting": 500, "arrived": 500, "given-up": 500, "wrong plans": 30,
+	"shares that fell": 30, "moving": 2000, "resting": 500, "arrived": 500, "given-up": 500, "invalid plans": 30,
 }
 
-// draw draws one of several words.
+// draw draws one of the words.
 func draw(random *rand.Rand, words ...string) string { return words[random.IntN(len(words))] }
 
 func drawZone(random *rand.Rand) string {
@@ -74,8 +74,8 @@
 	return plan
 }
 
-// spoil makes a plan wrong in one way.
-func spoil(random *rand.Rand, plan *route.Plan) {
+// invalidate introduces one error into a plan.
+func invalidate(random *rand.Rand, plan *route.Plan) {
 	switch random.IntN(10) {
 	case 0:
 		plan.Pools = nil
@@ -101,17 +101,17 @@
 	}
 }
 
-// simulation plays one seed: random requests by a random plan, whose new pool fails in some spans of time.
+// simulation sends random requests through the table of a random plan, whose new pool fails at times.
 type simulation struct {
 	random   *rand.Rand
 	recorder *digesttest.Recorder
 	table    *route.Table
 	now      time.Duration
-	failures [2]float64 // share of failures: of other pools, of the new one
+	failures [2]float64 // failure shares of the other pools and of the new one
 	counts   map[string]int
 }
 
-func (s *simulation) status() {
+func (s *simulation) recordStatus() {
 	for _, team := range []string{"a", "b", "c"} {
 		share, phase := s.table.MigrationStatus(team)
 		if team == "a" {
@@ -122,7 +122,7 @@
 	s.recorder.Add("next at %d", int64(s.table.Next()))
 }
 
-// teamShare is the share of a team that may be moved.
+// teamShare returns the new pool's share of team a.
 func (s *simulation) teamShare() float64 {
 	share, _ := s.table.MigrationStatus("a")
 	return share
@@ -156,30 +156,30 @@
 	if s.random.Float64() < failures {
 		result = route.Failure
 	}
-	moved := s.table.RecordResult(s.now, choice, result)
-	s.recorder.Add("%q", moved)
+	changedTeam := s.table.RecordResult(s.now, choice, result)
+	s.recorder.Add("%q", changedTeam)
 	switch after := s.teamShare(); {
 	case after > before:
 		s.counts["shares that rose"]++
 	case after < before:
 		s.counts["shares that fell"]++
 	}
-	s.status()
+	s.recordStatus()
 	pool, id := s.random.IntN(len(s.table.Pools())), draw(s.random, "cam-1", "p7", "q7", "o")
 	s.recorder.Add("%v", s.table.Contains(pool, id, s.random.IntN(3), s.random.IntN(3)))
 }
 
-// TestDecisions plays random plans and requests and compares the digests of all results with those on file.
+// TestDecisions runs random plans and requests and compares the digests of all results with the golden file.
 func TestDecisions(t *testing.T) {
 	counts := map[string]int{}
 	digesttest.Check(t, decisionSeeds, func(seed uint64, recorder *digesttest.Recorder) {
 		random := rand.New(rand.NewPCG(seed, 0x40_07))
 		for range 10 {
-			wrong := drawPlan(random)
-			spoil(random, &wrong)
-			_, err := route.NewTable(0, wrong)
+			invalid := drawPlan(random)
+			invalidate(random, &invalid)
+			_, err := route.NewTable(0, invalid)
 			if err != nil {
-				counts["wrong plans"]++
+				counts["invalid plans"]++
 			}
 			recorder.Add("%v", err)
 		}
--- a/internal/route/migration_test.go
+++ b/internal/route/migration_test.go
@@ -11,29 +11,29 @@
 
 const start = 1_800_000_000 * time.Second
 
-// TestPosition: objects lie evenly, and apart by team.
+// TestPosition checks that positions are evenly distributed, and differ between teams.
 func TestPosition(t *testing.T) {
 	const objects = 100_000
 	var tenths [10]int
-	near := 0
+	nearby := 0
 	for object := range uint64(objects) {
 		position := Position("lanes", object)
 		tenths[int(position*10)]++
 		if math.Abs(position-Position("lane", object)) < 0.01 {
-			near++
+			nearby++
 		}
 	}
 	for i, count := range tenths {
 		if count < objects/10-500 || count > objects/10+500 {
-			t.Errorf("the tenth %d has %d of %d", i, count, objects)
+			t.Errorf("objects in tenth %d of positions: got %d of %d, want a tenth, +/-500", i, count, objects)
 		}
 	}
-	if near > objects/40 {
-		t.Errorf("%d of %d lie together for two teams", near, objects)
+	if nearby > objects/40 {
+		t.Errorf("objects with close positions in two teams: got %d of %d, want at most 1 in 40", nearby, objects)
 	}
 }
 
-// record hands a result to a migration, and reports whether the share has changed.
+// record records a result with a migration, and reports whether the share has changed.
 func record(m *Migration, now time.Duration, inNew, failed bool) bool {
 	result := Success
 	if failed {
@@ -46,12 +46,12 @@
 	return false
 }
 
-// failureShares is how the pools fail, by the time since the beginning.
+// failureShares holds the failure shares of the pools by the time since the start.
 type failureShares struct{ oldPool, newPool func(time.Duration) float64 }
 
-// drive sends a result every two milliseconds, and returns how often the share has changed.
-func drive(m *Migration, random *rand.Rand, length time.Duration, shares failureShares) (changes int) {
-	for now := start; now < start+length; now += 2 * time.Millisecond {
+// simulate records a result every 2 ms, and returns how often the share has changed.
+func simulate(m *Migration, random *rand.Rand, duration time.Duration, shares failureShares) (changes int) {
+	for now := start; now < start+duration; now += 2 * time.Millisecond {
 		if m.Step(now) {
 			changes++
 		}
@@ -67,11 +67,11 @@
 	return changes
 }
 
-func always(share float64) func(time.Duration) float64 {
+func constantShare(share float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return share }
 }
 
-// TestMigrations plays migrations to new pools of several kinds.
+// TestMigrations simulates migrations to healthy and faulty pools, and checks how they end.
 func TestMigrations(t *testing.T) {
 	config := MigrationConfig{Hold: 10 * time.Second, MinResults: 20, Tolerance: 0.02}
 	onlyUnderLoad := func(at time.Duration) float64 { return 0.5 * math.Min(1, at.Seconds()/40) }
@@ -87,42 +87,43 @@
 		phase      Phase
 		maxChanges int // of the share
 	}{
-		{"a sound pool", failureShares{always(0.01), always(0.01)}, Completed, 4},
-		{"both fail alike", failureShares{always(0.3), always(0.3)}, Completed, 4},
-		{"a pool that fails all", failureShares{always(0.01), always(1)}, Abandoned, 6},
-		{"a pool that fails one in ten", failureShares{always(0.01), always(0.1)}, Abandoned, 8},
-		{"one that fails under load alone", failureShares{always(0), onlyUnderLoad}, Abandoned, 10},
-		{"one that was faulty for a while", failureShares{always(0), forAWhile}, Completed, 8},
+		{"healthy pool", failureShares{constantShare(0.01), constantShare(0.01)}, Completed, 4},
+		{"both pools fail equally", failureShares{constantShare(0.3), constantShare(0.3)}, Completed, 4},
+		{"all requests fail", failureShares{constantShare(0.01), constantShare(1)}, Abandoned, 6},
+		{"one request in ten fails", failureShares{constantShare(0.01), constantShare(0.1)}, Abandoned, 8},
+		{"fails under load only", failureShares{constantShare(0), onlyUnderLoad}, Abandoned, 10},
+		{"temporary fault", failureShares{constantShare(0), forAWhile}, Completed, 8},
 	} {
 		for seed := range uint64(20) {
 			migration := NewMigration(start, config)
 			random := rand.New(rand.NewPCG(seed, 1))
-			changes := drive(migration, random, 10*time.Minute, test.shares)
+			changes := simulate(migration, random, 10*time.Minute, test.shares)
 			if migration.Phase() != test.phase || changes > test.maxChanges {
-				t.Errorf("%s, seed %d: %v at %g after %d changes",
+				t.Errorf("%s, seed %d: got phase %v at share %g after %d changes, want another",
 					test.name, seed, migration.Phase(), migration.Share(), changes)
 			}
 		}
 	}
 }
 
-// TestEdge: a pool that fails just as much as is accepted does not flap: the share changes a few times in an hour at
-// the most.
-func TestEdge(t *testing.T) {
-	worst := 0
+// TestNoFlappingAtTolerance checks that a pool whose failure share is just at the accepted one does not flap: the share
+// changes a few times at most.
+func TestNoFlappingAtTolerance(t *testing.T) {
+	maxChanges := 0
 	for seed := range uint64(50) {
 		migration := NewMigration(start, MigrationConfig{Hold: 10 * time.Second, MinResults: 20, Tolerance: 0.02})
 		random := rand.New(rand.NewPCG(seed, 2))
-		changes := drive(migration, random, time.Hour/4, failureShares{always(0.01), always(0.03)})
-		worst = max(worst, changes)
+		changes := simulate(migration, random, time.Hour/4, failureShares{constantShare(0.01), constantShare(0.03)})
+		maxChanges = max(maxChanges, changes)
 	}
-	t.Logf("at most %d changes", worst)
-	if worst > 10 {
-		t.Errorf("%d changes of the share", worst)
+	t.Logf("at most %d changes of the share", maxChanges)
+	if maxChanges > 10 {
+		t.Errorf("changes of the share: got %d, want at most 10", maxChanges)
 	}
 }
 
-// TestMigrationInvariants: whatever comes, the share is a step or 0, rises by one step at a time and not before Hold.
+// TestMigrationInvariants checks for random results that the share rises by one step at a time, not before Hold has
+// passed, and that a migration is abandoned after MaxAttempts rollbacks.
 func TestMigrationInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMigration(start, MigrationConfig{
@@ -130,27 +131,29 @@
 			MaxAttempts: rapid.IntRange(1, 5).Draw(t, "attempts"),
 		})
 		now, changed := start, start
-		position := rapid.Float64Range(0, 1).Draw(t, "an object")
+		position := rapid.Float64Range(0, 1).Draw(t, "position")
 		for range rapid.IntRange(1, 400).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond
 			before, step, inNew := m.Share(), m.step, m.InNewPool(position)
-			if rapid.Bool().Draw(t, "the time") {
+			if rapid.Bool().Draw(t, "step") {
 				m.Step(now)
 			} else {
-				record(m, now, rapid.Bool().Draw(t, "in the new"), rapid.IntRange(0, 9).Draw(t, "luck") == 0)
+				record(m, now, rapid.Bool().Draw(t, "in new pool"), rapid.IntRange(0, 9).Draw(t, "failed if 0") == 0)
 			}
 			after := m.Share()
 			switch {
 			case after > before:
 				if m.step != step+1 || now-changed < time.Second || inNew && !m.InNewPool(position) {
-					t.Fatalf("it rose from %g to %g, %v after the last change", before, after, now-changed)
+					t.Fatalf("got share raised from %g to %g, %v after the last change, want one step after Hold",
+						before, after, now-changed)
 				}
 				changed = now
 			case after < before:
 				changed = now
 			}
-			if m.stepsBack > m.config.MaxAttempts || m.phase == Abandoned && after != 0 {
-				t.Fatalf("%v at %g after %d steps back", m.phase, after, m.stepsBack)
+			if m.rollbacks > m.config.MaxAttempts || m.phase == Abandoned && after != 0 {
+				t.Fatalf("got phase %v at share %g after %d rollbacks, want share 0 if abandoned",
+					m.phase, after, m.rollbacks)
 			}
 		}
 	})
--- a/internal/route/plan.go
+++ b/internal/route/plan.go
@@ -7,37 +7,37 @@
 	"slices"
 )
 
-// roundingError is what the shares of the pools may come to beyond 1.
+// roundingError is by how much the sum of the pools' shares may exceed 1.
 const roundingError = 1e-9
 
 var (
-	// ErrNoPool is returned for a plan without a pool.
+	// ErrNoPool is returned for a plan without pools.
 	ErrNoPool = errors.New("no pool")
-	// ErrSteps is returned for a migration whose steps do not rise, or do not end at 1.
+	// ErrSteps is returned for a migration whose steps do not rise or do not end at 1.
 	ErrSteps = errors.New("steps must rise from above 0 to 1")
 )
 
-// Plan is services and pools as written.
+// Plan is the configuration of services and pools.
 type Plan struct {
-	Pools      []Pool            // the first is for services that name none
-	Services   map[string]string // the pool of each
+	Pools      []Pool            // the first one serves the services without a pool of their own
+	Services   map[string]string // name of the pool by service
 	Rules      []Rule
 	Migrations []MigrationPlan
 }
 
-// Pool is one set of endpoints with a decision module of its own.
+// Pool is a set of endpoints with a policy of its own.
 type Pool struct {
 	Name      string
-	Selectors []Selector // an endpoint is the pool's if any matches; empty: if no other pool selects it
-	Share     float64    // of what is divided among pools: connections, open requests; 0: an even part of the rest
+	Selectors []Selector // an endpoint is in the pool if any matches; empty: if no other pool selects it
+	Share     float64    // share of connections and open requests; 0: an equal part of what is left
 }
 
-// selects reports whether some selector matches an endpoint.
+// selects reports whether any selector matches an endpoint.
 func (p *Pool) selects(id string, zone, kind int) bool {
 	return slices.ContainsFunc(p.Selectors, func(s Selector) bool { return s.Matches(id, zone, kind) })
 }
 
-// checkSelectors returns an error for a pattern that path.Match doesn't take.
+// checkSelectors returns an error for a pattern that path.Match rejects.
 func (p *Pool) checkSelectors() error {
 	for _, selector := range p.Selectors {
 		for _, pattern := range selector.IDs {
@@ -49,16 +49,16 @@
 	return nil
 }
 
-// Selector says which endpoints are a pool's. What is empty matches any.
+// Selector selects the endpoints of a pool. An empty field matches any endpoint.
 type Selector struct {
 	Zones, Kinds []int
-	IDs          []string // patterns as path.Match takes them
+	IDs          []string // patterns for path.Match
 }
 
-// Empty reports whether it matches every endpoint.
+// Empty reports whether the selector has no conditions, and so matches every endpoint.
 func (s *Selector) Empty() bool { return len(s.Zones) == 0 && len(s.Kinds) == 0 && len(s.IDs) == 0 }
 
-// Matches reports whether it selects an endpoint.
+// Matches reports whether the selector matches an endpoint.
 func (s *Selector) Matches(id string, zone, kind int) bool {
 	if len(s.Zones) > 0 && !slices.Contains(s.Zones, zone) {
 		return false
@@ -72,69 +72,69 @@
 	})
 }
 
-// MigrationPlan is a migration as written.
+// MigrationPlan is the configuration of a team's migration.
 type MigrationPlan struct {
 	Team   string
-	To     string // the pool's name
+	To     string // name of the new pool
 	Config MigrationConfig
 }
 
-// checkPools returns the pools with the shares that were left open filled in.
+// checkPools validates the pools and returns them with the missing shares filled in.
 func (p *Plan) checkPools() ([]Pool, error) {
 	if len(p.Pools) == 0 {
 		return nil, ErrNoPool
 	}
-	sum, open := 0.0, 0
+	sum, unset := 0.0, 0
 	for i := range p.Pools {
 		pool := &p.Pools[i]
-		if p.pool(pool.Name) != i {
+		if p.poolIndex(pool.Name) != i {
 			return nil, fmt.Errorf("the pool %s is named twice", pool.Name)
 		}
 		if pool.Share == 0 {
-			open++
+			unset++
 		}
 		sum += pool.Share
 		if err := pool.checkSelectors(); err != nil {
 			return nil, err
 		}
 	}
-	if sum > 1+roundingError || open > 0 && sum >= 1-roundingError {
+	if sum > 1+roundingError || unset > 0 && sum >= 1-roundingError {
 		return nil, fmt.Errorf("the parts of the pools come to %g, and nothing is left", sum)
 	}
 	pools := slices.Clone(p.Pools)
 	for i := range pools {
 		if pools[i].Share == 0 {
-			pools[i].Share = (1 - sum) / float64(open)
+			pools[i].Share = (1 - sum) / float64(unset)
 		}
 	}
 	return pools, nil
 }
 
-// pool returns the index of the pool of a name; below 0: there is none.
-func (p *Plan) pool(name string) int {
+// poolIndex returns the index of the pool with a name; below 0: there is none.
+func (p *Plan) poolIndex(name string) int {
 	return slices.IndexFunc(p.Pools, func(pool Pool) bool { return pool.Name == name })
 }
 
-// poolOfService returns the index of a service's pool.
-func (p *Plan) poolOfService(service, pool string) (int, error) {
-	index := p.pool(pool)
+// servicePoolIndex returns the index of a service's pool, or an error if the plan has no such pool.
+func (p *Plan) servicePoolIndex(service, pool string) (int, error) {
+	index := p.poolIndex(pool)
 	if index < 0 {
 		return 0, fmt.Errorf("the service %s: there is no pool %s", service, pool)
 	}
 	return index, nil
 }
 
-// checkMigrations returns the index of each migration's pool.
+// checkMigrations validates the migrations and returns the index of each one's new pool.
 func (p *Plan) checkMigrations() ([]int, error) {
 	var pools []int
 	teams := map[string]bool{}
 	for _, migration := range p.Migrations {
-		index := p.pool(migration.To)
+		index := p.poolIndex(migration.To)
 		if index < 0 || teams[migration.Team] {
 			return nil, fmt.Errorf("the move of %s: there is no pool %s, or the team is moved twice",
 				migration.Team, migration.To)
 		}
-		if !rising(migration.Config.Steps) {
+		if !validSteps(migration.Config.Steps) {
 			return nil, fmt.Errorf("the move of %s: %w", migration.Team, ErrSteps)
 		}
 		teams[migration.Team] = true
@@ -143,11 +143,11 @@
 	return pools, nil
 }
 
-// rising reports whether steps rise from above 0 to 1; none stand for the default ones.
-func rising(steps []float64) bool {
+// validSteps reports whether the steps rise from above 0 to 1, or are empty, which stands for the default steps.
+func validSteps(steps []float64) bool {
 	previous := 0.0
 	for _, step := range steps {
-		if !(step > previous && step <= 1) { // NaN is neither
+		if !(step > previous && step <= 1) { // false for NaN
 			return false
 		}
 		previous = step
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,11 +1,13 @@
-// Package route decides whose a request is and which pool of endpoints serves it: ordered rules give its service by
-// team, class and DNS zone; a service has a pool, from which a team can be migrated to another step by step.
+// Package route decides which service a request belongs to and which pool of endpoints serves it. Ordered rules select
+// the service by team, class and DNS zone. Each service has a pool, and a team can be migrated step by step to another
+// pool.
 //
-// Invariants: a request goes to exactly one pool, the same for the same team, class, zone and object while no
-// migration's share changes; an endpoint is in the pools that select it, or in those without a selector if none does.
+// Invariants: a request goes to exactly one pool, which is the same for the same team, class, zone and object while no
+// migration changes its share. An endpoint is in the pools that select it or, if there are none, in those without a
+// selector.
 //
-// Bounds: a choice costs four look-ups by hash and one for each label of the zone, whatever the number of rules.
-// Nothing grows after NewTable, and nothing here does I/O; the caller passes the time.
+// Bounds: Choose costs four hash look-ups, plus one for each label of the zone, whatever the number of rules. Nothing
+// grows after NewTable, and nothing here does I/O; the caller passes the time.
 package route
 
 import (
@@ -13,32 +15,32 @@
 	"time"
 )
 
-// Table decides, for each request, whose it is and which pool serves it; and for each endpoint, which pools it is in.
-// It is not safe for concurrent use.
+// Table decides for each request to which service it belongs and which pool serves it, and for each endpoint in which
+// pools it is. It is not safe for concurrent use.
 type Table struct {
 	pools         []Pool // with their shares filled in
 	serviceToPool map[string]int
 	rules         *Rules
 	migrations    map[string]*teamMigration // by team
-	ordered       []*teamMigration          // as written
+	ordered       []*teamMigration          // in the order of the plan
 }
 
 // teamMigration is the migration of one team to a pool.
 type teamMigration struct {
 	*Migration
 	team string
-	to   int
+	pool int // index of the new pool
 }
 
-// Choice is where a request goes.
+// Choice is the destination of a request.
 type Choice struct {
-	Service string
-	Pool    int
-	team    string // that is migrating; empty: none
-	inNew   bool
+	Service   string
+	Pool      int    // index in Table.Pools
+	team      string // team that is migrating; empty: none
+	inNewPool bool
 }
 
-// NewTable checks a plan and returns its table. Migrations begin.
+// NewTable validates a plan and returns its table. The migrations start now.
 func NewTable(now time.Duration, plan Plan) (*Table, error) {
 	pools, err := plan.checkPools()
 	if err != nil {
@@ -46,7 +48,7 @@
 	}
 	t := &Table{pools: pools, serviceToPool: map[string]int{}, migrations: map[string]*teamMigration{}}
 	for service, pool := range plan.Services {
-		t.serviceToPool[service], err = plan.poolOfService(service, pool)
+		t.serviceToPool[service], err = plan.servicePoolIndex(service, pool)
 		if err != nil {
 			return nil, err
 		}
@@ -60,34 +62,34 @@
 		return nil, err
 	}
 	for i, migration := range plan.Migrations {
-		begun := &teamMigration{NewMigration(now, migration.Config), migration.Team, destinations[i]}
-		t.migrations[migration.Team] = begun
-		t.ordered = append(t.ordered, begun)
+		started := &teamMigration{NewMigration(now, migration.Config), migration.Team, destinations[i]}
+		t.migrations[migration.Team] = started
+		t.ordered = append(t.ordered, started)
 	}
 	return t, nil
 }
 
-// Pools returns the pools, with their shares filled in.
+// Pools returns the pools in the order of the plan, with their shares filled in.
 func (t *Table) Pools() []Pool { return t.pools }
 
-// Choose returns where a request goes. zone is the name that a DNS query asked for, empty for other frontends.
+// Choose returns the destination of a request. zone is the name in a DNS query; empty for other frontends.
 func (t *Table) Choose(team, class, zone string, object uint64) Choice {
 	match, _ := t.rules.Find(team, class, zone)
 	choice := Choice{Service: match.Service}
-	choice.Pool = t.serviceToPool[match.Service] // the first pool for services that the plan doesn't name
+	choice.Pool = t.serviceToPool[match.Service] // 0, the first pool, for services that the plan does not name
 	migration := t.migrations[team]
-	if migration == nil || choice.Pool == migration.to {
+	if migration == nil || choice.Pool == migration.pool {
 		return choice
 	}
 	choice.team = team
-	choice.inNew = migration.InNewPool(Position(team, object))
-	if choice.inNew {
-		choice.Pool = migration.to
+	choice.inNewPool = migration.InNewPool(Position(team, object))
+	if choice.inNewPool {
+		choice.Pool = migration.pool
 	}
 	return choice
 }
 
-// RecordResult takes how a request that Choose placed has ended. It returns the team whose share has changed by that;
+// RecordResult records how a request that Choose has routed ended. It returns the team whose share this has changed;
 // empty: none.
 func (t *Table) RecordResult(now time.Duration, choice Choice, result Result) (changed string) {
 	if choice.team == "" {
@@ -95,9 +97,9 @@
 	}
 	migration := t.migrations[choice.team]
 	switch {
-	case migration == nil: // the choice is another table's
+	case migration == nil: // the choice was made by another table
 		return ""
-	case !choice.inNew:
+	case !choice.inNewPool:
 		migration.RecordOldPool(result)
 		return ""
 	case migration.RecordNewPool(now, result):
@@ -106,7 +108,7 @@
 	return ""
 }
 
-// Step takes the time, and returns the teams whose share has changed.
+// Step advances the migrations to the given time, and returns the teams whose share has changed.
 func (t *Table) Step(now time.Duration) (changed []string) {
 	for _, migration := range t.ordered {
 		if migration.Step(now) {
@@ -116,7 +118,7 @@
 	return changed
 }
 
-// Next returns when Step may change something at the earliest; 0: never by time alone.
+// Next returns the earliest time at which Step may change something; 0: only results can.
 func (t *Table) Next() (next time.Duration) {
 	for _, migration := range t.ordered {
 		if at := migration.Next(); at != 0 && (next == 0 || at < next) {
@@ -126,7 +128,7 @@
 	return next
 }
 
-// MigrationStatus returns how the migration of a team stands.
+// MigrationStatus returns the new pool's share and the phase of a team's migration; 0 and Abandoned if there is none.
 func (t *Table) MigrationStatus(team string) (share float64, phase Phase) {
 	if migration := t.migrations[team]; migration != nil {
 		return migration.Share(), migration.Phase()
@@ -136,8 +138,8 @@
 
 // Contains reports whether an endpoint is in a pool.
 func (t *Table) Contains(pool int, id string, zone, kind int) bool {
-	if own := &t.pools[pool]; len(own.Selectors) > 0 {
-		return own.selects(id, zone, kind)
+	if candidate := &t.pools[pool]; len(candidate.Selectors) > 0 {
+		return candidate.selects(id, zone, kind)
 	}
 	return !slices.ContainsFunc(t.pools, func(p Pool) bool { return p.selects(id, zone, kind) })
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -20,14 +20,14 @@
 	}
 }
 
-// TestTable: requests by rule and migration, endpoints by selector, and what is wrong with a plan.
+// TestTable checks the services and pools of requests, the pools of endpoints, and the errors of invalid plans.
 func TestTable(t *testing.T) {
 	table, err := NewTable(start, testPlan())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if pools := table.Pools(); pools[0].Share != 0.6 || pools[1].Share != 0.4 {
-		t.Errorf("pools: %v", pools)
+		t.Errorf("shares of the pools: got %v, want 0.6 and 0.4", pools)
 	}
 	for _, test := range []struct {
 		team, class, service string
@@ -35,7 +35,7 @@
 	}{{"cams", "charge", "cameras", 1}, {"x", "charge", "billing", 0}, {"x", "lookup", "", 0}} {
 		got := table.Choose(test.team, test.class, "", 1)
 		if got.Service != test.service || got.Pool != test.pool {
-			t.Errorf("%s %s: %+v", test.team, test.class, got)
+			t.Errorf("choice for team %s, class %s: got %+v, want another", test.team, test.class, got)
 		}
 	}
 	for _, test := range []struct {
@@ -50,7 +50,7 @@
 		inMain := table.Contains(0, test.id, test.zone, test.kind)
 		inPictures := table.Contains(1, test.id, test.zone, test.kind)
 		if inMain != test.inMain || inPictures != test.inPictures {
-			t.Errorf("%+v: in main %v, in pictures %v", test, inMain, inPictures)
+			t.Errorf("endpoint %+v: got in main %v, in pictures %v", test, inMain, inPictures)
 		}
 	}
 	for want, change := range map[string]func(*Plan){
@@ -66,13 +66,13 @@
 		plan := testPlan()
 		change(&plan)
 		if _, err := NewTable(start, plan); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("error of the plan: want %s, got %v", want, err)
 		}
 	}
 }
 
-// TestTableMigrations: while a team migrates, each object goes to one pool, and those that have migrated stay so as the
-// share rises.
+// TestTableMigrations checks that each object of a migrating team goes to one pool, and that migrated objects remain in
+// the new pool while the share rises.
 func TestTableMigrations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, err := NewTable(start, testPlan())
@@ -87,17 +87,17 @@
 			object := uint64(rapid.IntRange(0, 50).Draw(t, "object"))
 			choice := table.Choose("lanes", "lookup", "", object)
 			if again := table.Choose("lanes", "lookup", "", object); again != choice {
-				t.Fatal("the same request goes elsewhere")
+				t.Fatal("choice for the same request: got another destination, want the same")
 			}
 			if after, _ := table.MigrationStatus("lanes"); after < share {
 				clear(migrated)
 			}
 			if migrated[object] && choice.Pool != 1 {
-				t.Fatalf("the object %d has migrated and came back", object)
+				t.Fatalf("migrated object %d: got the old pool, want the new one", object)
 			}
 			migrated[object] = choice.Pool == 1
 			result := Success
-			if rapid.IntRange(0, 19).Draw(t, "luck") == 0 {
+			if rapid.IntRange(0, 19).Draw(t, "failed if 0") == 0 {
 				result = Failure
 			}
 			if table.RecordResult(now, choice, result) != "" {
--- a/internal/route/rules.go
+++ b/internal/route/rules.go
@@ -8,58 +8,58 @@
 )
 
 const (
-	maxZoneOctets  = 255 // of a name (RFC 1035, 2.3.4)
+	maxZoneOctets  = 255 // limit on names in RFC 1035, section 2.3.4
 	maxLabelOctets = 63
 )
 
-// ErrNoService is returned for a rule without a service.
+// ErrNoService is returned for a rule that names no service.
 var ErrNoService = errors.New("no service")
 
-// Rule is one line of the rules. What is empty matches any request.
+// Rule assigns a service to the requests that match it. An empty field matches any request.
 type Rule struct {
 	Team    string
 	Class   string
-	Zone    string // names at or below it, as "pictures.example.", without regard to case
+	Zone    string // matches names at or below it, such as "pictures.example.", ignoring case
 	Service string
 }
 
 // Rules finds the service of a request: that of the first rule that matches. It does not change after NewRules.
 //
-// The rules stand in four tables, by whether they name a team and whether they name a class. A table is a hash of
-// those, and under each a trie of the zone's labels from the right, so that a look-up costs four hashes and the labels
-// of one name, whatever the number of rules.
+// The rules are in four tables, by whether they name a team and whether they name a class. A table maps the names of
+// team and class to a trie of zones, by their labels from the right. So a look-up costs four hash look-ups, and one for
+// each label of the name, whatever the number of rules.
 type Rules struct {
-	rules  []Rule
-	tables [4]ruleTable
-	zoned  bool // some rule names a zone
+	rules   []Rule
+	tables  [4]ruleTable
+	anyZone bool // whether any rule names a zone
 }
 
-// Match is the rule that a request has matched.
+// Match is the rule that a request matches.
 type Match struct {
-	Number  int // of the rule, from 0
+	Number  int // index of the rule
 	Service string
 }
 
-// ruleTable is the rules that name a team, a class, both or neither.
+// ruleTable holds the rules that name a team, a class, both or neither.
 type ruleTable struct {
 	namesTeam  bool
 	namesClass bool
-	zones      map[ruleKey]*zoneNode // the root of each trie
+	tries      map[ruleKey]*zoneNode // roots of the tries
 }
 
-// ruleKey is what the rules of a table name; empty where they don't.
+// ruleKey holds the names of team and class in a rule; empty where the rules of the table name none.
 type ruleKey struct{ team, class string }
 
-// noRule is the number of a rule where there is none: above all others, so that the least number wins.
+// noRule stands for the index of a missing rule. It is above all indexes, so that the smallest one wins.
 const noRule = math.MaxInt32
 
-// zoneNode is a node of a trie.
+// zoneNode is a node of a trie of zones.
 type zoneNode struct {
-	rule  int32 // the number of the first rule whose zone ends here
-	below map[string]*zoneNode
+	rule     int32 // index of the first rule whose zone ends at this node
+	children map[string]*zoneNode
 }
 
-// NewRules returns the tables of rules. An error names the rule by its number, from 1.
+// NewRules indexes the rules. An error names the rule by its number, counted from 1.
 func NewRules(rules []Rule) (*Rules, error) {
 	r := &Rules{rules: rules, tables: [...]ruleTable{
 		{}, {namesTeam: true}, {namesClass: true}, {namesTeam: true, namesClass: true},
@@ -71,7 +71,7 @@
 		if err := checkZone(rule.Zone); err != nil {
 			return nil, fmt.Errorf("rule %d: %w", number+1, err)
 		}
-		r.zoned = r.zoned || rule.Zone != ""
+		r.anyZone = r.anyZone || rule.Zone != ""
 		for i := range r.tables {
 			r.tables[i].add(int32(number), rule)
 		}
@@ -79,22 +79,22 @@
 	return r, nil
 }
 
-// Find returns the first rule that a request matches. zone is the name that a DNS query asked for, empty for other
-// frontends.
+// Find returns the first rule that a request matches, and whether there is one. zone is the name in a DNS query; empty
+// for other frontends.
 func (r *Rules) Find(team, class, zone string) (Match, bool) {
 	if r == nil {
 		return Match{}, false
 	}
 	name := ""
-	if r.zoned {
+	if r.anyZone {
 		name = strings.TrimSuffix(zone, ".")
-		if hasUpper(name) { // most names are in lower case already
+		if hasUpper(name) { // avoids ToLower, as most names are in lower case already
 			name = strings.ToLower(name)
 		}
 	}
 	first := int32(noRule)
 	for i := range r.tables {
-		if root := r.tables[i].root(team, class); root != nil {
+		if root := r.tables[i].trie(team, class); root != nil {
 			first = min(first, root.firstRule(name))
 		}
 	}
@@ -104,19 +104,19 @@
 	return Match{int(first), r.rules[first].Service}, true
 }
 
-// add puts a rule in the table if it names what the rules of the table do.
+// add adds a rule to the table if it names team and class as the rules of the table do.
 func (t *ruleTable) add(number int32, rule Rule) {
 	if t.namesTeam != (rule.Team != "") || t.namesClass != (rule.Class != "") {
 		return
 	}
-	if t.zones == nil {
-		t.zones = map[ruleKey]*zoneNode{}
+	if t.tries == nil {
+		t.tries = map[ruleKey]*zoneNode{}
 	}
 	key := ruleKey{rule.Team, rule.Class}
-	node := t.zones[key]
+	node := t.tries[key]
 	if node == nil {
 		node = &zoneNode{rule: noRule}
-		t.zones[key] = node
+		t.tries[key] = node
 	}
 	for name := strings.ToLower(strings.TrimSuffix(rule.Zone, ".")); name != ""; {
 		var label string
@@ -126,9 +126,9 @@
 	node.rule = min(node.rule, number)
 }
 
-// root returns the trie of the rules for a team and a class; nil: there are none.
-func (t *ruleTable) root(team, class string) *zoneNode {
-	if t.zones == nil || t.namesTeam && team == "" || t.namesClass && class == "" {
+// trie returns the trie of the rules for a team and a class; nil: there are no such rules.
+func (t *ruleTable) trie(team, class string) *zoneNode {
+	if t.tries == nil || t.namesTeam && team == "" || t.namesClass && class == "" {
 		return nil
 	}
 	var key ruleKey
@@ -138,16 +138,16 @@
 	if t.namesClass {
 		key.class = class
 	}
-	return t.zones[key]
+	return t.tries[key]
 }
 
-// firstRule returns the least number of a rule whose zone a name is at or below.
+// firstRule returns the smallest index of a rule whose zone contains a name; noRule: there is none.
 func (n *zoneNode) firstRule(name string) int32 {
 	first := n.rule
-	for name != "" && n.below != nil {
+	for name != "" && n.children != nil {
 		var label string
 		name, label = cutLastLabel(name)
-		n = n.below[label]
+		n = n.children[label]
 		if n == nil {
 			break
 		}
@@ -156,15 +156,15 @@
 	return first
 }
 
-// child returns the node of a label, made when it is missing.
+// child returns the child node of a label, creating it if it is missing.
 func (n *zoneNode) child(label string) *zoneNode {
-	if n.below == nil {
-		n.below = map[string]*zoneNode{}
+	if n.children == nil {
+		n.children = map[string]*zoneNode{}
 	}
-	if n.below[label] == nil {
-		n.below[label] = &zoneNode{rule: noRule}
+	if n.children[label] == nil {
+		n.children[label] = &zoneNode{rule: noRule}
 	}
-	return n.below[label]
+	return n.children[label]
 }
 
 func checkZone(zone string) error {
@@ -191,7 +191,7 @@
 	return false
 }
 
-// cutLastLabel splits the last label off a name.
+// cutLastLabel splits a name into its last label and the rest.
 func cutLastLabel(name string) (rest, label string) {
 	if i := strings.LastIndexByte(name, '.'); i >= 0 {
 		return name[:i], name[i+1:]
--- a/internal/route/rules_test.go
+++ b/internal/route/rules_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// walk is the plain way: the first rule that matches, looked for one by one.
-func walk(rules []Rule, team, class, zone string) (Match, bool) {
+// findLinear is the reference for Rules.Find: a linear search for the first rule that matches.
+func findLinear(rules []Rule, team, class, zone string) (Match, bool) {
 	name := "." + strings.ToLower(strings.TrimSuffix(zone, "."))
 	for number, rule := range rules {
 		ruleZone := strings.ToLower(strings.TrimSuffix(rule.Zone, "."))
@@ -21,7 +21,7 @@
 	return Match{}, false
 }
 
-// TestRules compares the tables with the walk.
+// TestRules compares Find with a linear search for random rules, and checks that invalid rules are rejected.
 func TestRules(t *testing.T) {
 	words := []string{"", "a", "b", "ab"}
 	zones := []string{"", ".", "example.", "a.example.", "B.example", "b.a.example.", "ab.example.", "x.b.a.EXAMPLE."}
@@ -38,24 +38,26 @@
 			t.Fatal(err)
 		}
 		for range 30 {
-			team, class := rapid.SampledFrom(words).Draw(t, "of team"), rapid.SampledFrom(words).Draw(t, "of class")
+			team, class := rapid.SampledFrom(words).Draw(t, "request team"),
+				rapid.SampledFrom(words).Draw(t, "request class")
 			zone := rapid.SampledFrom(zones).Draw(t, "name")
 			if zone == "." {
 				continue
 			}
 			got, found := tables.Find(team, class, zone)
-			if want, any := walk(rules, team, class, zone); got != want || found != any {
-				t.Fatalf("%q %q %q: %v %v, the walk says %v %v of %v", team, class, zone, got, found, want, any, rules)
+			if want, wantFound := findLinear(rules, team, class, zone); got != want || found != wantFound {
+				t.Fatalf("match of %q %q %q: got %v %v, want %v %v by rules %v",
+					team, class, zone, got, found, want, wantFound, rules)
 			}
 		}
 	})
-	for _, wrong := range []Rule{
+	for _, invalid := range []Rule{
 		{}, {Service: "s", Zone: "a..b"}, {Service: "s", Zone: strings.Repeat("a", 64)},
 		{Service: "s", Zone: strings.Repeat("a.", 200)},
 	} {
-		_, err := NewRules([]Rule{{Service: "s"}, wrong})
+		_, err := NewRules([]Rule{{Service: "s"}, invalid})
 		if err == nil || !strings.HasPrefix(err.Error(), "rule 2: ") {
-			t.Errorf("%.40v: %v", wrong, err)
+			t.Errorf("error of rule %.40v: got %v, want one that names rule 2", invalid, err)
 		}
 	}
 }
@@ -93,12 +95,12 @@
 			for i := range b.N {
 				at := i * 7919 % count
 				if _, found := find(teams[at], "lookup", zones[at]); !found {
-					b.Fatal("none")
+					b.Fatal("got no match, want one")
 				}
 			}
 		}
-		b.Run(fmt.Sprintf("%d rules, walk", count), func(b *testing.B) {
-			run(b, func(team, class, zone string) (Match, bool) { return walk(rules, team, class, zone) })
+		b.Run(fmt.Sprintf("%d rules, linear", count), func(b *testing.B) {
+			run(b, func(team, class, zone string) (Match, bool) { return findLinear(rules, team, class, zone) })
 		})
 		b.Run(fmt.Sprintf("%d rules, tables", count), func(b *testing.B) { run(b, tables.Find) })
 	}
