--- a/internal/invalidation/invalidation_test.go
+++ b/internal/invalidation/invalidation_test.go
@@ -17,7 +17,7 @@
 	issued time.Duration
 }
 
-// newestByScan is the reference for Ledger.Newest: a linear scan of all purges.
+// newestByScan is the reference for Ledger.Newest: a linear scan of all purges, as the broker once did at each write.
 func newestByScan(all []purge, liveSince time.Duration, object uint64, group int) (at time.Duration, ok bool) {
 	for _, purged := range all {
 		concerns := purged.object == object
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// flatBuckets has one token bucket per team in a map: the simple implementation that the benchmark compares with.
+// flatBuckets is the implementation of the contracts before the tree, for comparison: a map with a token bucket per
+// team.
 type flatBuckets map[string]*flatBucket
 
 type flatBucket struct {
