--- a/internal/membership/listwatch/decode.go
+++ b/internal/membership/listwatch/decode.go
@@ -11,25 +11,26 @@
 )
 
 const (
-	maxEndpoints = 4096    // of one event
+	maxEndpoints = 4096    // per event
 	maxIssuedMS  = 1 << 42 // Unix milliseconds: the year 2109
 	maxGroup     = 1 << 30
 )
 
-// endpointStates is what the watch calls the states of an endpoint.
+// endpointStates maps the names that the watch uses to the states of an endpoint.
 var endpointStates = map[string]membership.State{
 	"up":       membership.Up,
 	"draining": membership.Draining,
 	"removed":  membership.Gone,
 }
 
-// Decoder decodes events for one source of endpoints.
+// Decoder decodes events of the watch for one source of endpoints.
 type Decoder struct {
 	membership.Names
-	Source int // that the events are published for
+	Source int // index in membership.Config.Sources, set in the decoded events
 }
 
-// Decode decodes one event. The number is 0 where it can't be read, and is given with an error in the rest.
+// Decode decodes one event. The number is 0 if it can't be read; it is returned even if the rest of the event is
+// invalid.
 func (d Decoder) Decode(event gjson.Result) (number int64, events []membership.SourceEvent, err error) {
 	if !event.IsObject() || event.Get("no").Type != gjson.Number {
 		return 0, nil, fmt.Errorf("not an event with a number: %.80q", event.Raw)
@@ -52,13 +53,14 @@
 	return number, events, nil
 }
 
-// DecodeInitial decodes the events of the settings, with which a proxy starts. last is the number of the last one.
+// DecodeInitial decodes the events from the configuration with which a proxy starts. last is the number of the last
+// event they include.
 func (d Decoder) DecodeInitial(initial gjson.Result) (last int64, events []membership.SourceEvent, err error) {
 	if !initial.Exists() {
 		return 0, nil, nil
 	}
 	if initial.Get("no").Type != gjson.Number || !initial.Get("items").IsArray() {
-		return 0, nil, fmt.Errorf("known: expected no and items")
+		return 0, nil, fmt.Errorf("known: expected a number under the key no and a list under the key items")
 	}
 	for _, item := range initial.Get("items").Array() {
 		_, decoded, err := d.Decode(item)
@@ -70,7 +72,7 @@
 	return initial.Get("no").Int(), events, nil
 }
 
-// decodeLine decodes a line that is not a number alone.
+// decodeLine decodes a line with an event.
 func (d Decoder) decodeLine(line []byte) (number int64, events []membership.SourceEvent, err error) {
 	if !gjson.ValidBytes(line) {
 		return 0, nil, fmt.Errorf("not valid JSON: %.80q", line)
@@ -78,17 +80,17 @@
 	return d.Decode(gjson.ParseBytes(line))
 }
 
-// parseLastNumber reads a line that is the number of the last event alone.
+// parseLastNumber parses a line that consists only of the number of the last event.
 func parseLastNumber(line []byte) (last int64, ok bool) {
 	last, err := strconv.ParseInt(string(line), 10, 64)
 	return last, err == nil
 }
 
-// decodeList decodes a list or, unless it says that it is complete, the changes of one.
+// decodeList decodes a complete list or, if it is not marked as complete, a delta.
 func (d Decoder) decodeList(list gjson.Result) (membership.SourceEvent, error) {
 	hosts := list.Get("hosts").Array()
 	if !list.Get("hosts").IsArray() || len(hosts) > maxEndpoints {
-		return nil, fmt.Errorf("hosts: expected a list of at most %d", maxEndpoints)
+		return nil, fmt.Errorf("hosts: expected a list of at most %d endpoints", maxEndpoints)
 	}
 	endpoints := make([]membership.Endpoint, 0, len(hosts))
 	for i, host := range hosts {
@@ -112,7 +114,7 @@
 	health := host.Get("health").String()
 	state, ok := endpointStates[health]
 	if !ok {
-		return membership.Endpoint{}, fmt.Errorf("health %q", health)
+		return membership.Endpoint{}, fmt.Errorf("health: unknown state %q", health)
 	}
 	return d.Endpoint(membership.Entry{
 		ID:          host.Get("host").String(),
@@ -129,13 +131,13 @@
 func decodePurge(purge gjson.Result) (membership.PurgeReceived, error) {
 	issued := purge.Get("issued")
 	if issued.Type != gjson.Number || issued.Int() < 0 || issued.Int() > maxIssuedMS {
-		return membership.PurgeReceived{}, fmt.Errorf("issued %.32q", issued.Raw)
+		return membership.PurgeReceived{}, fmt.Errorf("issued: expected Unix milliseconds, got %.32q", issued.Raw)
 	}
 	received := membership.PurgeReceived{Issued: time.Duration(issued.Int()) * time.Millisecond}
 	if item := purge.Get("item"); item.Exists() {
 		object, err := strconv.ParseUint(item.String(), 16, 64)
 		if err != nil {
-			return received, fmt.Errorf("item %.32q", item.String())
+			return received, fmt.Errorf("item: expected a hexadecimal object id, got %.32q", item.String())
 		}
 		received.IsObject = true
 		received.Object = object
@@ -143,13 +145,13 @@
 	}
 	group := purge.Get("lot")
 	if group.Type != gjson.Number || group.Int() < 0 || group.Int() > maxGroup {
-		return received, fmt.Errorf("lot %.32q", group.Raw)
+		return received, fmt.Errorf("lot: expected the number of an object group, got %.32q", group.Raw)
 	}
 	received.Group = int(group.Int())
 	return received, nil
 }
 
-// CountEndpoints is the number of endpoints in lists and changes.
+// CountEndpoints returns the number of endpoints in the lists and deltas among the events.
 func CountEndpoints(events []membership.SourceEvent) int {
 	count := 0
 	for _, event := range events {
--- a/internal/membership/listwatch/fetch.go
+++ b/internal/membership/listwatch/fetch.go
@@ -11,11 +11,12 @@
 	"sloequay/internal/membership"
 )
 
-// FetchOnce connects once, for a command that wants to know what the watch has, and returns the events after one: all
-// that come before the first line with the last number alone, or within the limit. It blocks.
-func (d Decoder) FetchOnce(address string, after int64, limit time.Duration) ([]membership.SourceEvent, error) {
-	deadline := time.Now().Add(limit)
-	conn, err := net.DialTimeout("tcp", address, limit)
+// FetchOnce connects once and returns the events after the given number, for commands that show what the watch has. It
+// blocks until it receives a line that consists only of the last number, the connection ends or the timeout expires,
+// and returns the events received until then.
+func (d Decoder) FetchOnce(address string, after int64, timeout time.Duration) ([]membership.SourceEvent, error) {
+	deadline := time.Now().Add(timeout)
+	conn, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
 		return nil, err
 	}
@@ -23,7 +24,7 @@
 	if err := conn.SetDeadline(deadline); err != nil {
 		return nil, err
 	}
-	if _, err := conn.Write(request(after)); err != nil {
+	if _, err := conn.Write(requestLine(after)); err != nil {
 		return nil, err
 	}
 	var events []membership.SourceEvent
--- a/internal/membership/listwatch/listwatch.go
+++ b/internal/membership/listwatch/listwatch.go
@@ -1,13 +1,14 @@
-// Package listwatch follows the endpoint list watch: a stream of numbered events, one JSON object a line, that bring
-// lists and changes of endpoints, and purges. A line with the number of the last event alone comes each second.
+// Package listwatch follows the endpoint list watch: a stream of numbered events, one JSON object per line, that carry
+// endpoint lists, deltas and purges. Every second, the watch also sends a heartbeat: a line that consists only of the
+// number of the last event.
 //
-// Invariants: events are published in the order of their numbers, each at most once; a gap in the numbers drops the
-// connection, and the next one requests what came after the last event. Only the newest connection counts. Unreadable
-// events are skipped only once they have come twice.
+// Invariants: events are published in the order of their numbers, each at most once. A gap in the numbers drops the
+// connection, and the next one requests the events after the last one handled. Only the newest connection counts. A
+// malformed event is skipped only if it is malformed again after a reconnect.
 //
-// Bounds: a line has at most maxLineBytes, a list at most maxEndpoints. A connection that says nothing for maxSilence
-// is dropped, and the next dial comes at most maxRetryDelay after a failure. Where nothing came on the connections
-// before, silence and dial may take up to four times as long.
+// Bounds: a line has at most maxLineBytes, a list at most maxEndpoints. A connection that is silent for maxSilence is
+// dropped, and the next dial starts at most maxRetryDelay after a failure. After connections on which nothing was
+// received, the limits for silence and for a dial grow up to fourfold.
 package listwatch
 
 import (
@@ -21,42 +22,42 @@
 )
 
 const (
-	maxLineBytes = 1 << 20 // the complete list of a large fleet
-	// maxSilence is how long a connection may say nothing: a line comes each second. What a watch that stopped would
-	// have reported counts as reported 4 s later, and there is a dial and a second of draining to come.
+	maxLineBytes = 1 << 20 // enough for the complete list of a large fleet
+	// maxSilence is how long a connection may be silent, although a heartbeat is due every second. What a stalled watch
+	// withholds counts as reported 4 s later: a dial and a second of draining must fit into that time as well.
 	maxSilence    = 1600 * time.Millisecond
 	dialTimeout   = time.Second
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = time.Second
-	// maxPatienceDoublings bounds how long a watch may take that has not answered on several connections.
-	maxPatienceDoublings = 2
+	// maxTimeoutDoublings bounds the growth of timeouts for a watch that has not answered on several connections.
+	maxTimeoutDoublings = 2
 )
 
-// Watcher keeps a connection to the endpoint list watch and resumes after the last event that it has. Its methods run
-// on the event loop, and it has no goroutine of its own.
+// Watcher keeps a connection to the endpoint list watch, and resumes after the last event handled when it reconnects.
+// Its methods run on the event loop, and it has no goroutine of its own.
 type Watcher struct {
 	Loop      *eventloop.Loop
-	Address   string // empty: there is none to connect to
+	Address   string // empty: the watcher does not connect
 	Decoder   Decoder
-	LastEvent int64 // the number of the last event that was taken
+	LastEvent int64 // the number of the last event handled
 	Publish   func(membership.SourceEvent)
 	Now       func() time.Duration
 	Log       func(event string, fields ...any)
 
-	session        *session // nil: none, and the next dial is due at nextDialAt
-	unanswered     int      // connections and dials in a row on which nothing came
+	session        *session // nil: no connection, and the next dial is due at nextDialAt
+	unanswered     int      // number of connections and dials in a row on which nothing was received
 	retryDelay     time.Duration
 	nextDialAt     time.Duration
-	malformedEvent int64 // the number after which a line could not be read
-	skipping       bool  // that line has come again and was skipped: the next event may have any higher number
-	stale          bool  // the loss of the watch was logged and published, and it has not caught up since
+	malformedEvent int64 // the expected number of the event on the line that was last malformed
+	skipping       bool  // that line was malformed again and was skipped: the next event may have any higher number
+	stale          bool  // the loss of the watch was logged and published, and the watcher has not caught up since
 }
 
-// Tick dials when there is no connection, and drops one that has gone quiet.
+// Tick dials if there is no connection and a dial is due, and drops a connection that has been silent for too long.
 func (w *Watcher) Tick(now time.Duration) {
 	if current := w.session; current != nil {
-		if silence := now - current.receivedAt; current.conn != nil && silence > w.patience(maxSilence) {
-			w.disconnect(fmt.Errorf("nothing came for %v", silence))
+		if silence := now - current.receivedAt; current.conn != nil && silence > w.extendedTimeout(maxSilence) {
+			w.disconnect(fmt.Errorf("nothing received for %v", silence))
 		}
 		return
 	}
@@ -65,23 +66,24 @@
 	}
 }
 
-// patience is how long a connection is given for something that usually takes a time. One that answers later than that,
-// as it is slow or crowded, would else be dropped just before it answers, each time anew.
-func (w *Watcher) patience(usual time.Duration) time.Duration {
-	return usual << min(w.unanswered, maxPatienceDoublings)
+// extendedTimeout doubles a timeout for each connection in a row that went unanswered, up to a bound. Otherwise a slow
+// or overloaded watch could be dropped shortly before each of its answers, and never be heard.
+func (w *Watcher) extendedTimeout(base time.Duration) time.Duration {
+	return base << min(w.unanswered, maxTimeoutDoublings)
 }
 
 func (w *Watcher) dial() {
 	dialed := &session{watcher: w}
 	w.session = dialed
-	w.Loop.Dial("tcp", w.Address, w.patience(dialTimeout), dialed, func(err error) {
+	w.Loop.Dial("tcp", w.Address, w.extendedTimeout(dialTimeout), dialed, func(err error) {
 		if w.session == dialed {
 			w.disconnect(err)
 		}
 	})
 }
 
-// SwitchTo goes over to another address and requests there what came after the last event. The numbers go on.
+// SwitchTo connects to another address and requests the events after the last one there. The numbering of events is
+// the same at the new address.
 func (w *Watcher) SwitchTo(address string) {
 	if address == w.Address {
 		return
@@ -94,7 +96,7 @@
 	w.Tick(w.Now())
 }
 
-// drop closes the connection. What it still brings does not count.
+// drop closes the connection. Data still received on it is ignored.
 func (w *Watcher) drop() {
 	if current := w.session; current != nil && current.conn != nil {
 		current.conn.Close()
@@ -102,7 +104,7 @@
 	w.session = nil
 }
 
-// disconnect drops the connection, sets the time of the next dial, and reports the watch as silent.
+// disconnect drops the connection, schedules the next dial, and reports the watch as silent.
 func (w *Watcher) disconnect(cause error) {
 	if !w.stale {
 		w.stale = true
@@ -117,7 +119,7 @@
 	w.retryDelay = min(max(minRetryDelay, 2*w.retryDelay), maxRetryDelay)
 }
 
-// handleLine takes an event, or the number of the last one alone.
+// handleLine handles an event, or a heartbeat with the number of the last event.
 func (w *Watcher) handleLine(line []byte) {
 	if len(line) == 0 {
 		return
@@ -126,7 +128,7 @@
 		if last > w.LastEvent && !w.skipping {
 			w.disconnect(fmt.Errorf("event %d was missed", w.LastEvent+1))
 		}
-		w.caughtUp()
+		w.markCaughtUp()
 		return
 	}
 	number, events, err := w.Decoder.decodeLine(line)
@@ -144,12 +146,12 @@
 		for _, event := range events {
 			w.Publish(event)
 		}
-		w.caughtUp()
+		w.markCaughtUp()
 	}
 }
 
-// handleMalformed connects again for an event that can't be read. One that comes again so is what the watch has: the
-// watcher goes on without it. number is 0 where not even that can be read.
+// handleMalformed reconnects after an event that can't be decoded. If the event is malformed again, the watch itself
+// has it in that form, and it is skipped. number is 0 if it can't be read either.
 func (w *Watcher) handleMalformed(number int64, cause error) {
 	next := w.LastEvent + 1
 	if w.malformedEvent != next {
@@ -165,8 +167,9 @@
 	}
 }
 
-// caughtUp notes that the watcher has all events, unless the connection was dropped for what came.
-func (w *Watcher) caughtUp() {
+// markCaughtUp reports that the watch answers and ends a retry backoff, unless the connection was dropped because of
+// the line just handled.
+func (w *Watcher) markCaughtUp() {
 	if w.session == nil {
 		return
 	}
@@ -178,33 +181,34 @@
 	}
 }
 
-// session is one connection to the watch, or the dial of one. What comes on any but the watcher's own is dropped.
+// session is a connection to the watch, or the dial of one. Data received on a session other than Watcher.session is
+// ignored.
 type session struct {
 	watcher    *Watcher
-	conn       *eventloop.Conn // nil while it is dialed
-	receivedAt time.Duration   // when something came last
-	answered   bool            // something has come
+	conn       *eventloop.Conn // nil while dialing
+	receivedAt time.Duration   // when data was last received, or the connection opened
+	answered   bool            // whether data has been received
 }
 
-// Opened requests what came after the last event.
+// Opened requests the events after the last one handled.
 func (s *session) Opened(conn *eventloop.Conn) {
-	if s.watcher.session != s { // the dial of an address that is not followed any more
+	if s.watcher.session != s { // the watcher has given this dial up, as after SwitchTo
 		conn.Close()
 		return
 	}
 	s.conn = conn
 	s.receivedAt = s.watcher.Now()
-	conn.Send(request(s.watcher.LastEvent))
+	conn.Send(requestLine(s.watcher.LastEvent))
 }
 
-// Closed has the watch dialed again.
+// Closed makes the watcher dial again.
 func (s *session) Closed(_ *eventloop.Conn, cause error) {
 	if s.watcher.session == s {
 		s.watcher.disconnect(fmt.Errorf("connection ended: %v", cause))
 	}
 }
 
-// Received takes complete lines and leaves the rest.
+// Received handles complete lines and leaves an incomplete one in the buffer.
 func (s *session) Received(conn *eventloop.Conn) {
 	watcher := s.watcher
 	s.receivedAt = watcher.Now()
@@ -222,14 +226,14 @@
 		used += length + 1
 		watcher.handleLine(line)
 	}
-	if watcher.session != s { // nothing more of it counts
+	if watcher.session != s { // ignore the rest
 		used = len(conn.In)
 	}
 	conn.Consume(used)
 	if len(conn.In) > maxLineBytes {
-		watcher.disconnect(fmt.Errorf("a line of over %d bytes", maxLineBytes))
+		watcher.disconnect(fmt.Errorf("received a line of over %d bytes", maxLineBytes))
 	}
 }
 
-// request is the line that requests what came after an event.
-func request(after int64) []byte { return []byte("after " + strconv.FormatInt(after, 10) + "\n") }
+// requestLine returns the line that requests all events after a number.
+func requestLine(after int64) []byte { return []byte("after " + strconv.FormatInt(after, 10) + "\n") }
--- a/internal/membership/listwatch/session_test.go
+++ b/internal/membership/listwatch/session_test.go
@@ -8,7 +8,7 @@
 	"sloequay/internal/membership"
 )
 
-// TestSupersededSession: what an old connection still brings after the next one has begun counts for nothing.
+// TestSupersededSession checks that data received on a connection is ignored once a new connection has replaced it.
 func TestSupersededSession(t *testing.T) {
 	const purge = `{"no":5,"recall":{"lot":3,"issued":1}}` + "\n"
 	var events []membership.SourceEvent
@@ -23,16 +23,16 @@
 	for _, text := range []string{"5\n", purge, "{\"no\":"} {
 		conn := &eventloop.Conn{In: []byte(text)}
 		if old.Received(conn); len(conn.In) > 0 {
-			t.Errorf("%q: %d bytes are left", text, len(conn.In))
+			t.Errorf("%q: got %d bytes left unread, want 0", text, len(conn.In))
 		}
 	}
 	old.Closed(nil, nil)
 	if watcher.LastEvent != 4 || len(events) > 0 || watcher.stale || watcher.session == nil {
-		t.Errorf("last event %d, %d events, stale %v: want 4, none, false",
+		t.Errorf("old connection: got last event %d, %d events, stale %v; want 4, none, false",
 			watcher.LastEvent, len(events), watcher.stale)
 	}
 	conn := &eventloop.Conn{In: []byte(purge)}
 	if watcher.session.Received(conn); watcher.LastEvent != 5 || len(events) == 0 {
-		t.Errorf("the new connection's event: last event %d, %d events", watcher.LastEvent, len(events))
+		t.Errorf("new connection: got last event %d, %d events; want 5, at least one", watcher.LastEvent, len(events))
 	}
 }
--- a/test/listwatch_test.go
+++ b/test/listwatch_test.go
@@ -48,7 +48,7 @@
 		feed []string
 		why  string // as the log has it: each would be noticed by its silence in the end
 	}{
-		{"silent in the middle of a line", []string{`~{"no":2,"roster":{"seq":2,"who`}, "nothing came for"},
+		{"silent in the middle of a line", []string{`~{"no":2,"roster":{"seq":2,"who`}, "nothing received for"},
 		{"a heartbeat beyond what was told", []string{"1", "5"}, "event 2 was missed"},
 		{"events in another order", []string{invalidateGroup(3, 3, 1)}, "event 3 came after event 1"},
 		{"the connection ends", []string{"1", "!"}, "connection ended"},
