--- a/internal/broker/helpers_test.go
+++ b/internal/broker/helpers_test.go
@@ -31,7 +31,7 @@
 // newBroker makes a broker with one source of endpoints, which forgets what is gone at once.
 func newBroker(t testing.TB) *Broker {
 	t.Helper()
-	return newBrokerOf(t, membership.Config{Sources: make([]membership.Source, 1), TombstoneRetention: time.Millisecond})
+	return newBrokerOf(t, membership.Config{Sources: make([]membership.Source, 1), TombstoneTTL: time.Millisecond})
 }
 
 // consulSource is the index of the second source of a broker with two.
--- a/internal/membership/addresses.go
+++ b/internal/membership/addresses.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// addressIndex has the records at each address, in the order in which they came there (record.arrival).
+// addressIndex holds the records at each address, in the order in which they claimed it.
 type addressIndex struct {
-	records  map[string][]*endpointRecord
-	arrivals uint64
+	records   map[string][]*endpointRecord
+	lastClaim uint64
 }
 
-// at gives the records at an address; the one that came there last stands last.
+// at returns the records at an address, ending with the latest to claim it.
 func (x *addressIndex) at(address string) []*endpointRecord { return x.records[address] }
 
-// latest gives the record that came to an address last; nil: there is none.
+// latest returns the record that claimed an address last, or nil.
 func (x *addressIndex) latest(address string) *endpointRecord {
 	records := x.records[address]
 	if len(records) == 0 {
@@ -23,35 +23,35 @@
 	return records[len(records)-1]
 }
 
-// append makes a record the latest at its address.
+// append adds a record as the latest at its address.
 func (x *addressIndex) append(r *endpointRecord) {
-	x.arrivals++
-	r.arrival = x.arrivals
+	x.lastClaim++
+	r.claimSequence = x.lastClaim
 	x.records[r.address] = append(x.records[r.address], r)
 }
 
-// remove takes a record away from its address, where it is there.
+// remove removes a record from its address, if it is there.
 func (x *addressIndex) remove(r *endpointRecord) {
 	records := x.records[r.address]
-	i, found := slices.BinarySearchFunc(records, r.arrival, func(other *endpointRecord, arrival uint64) int {
-		return cmp.Compare(other.arrival, arrival)
+	i, found := slices.BinarySearchFunc(records, r.claimSequence, func(other *endpointRecord, sequence uint64) int {
+		return cmp.Compare(other.claimSequence, sequence)
 	})
 	if found && records[i] == r {
 		x.records[r.address] = slices.Delete(records, i, i+1)
 	}
 }
 
-// moveTo has an endpoint come to another address.
-func (t *Table) moveTo(r *endpointRecord, address string) {
-	t.vacate(r)
+// moveToAddress moves an endpoint to another address.
+func (t *Table) moveToAddress(r *endpointRecord, address string) {
+	t.releaseAddress(r)
 	r.address = address
-	t.arrive(r)
+	t.claimAddress(r)
 }
 
-// arrive makes an endpoint the last that came to its address. Only the decision on the one that was the last until now
-// may change by it: those before that were replaced already. By mistake a list may name thousands of endpoints at one
-// address, and a look at all of them for each would hold the event loop for seconds.
-func (t *Table) arrive(r *endpointRecord) {
+// claimAddress makes an endpoint the latest to claim its address. Only the previous latest is re-evaluated: those
+// before it are replaced already. A faulty list may contain thousands of endpoints at one address, and re-evaluating
+// all of them for each claim would block the event loop for seconds.
+func (t *Table) claimAddress(r *endpointRecord) {
 	t.addresses.remove(r)
 	if replaced := t.addresses.latest(r.address); replaced != nil && !replaced.queued {
 		t.pending.pushRestricting(replaced)
@@ -59,9 +59,9 @@
 	t.addresses.append(r)
 }
 
-// vacate takes an endpoint away from its address. Only the decision on the last one that is left there may change by
-// it; if that turns out to be gone it vacates the address in its turn.
-func (t *Table) vacate(r *endpointRecord) {
+// releaseAddress removes an endpoint from its address. Only the latest of the remaining endpoints is re-evaluated; if
+// that one is found to be gone, it releases the address in turn.
+func (t *Table) releaseAddress(r *endpointRecord) {
 	if r.address == "" {
 		return
 	}
--- a/internal/membership/addresses_test.go
+++ b/internal/membership/addresses_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestIdentity: which changes of IDs and addresses are new starts, moves and renames.
+// TestIdentity checks which changes of IDs, addresses and incarnations count as starts, moves and renames.
 func TestIdentity(t *testing.T) {
 	now := start + time.Second
 	at := func(id, address string, incarnation uint64) Endpoint {
@@ -22,34 +22,34 @@
 		startedAt map[string]time.Duration
 	}{
 		{
-			name:      "an old ID on a new address is moved, and has started",
+			name:      "a known ID at a new address: moved and restarted",
 			before:    []Endpoint{at("a", "x:1", 1)},
 			after:     []Endpoint{at("a", "x:2", 1)},
 			log:       []string{"moved a up by 0 word"},
 			startedAt: map[string]time.Duration{"a": now},
 		},
 		{
-			name:      "registered again: a new start",
+			name:      "a new incarnation: restarted",
 			before:    []Endpoint{at("a", "x:1", 1)},
 			after:     []Endpoint{at("a", "x:1", 9)},
 			log:       []string{"restarted a up by 0 word"},
 			startedAt: map[string]time.Duration{"a": now},
 		},
 		{
-			name:      "a new endpoint on an old address",
+			name:      "a new ID at a known address replaces the old ID",
 			before:    []Endpoint{at("a", "x:1", 1), at("c", "y:1", 1)},
 			after:     []Endpoint{at("b", "x:1", 2), at("c", "y:1", 1)},
 			log:       []string{"removed a gone by -1 unnamed", "added b up by 0 word"},
 			startedAt: map[string]time.Duration{"b": now, "c": 0},
 		},
 		{
-			name:   "the old ID is named still: it takes nothing new",
+			name:   "a new ID at a known address with the old ID still listed: the old one drains",
 			before: []Endpoint{at("a", "x:1", 1)},
 			after:  []Endpoint{at("a", "x:1", 1), at("b", "x:1", 2)},
 			log:    []string{"draining a draining by 0 replaced", "added b up by 0 word"},
 		},
 		{
-			name:   "a rename storm is no loss",
+			name:   "renaming all endpoints is not a loss",
 			before: []Endpoint{at("a", "x:1", 1), at("b", "x:2", 1), at("c", "x:3", 1), at("d", "x:4", 1)},
 			after:  []Endpoint{at("a2", "x:1", 2), at("b2", "x:2", 2), at("c2", "x:3", 2), at("d2", "x:4", 2)},
 			log: []string{
@@ -60,13 +60,13 @@
 			},
 		},
 		{
-			name:   "two swap their addresses",
+			name:   "two endpoints swap their addresses",
 			before: []Endpoint{at("a", "x:1", 1), at("b", "x:2", 1)},
 			after:  []Endpoint{at("a", "x:2", 1), at("b", "x:1", 1)},
 			log:    []string{"moved b up by 0 word", "moved a up by 0 word"},
 		},
 		{
-			name:      "what the first list names is of any age",
+			name:      "endpoints of the first list do not count as just started",
 			after:     []Endpoint{at("a", "x:1", 7)},
 			log:       []string{"added a up by 0 word"},
 			startedAt: map[string]time.Duration{"a": 0},
@@ -86,30 +86,31 @@
 		}
 		for id, want := range c.startedAt {
 			if got := f.published[id].StartedAt; got != want {
-				t.Errorf("%s: %s started at %v, want %v", c.name, id, got, want)
+				t.Errorf("%s: endpoint %s: got start %v, want %v", c.name, id, got, want)
 			}
 		}
 	}
 }
 
-// TestReplacedComesBack: once the endpoint that took an address is gone, the one that was there may be used again.
-func TestReplacedComesBack(t *testing.T) {
+// TestReplacedEndpointReturns checks that an endpoint whose address another one had claimed is up again once the other
+// is gone.
+func TestReplacedEndpointReturns(t *testing.T) {
 	f := newFollower(Config{Sources: []Source{{}}})
 	first, second := testEndpoint("a", Up), testEndpoint("b", Up)
 	second.Address = first.Address
 	f.replace(start, first)
 	f.replace(start+time.Second, first, second)
 	if f.state("a") != Draining || f.state("b") != Up {
-		t.Errorf("after a second endpoint a is %v and b is %v, want a replaced", f.state("a"), f.state("b"))
+		t.Errorf("with both at one address: got a %v and b %v, want draining and up", f.state("a"), f.state("b"))
 	}
 	f.replace(start+time.Second, first)
 	if f.state("a") != Up || f.state("b") != Gone {
-		t.Errorf("without the second a is %v and b is %v, want a back", f.state("a"), f.state("b"))
+		t.Errorf("with b removed: got a %v and b %v, want up and gone", f.state("a"), f.state("b"))
 	}
 }
 
-// TestOneUpPerAddress drives two sources at random that name few IDs at few addresses, and checks point 5 of the rule
-// after every step.
+// TestOneUpPerAddress drives two random sources with few IDs at few addresses, and checks point 5 of the rule after
+// every step.
 func TestOneUpPerAddress(t *testing.T) {
 	ids := rapid.SampledFrom([]string{"1", "2", "3", "4", "5", "6"})
 	addresses := rapid.SampledFrom([]string{"x:1", "x:2", "x:3"})
@@ -133,11 +134,11 @@
 	})
 }
 
-// checkAddresses checks that what is published is what the rule decides, that at most one endpoint is up at an address,
-// and that one is replaced only where another is at its address.
+// checkAddresses checks that the published states are those that the rule decides, that at most one endpoint is up at
+// an address, and that an endpoint is replaced only if another is at its address.
 func checkAddresses(t *rapid.T, f *follower, now time.Duration) {
-	up := map[string]int{}      // by address
-	present := map[string]int{} // by address; not gone
+	up := map[string]int{}      // endpoints that are up, by address
+	present := map[string]int{} // endpoints that are not gone, by address
 	for _, endpoint := range f.published {
 		present[endpoint.Address]++
 		if endpoint.State == Up {
@@ -147,19 +148,20 @@
 	for _, view := range f.All(now) {
 		id, address := view.Endpoint.ID, view.Endpoint.Address
 		if f.state(id) != view.Endpoint.State {
-			t.Fatalf("%s is published as %v and decided as %v", id, f.state(id), view.Endpoint.State)
+			t.Fatalf("endpoint %s: got published state %v, want %v", id, f.state(id), view.Endpoint.State)
 		}
 		if up[address] > 1 {
-			t.Fatalf("%d endpoints are up at %s", up[address], address)
+			t.Fatalf("got %d endpoints up at %s, want at most 1", up[address], address)
 		}
 		if view.Reason == Replaced && present[address] < 2 {
-			t.Fatalf("%s is replaced at %s, where there is no other", id, address)
+			t.Fatalf("endpoint %s is replaced at %s, but no other endpoint is there", id, address)
 		}
 	}
 }
 
-// TestGoneEndpointsHaveNoAddress registers endpoints anew while they are reported as gone, as a catalogue does with
-// instances that stay critical. Once they are forgotten nothing of them may stay, least of all under the empty address.
+// TestGoneEndpointsHaveNoAddress registers endpoints again while they are reported as gone, as a catalogue does with
+// instances that stay critical. Once they are forgotten, nothing of them may remain, in particular no index entry under
+// the empty address.
 func TestGoneEndpointsHaveNoAddress(t *testing.T) {
 	const endpoints = 50
 	f := newFollower(Config{Sources: []Source{{}}})
@@ -179,10 +181,10 @@
 		f.advance(now)
 	}
 	if f.Len() != 0 || len(f.addresses.records) != 0 {
-		t.Errorf("%d endpoints and the records at %d addresses are left, expected none",
+		t.Errorf("got %d endpoints and records at %d addresses left, want none",
 			f.Len(), len(f.addresses.records))
 		for address, records := range f.addresses.records {
-			t.Errorf("at %q: %d records", address, len(records))
+			t.Errorf("address %q: got %d records, want none", address, len(records))
 		}
 	}
 }
--- a/internal/membership/apply.go
+++ b/internal/membership/apply.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// sourceUpdate is one call in which a source gives reports.
+// sourceUpdate identifies one call that passes in reports of a source.
 type sourceUpdate struct {
 	now     time.Duration
 	source  int
-	initial bool // the source had given no report before
+	initial bool // whether the source had no reports before
 }
 
-// apply takes a source's report on an endpoint.
-func (t *Table) apply(update sourceUpdate, record *endpointRecord, received *Endpoint) {
+// applyReport applies a source's report on an endpoint.
+func (t *Table) applyReport(update sourceUpdate, record *endpointRecord, received *Endpoint) {
 	state := &t.sources[update.source]
 	current := &record.reports[update.source]
 	if current.present && current.endpoint == *received {
@@ -23,24 +23,24 @@
 	current.present = true
 	current.endpoint = *received
 	current.changedAt = update.now
-	current.startedAt = t.startOf(update, &previous, received)
-	t.damp(update, record, &previous)
+	current.startedAt = t.startTime(update, &previous, received)
+	t.applyDamping(update, record, &previous)
 	reregistered := previous.present && previous.endpoint.Incarnation != received.Incarnation &&
 		previous.endpoint.Address == received.Address
-	hasAddress := record.address != "" // one that is gone has none, and must not be filed under it
+	hasAddress := record.address != "" // a gone endpoint has no address, and must not be indexed under ""
 	if reregistered && hasAddress {
-		t.arrive(record)
+		t.claimAddress(record)
 	}
 	t.reconsider(update.now, record)
 }
 
-// startOf says when an endpoint started that a source has reported.
-func (t *Table) startOf(update sourceUpdate, previous *report, received *Endpoint) time.Duration {
+// startTime returns when an endpoint started according to a source's report, in Unix time; 0: long ago.
+func (t *Table) startTime(update sourceUpdate, previous *report, received *Endpoint) time.Duration {
 	if received.StartedAt != 0 || !t.sources[update.source].FirstSeenIsStart {
 		return received.StartedAt
 	}
-	// The source reports registrations and no starts, so that a new one counts as a start: the endpoint may be cold.
-	// What the first list names may be of any age.
+	// The source reports registrations but no starts, so a new registration counts as a start: the endpoint may still
+	// be cold. The endpoints of the first list may have started at any time.
 	if !previous.present && update.initial {
 		return 0
 	}
@@ -49,14 +49,14 @@
 	if sameProcess {
 		return previous.startedAt
 	}
-	return update.now + t.offset
+	return update.now + t.clockOffset
 }
 
-// applyChange takes one change of a delta.
+// applyChange applies one change of a delta.
 func (t *Table) applyChange(update sourceUpdate, change *Endpoint) {
 	record := t.records[change.ID]
 	if record == nil && change.State == Gone {
-		return // it was not known
+		return // the endpoint is unknown, so there is nothing to remove
 	}
 	if record == nil {
 		record = t.add(change.ID)
@@ -76,15 +76,16 @@
 		state.order = append(state.order, record)
 	}
 	current.generation = state.generation
-	t.apply(update, record, change)
+	t.applyReport(update, record, change)
 	current.tombstone = change.State == Gone
 	if current.tombstone {
-		t.due.add(dueTime{at: update.now + t.cfg.TombstoneRetention, record: record, source: update.source})
+		t.due.add(dueTime{at: update.now + t.cfg.TombstoneTTL, record: record, source: update.source})
 	}
 }
 
-// damp counts a way down, or suppresses a way up, when a source's report on an endpoint has changed.
-func (t *Table) damp(update sourceUpdate, record *endpointRecord, previous *report) {
+// applyDamping counts a downward transition or, if the penalty is high enough, suppresses an upward one, when a
+// source's report on an endpoint has changed.
+func (t *Table) applyDamping(update sourceUpdate, record *endpointRecord, previous *report) {
 	damping := &t.sources[update.source].Damping
 	if !damping.enabled() {
 		return
@@ -101,10 +102,10 @@
 	}
 }
 
-// suppress has a source's report count as no higher than the ceiling for a time that its penalty gives.
+// suppress limits the effective state of a source's report to the ceiling for a time that depends on its penalty.
 func (t *Table) suppress(update sourceUpdate, record *endpointRecord, ceiling State) {
 	current := &record.reports[update.source]
-	wait := t.sources[update.source].Damping.suppression(current.penalty.score)
+	wait := t.sources[update.source].Damping.suppressionTime(current.penalty.score)
 	if current.suppressedUntil == 0 {
 		current.ceiling = ceiling
 		t.notes.add(Note{Kind: EndpointSuppressed, Source: update.source, Endpoint: record.id, Duration: wait})
@@ -114,7 +115,7 @@
 	t.due.add(dueTime{at: current.suppressedUntil, record: record, source: update.source})
 }
 
-// withdraw takes a source's report on an endpoint back.
+// withdraw removes a source's report on an endpoint.
 func (t *Table) withdraw(now time.Duration, source int, record *endpointRecord) {
 	current := &record.reports[source]
 	if !current.present {
@@ -122,7 +123,7 @@
 	}
 	state := &t.sources[source]
 	state.endpoints--
-	// The penalty stays with the record: an endpoint that is deregistered and registered again flaps as well.
+	// The penalty is kept: an endpoint that is repeatedly deregistered and registered is flapping, too.
 	*current = report{
 		penalty:    current.penalty,
 		generation: current.generation,
@@ -130,27 +131,27 @@
 	}
 	if state.Damping.enabled() {
 		current.penalty.add(now, state.Damping.HalfLife)
-		t.due.add(dueTime{at: now + t.cfg.TombstoneRetention, record: record, source: source}) // to forget the record
+		t.due.add(dueTime{at: now + t.cfg.TombstoneTTL, record: record, source: source}) // forget the record then
 	}
 	t.reconsider(now, record)
 }
 
-// stepReport ends a suppression that is over, and withdraws a tombstone that is old enough.
+// stepReport ends a suppression that is over, and withdraws an expired tombstone.
 func (t *Table) stepReport(now time.Duration, record *endpointRecord, source int) {
 	current := &record.reports[source]
 	if current.suppressedUntil > 0 {
 		if now < current.suppressedUntil {
-			return // it was prolonged, with a due time of its own
+			return // it was extended, which added another due time
 		}
 		current.suppressedUntil = 0
 		t.notes.add(Note{Kind: EndpointReleased, Source: source, Endpoint: record.id})
 		t.reconsider(now, record)
 		return
 	}
-	if current.tombstone && now-current.changedAt >= t.cfg.TombstoneRetention {
+	if current.tombstone && now-current.changedAt >= t.cfg.TombstoneTTL {
 		if record.reportedByOther(source) {
-			// It must go on winning against those.
-			t.due.add(dueTime{at: now + t.cfg.TombstoneRetention, record: record, source: source})
+			// The tombstone must keep overriding the other sources' reports.
+			t.due.add(dueTime{at: now + t.cfg.TombstoneTTL, record: record, source: source})
 			return
 		}
 		t.withdraw(now, source, record)
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// benchmarkConfig is two sources, of which only the first gives reports.
+// benchmarkConfig returns a Config with two sources. Only the first one reports in the benchmarks.
 func benchmarkConfig() Config {
 	consul := Source{Name: "consul", ConfirmLosses: true, FirstSeenIsStart: true}
 	return Config{Sources: []Source{consul, {Name: "bulletin"}}, MaxLossShare: 0.3}
@@ -27,11 +27,11 @@
 	return endpoints
 }
 
-// plainTable is the plain way: a map from each list, compared with the one before.
-type plainTable map[string]Endpoint
+// naiveTable is the baseline of the benchmarks: it builds a map from each list and compares it with the previous one.
+type naiveTable map[string]Endpoint
 
-func (p *plainTable) replaceList(endpoints []Endpoint) (changes []Change) {
-	next := make(plainTable, len(endpoints))
+func (p *naiveTable) replaceList(endpoints []Endpoint) (changes []Change) {
+	next := make(naiveTable, len(endpoints))
 	for _, endpoint := range endpoints {
 		next[endpoint.ID] = endpoint
 	}
@@ -49,8 +49,8 @@
 	return changes
 }
 
-// BenchmarkReplaceList takes complete lists, unchanged or with 1% of the endpoints changed, the plain way and by a
-// table, and first lists by a table.
+// BenchmarkReplaceList applies complete lists, unchanged or with 1% of the endpoints changed, to a naive table and to a
+// Table, and first lists to a Table.
 func BenchmarkReplaceList(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000, 100_000} {
 		endpoints := fleet(n)
@@ -62,7 +62,7 @@
 				}
 			}
 			b.Run(fmt.Sprintf("plain/%d/changed-%d", n, changed), func(b *testing.B) {
-				var p plainTable
+				var p naiveTable
 				p.replaceList(endpoints)
 				b.ReportAllocs()
 				for i := range b.N {
@@ -96,7 +96,7 @@
 	}
 }
 
-// BenchmarkOneAddress takes a list of 6,000 endpoints, each at its own address or all at one, and all its changes.
+// BenchmarkOneAddress applies a list of 6,000 endpoints, each at its own address or all at one, and takes all changes.
 func BenchmarkOneAddress(b *testing.B) {
 	for _, c := range []struct {
 		name    string
--- a/internal/membership/changes.go
+++ b/internal/membership/changes.go
@@ -1,48 +1,49 @@
 package membership
 
-// Kind says what is new about an endpoint; where several things are, the first that applies.
+// Kind is the kind of a Change. If several kinds apply, it is the first of them in the order below.
 type Kind uint8
 
 // The kinds of changes.
 const (
-	Removed         Kind = iota // it is gone
+	Removed         Kind = iota // the endpoint is gone
 	Added                       // it was gone or unknown; it may be draining already
-	StartedDraining             // it is to take nothing new
-	Moved                       // it is at another address
-	Restarted                   // it has started anew
-	Recovered                   // it was draining and is up
-	Modified                    // zone, kind, cell or weight
+	StartedDraining             // it must not get new requests
+	Moved                       // it has another address
+	Restarted                   // it has another start time
+	Recovered                   // it was draining and is up again
+	Modified                    // its zone, kind, cell or weight has changed
 )
 
-// String gives the word that the log uses.
+// String returns the name used in the log.
 func (k Kind) String() string {
 	return [...]string{"removed", "added", "draining", "moved", "restarted", "recovered", "modified"}[k]
 }
 
-// Reason says what in the rule decided an endpoint's state.
+// Reason is the reason for an endpoint's state under the rule.
 type Reason uint8
 
 // The reasons.
 const (
-	Reported   Reason = iota // the report of the source that is named
-	Unlisted                 // no source has a report on it
-	Suppressed               // it flapped, and its way up waits
-	Replaced                 // another endpoint came to its address later
+	Reported   Reason = iota // the deciding source reported this state
+	Unlisted                 // no source has a report on the endpoint
+	Suppressed               // the endpoint flapped, and its upward transition is delayed
+	Replaced                 // another endpoint has claimed its address since
 )
 
-// String gives the words that operators read.
+// String returns the name shown to operators.
 func (r Reason) String() string { return [...]string{"word", "unnamed", "held", "replaced"}[r] }
 
-// Change is what is new about an endpoint.
+// Change is a change of an endpoint in the merged view.
 type Change struct {
 	Kind      Kind
 	Endpoint  Endpoint
 	Previous  Endpoint
-	DecidedBy int // the source that decided, or NoSource
+	DecidedBy int // index of the source that decided the state, or NoSource
 	Reason    Reason
 }
 
-// compare says what is new, if anything is. Another incarnation alone is nothing new.
+// compare returns the kind of change between two versions of an endpoint, if there is one. A different incarnation
+// alone is not a change.
 func compare(previous, current Endpoint) (kind Kind, changed bool) {
 	previous.Incarnation = current.Incarnation
 	switch {
@@ -64,7 +65,7 @@
 	return Modified, true
 }
 
-// changeQueue has the records that are to be decided anew. What becomes more restricted overtakes the rest.
+// changeQueue holds the records to re-evaluate. Those that become more restricted come first.
 type changeQueue struct {
 	restricting []*endpointRecord
 	others      []*endpointRecord
@@ -72,7 +73,7 @@
 
 func (q *changeQueue) len() int { return len(q.restricting) + len(q.others) }
 
-// push adds a record unless it is queued already.
+// push adds a record, unless it is queued already.
 func (q *changeQueue) push(r *endpointRecord) {
 	if r.queued {
 		return
@@ -81,14 +82,14 @@
 	q.others = append(q.others, r)
 }
 
-// pushRestricting adds a record before the others. One that is queued already then stands in the queue twice, and the
-// entry that comes first clears record.queued, by which the second is passed over.
+// pushRestricting adds a record ahead of the others. A record that is queued already is then in the queue twice:
+// handling the first entry clears record.queued, and the second entry is skipped because of that.
 func (q *changeQueue) pushRestricting(r *endpointRecord) {
 	r.queued = true
 	q.restricting = append(q.restricting, r)
 }
 
-// pop removes the first entry of a queue that is not empty.
+// pop removes and returns the first entry. The queue must not be empty.
 func (q *changeQueue) pop() *endpointRecord {
 	from := &q.others
 	if len(q.restricting) > 0 {
@@ -99,7 +100,7 @@
 	return first
 }
 
-// trim frees the memory of an empty queue, which a large list has made large.
+// trim frees the memory of an empty queue, which a large list may have grown.
 func (q *changeQueue) trim() {
 	if q.len() == 0 {
 		*q = changeQueue{}
--- a/internal/membership/decisions_test.go
+++ b/internal/membership/decisions_test.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	decisionSeeds   = 24
-	decisionSteps   = 500
-	decisionNames   = 24 // endpoint ids that the sources draw from
-	decisionAdvance = 400 * time.Millisecond
+	decisionSeeds      = 24
+	decisionSteps      = 500
+	decisionIDs        = 24 // number of endpoint IDs that the sources draw from
+	decisionMaxAdvance = 400 * time.Millisecond
 )
 
-// TestDecisionsStayAsTheyWere plays seeded sequences of events and compares a digest of all that the table gives back
-// with the one that is kept for each seed. A change of names must leave every line as it is.
-func TestDecisionsStayAsTheyWere(t *testing.T) {
+// TestDecisions applies seeded sequences of events and compares a digest of everything that the table returns with the
+// stored one of each seed. Renaming identifiers must not change any digest.
+func TestDecisions(t *testing.T) {
 	counts := map[string]int{}
 	digesttest.Format{}.Check(t, decisionSeeds, func(seed uint64, recorder *digesttest.Recorder) {
-		p := newPlayer(seed, digesttest.NewTranscript(recorder, counts))
+		p := newEventProducer(seed, digesttest.NewTranscript(recorder, counts))
 		for i := range decisionSteps {
-			p.play()
+			p.playEvent()
 			if i%20 == 19 {
-				p.look()
+				p.recordViews()
 			}
 		}
 	})
--- a/internal/membership/due.go
+++ b/internal/membership/due.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// dueTime is a time at which Step is to look at a source's report on an endpoint, or, without a record, at the source.
+// dueTime is a time at which Step must handle a source's report on an endpoint or, without a record, the source itself.
 type dueTime struct {
 	at       time.Duration
-	sequence uint64 // of being added, which decides between equal times
+	sequence uint64 // order of insertion; breaks ties between equal times
 	record   *endpointRecord
-	source   int
+	source   int // index in Config.Sources
 }
 
-// dueTimes are the times to come, the earliest first.
+// dueTimes is a queue of due times, earliest first.
 type dueTimes struct {
 	heap     dueHeap
 	sequence uint64
@@ -25,7 +25,7 @@
 	heap.Push(&d.heap, due)
 }
 
-// next is the earliest time; 0: there is none.
+// next returns the earliest time, or 0 if there is none.
 func (d *dueTimes) next() time.Duration {
 	if len(d.heap) == 0 {
 		return 0
@@ -33,7 +33,7 @@
 	return d.heap[0].at
 }
 
-// pop removes the earliest one, where it is due by now.
+// pop removes and returns the earliest entry, if it is due by now.
 func (d *dueTimes) pop(now time.Duration) (due dueTime, ok bool) {
 	if len(d.heap) == 0 || d.heap[0].at > now {
 		return dueTime{}, false
--- a/internal/membership/entry.go
+++ b/internal/membership/entry.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// Names has the names of zones and kinds in the order in which the platform's settings list them.
+// Names holds the names of zones and kinds, in the order of the platform configuration. An Endpoint refers to them by
+// index.
 type Names struct{ Zones, Kinds []string }
 
-// Entry is what a source reports of an endpoint, in the form that all sources share.
+// Entry is a source's report on an endpoint, in the form common to all sources, before it is checked.
 type Entry struct {
 	ID          string
 	Address     string
@@ -20,7 +21,7 @@
 	Cell        int
 	State       State
 	Weight      float64
-	StartedAtMS int64 // a start, in Unix milliseconds; 0: long ago
+	StartedAtMS int64 // start in Unix milliseconds; 0: long ago
 	Incarnation uint64
 }
 
@@ -29,18 +30,18 @@
 	maxIDBytes     = 255
 )
 
-// EntryError says why an entry is refused.
+// EntryError says why an entry is rejected.
 type EntryError struct {
 	ID      string
 	Field   EntryField
-	Value   string // of the field, as it is printed
-	Problem string // with the value, where the field alone does not say it
+	Value   string // of the field, as printed in the message
+	Problem string // of the value; empty: the message has only the field and its value
 }
 
-// EntryField is the field of an Entry that is refused, by the name that operators know.
+// EntryField is the name of a rejected field of an Entry, as shown to operators.
 type EntryField string
 
-// The fields that are checked.
+// The fields that Names.Endpoint checks.
 const (
 	FieldID        EntryField = "host"
 	FieldStartedAt EntryField = "born_ms"
@@ -49,7 +50,7 @@
 	FieldAddress   EntryField = "address"
 )
 
-// Error gives the words that operators read.
+// Error returns the message shown to operators.
 func (e *EntryError) Error() string {
 	text := fmt.Sprintf("%s %s", e.Field, e.Value)
 	if e.Problem != "" {
@@ -61,7 +62,8 @@
 	return text
 }
 
-// Endpoint checks an entry and gives its endpoint. An entry that is gone needs only its ID. Errors are *EntryError.
+// Endpoint checks an entry and converts it to an Endpoint. An entry whose state is Gone needs only an ID. Errors are of
+// type *EntryError.
 func (n Names) Endpoint(entry Entry) (Endpoint, error) {
 	endpoint := Endpoint{
 		ID:          entry.ID,
@@ -74,27 +76,27 @@
 		Incarnation: entry.Incarnation,
 		State:       entry.State,
 	}
-	refuse := func(field EntryField, value, problem string) (Endpoint, error) {
+	reject := func(field EntryField, value, problem string) (Endpoint, error) {
 		return endpoint, &EntryError{ID: entry.ID, Field: field, Value: value, Problem: problem}
 	}
 	switch {
 	case !isID(entry.ID):
-		return refuse(FieldID, strconv.Quote(entry.ID), "")
+		return reject(FieldID, strconv.Quote(entry.ID), "")
 	case entry.StartedAtMS < 0 || entry.StartedAtMS > maxStartedAtMS:
-		return refuse(FieldStartedAt, strconv.FormatInt(entry.StartedAtMS, 10), "")
+		return reject(FieldStartedAt, strconv.FormatInt(entry.StartedAtMS, 10), "")
 	case entry.State == Gone:
 		return endpoint, nil
 	case endpoint.Zone < 0:
-		return refuse(FieldZone, strconv.Quote(entry.Zone), "is not in the settings")
+		return reject(FieldZone, strconv.Quote(entry.Zone), "is not in the settings")
 	case endpoint.Kind < 0:
-		return refuse(FieldKind, strconv.Quote(entry.Kind), "is not in the settings")
+		return reject(FieldKind, strconv.Quote(entry.Kind), "is not in the settings")
 	case !isAddress(entry.Address):
-		return refuse(FieldAddress, strconv.Quote(entry.Address), "is not host:port")
+		return reject(FieldAddress, strconv.Quote(entry.Address), "is not host:port")
 	}
 	return endpoint, nil
 }
 
-// isID reports whether an endpoint's ID can stand in a line of the wire.
+// isID reports whether a text is valid as the ID of an endpoint, which must fit into a line of the wire protocols.
 func isID(id string) bool {
 	if id == "" || len(id) > maxIDBytes {
 		return false
--- a/internal/membership/entry_test.go
+++ b/internal/membership/entry_test.go
@@ -17,10 +17,10 @@
 	want := Endpoint{ID: "c1", Address: "10.0.0.1:80", Zone: 1, Kind: 1, Cell: 3, State: Up, Weight: 2.5,
 		StartedAt: 1500 * time.Millisecond, Incarnation: 9}
 	if diff := cmp.Diff(want, got); err != nil || diff != "" {
-		t.Errorf("%v (-want +got):\n%s", err, diff)
+		t.Errorf("valid entry: got error %v, endpoint (-want +got):\n%s", err, diff)
 	}
 	if _, err := names.Endpoint(Entry{ID: "c1", State: Gone}); err != nil {
-		t.Errorf("gone with its ID alone: %v", err)
+		t.Errorf("gone entry with only an ID: got error %v, want none", err)
 	}
 	for _, c := range []struct {
 		change func(entry *Entry)
@@ -43,7 +43,7 @@
 		_, err := names.Endpoint(entry)
 		var refused *EntryError
 		if !errors.As(err, &refused) || refused.Field != c.field || err.Error() != c.text {
-			t.Errorf("%v, want %s", err, c.text)
+			t.Errorf("got error %v, want %s", err, c.text)
 		}
 	}
 }
--- a/internal/membership/events.go
+++ b/internal/membership/events.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// SourceEvent is what a source reports: the endpoint list watch, Consul's catalogue, or the start's settings. Sources
-// publish these events and know nothing of who takes them; the assembly applies them.
+// SourceEvent is an event published by a source: the endpoint list watch, Consul's catalogue, or the configuration at
+// start. Sources do not know who consumes their events; package proxy applies them.
 type SourceEvent interface{ isSourceEvent() }
 
-// ListReceived is a list of a source's endpoints, complete unless List says otherwise.
+// ListReceived carries a list of a source's endpoints, complete unless List says otherwise.
 type ListReceived struct {
-	Source int // its place in Config.Sources
+	Source int // index in Config.Sources
 	List   List
 }
 
-// DeltaReceived is changes to what a source has reported before.
+// DeltaReceived carries changes to a source's earlier reports.
 type DeltaReceived struct {
-	Source    int // its place in Config.Sources
+	Source    int // index in Config.Sources
 	Version   uint64
 	Endpoints []Endpoint
 }
 
 // SourceStatus says that a source answers though it has nothing new to report, or that it has fallen silent.
 type SourceStatus struct {
-	Source int // its place in Config.Sources
+	Source int // index in Config.Sources
 	Silent bool
 }
 
-// PurgeReceived says that copies from before it are out of date: those of one object or those of a group.
+// PurgeReceived invalidates the cached copies of one object, or of an object group, that are older than the purge.
 type PurgeReceived struct {
-	IsObject bool // Object says which copies; without it Group does
+	IsObject bool // true: the purge is of Object; false: of Group
 	Object   uint64
 	Group    int
-	Issued   time.Duration // on the Unix clock of whoever stamped it
+	Issued   time.Duration // Unix time, by the clock of the purge's issuer
 }
 
 func (ListReceived) isSourceEvent()  {}
--- a/internal/membership/export.go
+++ b/internal/membership/export.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// SourceReport is all that one source reports, as a snapshot keeps it.
+// SourceReport holds all reports of one source, as saved in a snapshot.
 type SourceReport struct {
 	Source    string
 	Version   uint64
-	LastSeen  time.Duration // on the Unix clock
-	Endpoints []Endpoint    // that are not gone; StartedAt as received or found
+	LastSeen  time.Duration // Unix time
+	Endpoints []Endpoint    // without those that are gone; StartedAt as received or inferred
 }
 
-// Export gives the last reports of all sources that have given any. Endpoints stand in the order of the last list.
+// Export returns the latest reports of all sources that have reported. Endpoints are in the order of the last list.
 func (t *Table) Export() []SourceReport {
 	var reports []SourceReport
 	for source := range t.sources {
@@ -29,7 +29,7 @@
 	exported := SourceReport{
 		Source:   s.Name,
 		Version:  s.version,
-		LastSeen: s.lastSeen + t.offset,
+		LastSeen: s.lastSeen + t.clockOffset,
 	}
 	for _, r := range s.order {
 		current := &r.reports[source]
@@ -43,36 +43,37 @@
 	return exported
 }
 
-// Restore takes reports of before a restart. Their sources count as silent until they are seen, so that the rule and
-// the suspicion of losses hold for them as for any that fell silent. It passes over reports of sources that are not in
-// the settings or have given reports already, and returns how many endpoints it took.
+// Restore applies reports that were exported before a restart. Their sources are silent until they are seen, so the
+// rule and the suspicion of losses apply to them as to any other silent source. Restore skips sources that are not
+// configured or have already reported, and returns the number of endpoints restored.
 func (t *Table) Restore(now time.Duration, reports []SourceReport) int {
-	taken := 0
+	restored := 0
 	for i := range reports {
-		source := t.sourceNamed(reports[i].Source)
+		source := t.sourceIndex(reports[i].Source)
 		if source == NoSource || t.sources[source].hasReported {
 			continue
 		}
 		t.restoreSource(now, source, &reports[i])
-		taken += t.sources[source].endpoints
+		restored += t.sources[source].endpoints
 	}
-	return taken
+	return restored
 }
 
-// sourceNamed gives the index of a source, or NoSource, which is what IndexFunc gives where there is none.
-func (t *Table) sourceNamed(name string) int {
+// sourceIndex returns the index of the named source, or NoSource, which equals IndexFunc's result for "not found".
+func (t *Table) sourceIndex(name string) int {
 	return slices.IndexFunc(t.sources, func(s sourceState) bool { return s.Name == name })
 }
 
 func (t *Table) restoreSource(now time.Duration, source int, restored *SourceReport) {
 	s := &t.sources[source]
-	lastSeen := restored.LastSeen - t.offset
+	lastSeen := restored.LastSeen - t.clockOffset
 	t.ReplaceList(lastSeen, source, List{Version: restored.Version, Endpoints: restored.Endpoints})
 	for _, r := range s.order {
 		current := &r.reports[source]
 		current.startedAt = current.endpoint.StartedAt
 		if s.FirstSeenIsStart {
-			// The source reports no starts: this one was found, and would differ from what the source reports next.
+			// This start was inferred, since the source reports none. Clear it, so that it does not make the source's
+			// next report look like a change.
 			current.endpoint.StartedAt = 0
 		}
 	}
--- a/internal/membership/helpers_test.go
+++ b/internal/membership/helpers_test.go
@@ -29,7 +29,7 @@
 	return ids
 }
 
-// follower keeps what a table has published, as the proxy does, and a line of text for each change.
+// follower applies the changes of a table to a map of endpoints, as the proxy does, and logs a line for each change.
 type follower struct {
 	*Table
 	published map[string]Endpoint
@@ -40,7 +40,7 @@
 	return &follower{Table: New(cfg), published: map[string]Endpoint{}}
 }
 
-// advance steps the table and takes all its changes.
+// advance calls Step and applies all changes.
 func (f *follower) advance(now time.Duration) {
 	f.Step(now)
 	for _, change := range f.TakeChanges(now, math.MaxInt) {
@@ -55,7 +55,7 @@
 	}
 }
 
-// replace has the only source give a complete list, and advances.
+// replace applies a complete list of source 0, and advances.
 func (f *follower) replace(now time.Duration, endpoints ...Endpoint) {
 	f.ReplaceList(now, 0, List{Endpoints: endpoints})
 	f.advance(now)
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -1,17 +1,17 @@
 package membership
 
-// listPass is one walk over a list.
+// listPass is the result of applying the endpoints of one list.
 type listPass struct {
-	order []*endpointRecord // the records of the list, in its order
-	added []*endpointRecord // those on which the source had no report, if it had any reports before
-	known int               // the number of the others
+	order []*endpointRecord // the records of the listed endpoints, in the order of the list
+	added []*endpointRecord // the listed endpoints new to this source; none if the source had no reports before
+	known int               // number of listed endpoints on which the source had a report before
 }
 
-// applyList takes the endpoints of a list.
+// applyList applies the reports of a list. Missing endpoints are not handled here.
 func (t *Table) applyList(update sourceUpdate, endpoints []Endpoint) listPass {
 	state := &t.sources[update.source]
 	state.generation++
-	pass := listPass{order: state.spare[:0]}
+	pass := listPass{order: state.spareOrder[:0]}
 	hadReports := state.endpoints > 0
 	expected := 0
 	for i := range endpoints {
@@ -37,13 +37,13 @@
 		current.generation = state.generation
 		current.position = len(pass.order)
 		pass.order = append(pass.order, record)
-		t.apply(update, record, received)
+		t.applyReport(update, record, received)
 	}
 	return pass
 }
 
-// lookUp finds a record; nil: there is none. Sources name their endpoints in much the same order each time, so that a
-// look at the expected position in the last order spares most look-ups in the map.
+// lookUp returns the record with an ID, or nil. Sources list their endpoints in much the same order each time, so
+// checking the expected position in the previous order first avoids most map look-ups.
 func (t *Table) lookUp(state *sourceState, expected int, id string) *endpointRecord {
 	if expected < len(state.order) && state.order[expected].id == id {
 		return state.order[expected]
@@ -51,8 +51,8 @@
 	return t.records[id]
 }
 
-// keepUnnamed puts the endpoints that the list did not name behind the rest.
-func (p *listPass) keepUnnamed(state *sourceState, source int) {
+// appendMissing appends the endpoints that the source has reported but the list lacks.
+func (p *listPass) appendMissing(state *sourceState, source int) {
 	for _, record := range state.order {
 		current := &record.reports[source]
 		if current.present && current.generation != state.generation {
@@ -62,10 +62,10 @@
 	}
 }
 
-// noteLeftOut notes how many endpoints of the current call the full table has left out.
-func (t *Table) noteLeftOut(source int) {
-	if t.leftOut > 0 {
-		t.notes.add(Note{Kind: TableFull, Source: source, Count: t.leftOut, Total: t.cfg.MaxEndpoints})
-		t.leftOut = 0
+// noteOverLimit adds a note with the number of endpoints that the current call dropped because the table was full.
+func (t *Table) noteOverLimit(source int) {
+	if t.overLimit > 0 {
+		t.notes.add(Note{Kind: TableFull, Source: source, Count: t.overLimit, Total: t.cfg.MaxEndpoints})
+		t.overLimit = 0
 	}
 }
--- a/internal/membership/loss.go
+++ b/internal/membership/loss.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// loss says how the endpoints are taken that a complete list lacks.
+// loss classifies the absence of endpoints from a complete list.
 type loss uint8
 
 const (
 	lossNone     loss = iota // the list lacks none
-	lossBelieved             // few, or confirmed, or of a source whose losses need no confirmation
-	lossOfMany               // suspected until a list that Confirms comes
-	lossOfAll                // suspected until a list comes that is not empty
+	lossAccepted             // few, or confirmed, or of a source whose losses need no confirmation
+	lossOfMany               // suspected until a list with Confirms set arrives
+	lossOfAll                // suspected until a list arrives that is not empty
 )
 
-// suspicion is a loss that is not believed yet.
+// suspicion is a loss that has not been accepted yet.
 type suspicion struct {
 	loss        loss // lossOfMany or lossOfAll
 	since       time.Duration
@@ -23,26 +23,26 @@
 	lost        []*endpointRecord
 }
 
-// applyLosses deals with the endpoints that a complete list lacks though its source had reported them.
+// applyLosses handles the endpoints that a source has reported before and that its new complete list lacks.
 func (t *Table) applyLosses(update sourceUpdate, list List, pass listPass) {
 	state := &t.sources[update.source]
 	lost := t.unexplainedLosses(update, pass.added)
-	total := len(lost) + len(pass.order) // endpoints that the list might have named
-	switch kind := t.judgeLoss(state, list, len(lost), total); kind {
+	total := len(lost) + len(pass.order) // endpoints that a list without losses would contain
+	switch kind := t.classifyLoss(state, list, len(lost), total); kind {
 	case lossNone:
 		t.refuteLoss(update.now, update.source)
 	case lossOfMany, lossOfAll:
-		t.suspect(update, kind, lost, total)
-	case lossBelieved:
-		t.believeLoss(update, lost, total)
+		t.suspectLoss(update, kind, lost, total)
+	case lossAccepted:
+		t.acceptLoss(update, lost, total)
 	}
 }
 
-// unexplainedLosses withdraws the reports on endpoints that were renamed or reported as gone before, and gives the
-// other endpoints that the list lacks.
+// unexplainedLosses withdraws the reports on missing endpoints that were renamed or already reported as gone, and
+// returns the other missing endpoints.
 func (t *Table) unexplainedLosses(update sourceUpdate, added []*endpointRecord) (lost []*endpointRecord) {
 	state := &t.sources[update.source]
-	addedAt := map[string]*endpointRecord{} // by address
+	addedAt := map[string]*endpointRecord{} // endpoints new in this list, by address
 	for _, record := range added {
 		addedAt[record.reports[update.source].endpoint.Address] = record
 	}
@@ -52,7 +52,7 @@
 			continue
 		}
 		if successor := addedAt[current.endpoint.Address]; successor != nil {
-			// The same process under another ID, or another process in its place.
+			// The same process under another ID, or another process that has replaced it.
 			t.notes.add(Note{Kind: Renamed, Source: update.source, Endpoint: record.id, RenamedTo: successor.id})
 			t.withdraw(update.now, update.source, record)
 			continue
@@ -66,13 +66,13 @@
 	return lost
 }
 
-// judgeLoss says how the loss of so many endpoints of a total is taken.
-func (t *Table) judgeLoss(state *sourceState, list List, lost, total int) loss {
+// classifyLoss classifies the loss of a number of endpoints out of a total.
+func (t *Table) classifyLoss(state *sourceState, list List, lost, total int) loss {
 	if lost == 0 {
 		return lossNone
 	}
 	if !state.ConfirmLosses {
-		return lossBelieved
+		return lossAccepted
 	}
 	if lost == total {
 		return lossOfAll
@@ -82,11 +82,11 @@
 	if large && !confirmed {
 		return lossOfMany
 	}
-	return lossBelieved
+	return lossAccepted
 }
 
-// suspect keeps the reports on the endpoints that a list lacks, and has the source fetched again.
-func (t *Table) suspect(update sourceUpdate, kind loss, lost []*endpointRecord, total int) {
+// suspectLoss keeps the reports on the endpoints that a list lacks. A new suspicion has the source fetched again.
+func (t *Table) suspectLoss(update sourceUpdate, kind loss, lost []*endpointRecord, total int) {
 	state := &t.sources[update.source]
 	if state.suspicion == nil || state.suspicion.loss != kind {
 		state.suspicion = &suspicion{loss: kind, since: update.now}
@@ -96,8 +96,8 @@
 	state.suspicion.lost = lost
 }
 
-// believeLoss withdraws the reports on the endpoints that a list lacks.
-func (t *Table) believeLoss(update sourceUpdate, lost []*endpointRecord, total int) {
+// acceptLoss withdraws the reports on the endpoints that a list lacks, and ends a suspicion.
+func (t *Table) acceptLoss(update sourceUpdate, lost []*endpointRecord, total int) {
 	state := &t.sources[update.source]
 	if state.suspicion != nil {
 		t.notes.add(Note{
@@ -114,7 +114,7 @@
 	}
 }
 
-// refuteLoss ends a suspicion, as nothing is missing any more.
+// refuteLoss ends a suspicion because no endpoint is missing any more.
 func (t *Table) refuteLoss(now time.Duration, source int) {
 	state := &t.sources[source]
 	if state.suspicion == nil {
@@ -129,7 +129,8 @@
 	state.suspicion = nil
 }
 
-// stepSuspicion has a suspected source fetched again. An empty list is never believed, so that one fetch is enough.
+// stepSuspicion has a suspected source fetched again when that is due. An empty list is never accepted as a loss, so
+// one fetch is enough for it.
 func (t *Table) stepSuspicion(now time.Duration, source int) {
 	suspicion := t.sources[source].suspicion
 	if suspicion == nil || suspicion.loss == lossOfAll || now < suspicion.nextRefetch {
@@ -138,7 +139,7 @@
 	t.scheduleRefetch(now, source)
 }
 
-// scheduleRefetch has a suspected source fetched now, and again after Config.ConfirmInterval.
+// scheduleRefetch requests a fetch of a suspected source now, and schedules the next after Config.ConfirmInterval.
 func (t *Table) scheduleRefetch(now time.Duration, source int) {
 	next := now + t.cfg.ConfirmInterval
 	t.sources[source].suspicion.nextRefetch = next
--- a/internal/membership/loss_test.go
+++ b/internal/membership/loss_test.go
@@ -7,11 +7,11 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// lossStep is one answer of a source whose losses need confirmation, and what comes of it.
+// lossStep is one answer of a source whose losses need confirmation, and its expected effect.
 type lossStep struct {
 	list      List
-	published int // endpoints after it
-	refetch   bool
+	published int  // number of published endpoints after it
+	refetch   bool // whether it has the source fetched again
 	notes     []NoteKind
 }
 
@@ -29,45 +29,45 @@
 	suspected := []NoteKind{LossSuspected}
 	confirmed := []NoteKind{LossConfirmed}
 	refuted := []NoteKind{LossRefuted}
-	all := lossStep{list: listOf(ten...), published: 10}
+	initial := lossStep{list: listOf(ten...), published: 10}
 	lossOfNine := lossStep{list: listOf(ten[0]), published: 10, refetch: true, notes: suspected}
 	for _, c := range []struct {
 		name  string
 		steps []lossStep
 	}{
-		{"few are believed at once", []lossStep{
-			all,
+		{"a small loss is accepted at once", []lossStep{
+			initial,
 			{list: listOf(ten[:8]...), published: 8},
 		}},
-		{"many are suspected, and confirmed", []lossStep{
-			all,
+		{"a large loss is suspected, then confirmed", []lossStep{
+			initial,
 			lossOfNine,
 			{list: confirming(ten[0]), published: 1, notes: confirmed},
 		}},
-		{"many are suspected, and refuted", []lossStep{
-			all,
+		{"a large loss is suspected, then refuted", []lossStep{
+			initial,
 			lossOfNine,
 			{list: confirming(ten...), published: 10, notes: refuted},
 		}},
-		{"the second answer lacks fewer", []lossStep{
-			all,
+		{"the confirming answer lacks fewer", []lossStep{
+			initial,
 			lossOfNine,
 			{list: confirming(ten[:9]...), published: 9, notes: confirmed},
 		}},
-		{"the same answer again confirms nothing", []lossStep{
-			all,
+		{"a repeated answer without Confirms confirms nothing", []lossStep{
+			initial,
 			lossOfNine,
 			{list: listOf(ten[0]), published: 10},
 		}},
-		{"an empty list is never believed", []lossStep{
-			all,
+		{"an empty list is never accepted", []lossStep{
+			initial,
 			{list: listOf(), published: 10, refetch: true, notes: suspected},
 			{list: confirming(), published: 10},
 			{list: confirming(), published: 10},
 			{list: listOf(ten...), published: 10, notes: refuted},
 		}},
-		{"what is reported as gone is not protected", []lossStep{
-			all,
+		{"endpoints reported as gone are not protected", []lossStep{
+			initial,
 			{
 				list:      listOf(ten[0], gone("1"), testEndpoint("2", Draining)),
 				published: 9,
@@ -76,13 +76,13 @@
 			},
 			{list: listOf(gone("0"), gone("1"), gone("2")), published: 7},
 		}},
-		{"all reported as gone, then deregistered: gone", []lossStep{
+		{"all endpoints reported as gone, then deregistered", []lossStep{
 			{list: listOf(ten[1], ten[2]), published: 2},
 			{list: listOf(gone("1"), gone("2"))},
 			{list: listOf()},
 		}},
-		{"an incomplete answer loses nothing", []lossStep{
-			all,
+		{"an incomplete list loses no endpoints", []lossStep{
+			initial,
 			{list: incomplete(ten[3]), published: 10},
 			{list: incomplete(gone("3")), published: 9},
 			{list: listOf(ten...), published: 10},
@@ -92,15 +92,15 @@
 			{list: partOf(ten[4:]...), published: 10},
 			{list: listOf(ten[:9]...), published: 9},
 		}},
-		{"named twice counts once", []lossStep{
+		{"a duplicate ID counts once", []lossStep{
 			{list: listOf(ten[1], ten[1], ten[2]), published: 2, notes: []NoteKind{DuplicateID}},
 		}},
 	} {
-		t.Run(c.name, func(t *testing.T) { playLoss(t, c.steps) })
+		t.Run(c.name, func(t *testing.T) { runLossSteps(t, c.steps) })
 	}
 }
 
-func playLoss(t *testing.T, steps []lossStep) {
+func runLossSteps(t *testing.T, steps []lossStep) {
 	t.Helper()
 	f := newFollower(Config{Sources: []Source{{Name: "consul", ConfirmLosses: true}}, MaxLossShare: 0.3, MinLoss: 2})
 	now := start
@@ -109,19 +109,19 @@
 		f.ReplaceList(now, 0, step.list)
 		f.advance(now)
 		if len(f.published) != step.published {
-			t.Errorf("%d endpoints after step %d, want %d", len(f.published), i, step.published)
+			t.Errorf("got %d endpoints after step %d, want %d", len(f.published), i, step.published)
 		}
 		if refetch := len(f.SourcesToRefetch()) > 0; refetch != step.refetch {
-			t.Errorf("step %d has the source fetched again: %v", i, refetch)
+			t.Errorf("step %d: got refetch requested = %v, want the opposite", i, refetch)
 		}
 		if diff := cmp.Diff(step.notes, f.noteKinds()); diff != "" {
-			t.Errorf("notes of step %d (-want +got):\n%s", i, diff)
+			t.Errorf("step %d: notes (-want +got):\n%s", i, diff)
 		}
 	}
 }
 
-// TestSuspicionRefetches: while no second answer comes the source is fetched again, at a bounded rate, until the
-// suspicion ends.
+// TestSuspicionRefetches checks that a suspected source is fetched again at a bounded rate until a second answer ends
+// the suspicion.
 func TestSuspicionRefetches(t *testing.T) {
 	f := newFollower(Config{Sources: []Source{{ConfirmLosses: true}}, MaxLossShare: 0.3})
 	f.ReplaceList(start, 0, List{Endpoints: upEndpoints(numberedIDs(10)...)})
@@ -132,16 +132,16 @@
 		refetches += len(f.SourcesToRefetch())
 	}
 	if refetches != 10 {
-		t.Errorf("fetched %d times in 3 s, want one each %v", refetches, DefaultConfirmInterval)
+		t.Errorf("got %d refetches in 3 s, want 10: one every %v", refetches, DefaultConfirmInterval)
 	}
 	f.ReplaceList(start+3*time.Second, 0, List{Endpoints: upEndpoints("1"), Confirms: true})
 	f.advance(start + time.Minute)
 	if len(f.SourcesToRefetch()) > 0 || f.Next() != 0 && f.Next() < start+time.Minute {
-		t.Error("it is fetched after the suspicion has ended")
+		t.Error("the source is still fetched after the suspicion has ended")
 	}
 }
 
-// TestEmptyListRefetchesOnce: an empty list is never believed, so that one fetch is enough.
+// TestEmptyListRefetchesOnce checks that an empty list causes one refetch only, since it is never accepted as a loss.
 func TestEmptyListRefetchesOnce(t *testing.T) {
 	f := newFollower(Config{Sources: []Source{{ConfirmLosses: true}}, MaxLossShare: 0.3})
 	f.replace(start, upEndpoints("1", "2")...)
@@ -152,6 +152,6 @@
 		refetches += len(f.SourcesToRefetch())
 	}
 	if refetches != 1 {
-		t.Errorf("fetched %d times in 3 s, want once", refetches)
+		t.Errorf("got %d refetches in 3 s, want 1", refetches)
 	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,29 +1,31 @@
-// Package membership merges what several sources report about the fleet's endpoints into one view, and gives the
-// changes of that view. Sources may be late, silent or disagree. The package does no I/O and reads no clock: its caller
-// passes reports in, steps it, and takes the changes.
+// Package membership merges the reports of several sources about the fleet's endpoints into one view, and returns the
+// changes of that view. Sources may be late or silent, and may disagree. The package does no I/O and reads no clock:
+// its caller passes reports in, calls Step when it is due, and takes the changes.
 //
-// The rule. A source reports an endpoint as up, draining or gone. On an endpoint that it does not name it has no
-// report.
+// The rule. A source reports an endpoint as up, draining or gone. It has no report on an endpoint that it does not
+// name.
 //
 //  1. The most restrictive report wins: gone, then draining, then up.
 //  2. An endpoint on which no source has a report is gone.
-//  3. A source that is silent keeps its last reports. One of them is overruled, and does not count, where a source that
-//     is not silent has changed its own report on the endpoint since the silent one was last seen, or where the silent
-//     one has not been seen for Config.MaxSilence and a source that is not silent has a report on the endpoint.
-//  4. What an endpoint is (address, zone, kind, weight) comes from the first source, in the order of Config.Sources,
-//     whose report counts and is not "gone"; its start is the latest that any counting report gives.
-//  5. Of endpoints that are up at one address, the one that came there last is up. The others are draining.
+//  3. The last reports of a silent source are kept. One of them is overruled, and does not count, if a source that is
+//     not silent has a report on the endpoint and either changed it after the silent source was last seen, or the
+//     silent source has not been seen for Config.MaxSilence.
+//  4. An endpoint's description (address, zone, kind, weight) comes from the first source, in the order of
+//     Config.Sources, whose report counts and is not "gone". Its start is the latest that any counting report gives.
+//  5. An endpoint that would be up is draining if another endpoint that is not gone has claimed its address since. An
+//     endpoint claims an address when it appears there, moves there or is registered there again.
 //
-// Protections against a source that errs delay only a loss by omission and a way up: a complete list that lacks too
-// many endpoints is suspected until a second answer confirms it (see List), an empty one is never believed, and an
-// endpoint that flaps is suppressed for a bounded time (see Damping). A report of "draining" or "gone" is not delayed.
+// Protections against a faulty source delay only losses by omission and upward transitions: a complete list that lacks
+// too many endpoints is suspected until a second answer confirms it, and an empty one never counts as a loss (both only
+// with Source.ConfirmLosses); a flapping endpoint is suppressed for a bounded time (see Damping). A report of
+// "draining" or "gone" is not delayed.
 //
-// Invariants, after each call: no endpoint is published as up on which a counting report is not up; the same calls give
-// the same changes in the same order.
+// Invariants, after each call: no endpoint is published as up if a counting report on it is not up; the same calls
+// return the same changes in the same order.
 //
-// Bounds: at most Config.MaxEndpoints endpoints and 64 notes are held. A list costs one comparison an endpoint; only
-// endpoints whose report differs are decided anew. When a source falls silent or returns, all its endpoints are decided
-// anew, where other sources have reports too.
+// Bounds: a Table holds at most Config.MaxEndpoints endpoints and 64 notes. A list costs one comparison per endpoint;
+// only endpoints whose report differs are re-evaluated. When a source falls silent or returns, all its endpoints are
+// re-evaluated, unless no other source has reports.
 package membership
 
 import (
@@ -31,26 +33,26 @@
 	"time"
 )
 
-// Table is the merged view. It is not safe for concurrent use.
+// Table holds the reports of all sources and the view merged from them. It is not safe for concurrent use.
 type Table struct {
-	cfg       Config
-	sources   []sourceState
-	records   map[string]*endpointRecord
-	addresses addressIndex
-	pending   changeQueue
-	due       dueTimes
-	refetch   []int // sources whose complete list is to be fetched again
-	notes     noteBuffer
-	leftOut   int // endpoints for which the current call found no room
-	revision  uint64
-	offset    time.Duration // of the Unix clock
+	cfg         Config
+	sources     []sourceState
+	records     map[string]*endpointRecord
+	addresses   addressIndex
+	pending     changeQueue
+	due         dueTimes
+	refetch     []int // sources whose complete list must be fetched again
+	notes       noteBuffer
+	overLimit   int // endpoints that the current call dropped because the table was full
+	revision    uint64
+	clockOffset time.Duration // what to add to a time for Unix time
 }
 
-// New makes an empty table.
+// New returns an empty table.
 func New(cfg Config) *Table {
 	cfg.MaxEndpoints = cmp.Or(cfg.MaxEndpoints, DefaultMaxEndpoints)
 	cfg.ConfirmInterval = cmp.Or(cfg.ConfirmInterval, DefaultConfirmInterval)
-	cfg.TombstoneRetention = cmp.Or(cfg.TombstoneRetention, DefaultTombstoneRetention)
+	cfg.TombstoneTTL = cmp.Or(cfg.TombstoneTTL, DefaultTombstoneTTL)
 	t := &Table{
 		cfg:       cfg,
 		records:   map[string]*endpointRecord{},
@@ -62,19 +64,20 @@
 	return t
 }
 
-// SetOffset tells by how much the Unix clock is ahead of the times that the table is given. Starts of endpoints and
-// exported times are on the Unix clock.
-func (t *Table) SetOffset(offset time.Duration) { t.offset = offset }
+// SetOffset sets by how much Unix time is ahead of the times that are passed to the table. Starts of endpoints and
+// exported times are in Unix time.
+func (t *Table) SetOffset(offset time.Duration) { t.clockOffset = offset }
 
-// ReplaceList takes a list of a source. What a complete list does not name the source has no report on any more, unless
-// the loss is suspected. An endpoint that is named twice counts once.
+// ReplaceList applies a list of a source. A complete list withdraws the source's reports on endpoints that it lacks,
+// unless the loss is suspected. Of several entries for one ID only the first is used.
 func (t *Table) ReplaceList(now time.Duration, source int, list List) {
 	state := &t.sources[source]
 	t.SourceSeen(now, source)
 	state.version = list.Version
 	update := sourceUpdate{now: now, source: source, initial: !state.hasReported}
 	before := state.endpoints
-	// An empty first answer may be that of an agent that has only just started: what comes next is not new for that.
+	// An empty first list may come from an agent that has only just started. The next list still counts as the first
+	// one then, so that its endpoints do not count as just started.
 	state.hasReported = state.hasReported || !list.Part && len(list.Endpoints) > 0
 	pass := t.applyList(update, list.Endpoints)
 	complete := !list.Incomplete && !list.Part
@@ -84,13 +87,13 @@
 		t.applyLosses(update, list, pass)
 	}
 	if !complete || state.suspicion != nil {
-		pass.keepUnnamed(state, source)
+		pass.appendMissing(state, source)
 	}
-	state.spare, state.order = state.order, pass.order
-	t.noteLeftOut(source)
+	state.spareOrder, state.order = state.order, pass.order
+	t.noteOverLimit(source)
 }
 
-// ApplyDelta takes changes of a source. Of an endpoint that is gone only the ID is read.
+// ApplyDelta applies changes from a source. Of an endpoint that is gone only the ID is used.
 func (t *Table) ApplyDelta(now time.Duration, source int, version uint64, endpoints []Endpoint) {
 	state := &t.sources[source]
 	t.SourceSeen(now, source)
@@ -100,10 +103,10 @@
 	for i := range endpoints {
 		t.applyChange(update, &endpoints[i])
 	}
-	t.noteLeftOut(source)
+	t.noteOverLimit(source)
 }
 
-// SourceSeen says that a source answers, though it may have nothing new to report.
+// SourceSeen records that a source answers, though it may have nothing new to report.
 func (t *Table) SourceSeen(now time.Duration, source int) {
 	state := &t.sources[source]
 	state.lastSeen = max(state.lastSeen, now)
@@ -113,7 +116,7 @@
 	}
 }
 
-// SourceSilent says that a source does not answer. Its reports stay, subject to point 3 of the rule.
+// SourceSilent records that a source does not answer. Its reports are kept, subject to point 3 of the rule.
 func (t *Table) SourceSilent(now time.Duration, source int) {
 	state := &t.sources[source]
 	if state.silent {
@@ -126,7 +129,7 @@
 	}
 }
 
-// Step does what has fallen due by now.
+// Step performs the work that is due by now.
 func (t *Table) Step(now time.Duration) {
 	for {
 		due, ok := t.due.pop(now)
@@ -141,14 +144,14 @@
 	}
 }
 
-// Next is when Step is due at the latest; 0: nothing is.
+// Next returns the time by which Step must be called, or 0 if no work is scheduled.
 func (t *Table) Next() time.Duration { return t.due.next() }
 
-// HasChanges reports whether TakeChanges may have something to give.
+// HasChanges reports whether TakeChanges may have changes to return.
 func (t *Table) HasChanges() bool { return t.pending.len() > 0 }
 
-// TakeChanges gives at most so many changes, those first that make an endpoint more restricted. What has changed back
-// since the last call is no change.
+// TakeChanges returns and removes at most limit changes, with those that make an endpoint more restricted first. An
+// endpoint that has changed back since the last call is not among them.
 func (t *Table) TakeChanges(now time.Duration, limit int) []Change {
 	var changes []Change
 	for len(changes) < limit && t.pending.len() > 0 {
@@ -163,13 +166,13 @@
 				Kind:      kind,
 				Endpoint:  d.endpoint,
 				Previous:  record.published,
-				DecidedBy: d.by,
+				DecidedBy: d.decidedBy,
 				Reason:    d.reason,
 			})
 		}
 		record.published = d.endpoint
 		if d.endpoint.State == Gone {
-			t.vacate(record)
+			t.releaseAddress(record)
 			t.forget(now, record)
 		}
 	}
@@ -177,19 +180,20 @@
 	return changes
 }
 
-// SourcesToRefetch gives the sources whose complete list is to be fetched at once, in the most reliable way that the
-// source has. The answer comes as a List that Confirms.
+// SourcesToRefetch returns the sources whose complete list must be fetched at once, in the most reliable way that the
+// source has, and clears them. The caller passes the answer as a List with Confirms set.
 func (t *Table) SourcesToRefetch() []int {
 	sources := t.refetch
 	t.refetch = nil
 	return sources
 }
 
-// TakeNotes gives the notes since the last call, and the number of those for which there was no room.
+// TakeNotes returns the notes since the last call, and the number of notes that did not fit.
 func (t *Table) TakeNotes() (notes []Note, dropped int) { return t.notes.take() }
 
-// Len is the number of endpoints held, those that are gone and remembered among them.
+// Len returns the number of endpoints held, including those that are gone but not forgotten yet.
 func (t *Table) Len() int { return len(t.records) }
 
-// Revision counts changes in the sources' reports: as long as it is the same, Export gives the same endpoints.
+// Revision returns a counter of changes to the sources' reports. While it stays the same, Export returns the same
+// endpoints.
 func (t *Table) Revision() uint64 { return t.revision }
--- a/internal/membership/notes.go
+++ b/internal/membership/notes.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// maxNotes is the number of notes held between two calls of Table.TakeNotes.
+// maxNotes is the maximum number of notes held between two calls of Table.TakeNotes.
 const maxNotes = 64
 
 // NoteKind is the kind of a Note.
@@ -10,18 +10,18 @@
 
 // The kinds of notes.
 const (
-	LossSuspected      NoteKind = iota // a complete list lacked too many endpoints, or all: Count Of so many
-	LossConfirmed                      // and that was true, after For
-	LossRefuted                        // and that was not true, after For
-	Renamed                            // Endpoint is gone, and Other has its address in the same list
-	DuplicateID                        // a list named Endpoint twice
-	TableFull                          // Count endpoints were left out, as Of are held at most
-	EndpointSuppressed                 // Endpoint flaps; its way up waits For
-	EndpointReleased                   // that is over
+	LossSuspected      NoteKind = iota // a complete list lacked too many endpoints, or all: Count of Total
+	LossConfirmed                      // a suspected loss was confirmed after Duration: Count of Total endpoints
+	LossRefuted                        // a suspected loss of Count endpoints was refuted after Duration
+	Renamed                            // Endpoint is missing from a list in which the new RenamedTo has its address
+	DuplicateID                        // a list contained Endpoint more than once
+	TableFull                          // Count endpoints were dropped, because the table holds at most Total
+	EndpointSuppressed                 // Endpoint flaps; its upward transition is delayed by Duration
+	EndpointReleased                   // the suppression of Endpoint has ended
 	noteKinds                          // the number of kinds
 )
 
-// String gives the event's word in the log.
+// String returns the name of the log event.
 func (k NoteKind) String() string {
 	return [noteKinds]string{
 		"list-loss-suspected", "list-loss-confirmed", "list-loss-refuted", "endpoint-renamed", "endpoint-duplicate-id",
@@ -29,18 +29,18 @@
 	}[k]
 }
 
-// Note is something for the log that is no change of an endpoint.
+// Note is an occurrence to be logged that is not a change of an endpoint.
 type Note struct {
 	Kind      NoteKind
-	Source    int
-	Endpoint  string // the ID of the endpoint, where it is one
-	RenamedTo string
-	Count     int
-	Total     int
-	Duration  time.Duration
+	Source    int           // index in Config.Sources
+	Endpoint  string        // ID; empty: the note is not about one endpoint
+	RenamedTo string        // ID; see Renamed
+	Count     int           // number of endpoints
+	Total     int           // what Count is compared with; see the kinds
+	Duration  time.Duration // see the kinds
 }
 
-// noteBuffer holds the notes between two calls of Table.TakeNotes.
+// noteBuffer holds the notes between two calls of Table.TakeNotes, and counts those that did not fit.
 type noteBuffer struct {
 	notes   []Note
 	dropped int
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// endpointRecord is all that is known of an endpoint.
+// endpointRecord holds the state of an endpoint.
 type endpointRecord struct {
-	id        string
-	reports   []report // by source
-	published Endpoint // as TakeChanges gave it last; Gone: not published, or published as gone
-	queued    bool     // in Table.pending
-	address   string   // under which it is in Table.addresses
-	arrival   uint64   // its order of coming to that address
+	id            string
+	reports       []report // by source index
+	published     Endpoint // as last returned by TakeChanges; Gone: not published, or published as gone
+	queued        bool     // whether it is in Table.pending
+	address       string   // its key in Table.addresses; empty: it is not in there
+	claimSequence uint64   // orders the records at one address
 }
 
 // reportedByOther reports whether a source other than the given one has a report.
@@ -22,22 +22,22 @@
 	return false
 }
 
-// report is what one source reports of an endpoint.
+// report is one source's report on an endpoint.
 type report struct {
 	present    bool
 	endpoint   Endpoint      // as received
-	startedAt  time.Duration // as received, or found by Source.FirstSeenIsStart
+	startedAt  time.Duration // as received, or inferred because of Source.FirstSeenIsStart
 	changedAt  time.Duration
-	generation uint64 // of the list that named it last
-	position   int    // in sourceState.order
-	tombstone  bool   // "gone" by a delta: a list that lacks the endpoint withdraws it only after Config.TombstoneRetention
+	generation uint64 // sourceState.generation when the source last named the endpoint
+	position   int    // index in sourceState.order
+	tombstone  bool   // "gone" from a delta; stepReport withdraws it after Config.TombstoneTTL
 	penalty    penalty
-	// While suppressedUntil is set, the report counts as no higher than ceiling.
+	// While suppressedUntil is set, the effective state is at most ceiling.
 	ceiling         State
 	suppressedUntil time.Duration
 }
 
-// state is the state as it counts now.
+// state returns the effective state of the report.
 func (r *report) state() State {
 	if r.suppressedUntil > 0 {
 		return min(r.endpoint.State, r.ceiling)
@@ -45,10 +45,10 @@
 	return r.endpoint.State
 }
 
-// add makes a record; nil: the table is full.
+// add creates a record. It returns nil if the table is full.
 func (t *Table) add(id string) *endpointRecord {
 	if len(t.records) >= t.cfg.MaxEndpoints {
-		t.leftOut++
+		t.overLimit++
 		return nil
 	}
 	r := &endpointRecord{id: id, reports: make([]report, len(t.sources))}
@@ -56,7 +56,8 @@
 	return r
 }
 
-// forget drops a record on which no source has a report and whose penalties are spent.
+// forget deletes a record, unless a source still has a report on it or the penalty of one has not yet fallen below
+// Damping.ReuseBelow. In the second case the record is checked again after Config.TombstoneTTL.
 func (t *Table) forget(now time.Duration, r *endpointRecord) {
 	for i := range r.reports {
 		current := &r.reports[i]
@@ -66,20 +67,20 @@
 		damping := &t.sources[i].Damping
 		current.penalty.decay(now, damping.HalfLife)
 		if damping.enabled() && current.penalty.score >= damping.ReuseBelow {
-			t.due.add(dueTime{at: now + t.cfg.TombstoneRetention, record: r, source: i})
+			t.due.add(dueTime{at: now + t.cfg.TombstoneTTL, record: r, source: i})
 			return
 		}
 	}
-	t.vacate(r)
+	t.releaseAddress(r)
 	delete(t.records, r.id)
 }
 
-// reconsider has an endpoint decided anew by the next TakeChanges.
+// reconsider makes the next TakeChanges re-evaluate an endpoint.
 func (t *Table) reconsider(now time.Duration, r *endpointRecord) {
 	t.revision++
 	d := t.mergeReports(now, r)
 	if d.endpoint.Address != r.address && d.endpoint.State != Gone {
-		t.moveTo(r, d.endpoint.Address)
+		t.moveToAddress(r, d.endpoint.Address)
 	}
 	if d.endpoint.State < r.published.State {
 		t.pending.pushRestricting(r)
--- a/internal/membership/rule.go
+++ b/internal/membership/rule.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// The functions of this file apply the rule of the package comment, point by point.
+// The functions of this file implement the rule in the package comment, point by point.
 
-// decision is what the rule says of an endpoint.
+// decision is the result of the rule for an endpoint.
 type decision struct {
-	endpoint Endpoint
-	by       int // the source whose report decided the state, or NoSource
-	reason   Reason
+	endpoint  Endpoint
+	decidedBy int // the source whose report decided the state, or NoSource
+	reason    Reason
 }
 
-// verdict is what points 1 and 2 say.
-type verdict struct {
-	state  State
-	by     int // the source whose report decided, or NoSource
-	reason Reason
+// stateDecision is the result of points 1 and 2 for an endpoint.
+type stateDecision struct {
+	state     State
+	decidedBy int // the source whose report decided, or NoSource
+	reason    Reason
 }
 
 // decide applies the complete rule.
@@ -30,49 +30,49 @@
 
 // mergeReports applies points 1 to 4.
 func (t *Table) mergeReports(now time.Duration, r *endpointRecord) decision {
-	var space [commonSources]int
+	var space [typicalMaxSources]int
 	counting := t.countingSources(space[:0], now, r)
-	verdict := judge(r, counting)
-	d := decision{by: verdict.by, reason: verdict.reason}
-	description := describe(r, counting)
+	decided := mostRestrictiveState(r, counting)
+	d := decision{decidedBy: decided.decidedBy, reason: decided.reason}
+	description := describingReport(r, counting)
 	if description == nil {
 		d.endpoint.ID = r.id
 		return d
 	}
 	d.endpoint = description.endpoint
-	d.endpoint.State = verdict.state
+	d.endpoint.State = decided.state
 	d.endpoint.StartedAt = latestStart(r, counting)
 	return d
 }
 
-// judge is points 1 and 2.
-func judge(r *endpointRecord, counting []int) verdict {
-	v := verdict{by: NoSource, reason: Unlisted}
+// mostRestrictiveState applies points 1 and 2.
+func mostRestrictiveState(r *endpointRecord, counting []int) stateDecision {
+	result := stateDecision{decidedBy: NoSource, reason: Unlisted}
 	for _, source := range counting {
 		current := &r.reports[source]
 		state := current.state()
-		if v.by != NoSource && state >= v.state {
+		if result.decidedBy != NoSource && state >= result.state {
 			continue
 		}
-		v = verdict{state: state, by: source, reason: Reported}
+		result = stateDecision{state: state, decidedBy: source, reason: Reported}
 		if state < current.endpoint.State {
-			v.reason = Suppressed
+			result.reason = Suppressed
 		}
 	}
-	return v
+	return result
 }
 
-// standing says how a source's report on an endpoint stands under point 3.
-type standing uint8
+// reportStatus says whether a source's report on an endpoint counts under point 3.
+type reportStatus uint8
 
 const (
-	noReport standing = iota
+	noReport reportStatus = iota
 	overruled
 	counts
 )
 
-// standing is point 3.
-func (t *Table) standing(now time.Duration, r *endpointRecord, source int) standing {
+// statusOf applies point 3 to a source's report on an endpoint.
+func (t *Table) statusOf(now time.Duration, r *endpointRecord, source int) reportStatus {
 	if !r.reports[source].present {
 		return noReport
 	}
@@ -93,22 +93,22 @@
 	return counts
 }
 
-// commonSources is a number of sources that few installations have more of: up to it a decision allocates nothing.
-const commonSources = 8
+// typicalMaxSources is the number of sources up to which a decision does not allocate. Few installations have more.
+const typicalMaxSources = 8
 
-// countingSources appends the sources whose report on an endpoint counts, in their order.
+// countingSources appends the sources whose report on an endpoint counts, in order of precedence.
 func (t *Table) countingSources(counting []int, now time.Duration, r *endpointRecord) []int {
 	for source := range t.sources {
-		if t.standing(now, r, source) == counts {
+		if t.statusOf(now, r, source) == counts {
 			counting = append(counting, source)
 		}
 	}
 	return counting
 }
 
-// describe is point 4 but for the start: the report that says what the endpoint is. Where all that have an address say
-// "gone", it is the first of them; nil: none has an address.
-func describe(r *endpointRecord, counting []int) *report {
+// describingReport applies point 4, except for the start: it returns the report that describes the endpoint. If all
+// counting reports with an address say "gone", it returns the first of them; if none has an address, nil.
+func describingReport(r *endpointRecord, counting []int) *report {
 	var description *report
 	for _, source := range counting {
 		current := &r.reports[source]
@@ -125,7 +125,7 @@
 	return description
 }
 
-// latestStart is point 4 for the start.
+// latestStart applies point 4 to the start: it returns the latest start in the counting reports.
 func latestStart(r *endpointRecord, counting []int) time.Duration {
 	var latest time.Duration
 	for _, source := range counting {
@@ -134,7 +134,7 @@
 	return latest
 }
 
-// isReplaced is point 5: whether an endpoint that is not gone came to the address later.
+// isReplaced applies point 5: it reports whether an endpoint that is not gone has claimed the same address since.
 func (t *Table) isReplaced(now time.Duration, r *endpointRecord) bool {
 	atAddress := t.addresses.at(r.address)
 	for i := len(atAddress) - 1; i >= 0 && atAddress[i] != r; i-- {
--- a/internal/membership/rule_test.go
+++ b/internal/membership/rule_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// model is the rule in the plainest form: what each source reports, and a walk over all of it for each question.
+// model is a naive implementation of the rule: it stores the reports of each source, and searches all of them for each
+// query.
 type model struct {
 	sources    []modelSource
 	maxSilence time.Duration
@@ -34,7 +35,7 @@
 	return m
 }
 
-// state is the state by points 1 to 3 of the rule.
+// state returns an endpoint's state by points 1 to 3 of the rule.
 func (m *model) state(now time.Duration, id string) State {
 	state, listed := Up, false
 	for i := range m.sources {
@@ -74,7 +75,7 @@
 	}
 }
 
-// applyDelta passes over a "gone" on what no source has reported.
+// applyDelta applies a delta. It ignores a "gone" for an endpoint that no source has reported.
 func (m *model) applyDelta(now time.Duration, source int, endpoints []Endpoint) {
 	m.seen(now, source)
 	for _, endpoint := range endpoints {
@@ -98,8 +99,8 @@
 	maps.DeleteFunc(m.sources[source].reports, func(id string, _ modelReport) bool { return !listed[id] })
 }
 
-// TestRule drives three sources at random, one with deltas and two with lists, and compares every endpoint with the
-// model after every step.
+// TestRule drives three random sources, one with deltas and two with lists, and compares every endpoint with the model
+// after every step.
 func TestRule(t *testing.T) {
 	const (
 		sources    = 3
@@ -108,7 +109,7 @@
 	ids := []string{"1", "2", "3", "4", "5"}
 	states := rapid.SampledFrom([]State{Gone, Draining, Up, Up})
 	rapid.Check(t, func(t *rapid.T) {
-		f := newFollower(Config{Sources: make([]Source, sources), MaxSilence: maxSilence, TombstoneRetention: time.Hour})
+		f := newFollower(Config{Sources: make([]Source, sources), MaxSilence: maxSilence, TombstoneTTL: time.Hour})
 		m := newModel(sources, maxSilence)
 		now := start
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -137,18 +138,18 @@
 			f.advance(now)
 			for _, id := range ids {
 				if got, want := f.state(id), m.state(now, id); got != want {
-					t.Fatalf("endpoint %s is published as %v, want %v by %+v", id, got, want, m.sources)
+					t.Fatalf("endpoint %s: got published state %v, want %v; sources %+v", id, got, want, m.sources)
 				}
 			}
 		}
 		if f.HasChanges() {
-			t.Fatal("changes are left after all were taken")
+			t.Fatal("got HasChanges true after all changes were taken, want false")
 		}
 	})
 }
 
-// TestFactsFollowPrecedence: two sources report one ID at different addresses.
-func TestFactsFollowPrecedence(t *testing.T) {
+// TestDescriptionFollowsPrecedence checks how an endpoint that two sources report at different addresses is described.
+func TestDescriptionFollowsPrecedence(t *testing.T) {
 	f := newFollower(Config{Sources: []Source{{Name: "first"}, {Name: "second"}}, MaxSilence: time.Minute})
 	one, two := testEndpoint("a", Up), testEndpoint("a", Up)
 	one.Address, two.Address = "10.0.0.1:1", "10.0.0.2:1"
@@ -158,31 +159,32 @@
 	f.ReplaceList(start, 0, List{Endpoints: []Endpoint{one}})
 	f.advance(start)
 	if got := f.published["a"]; got.Address != one.Address || got.StartedAt != start {
-		t.Errorf("%+v, want the first source's address and the latest start", got)
+		t.Errorf("got %+v, want the first source's address and the latest start", got)
 	}
 	f.SourceSilent(start+time.Second, 0)
 	two.Address = "10.0.0.3:1"
 	f.ReplaceList(start+2*time.Second, 1, List{Endpoints: []Endpoint{two}})
 	f.advance(start + 2*time.Second)
 	if got := f.published["a"]; got.Address != two.Address {
-		t.Errorf("%+v, want what the other source has reported since", got)
+		t.Errorf("got %+v, want the address that the second source has reported since", got)
 	}
 }
 
-// TestForget: a delta's "gone" wins against other sources as long as they name the endpoint.
-func TestForget(t *testing.T) {
+// TestTombstoneOverridesOtherSources checks that a "gone" from a delta overrides other sources for as long as they list
+// the endpoint, and is forgotten after that.
+func TestTombstoneOverridesOtherSources(t *testing.T) {
 	f := newFollower(Config{Sources: []Source{{Name: "bulletin"}, {Name: "consul"}}})
 	f.ApplyDelta(start, 0, 1, upEndpoints("a"))
 	f.ReplaceList(start, 1, List{Endpoints: upEndpoints("a", "b")})
 	f.ApplyDelta(start, 0, 2, []Endpoint{{ID: "a", State: Gone}})
 	for _, at := range []time.Duration{0, 2 * time.Minute, time.Hour} {
 		if f.advance(start + at); f.state("a") != Gone {
-			t.Errorf("after %v the removed endpoint is %v", at, f.state("a"))
+			t.Errorf("after %v: got state %v of the removed endpoint, want gone", at, f.state("a"))
 		}
 	}
 	f.ReplaceList(start+time.Hour, 1, List{Endpoints: upEndpoints("b")})
 	f.advance(start + 2*time.Hour)
 	if f.Len() != 1 {
-		t.Errorf("%d endpoints are held, want b alone", f.Len())
+		t.Errorf("got %d endpoints held, want only b", f.Len())
 	}
 }
--- a/internal/membership/source.go
+++ b/internal/membership/source.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// sourceState is a source's settings and what is known of it.
+// sourceState holds the settings and the state of a source.
 type sourceState struct {
 	Source
 	version     uint64
 	hasReported bool // a report was received or restored
 	silent      bool
 	lastSeen    time.Duration
-	order       []*endpointRecord // as the last list named them
-	spare       []*endpointRecord // the memory of the order before, for the next one
-	generation  uint64            // of the last list
-	endpoints   int               // records with a report of this source
-	suspicion   *suspicion
+	order       []*endpointRecord // the source's endpoints, in the order of the last list
+	spareOrder  []*endpointRecord // the previous order, whose memory the next list reuses
+	generation  uint64            // number of the last list
+	endpoints   int               // number of records with a report of this source
+	suspicion   *suspicion        // nil: no loss is suspected
 }
 
-// stepSource does what is due for a source: reports that its silence overrules, and the fetching of a suspected list.
+// stepSource does what is due for a source: it overrules the reports of one that has been silent for too long, and has
+// a suspected list fetched again.
 func (t *Table) stepSource(now time.Duration, source int) {
 	s := &t.sources[source]
 	if t.cfg.MaxSilence > 0 && s.silent && now >= s.lastSeen+t.cfg.MaxSilence {
@@ -25,8 +26,9 @@
 	t.stepSuspicion(now, source)
 }
 
-// reconsiderSource has all endpoints of a source decided anew where other sources have reports too: with one source
-// alone nothing depends on whether it is silent. It runs once for each time a source falls silent or returns.
+// reconsiderSource re-evaluates all endpoints of a source. Without reports from other sources nothing depends on
+// whether a source is silent, so it does nothing. It is called when a source falls silent or returns, and when a
+// silence exceeds Config.MaxSilence.
 func (t *Table) reconsiderSource(now time.Duration, source int) {
 	others := 0
 	for i := range t.sources {
@@ -44,7 +46,8 @@
 	}
 }
 
-// removeFromOrder takes an endpoint out of the order of a source's endpoints, between lists.
+// removeFromOrder removes an endpoint from the order of a source's endpoints, between lists. The last endpoint takes
+// its position.
 func (s *sourceState) removeFromOrder(r *endpointRecord, source int) {
 	position := r.reports[source].position
 	last := len(s.order) - 1
--- a/internal/membership/transcript_test.go
+++ b/internal/membership/transcript_test.go
@@ -7,8 +7,8 @@
 	"sloequay/internal/digesttest"
 )
 
-func stateText(s State) string {
-	switch s {
+func stateText(state State) string {
+	switch state {
 	case Gone:
 		return "s0"
 	case Draining:
@@ -19,8 +19,8 @@
 	return "s?"
 }
 
-func reasonText(w Reason) string {
-	switch w {
+func reasonText(reason Reason) string {
+	switch reason {
 	case Reported:
 		return "reason-word"
 	case Unlisted:
@@ -33,8 +33,8 @@
 	return "reason-?"
 }
 
-func changeText(k Kind) string {
-	switch k {
+func changeText(kind Kind) string {
+	switch kind {
 	case Removed:
 		return "change-left"
 	case Added:
@@ -53,8 +53,8 @@
 	return "change-?"
 }
 
-func noteText(k NoteKind) string {
-	switch k {
+func noteText(kind NoteKind) string {
+	switch kind {
 	case LossSuspected:
 		return "note-loss-doubted"
 	case LossConfirmed:
@@ -75,10 +75,11 @@
 	return "note-?"
 }
 
-func endpointText(b Endpoint) string {
+func endpointText(endpoint Endpoint) string {
 	return strings.Join([]string{
-		b.ID, b.Address, digesttest.Number(b.Zone), digesttest.Number(b.Kind), digesttest.Number(b.Cell),
-		strconv.FormatFloat(b.Weight, 'g', -1, 64), digesttest.Microseconds(b.StartedAt),
-		digesttest.Unsigned(b.Incarnation), stateText(b.State),
+		endpoint.ID, endpoint.Address, digesttest.Number(endpoint.Zone), digesttest.Number(endpoint.Kind),
+		digesttest.Number(endpoint.Cell), strconv.FormatFloat(endpoint.Weight, 'g', -1, 64),
+		digesttest.Microseconds(endpoint.StartedAt), digesttest.Unsigned(endpoint.Incarnation),
+		stateText(endpoint.State),
 	}, ",")
 }
--- a/internal/membership/types.go
+++ b/internal/membership/types.go
@@ -2,74 +2,76 @@
 
 import "time"
 
-// State is a state that a source reports. A lower one is more restrictive.
+// State is the state of an endpoint. A lower value is more restrictive.
 type State uint8
 
-// The states.
+// The states of an endpoint.
 const (
 	Gone State = iota
 	Draining
 	Up
 )
 
-// String gives the word that operators read.
+// String returns the name shown to operators.
 func (s State) String() string { return [...]string{"gone", "draining", "up"}[s] }
 
-// Endpoint is what a source reports of an endpoint, and what a Table publishes. The tags are part of a stored form.
+// Endpoint describes an endpoint as reported by a source, or as published by a Table. The codec tags are part of an
+// encoded format and must not change.
 type Endpoint struct {
 	ID          string        `codec:"ID"`
 	Address     string        `codec:"Address"` // host:port
-	Zone        int           `codec:"Zone"`    // an index into the settings' zones
-	Kind        int           `codec:"Kind"`    // an index into the settings' kinds
+	Zone        int           `codec:"Zone"`    // index into Names.Zones
+	Kind        int           `codec:"Kind"`    // index into Names.Kinds
 	Cell        int           `codec:"Cell"`
 	Weight      float64       `codec:"Weight"`
-	StartedAt   time.Duration `codec:"Born"`        // its latest start on the Unix clock; 0: long ago
-	Incarnation uint64        `codec:"Incarnation"` // another one with each registration; 0: the source has none
+	StartedAt   time.Duration `codec:"Born"`        // Unix time of the latest start; 0: long ago
+	Incarnation uint64        `codec:"Incarnation"` // differs for each registration; 0: the source has none
 	State       State         `codec:"State"`
 }
 
-// NoSource stands in the place of a source's index where no source decided.
+// NoSource replaces the index of a source if no source decided.
 const NoSource = -1
 
-// Source is the settings of one source. Calls name a source by its index in Config.Sources.
+// Source holds the settings of one source. Methods of Table identify a source by its index in Config.Sources.
 type Source struct {
 	Name string
-	// ConfirmLosses has complete lists suspected that lack many endpoints at once. It needs a source that can be
-	// fetched again on request.
+	// ConfirmLosses enables the suspicion of complete lists that lack many endpoints at once. The source must be able
+	// to fetch its list again on request.
 	ConfirmLosses bool
-	// FirstSeenIsStart says that the source reports no starts: an endpoint that appears after its first list started
-	// at that time.
+	// FirstSeenIsStart is set for a source that does not report start times: an endpoint that appears after the
+	// source's first list is taken to have started when it appeared.
 	FirstSeenIsStart bool
 	Damping          Damping
 }
 
-// Config is the settings of a Table.
+// Config holds the settings of a Table.
 type Config struct {
-	Sources            []Source      // the first one with a counting report says what an endpoint is
-	MaxEndpoints       int           // further ones are left out and counted; 0: DefaultMaxEndpoints
-	MaxLossShare       float64       // a list that lacks a larger share of its source's endpoints is suspected; 0: none is
-	MinLoss            int           // a list that lacks fewer endpoints is not suspected
-	ConfirmInterval    time.Duration // how often a suspected source is fetched again; 0: DefaultConfirmInterval
-	MaxSilence         time.Duration // see point 3 of the rule; 0: no bound
-	TombstoneRetention time.Duration // how long a delta's "gone" is remembered; 0: DefaultForget
+	Sources         []Source      // in order of precedence; see point 4 of the rule
+	MaxEndpoints    int           // endpoints above it are dropped and counted; 0: DefaultMaxEndpoints
+	MaxLossShare    float64       // a list that lacks a larger share of endpoints is suspected; 0: only if all
+	MinLoss         int           // a list that lacks fewer endpoints, but not all, is not suspected
+	ConfirmInterval time.Duration // between fetches of a suspected list; 0: DefaultConfirmInterval
+	MaxSilence      time.Duration // after which a silent source may be overruled, see point 3 of the rule; 0: no limit
+	TombstoneTTL    time.Duration // how long a "gone" from a delta is kept; 0: DefaultTombstoneTTL
 }
 
 // Defaults of Config.
 const (
-	DefaultMaxEndpoints       = 100_000
-	DefaultConfirmInterval    = 300 * time.Millisecond
-	DefaultTombstoneRetention = time.Minute
+	DefaultMaxEndpoints    = 100_000
+	DefaultConfirmInterval = 300 * time.Millisecond
+	DefaultTombstoneTTL    = time.Minute
 )
 
-// List is a list of a source. It is complete but for Incomplete and Part.
+// List is a list of a source's endpoints. It is complete unless Incomplete or Part is set.
 type List struct {
 	Version   uint64
 	Endpoints []Endpoint
-	// Confirms says that the list was fetched because SourcesToRefetch named the source, in the most reliable way.
+	// Confirms reports whether the list was fetched because SourcesToRefetch returned the source, in the most reliable
+	// way that the source has.
 	Confirms bool
-	// Incomplete says that the answer may lack endpoints, so that none is lost by it.
+	// Incomplete reports whether the list may lack endpoints. The source's reports on those it lacks are kept.
 	Incomplete bool
-	// Part says that this is one part of a list, and that the complete list follows. A large first list comes in parts,
-	// so that its reader is not held up. Nothing is lost by a part.
+	// Part reports whether this is one part of a list, and the complete list follows. A large first list comes in
+	// parts so that it does not block whoever processes it. Reports on endpoints that a part lacks are kept.
 	Part bool
 }
--- a/internal/membership/views.go
+++ b/internal/membership/views.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// SourceView is what operators see of a source.
+// SourceView is the state of a source as shown to operators.
 type SourceView struct {
 	Name        string
 	Version     uint64
-	HasReported bool // reports were received or restored
+	HasReported bool // whether reports were received or restored
 	Silent      bool
 	LastSeen    time.Duration
-	Endpoints   int // on which it has a report
-	Suspected   int // whose reports stay though its last list lacked them
+	Endpoints   int // number of endpoints on which it has a report
+	Suspected   int // number of endpoints of a suspected loss, whose reports are kept
 }
 
-// Sources gives all sources in their order.
+// Sources returns all sources, in the order of Config.Sources.
 func (t *Table) Sources() []SourceView {
 	var views []SourceView
 	for i := range t.sources {
@@ -38,16 +38,16 @@
 	return views
 }
 
-// EndpointView is what operators see of an endpoint.
+// EndpointView is the state of an endpoint as shown to operators.
 type EndpointView struct {
 	Endpoint  Endpoint
-	DecidedBy int // the source that decided, or NoSource
+	DecidedBy int // index of the source that decided the state, or NoSource
 	Reason    Reason
-	Since     time.Duration // when that source's report changed last
-	Reports   []string      // the state that each source reports, in brackets if it is overruled; empty: none
+	Since     time.Duration // when that source's report last changed
+	Reports   []string      // the state that each source reports, in brackets if overruled; empty: no report
 }
 
-// All gives every endpoint that is held, sorted by ID.
+// All returns all endpoints held, sorted by ID.
 func (t *Table) All(now time.Duration) []EndpointView {
 	var views []EndpointView
 	for _, r := range t.records {
@@ -61,16 +61,16 @@
 	d := t.decide(now, r)
 	view := EndpointView{
 		Endpoint:  d.endpoint,
-		DecidedBy: d.by,
+		DecidedBy: d.decidedBy,
 		Reason:    d.reason,
 		Reports:   make([]string, len(t.sources)),
 	}
-	if d.by != NoSource {
-		view.Since = r.reports[d.by].changedAt
+	if d.decidedBy != NoSource {
+		view.Since = r.reports[d.decidedBy].changedAt
 	}
 	for source := range r.reports {
 		state := r.reports[source].endpoint.State.String()
-		switch t.standing(now, r, source) {
+		switch t.statusOf(now, r, source) {
 		case counts:
 			view.Reports[source] = state
 		case overruled:
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -64,12 +64,12 @@
 		usesListWatch: true,
 		preferred:     preferListWatch,
 		list: membership.Config{
-			MaxEndpoints:       membership.DefaultMaxEndpoints,
-			MaxLossShare:       0.3,
-			MinLoss:            2,
-			ConfirmInterval:    membership.DefaultConfirmInterval,
-			MaxSilence:         10 * time.Minute,
-			TombstoneRetention: membership.DefaultTombstoneRetention,
+			MaxEndpoints:    membership.DefaultMaxEndpoints,
+			MaxLossShare:    0.3,
+			MinLoss:         2,
+			ConfirmInterval: membership.DefaultConfirmInterval,
+			MaxSilence:      10 * time.Minute,
+			TombstoneTTL:    membership.DefaultTombstoneTTL,
 		},
 		damping: membership.Damping{
 			SuppressAbove: 3,
