--- a/internal/broker/helpers_test.go
+++ b/internal/broker/helpers_test.go
@@ -32,8 +32,8 @@
 func newBroker(t testing.TB) *Broker {
 	t.Helper()
 	return newBrokerWithMembers(t, membership.Config{
-		Sources:            make([]membership.Source, 1),
-		TombstoneRetention: time.Millisecond,
+		Sources:      make([]membership.Source, 1),
+		TombstoneTTL: time.Millisecond,
 	})
 }
 
