--- a/internal/policy/rto/rto_test.go
+++ b/internal/policy/rto/rto_test.go
@@ -2,29 +2,31 @@
 
 import "testing"
 
-// TestTimeoutFollows: the time-out learns what answers take and how much they vary, and rises where all has become
-// slow.
-func TestTimeoutFollows(t *testing.T) {
-	even, varied, slow := New(), New(), New()
+// TestTimeoutAdaptsToResponseTimes: the timeout follows the mean and the deviation of how late responses are, and rises
+// when all become slow.
+func TestTimeoutAdaptsToResponseTimes(t *testing.T) {
+	steady, varied, slow := New(), New(), New()
 	for i := range 400 {
-		even.Observe(0.1)
+		steady.Observe(0.1)
 		varied.Observe(0.2 * float64(i%2))
 		slow.Observe(1)
 	}
-	if l := even.Timeout(); l < 0.1 || l > 0.11 {
-		t.Errorf("answers of 0.1 s: a time-out of %.3f, want a little over that", l)
+	if timeout := steady.Timeout(); timeout < 0.1 || timeout > 0.11 {
+		t.Errorf("responses 0.1 s late: timeout %.3f s, want 0.1 to 0.11 s", timeout)
 	}
-	if l := varied.Timeout(); l < 0.4 || l > 0.6 {
-		t.Errorf("answers of 0 and 0.2 s: a time-out of %.3f, want the mean and four deviations of 0.1", l)
+	if timeout := varied.Timeout(); timeout < 0.4 || timeout > 0.6 {
+		t.Errorf("responses 0 and 0.2 s late: timeout %.3f s, want about 0.5 s, the mean plus four deviations of 0.1 s",
+			timeout)
 	}
-	if l := slow.Timeout(); l < 1 {
-		t.Errorf("answers of 1 s: a time-out of %.3f", l)
+	if timeout := slow.Timeout(); timeout < 1 {
+		t.Errorf("responses 1 s late: timeout %.3f s, want at least 1 s", timeout)
 	}
 	early := New()
 	for range 400 {
 		early.Observe(-0.3)
 	}
 	if early.Timeout() < MinTimeout {
-		t.Errorf("answers before their time: a time-out of %.3f, want %.3f at least", early.Timeout(), MinTimeout)
+		t.Errorf("responses 0.3 s early: timeout %.3f s, want at least %.3f s",
+			early.Timeout(), MinTimeout)
 	}
 }
--- a/internal/policy/slowstart/slowstart_test.go
+++ b/internal/policy/slowstart/slowstart_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestAvailableAtIsTheFirstTime compares AvailableAt with a walk over time, and Available with a sum over all that
-// was ever sent.
+// TestAvailableAtIsTheFirstTime compares AvailableAt with a search over time in steps, and Available with a sum over
+// all expenses.
 func TestAvailableAtIsTheFirstTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		schedule := &Schedule{
@@ -21,7 +21,7 @@
 		var budget Budget
 		var all []expense
 		now := startedAt
-		for range rapid.IntRange(0, 30).Draw(t, "sendings") {
+		for range rapid.IntRange(0, 30).Draw(t, "requests") {
 			now += time.Duration(rapid.IntRange(0, 100).Draw(t, "gap")) * time.Millisecond
 			cost := rapid.Float64Range(0.01, 3).Draw(t, "cost")
 			budget.Spend(now, cost)
@@ -34,28 +34,28 @@
 			}
 		}
 		if available := budget.Available(now, startedAt, schedule); available < sum-1e-9 || available > sum+1e-9 {
-			t.Fatalf("available %g, want %g", available, sum)
+			t.Fatalf("got %g available, want %g", available, sum)
 		}
-		cost := rapid.Float64Range(0.01, 3).Draw(t, "wanted")
+		cost := rapid.Float64Range(0.01, 3).Draw(t, "wanted cost")
 		availableAt := budget.AvailableAt(now, startedAt, cost, schedule)
 		if availableAt < now {
-			t.Fatalf("available at %v, which lies before now, %v", availableAt, now)
+			t.Fatalf("AvailableAt returned %v, want %v (now) or later", availableAt, now)
 		}
 		fits := func(at time.Duration) bool {
 			if at >= startedAt+schedule.WarmupTime {
-				return true // it is warm
+				return true // the warm-up is over
 			}
-			other := Budget{append([]expense(nil), budget.expenses...)}
-			return cost <= other.Available(at, startedAt, schedule)+1e-9
+			copied := Budget{append([]expense(nil), budget.expenses...)}
+			return cost <= copied.Available(at, startedAt, schedule)+1e-9
 		}
 		if !fits(availableAt + 2) {
-			t.Fatalf("at %v, from %v on, it does not fit", availableAt, now)
+			t.Fatalf("the cost is not available at %v, the time that AvailableAt returned at %v", availableAt, now)
 		}
 		for at := now; at < availableAt-time.Millisecond; at += time.Millisecond {
-			if fits(at) && !fits(at-2) { // a place where it would have fitted before
-				other := Budget{append([]expense(nil), budget.expenses...)}
-				if cost <= other.Available(at, startedAt, schedule)-1e-6 {
-					t.Fatalf("it fits at %v, and is said to at %v", at, availableAt)
+			if fits(at) && !fits(at-2) { // the cost becomes available here
+				copied := Budget{append([]expense(nil), budget.expenses...)}
+				if cost <= copied.Available(at, startedAt, schedule)-1e-6 {
+					t.Fatalf("the cost is available at %v, but AvailableAt returned %v", at, availableAt)
 				}
 			}
 		}
