--- a/internal/policy/fairness/fairness.go
+++ b/internal/policy/fairness/fairness.go
@@ -1,23 +1,24 @@
-// Package fairness keeps the largest requests of a class from being the ones that are rejected whenever capacity is
-// short. A bound on what is in flight is a bound on sizes: below it all are admitted, above it none, and the same
-// large request is rejected as often as it comes. So the shares that are admitted of a class and of its largest
-// requests are counted; while those are admitted less than MinAdmittedShare times as often as their class, they are
-// admitted by the size of the class's last request. Where they have their share nothing changes.
+// Package fairness keeps the largest requests of a class from taking all the rejections when capacity is short. A bound
+// on the load in flight acts as a bound on size: smaller requests are all admitted and larger ones never, and a large
+// request is rejected again each time it is retried. So the package tracks which share of a class's requests and of its
+// largest requests is admitted. While the largest are admitted less than MinAdmissionRatio times as often as the class,
+// they are admitted by the size of the class's previous request; otherwise every request is admitted by its own size.
 //
-// Invariants: an effective size is never above the request's own. Whatever bounds on sizes come, of the largest tenth
-// of a class's requests and of the next fifth at least MinAdmittedShare times as many are admitted as of the class in
-// the long run, if a request of the class's usual sizes is admitted that often.
+// Invariants: an effective size never exceeds the request's own size. For any sequence of bounds on size, the admitted
+// shares of the largest tenth and of the next fifth of a class's requests are, in the long run, at least
+// MinAdmissionRatio times the admitted share of the class, if requests of the class's usual sizes are admitted that
+// often.
 //
-// Bounds: a few numbers a class, constant time a request. The package does no I/O and reads no clock.
+// Bounds: a few numbers per class, and constant time per request. The package does no I/O and reads no clock.
 package fairness
 
 import "math"
 
-// MinAdmissionRatio is the part of their class's share that the largest requests are due: two thirds on quiet days,
-// half on others. A day's kind is not known, so it is two thirds always.
+// MinAdmissionRatio is the lowest ratio of the admitted share of the largest requests to that of their class. The
+// target is two thirds on quiet days and one half on others; the kind of day is not known, so it is always two thirds.
 const MinAdmissionRatio = 2.0 / 3
 
-// band is a part of a class's requests by size.
+// band is a range of sizes of a class's requests.
 type band int
 
 const (
@@ -27,57 +28,57 @@
 	bands
 )
 
-// shareAbove is the share of requests that is above where each band begins.
+// shareAbove is, for each band, the share of requests that are larger than its lower bound.
 var shareAbove = [smaller]float64{largestTenth: 0.1, nextFifth: 0.3}
 
 const (
-	// minStep is the part of the usual distance of two sizes by which one request moves where a band begins, more
-	// at first: it follows sizes within some hundreds, however near or far apart they are.
-	minStep = 0.02
+	// minLearningRate scales the step by which one request moves a lower bound, as a fraction of logDistance. The first
+	// requests take larger steps. The bounds adapt within some hundreds of requests, whatever the spread of the sizes.
+	minLearningRate = 0.02
 
-	bandWeight  = 0.05 // of one request in its band's share: both shares are of the class's last hundred or two
-	classWeight = 0.01 // of one request in the class's share
+	bandWeight  = 0.05 // of one request in its band's rate; both rates cover the class's last 100 to 200 requests
+	classWeight = 0.01 // of one request in the class's rate
 )
 
-// Shares is what is known of one class. The zero value knows nothing.
+// Shares tracks the rejection rates of one class and of its size bands. The zero value has seen no requests.
 type Shares struct {
-	seen          float64 // requests
-	lastSize      float64
-	bandStart     [smaller]float64 // smallest size of each band
-	distance      float64          // usual distance of two sizes, by their logarithms
-	rejected      [bands]float64   // share of each band that was rejected lately
-	classRejected float64          // and of the class
+	requests           float64 // requests with a known size so far
+	lastSize           float64
+	bandLowerBound     [smaller]float64 // lower bound of each band; 0 before the first request
+	logDistance        float64          // mean distance between the logarithms of consecutive sizes
+	rejectionRate      [bands]float64   // recent share of each band's requests that were rejected
+	classRejectionRate float64          // the same for the whole class
 }
 
-// EffectiveSize takes a new request and gives the size by which it is to be admitted: its own, or that of the one
-// before where that is smaller and the request's band is short of its share.
+// EffectiveSize records the size of a new request and returns the size by which to admit it: its own, or that of the
+// class's previous request if that is smaller and the request's band is admitted too rarely.
 func (s *Shares) EffectiveSize(size float64) float64 {
-	if size <= 0 { // not known, and nothing learnt of the class
+	if size <= 0 { // unknown, so the bands are not updated
 		return size
 	}
 	effective := size
-	if 1-s.rejected[s.band(size)] < MinAdmissionRatio*(1-s.classRejected) {
+	if 1-s.rejectionRate[s.band(size)] < MinAdmissionRatio*(1-s.classRejectionRate) {
 		effective = min(size, s.lastSize)
 	}
-	s.learn(size)
+	s.updateBands(size)
 	return effective
 }
 
-// learn moves where the bands begin by a new size.
-func (s *Shares) learn(size float64) {
-	s.seen++
-	step := max(minStep, 1/s.seen)
+// updateBands moves the lower bounds of the bands towards their quantiles, by the size of one request.
+func (s *Shares) updateBands(size float64) {
+	s.requests++
+	learningRate := max(minLearningRate, 1/s.requests)
 	if s.lastSize > 0 {
-		s.distance += (math.Abs(math.Log(size/s.lastSize)) - s.distance) * step
+		s.logDistance += (math.Abs(math.Log(size/s.lastSize)) - s.logDistance) * learningRate
 	}
 	for i, share := range shareAbove {
 		switch {
-		case s.bandStart[i] == 0:
-			s.bandStart[i] = size
-		case size > s.bandStart[i]:
-			s.bandStart[i] *= math.Exp(step * s.distance * (1 - share))
+		case s.bandLowerBound[i] == 0:
+			s.bandLowerBound[i] = size
+		case size > s.bandLowerBound[i]:
+			s.bandLowerBound[i] *= math.Exp(learningRate * s.logDistance * (1 - share))
 		default:
-			s.bandStart[i] *= math.Exp(-step * s.distance * share)
+			s.bandLowerBound[i] *= math.Exp(-learningRate * s.logDistance * share)
 		}
 	}
 	s.lastSize = size
@@ -86,18 +87,18 @@
 // RecordAdmitted counts a request that was admitted.
 func (s *Shares) RecordAdmitted(size float64) { s.record(size, 0) }
 
-// RecordRejected counts a request that was rejected for want of capacity.
+// RecordRejected counts a request that was rejected for lack of capacity.
 func (s *Shares) RecordRejected(size float64) { s.record(size, 1) }
 
 func (s *Shares) record(size, rejected float64) {
 	band := s.band(size)
-	s.rejected[band] += (rejected - s.rejected[band]) * bandWeight
-	s.classRejected += (rejected - s.classRejected) * classWeight
+	s.rejectionRate[band] += (rejected - s.rejectionRate[band]) * bandWeight
+	s.classRejectionRate += (rejected - s.classRejectionRate) * classWeight
 }
 
 func (s *Shares) band(size float64) band {
-	for i, start := range s.bandStart {
-		if size > start {
+	for i, lowerBound := range s.bandLowerBound {
+		if size > lowerBound {
 			return band(i)
 		}
 	}
--- a/internal/policy/gaptable/gaptable.go
+++ b/internal/policy/gaptable/gaptable.go
@@ -1,12 +1,14 @@
-// Package gaptable estimates which parts of objects are to be cached, from the gaps between their requests. A
-// part that was requested once stands in the single table, newest first. A further request moves it into the multiple
-// table and the next into the caching table, both ordered by aged gap; what a full table drops falls back one table.
-// The place in the caching table gives the rank at which a copy is cached.
+// Package gaptable estimates which parts of objects are worth caching, from the gaps between their requests. A part
+// that was requested once is in the single table, newest first. The next request moves it into the multiple table and a
+// further one into the caching table. Both are sorted by aged gap, half the sum of the last gap and the time since the
+// last request; when one of them is full, its worst row moves one table down. The full single table drops its oldest
+// row. The position in the caching table gives the rank at which a copy is cached.
 //
 // Invariants: each part has one row, in exactly one table; both sorted tables are in the order of the aged gap, the
 // best row first; equal calls give equal tables.
 //
-// Bounds: each table has at most as many rows as Resize last gave it, that is max(64, rate * 60 s, 20 s or 12 s).
+// Bounds: with the rate last passed to Resize, each table has at most max(64, rate * T) rows, where T is 60 s for the
+// single, 20 s for the multiple and 12 s for the caching table; the single table shrinks only when a row is added.
 // Touch takes a binary search and a move within a sorted table. The package does no I/O and reads no clock.
 package gaptable
 
@@ -20,25 +22,25 @@
 )
 
 const (
-	singleSeconds   = 60.0 // seconds of requests that the single table holds
+	singleSeconds   = 60.0 // the single table holds the requests of so many seconds
 	multipleSeconds = 20.0
 	cachingSeconds  = 12.0
-	minRows         = 64 // of each table, for the start, when the rate is not known
+	minRows         = 64 // of each table, also at the start, when the rate is unknown
 
-	// TopRank is the rank at which two caches of a zone have a copy.
+	// TopRank is the rank at which two caches of a zone hold a copy.
 	TopRank = 3
 
-	topShare    = 0.10 // share of the caching table's places at TopRank
-	middleShare = 0.40 // share of its places at rank 2 or TopRank
+	topShare    = 0.10 // share of the caching table's positions at TopRank
+	middleShare = 0.40 // share of its positions at rank 2 or TopRank
 )
 
-// Part is what is cached and filled: one part of an object.
+// Part identifies one part of an object, the unit that is cached and filled.
 type Part struct {
 	Object uint64
 	Index  int
 }
 
-// Hash is the same at all proxies for a part.
+// Hash returns the hash of a part, which is the same at all proxies.
 func (p Part) Hash() uint64 { return rendezvous.Hash(p.Object ^ rendezvous.Hash(uint64(p.Index))) }
 
 // level is one of the three tables.
@@ -51,46 +53,47 @@
 	levels
 )
 
-// Row is what is known of a part.
+// Row holds the request history of one part.
 type Row struct {
-	// CachedBy is the endpoint believed to cache the part, 0 for none. The tables never read or set it.
+	// CachedBy is the id of the endpoint believed to cache the part, 0 for none. The tables neither read nor set it.
 	CachedBy uint64
 
 	part        Part
 	lastRequest time.Duration
 	gap         time.Duration // between the last two requests; 0 after the first
 	level       level
-	element     *list.Element // in the single table
+	element     *list.Element // in the list of the single table
 }
 
-// order sorts rows by aged gap: (gap + now - last)/2 ages all alike, so gap - last is a fixed key.
-func (r *Row) order() time.Duration { return r.gap - r.lastRequest }
+// sortKey returns a key that sorts rows by aged gap, (gap + now - lastRequest)/2. All aged gaps grow at the same rate,
+// so gap - lastRequest gives the same order at any time.
+func (r *Row) sortKey() time.Duration { return r.gap - r.lastRequest }
 
 func compareRows(a, b *Row) int {
-	return cmp.Or(cmp.Compare(a.order(), b.order()), cmp.Compare(a.part.Object, b.part.Object),
+	return cmp.Or(cmp.Compare(a.sortKey(), b.sortKey()), cmp.Compare(a.part.Object, b.part.Object),
 		cmp.Compare(a.part.Index, b.part.Index))
 }
 
-// Tables are the three tables. They are not safe for concurrent use.
+// Tables holds the three tables. It is not safe for concurrent use.
 type Tables struct {
-	rows   map[Part]*Row
-	single *list.List     // newest first
-	sorted [levels][]*Row // multiple and caching, best first
-	limit  [levels]int
-	rate   rate
+	rows    map[Part]*Row
+	single  *list.List     // newest first
+	sorted  [levels][]*Row // multiple and caching, best first
+	maxRows [levels]int
+	rate    rate
 }
 
-// New makes empty tables of the smallest size.
+// New returns empty tables with the smallest bounds.
 func New() *Tables {
 	t := &Tables{rows: map[Part]*Row{}, single: list.New()}
 	t.Resize(0)
 	return t
 }
 
-// Row gives the row of a part, or nil where it has none.
+// Row returns the row of a part, or nil if it has none.
 func (t *Tables) Row(part Part) *Row { return t.rows[part] }
 
-// Touch records a request for a part and gives its row, which may have moved up one table.
+// Touch records a request for a part and returns its row, which may have moved up one table.
 func (t *Tables) Touch(part Part, now time.Duration) *Row {
 	row := t.rows[part]
 	if row == nil {
@@ -106,61 +109,61 @@
 	return row
 }
 
-// Rank gives the rank at which a copy is cached: 0 for a part requested once, 1 in the multiple table, and in the
-// caching table 1 to TopRank by place.
+// Rank returns the rank at which a copy is cached: 0 in the single table, 1 in the multiple table, and in the caching
+// table 1 to TopRank by position.
 func (t *Tables) Rank(row *Row) int {
 	if row.level != caching {
 		return int(row.level)
 	}
 	index, _ := slices.BinarySearchFunc(t.sorted[caching], row, compareRows)
-	switch place := float64(index) / float64(t.limit[caching]); {
-	case place < topShare:
+	switch position := float64(index) / float64(t.maxRows[caching]); {
+	case position < topShare:
 		return TopRank
-	case place < middleShare:
+	case position < middleShare:
 		return 2
 	}
 	return 1
 }
 
-// Resize bounds the tables by the rate of requests a second.
+// Resize sets the bounds of the tables from the rate of requests per second.
 func (t *Tables) Resize(rate float64) {
 	for i, seconds := range [levels]float64{singleSeconds, multipleSeconds, cachingSeconds} {
-		t.limit[i] = max(minRows, int(rate*seconds))
+		t.maxRows[i] = max(minRows, int(rate*seconds))
 	}
 	t.trim(caching)
 	t.trim(multiple)
 }
 
-// insert puts a row into a table when it beats the worst row of a full one, else one table down.
-func (t *Tables) insert(row *Row, to level) {
-	if to == single {
+// insert puts a row into a table, or one table down if the table is full and its worst row sorts before the new one.
+func (t *Tables) insert(row *Row, table level) {
+	if table == single {
 		t.insertSingle(row)
 		return
 	}
-	sorted := t.sorted[to]
-	if n := len(sorted); n >= t.limit[to] && compareRows(row, sorted[n-1]) >= 0 {
-		t.insert(row, to-1)
+	sorted := t.sorted[table]
+	if n := len(sorted); n >= t.maxRows[table] && compareRows(row, sorted[n-1]) >= 0 {
+		t.insert(row, table-1)
 		return
 	}
 	index, _ := slices.BinarySearchFunc(sorted, row, compareRows)
-	t.sorted[to] = slices.Insert(sorted, index, row)
-	row.level = to
-	t.trim(to)
+	t.sorted[table] = slices.Insert(sorted, index, row)
+	row.level = table
+	t.trim(table)
 }
 
-// trim moves the worst rows beyond the bound of a sorted table one table down.
-func (t *Tables) trim(from level) {
-	for n := len(t.sorted[from]); n > t.limit[from]; n-- {
-		row := t.sorted[from][n-1]
-		t.sorted[from] = t.sorted[from][:n-1]
-		t.insert(row, from-1)
+// trim moves the worst rows of a sorted table that exceed its bound one table down.
+func (t *Tables) trim(table level) {
+	for n := len(t.sorted[table]); n > t.maxRows[table]; n-- {
+		row := t.sorted[table][n-1]
+		t.sorted[table] = t.sorted[table][:n-1]
+		t.insert(row, table-1)
 	}
 }
 
 func (t *Tables) insertSingle(row *Row) {
 	row.level = single
 	row.element = t.single.PushFront(row)
-	for t.single.Len() > t.limit[single] {
+	for t.single.Len() > t.maxRows[single] {
 		oldest := t.single.Remove(t.single.Back()).(*Row)
 		delete(t.rows, oldest.part)
 	}
