--- a/internal/policy/endpointset/endpoint.go
+++ b/internal/policy/endpointset/endpoint.go
@@ -10,45 +10,45 @@
 )
 
 const (
-	averageHalfLife = 2 * time.Second // of the average of what is in flight to an endpoint
-	slownessWeight  = 0.04            // of a new answer in an endpoint's slowness
-	minSlowness     = 0.7             // links are reported roughly: an endpoint is never taken for much faster
+	averageHalfLife = 2 * time.Second // of the average number of attempts in flight
+	slownessWeight  = 0.04            // of a new response in an endpoint's slowness
+	minSlowness     = 0.7             // reported weights are rough: no endpoint is taken for much faster
 )
 
-// Endpoint is an endpoint of the list with what is known of it.
+// Endpoint is an endpoint of the list with what the proxy knows about it.
 type Endpoint[A comparable] struct {
 	Entry
 	Role Role
 
 	Health       outlier.Health
 	ReadmittedAt time.Duration    // when it was last readmitted after an ejection
-	LastResetAt  time.Duration    // when a connection to it last ended under an attempt
-	LastFillAt   time.Duration    // when a fill by way of it last came
-	Budget       slowstart.Budget // while it is warming up
+	LastResetAt  time.Duration    // when a connection to it was last reset during an attempt
+	LastFillAt   time.Duration    // when a fill from it last succeeded
+	Budget       slowstart.Budget // used while it is warming up
 
-	slowFills       outlier.Member // a parent's part in what the parents share
-	inFlight        []A            // attempts, in no order
-	averageInFlight float64
-	averagedAt      time.Duration
-	slowness        float64 // its answers' times over what is expected of it
+	peerGroupMember  outlier.Member // its slow rate among the parents, if it is one
+	inFlight         []A            // attempts, in no order
+	averageInFlight  float64
+	averageUpdatedAt time.Duration
+	slowness         float64 // ratio of its response times to the expected ones
 
-	index     int           // in its ranking
-	isSuspect bool          // it stands among the set's suspects
-	listedAt  time.Duration // when the list last named it, or first did no more
+	index     int           // position in its ranking's members
+	isSuspect bool          // it is one of the set's suspects
+	listedAt  time.Duration // time of the last full list, or of the last entry that named it
 }
 
 func newEndpoint[A comparable]() *Endpoint[A] { return &Endpoint[A]{slowness: 1} }
 
-// restart voids what was known of the old process, but for what is in flight.
+// restart resets what is known about the endpoint for its new process. Attempts in flight stay.
 func (e *Endpoint[A]) restart(now time.Duration) {
 	*e = Endpoint[A]{inFlight: e.inFlight, slowness: 1, isSuspect: e.isSuspect}
 	e.Health.RestartWait(now)
 }
 
-// InFlight is the attempts in flight, in no order. It must not be changed.
+// InFlight returns the attempts in flight, in no order. The slice must not be changed.
 func (e *Endpoint[A]) InFlight() []A { return e.inFlight }
 
-// Start records that an attempt is sent.
+// Start records that an attempt is sent to the endpoint.
 func (e *Endpoint[A]) Start(now time.Duration, attempt A) {
 	if len(e.inFlight) == 0 {
 		e.Health.RestartWait(now)
@@ -58,7 +58,7 @@
 	e.inFlight = append(e.inFlight, attempt)
 }
 
-// End records that an attempt has ended or was given up.
+// End records that an attempt has ended or was abandoned.
 func (e *Endpoint[A]) End(now time.Duration, attempt A) {
 	e.updateAverage(now)
 	e.Health.EndAttempt()
@@ -69,17 +69,17 @@
 	}
 }
 
-// updateAverage brings the average of what is in flight up to now.
+// updateAverage brings the average number of attempts in flight up to date.
 func (e *Endpoint[A]) updateAverage(now time.Duration) {
-	faded := 1 - math.Exp2(-float64(now-e.averagedAt)/float64(averageHalfLife))
-	e.averageInFlight += (float64(len(e.inFlight)) - e.averageInFlight) * faded
-	e.averagedAt = now
+	weight := 1 - math.Exp2(-float64(now-e.averageUpdatedAt)/float64(averageHalfLife))
+	e.averageInFlight += (float64(len(e.inFlight)) - e.averageInFlight) * weight
+	e.averageUpdatedAt = now
 }
 
-// Slowness is the time of its answers from cached copies over what is expected of them, 1 at first.
+// Slowness returns the ratio of the endpoint's response times from cached copies to the expected ones; it starts at 1.
 func (e *Endpoint[A]) Slowness() float64 { return e.slowness }
 
-// RecordSlowness takes the time of an answer from a cached copy, in multiples of what is expected.
+// RecordSlowness records the time of a response from a cached copy, as a multiple of the expected time.
 func (e *Endpoint[A]) RecordSlowness(multiple float64) {
 	e.slowness = max(minSlowness, e.slowness*(1+(multiple-1)*slownessWeight))
 }
--- a/internal/policy/endpointset/endpointset_test.go
+++ b/internal/policy/endpointset/endpointset_test.go
@@ -11,14 +11,14 @@
 	"pgregory.net/rapid"
 )
 
-// TestRankingsFollowTheList plays random lists and attempts, and compares the set after every step with the plainest
-// model: a map of the last entries, in which all endpoints are looked through for each question.
+// TestRankingsFollowTheList applies random lists and attempts, and compares the set after every step with a simple
+// model: a map of the latest entries, which is searched whole for each comparison.
 func TestRankingsFollowTheList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{Zone: 1, Proxies: 6, ZoneProxies: []int{1, 3}, ParentKind: 1, OriginKind: 2, WeightsStable: true}
 		set := New[int](cfg)
 		model, inFlight := map[ID]Entry{}, map[ID]int{}
-		now, links, attempt := 100*time.Second, 0.0, 0
+		now, linkCapacity, attempt := 100*time.Second, 0.0, 0
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 40).Draw(t, "seconds")) * time.Second
 			kinds := []ListKind{ListDelta, ListDelta, ListFull, ListCached, ListFailed}
@@ -43,10 +43,10 @@
 				model[id] = entry
 			}
 			set.Apply(now, kind, entries)
-			links = max(links, modelLinks(model))
+			linkCapacity = max(linkCapacity, modelLinkCapacity(model))
 			compareRankings(t, set, model)
-			if math.Abs(set.LinkCapacity()-links) > 1e-9 {
-				t.Fatalf("links of %v, want %v", set.LinkCapacity(), links)
+			if math.Abs(set.LinkCapacity()-linkCapacity) > 1e-9 {
+				t.Fatalf("link capacity %v, want %v", set.LinkCapacity(), linkCapacity)
 			}
 			for _, endpoint := range set.All() {
 				if rapid.Bool().Draw(t, "attempt starts") {
@@ -57,21 +57,22 @@
 				}
 				inFlight[endpoint.ID] = len(endpoint.InFlight())
 				if set.Get(endpoint.ID) != endpoint {
-					t.Fatalf("endpoint %d is not found by its id", endpoint.ID)
+					t.Fatalf("Get(%d) does not return the endpoint that All lists", endpoint.ID)
 				}
 			}
 			for id := range model {
 				if (set.Get(id) == nil) && (model[id].State != Gone || inFlight[id] > 0) {
-					t.Fatalf("endpoint %d is forgotten: %+v, %d attempts in flight", id, model[id], inFlight[id])
+					t.Fatalf("endpoint %d was removed, though its entry is %+v and it has %d attempts in flight",
+						id, model[id], inFlight[id])
 				}
 			}
 		}
 	})
 }
 
-// modelLinks is the sum over the ready caches of zone 1, with 3 proxies.
-func modelLinks(model map[ID]Entry) float64 {
-	links := 0.0
+// modelLinkCapacity returns the share that one of three proxies has in the links of the ready caches of zone 1.
+func modelLinkCapacity(model map[ID]Entry) float64 {
+	linkCapacity := 0.0
 	for _, entry := range model {
 		if entry.State != Ready || entry.Kind != 0 || entry.Zone != 1 {
 			continue
@@ -79,9 +80,9 @@
 		if entry.Weight == 0 {
 			entry.Weight = defaultWeight
 		}
-		links += entry.Weight / 3
+		linkCapacity += entry.Weight / 3
 	}
-	return links
+	return linkCapacity
 }
 
 func compareRankings(t *rapid.T, set *Set[int], model map[ID]Entry) {
@@ -115,12 +116,12 @@
 		t.Fatalf("parents %v, want %v", got, parents)
 	}
 	if (set.Origin != nil) != hasOrigin {
-		t.Fatalf("origin %v, want one: %v", set.Origin, hasOrigin)
+		t.Fatalf("origin %v, want an origin: %v", set.Origin, hasOrigin)
 	}
 }
 
-// TestGoneAreForgotten: an endpoint that is gone is dropped after a minute, unless attempts are in flight.
-func TestGoneAreForgotten(t *testing.T) {
+// TestGoneEndpointsAreForgotten: an endpoint that is gone is removed after a minute, unless it has attempts in flight.
+func TestGoneEndpointsAreForgotten(t *testing.T) {
 	set := New[int](Config{ParentKind: 1, OriginKind: 2})
 	now := time.Hour
 	set.Apply(now, ListFull, []Entry{{ID: 1, State: Ready}, {ID: 2, State: Ready}})
@@ -128,20 +129,21 @@
 	set.Apply(now, ListFull, nil)
 	now += forgetAfter
 	if set.Apply(now, ListDelta, nil); set.Get(1) == nil {
-		t.Error("forgotten within a minute")
+		t.Error("endpoint 1 was removed within a minute")
 	}
 	now++
 	if set.Apply(now, ListDelta, nil); set.Get(1) != nil || set.Get(2) == nil || len(set.All()) != 1 {
-		t.Errorf("after a minute: %v, %v, %d remembered", set.Get(1), set.Get(2), len(set.All()))
+		t.Errorf("after a minute: got endpoint 1 %v, endpoint 2 %v, %d in all, want nil, an endpoint, 1 in all",
+			set.Get(1), set.Get(2), len(set.All()))
 	}
 	set.Get(2).End(now, 1)
 	if set.Apply(now, ListDelta, nil); set.Get(2) != nil || len(set.All()) != 0 {
-		t.Error("remembered without attempts in flight")
+		t.Error("endpoint 2 was not removed after its last attempt ended")
 	}
 }
 
-// TestRestartVoidsWhatWasKnown: a new process is not ejected for what the old one did, and what is in flight stays.
-func TestRestartVoidsWhatWasKnown(t *testing.T) {
+// TestRestartResetsEndpoint: a restarted endpoint is no longer ejected, and its attempts in flight stay.
+func TestRestartResetsEndpoint(t *testing.T) {
 	set := New[int](Config{ParentKind: 1, OriginKind: 2})
 	set.Apply(time.Second, ListFull, []Entry{{ID: 1, State: Ready}})
 	endpoint := set.Get(1)
@@ -153,16 +155,17 @@
 	}
 	set.Apply(2*time.Second, ListDelta, []Entry{{ID: 1, State: Ready, StartedAt: 2 * time.Second}})
 	if endpoint.Health.Ejected() || endpoint.Slowness() != 1 || !slices.Equal(endpoint.InFlight(), []int{7}) {
-		t.Errorf("after a restart: ejected %v, slowness %v, in flight %v",
+		t.Errorf("after a restart: got ejected %v, slowness %v, in flight %v, want false, 1, [7]",
 			endpoint.Health.Ejected(), endpoint.Slowness(), endpoint.InFlight())
 	}
 	if set.Skipped(endpoint, 2*time.Second) {
-		t.Error("a new process is skipped")
+		t.Error("an endpoint is skipped after its restart")
 	}
 }
 
-// TestLoadCountsOthersByTheAverage: other proxies count as this one does on average, which has a half-life of 2 s.
-func TestLoadCountsOthersByTheAverage(t *testing.T) {
+// TestLoadEstimatesOtherProxiesByAverage: each other proxy counts with this proxy's average number of attempts in
+// flight, which has a half-life of 2 s.
+func TestLoadEstimatesOtherProxiesByAverage(t *testing.T) {
 	set := New[int](Config{Proxies: 5, ParentKind: 1, OriginKind: 2})
 	now := time.Hour
 	set.Apply(now, ListFull, []Entry{{ID: 1, State: Ready}})
@@ -177,25 +180,25 @@
 	}
 	endpoint.RecordSlowness(26)
 	if got, want := set.Load(now, endpoint), 2*(2+0.5*4)/defaultWeight; math.Abs(got-want) > 1e-9 {
-		t.Errorf("load %v of an endpoint that is twice as slow, want %v", got, want)
+		t.Errorf("load %v of an endpoint with a slowness of 2, want %v", got, want)
 	}
 }
 
-// TestOutcomesAreWeighedByRole: what is usual among parents is not so among caches, and the other parents' slow fills
-// excuse a parent's.
-func TestOutcomesAreWeighedByRole(t *testing.T) {
+// TestOutcomesAreJudgedByRole: an error rate that is usual among parents still makes a cache faulty, and slow fills of
+// the other parents raise the slow rate that a parent is judged by.
+func TestOutcomesAreJudgedByRole(t *testing.T) {
 	set := New[int](Config{ParentKind: 1, OriginKind: 2})
 	now := time.Hour
 	set.Apply(now, ListFull, []Entry{
 		{ID: 1, State: Ready}, {ID: 2, State: Ready, Kind: 1}, {ID: 3, State: Ready, Kind: 1},
 	})
 	cache, parent, other := set.Get(1), set.Get(2), set.Get(3)
-	for range 100 { // of a third parent, which is not in the list any more
+	for range 100 { // by a third parent, which is no longer in the list
 		set.Observe(&Endpoint[int]{Role: Parent}, outlier.Failure)
 	}
 	for range 20 {
 		if set.Observe(parent, outlier.Failure) == outlier.Faulty {
-			t.Fatal("a parent is faulty by failures that all parents have")
+			t.Fatal("got verdict Faulty for a parent after failures that are usual among parents")
 		}
 	}
 	verdict := outlier.Unchanged
@@ -203,22 +206,22 @@
 		verdict = max(verdict, set.Observe(cache, outlier.Failure))
 	}
 	if verdict != outlier.Faulty {
-		t.Error("a cache is not faulty by 20 failures")
+		t.Error("got no verdict Faulty for a cache after 20 failures")
 	}
 	for range 5 {
 		set.RecordParentFill(now, other, outlier.Slow)
 	}
 	if got := set.OthersSlowRate(now, parent); got != outlier.FaultyErrorRate {
-		t.Errorf("the other parent's fills are slow: a rate of %v, want %v", got, outlier.FaultyErrorRate)
+		t.Errorf("others' slow rate, with the other parent slow: got %v, want %v", got, outlier.FaultyErrorRate)
 	}
 	if got := set.OthersSlowRate(now, other); got != 0 {
-		t.Errorf("the first parent's fills are not slow: a rate of %v", got)
+		t.Errorf("others' slow rate, with the other parent not slow: got %v, want 0", got)
 	}
 }
 
-// TestEjectedAreSkippedUntilTheirTrial: the ranking skips an ejected endpoint until its trial is due or it is
+// TestEjectedEndpointsAreSkippedUntilTrial: the ranking skips an ejected endpoint until its trial is due or it is
 // readmitted.
-func TestEjectedAreSkippedUntilTheirTrial(t *testing.T) {
+func TestEjectedEndpointsAreSkippedUntilTrial(t *testing.T) {
 	set := New[int](Config{ParentKind: 1, OriginKind: 2})
 	now := time.Hour
 	set.Apply(now, ListFull, []Entry{{ID: 1, State: Ready}, {ID: 2, State: Ready, Kind: 2}})
@@ -226,14 +229,15 @@
 		endpoint := set.Get(id)
 		set.Eject(now, endpoint, outlier.Failing)
 		if set.Skipped(endpoint, now) != isRanked || set.Skipped(endpoint, endpoint.Health.NextTrialAt()) {
-			t.Errorf("endpoint %d: skipped when ejected: %v, want %v; when its trial is due: %v", id,
+			t.Errorf("endpoint %d: skipped when ejected %v, want %v; skipped when its trial is due %v, want false", id,
 				set.Skipped(endpoint, now), isRanked, set.Skipped(endpoint, endpoint.Health.NextTrialAt()))
 		}
 		if set.Readmit(endpoint); set.Skipped(endpoint, now) || !endpoint.Usable(now) {
-			t.Errorf("endpoint %d: skipped or not usable when readmitted", id)
+			t.Errorf("endpoint %d: skipped or not usable after its readmission", id)
 		}
 	}
 	if set.LocalCache(1) != set.Get(1) || set.LocalCache(2) != nil || set.LocalCache(3) != nil {
-		t.Errorf("local caches: %v %v %v, want the first only", set.LocalCache(1), set.LocalCache(2), set.LocalCache(3))
+		t.Errorf("LocalCache of 1, 2 and 3: got %v %v %v, want the first only",
+			set.LocalCache(1), set.LocalCache(2), set.LocalCache(3))
 	}
 }
--- a/internal/policy/endpointset/silence_test.go
+++ b/internal/policy/endpointset/silence_test.go
@@ -10,7 +10,7 @@
 	"sloequay/internal/policy/outlier"
 )
 
-// silenceModel is the plainest model of SilentCaches: the silence of each endpoint, of which all are looked at.
+// silenceModel is a simple model of SilentCaches: it keeps the silence of each endpoint and checks all of them.
 type silenceModel struct {
 	set          *Set[int]
 	now          time.Duration
@@ -18,7 +18,7 @@
 	waitingSince map[ID]time.Duration
 }
 
-// silent gives the caches in the order of their ranking, and forgets their silence.
+// silent returns the silent caches in the order of their ranking's members, and clears all suspicion.
 func (m *silenceModel) silent() []ID {
 	var silent []ID
 	for _, cache := range m.set.Caches.Members() {
@@ -31,9 +31,9 @@
 	return silent
 }
 
-// TestSilentCachesAsByAWalk plays silence, answers, ejections and changes of the list, and compares the caches that are
-// silent with a walk over all.
-func TestSilentCachesAsByAWalk(t *testing.T) {
+// TestSilentCachesMatchesFullScan applies random silence, responses, ejections and list changes, and compares the
+// silent caches with those that the model finds by a scan over all.
+func TestSilentCachesMatchesFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := New[int](Config{Zone: 1, ParentKind: 1, OriginKind: 2})
 		model := &silenceModel{set: set, now: time.Hour, suspicion: map[ID]float64{},
@@ -47,7 +47,7 @@
 			model.now += time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond
 			entry := &entries[rapid.IntRange(0, len(entries)-1).Draw(t, "endpoint")]
 			endpoint := set.Get(entry.ID)
-			steps := []string{"wait", "wait", "wait", "wait", "answer", "eject", "list", "check"}
+			steps := []string{"wait", "wait", "wait", "wait", "response", "eject", "list", "check"}
 			switch rapid.SampledFrom(steps).Draw(t, "step") {
 			case "wait":
 				sentAt := model.now - time.Duration(rapid.IntRange(0, 1000).Draw(t, "sent ms ago"))*time.Millisecond
@@ -55,7 +55,7 @@
 				set.AddSilence(model.now, endpoint, sentAt, expected)
 				silence := model.now - max(sentAt, model.waitingSince[entry.ID])
 				model.suspicion[entry.ID] += silence.Seconds() / expected
-			case "answer":
+			case "response":
 				endpoint.Health.RestartWait(model.now)
 				model.waitingSince[entry.ID] = model.now
 			case "eject":
--- a/internal/policy/outlier/health.go
+++ b/internal/policy/outlier/health.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// EjectionThreshold is the log odds of being at fault from which an endpoint is ejected.
+	// EjectionThreshold is the log odds of being faulty at which an endpoint is ejected.
 	EjectionThreshold = 5.0
 
 	readmissionThreshold = EjectionThreshold / 2
@@ -16,23 +16,23 @@
 	maxEjectionTime  = 4 * time.Second
 
 	minSilence   = 400 * time.Millisecond // longer than a short stall, which must not eject
-	maxSuspicion = 7.0                    // log odds against so long a silence of a live endpoint
+	maxSuspicion = 7.0                    // log odds against a live endpoint being silent for so long
 )
 
-// Outcome is how a use of an endpoint ended, as far as it tells of the endpoint.
+// Outcome is the result of one use of an endpoint, as far as it tells something about the endpoint.
 type Outcome int
 
 // The outcomes.
 const (
 	Success     Outcome = iota
-	Failure             // one that a sound endpoint has at times
-	HardFailure         // one that a sound endpoint never has, such as a refused connection
+	Failure             // one that a healthy endpoint has at times
+	HardFailure         // one that a healthy endpoint never has, such as a refused connection
 )
 
-// Odds are the log odds that an endpoint is at fault, from 0 to twice EjectionThreshold.
+// Odds are the log odds that an endpoint is faulty, from 0 to twice EjectionThreshold.
 type Odds float64
 
-// Update moves the odds by an outcome, where a sound endpoint fails at the given rate.
+// Update adjusts the odds for an outcome, given the rate at which a healthy endpoint fails.
 func (o *Odds) Update(outcome Outcome, errorRate float64) {
 	errorRate = max(minErrorRate, min(FaultyErrorRate, errorRate))
 	if outcome == Success {
@@ -42,7 +42,7 @@
 	*o = min(*o+Odds(math.Log(FaultyErrorRate/errorRate)), 2*EjectionThreshold)
 }
 
-// Verdict is what an outcome means for the use of an endpoint.
+// Verdict says what an outcome means for the ejection of an endpoint.
 type Verdict int
 
 // The verdicts.
@@ -52,49 +52,49 @@
 	Faulty            // an endpoint should be ejected, or stay ejected for longer
 )
 
-// Cause is why an endpoint is ejected.
+// Cause is the reason why an endpoint is ejected.
 type Cause int
 
 // The causes.
 const (
 	Failing      Cause = iota
-	Unresponsive       // nothing came for too long
-	SlowFills          // its fills missed their objective, where others' did not
+	Unresponsive       // no response for too long
+	SlowFills          // its fills missed their objective, while those of other endpoints did not
 )
 
 var causeNames = [...]string{Failing: "failing", Unresponsive: "unresponsive", SlowFills: "slow-fills"}
 
-// String is the cause's word in the log.
+// String returns the cause as the log names it.
 func (c Cause) String() string { return causeNames[c] }
 
-// Health is what is known of one endpoint, and whether it is ejected. The zero value is a sound endpoint.
+// Health holds the signs of a fault of one endpoint, and whether it is ejected. The zero value is a healthy endpoint.
 type Health struct {
 	odds          Odds
 	ejected       bool
-	retryAt       time.Duration // when a trial request may be sent
-	ejectionTime  time.Duration // the last one
+	nextTrialAt   time.Duration // when the next trial request may be sent
+	ejectionTime  time.Duration // length of the last ejection
 	trialInFlight bool
-	slowOnly      bool          // ejected for slow fills, with no hard failure since
-	waitingSince  time.Duration // since when it has had work without an answer
-	suspicion     float64       // how improbable its silence is, in log odds
+	slowFillsOnly bool          // ejected for slow fills, without a hard failure since
+	waitingSince  time.Duration // since when it has had attempts in flight without a response
+	suspicion     float64       // log odds against a live endpoint being as silent as this one
 }
 
-// Ejected reports whether an endpoint gets no ordinary work.
+// Ejected reports whether the endpoint is ejected: it gets trial requests only.
 func (h *Health) Ejected() bool { return h.ejected }
 
-// Available says whether an endpoint may get a request: it is not ejected, or a trial is due and none is in flight.
+// Available reports whether the endpoint may get a request: it is not ejected, or a trial is due and none is in flight.
 func (h *Health) Available(now time.Duration) bool {
-	return !h.ejected || now >= h.retryAt && !h.trialInFlight
+	return !h.ejected || now >= h.nextTrialAt && !h.trialInFlight
 }
 
-// NextTrialAt is when an ejected endpoint may get its next trial request.
-func (h *Health) NextTrialAt() time.Duration { return h.retryAt }
+// NextTrialAt returns when an ejected endpoint may get its next trial request.
+func (h *Health) NextTrialAt() time.Duration { return h.nextTrialAt }
 
-// EjectedForSlowness reports whether slow fills are all that an ejected endpoint is ejected for.
-func (h *Health) EjectedForSlowness() bool { return h.slowOnly }
+// EjectedForSlowness reports whether the endpoint is ejected for slow fills alone.
+func (h *Health) EjectedForSlowness() bool { return h.slowFillsOnly }
 
-// Observe takes an outcome, against what is usual among endpoints of its kind. What an ejected endpoint does is not
-// counted as usual.
+// Observe records an outcome against the baseline of endpoints of the same kind. The outcomes of an ejected endpoint do
+// not count towards the baseline.
 func (h *Health) Observe(outcome Outcome, baseline *Baseline) Verdict {
 	errorRate := baseline.ErrorRate(outcome)
 	if !h.ejected {
@@ -103,9 +103,9 @@
 	return h.Record(outcome, errorRate)
 }
 
-// Record takes an outcome, where a sound endpoint fails at the given rate, and says what to do.
+// Record adjusts the odds for an outcome, given the rate at which a healthy endpoint fails, and returns what to do.
 func (h *Health) Record(outcome Outcome, errorRate float64) Verdict {
-	h.slowOnly = h.slowOnly && outcome != HardFailure
+	h.slowFillsOnly = h.slowFillsOnly && outcome != HardFailure
 	h.odds.Update(outcome, errorRate)
 	if outcome == Success {
 		if h.ejected && h.odds < readmissionThreshold {
@@ -119,44 +119,46 @@
 	return Unchanged
 }
 
-// Eject takes an endpoint out of use until the next trial. The time doubles with each call up to a readmission.
+// Eject takes the endpoint out of use until the next trial. Until a readmission, the time doubles with each call, up to
+// maxEjectionTime.
 func (h *Health) Eject(now time.Duration, cause Cause) {
 	if !h.ejected {
-		h.slowOnly = cause == SlowFills
+		h.slowFillsOnly = cause == SlowFills
 	}
 	h.ejected = true
 	h.ejectionTime = min(maxEjectionTime, max(baseEjectionTime, 2*h.ejectionTime))
-	h.retryAt = now + h.ejectionTime
+	h.nextTrialAt = now + h.ejectionTime
 	h.trialInFlight = false
 	h.odds = oddsOnEjection
 }
 
-// Readmit takes an endpoint back into ordinary use.
+// Readmit ends the ejection and resets the odds.
 func (h *Health) Readmit() {
 	h.ejected = false
-	h.slowOnly = false
+	h.slowFillsOnly = false
 	h.ejectionTime = 0
 	h.odds = 0
 }
 
-// StartAttempt records that an attempt is sent, which is the trial of an ejected endpoint.
+// StartAttempt records that an attempt is sent. If the endpoint is ejected, the attempt is its trial.
 func (h *Health) StartAttempt() { h.trialInFlight = h.ejected }
 
-// EndAttempt records that an attempt has ended or was given up.
+// EndAttempt records that an attempt has ended or was abandoned.
 func (h *Health) EndAttempt() { h.trialInFlight = false }
 
-// RestartWait starts the endpoint's silence anew: at an answer, or at the first attempt after idleness.
+// RestartWait restarts the endpoint's silence: at a response, or at the first attempt after an idle time.
 func (h *Health) RestartWait(now time.Duration) { h.waitingSince = now }
 
-// AddSilence adds the silence since an attempt in flight was sent, where its answer is expected in so many seconds.
+// AddSilence adds to the suspicion the silence since an attempt in flight was sent, in multiples of the time in which
+// its response is expected.
 func (h *Health) AddSilence(now, sentAt time.Duration, expectedSeconds float64) {
 	h.suspicion += (now - max(sentAt, h.waitingSince)).Seconds() / expectedSeconds
 }
 
-// Silent reports whether an endpoint that is not ejected has been silent for too long.
+// Silent reports whether the endpoint is not ejected and has been silent for too long.
 func (h *Health) Silent(now time.Duration) bool {
 	return h.suspicion > maxSuspicion && now-h.waitingSince > minSilence && !h.ejected
 }
 
-// ClearSuspicion forgets the silence that was added, before it is added anew.
+// ClearSuspicion resets the suspicion, before the silence of the attempts in flight is added again.
 func (h *Health) ClearSuspicion() { h.suspicion = 0 }
--- a/internal/policy/outlier/outlier_test.go
+++ b/internal/policy/outlier/outlier_test.go
@@ -8,11 +8,11 @@
 	"pgregory.net/rapid"
 )
 
-// TestOthersSlowRate compares the running total with the plainest model: each member's rate, faded and summed anew
-// every time.
+// TestOthersSlowRate compares the running total with a simple model, in which each member's rate is decayed and summed
+// again at every step.
 func TestOthersSlowRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		group := PeerGroup{halfLife: 2 * time.Second, weight: rapid.Float64Range(0.01, 1).Draw(t, "weight")}
+		group := PeerGroup{halfLife: 2 * time.Second, outcomeWeight: rapid.Float64Range(0.01, 1).Draw(t, "weight")}
 		members := make([]Member, rapid.IntRange(1, 6).Draw(t, "members"))
 		model := make([]float64, len(members))
 		now := time.Duration(0)
@@ -23,13 +23,13 @@
 				model[i] *= math.Exp2(-step.Seconds() / 2)
 			}
 			i := rapid.IntRange(0, len(members)-1).Draw(t, "member")
-			pace := rapid.SampledFrom([]Timeliness{InTime, Slow}).Draw(t, "pace")
-			group.Record(&members[i], now, pace)
-			seen := 0.0
-			if pace == Slow {
-				seen = 1
+			timeliness := rapid.SampledFrom([]Timeliness{InTime, Slow}).Draw(t, "timeliness")
+			group.Record(&members[i], now, timeliness)
+			outcome := 0.0
+			if timeliness == Slow {
+				outcome = 1
 			}
-			model[i] += (seen - model[i]) * group.weight
+			model[i] += (outcome - model[i]) * group.outcomeWeight
 			for i := range members {
 				want := 0.0
 				for j := range model {
@@ -37,44 +37,44 @@
 						want += model[j] / float64(len(model)-1)
 					}
 				}
-				if want > sharedRate {
+				if want > sharedCauseRate {
 					want = FaultyErrorRate
 				}
 				got := group.OthersSlowRate(&members[i], now, len(members))
-				if math.Abs(got-want) > 1e-9 && math.Abs(want-sharedRate) > 1e-9 {
-					t.Fatalf("others of member %d: %v, the model has %v", i, got, want)
+				if math.Abs(got-want) > 1e-9 && math.Abs(want-sharedCauseRate) > 1e-9 {
+					t.Fatalf("slow rate of the others of member %d: got %v, want %v", i, got, want)
 				}
 			}
 		}
 	})
 }
 
-// TestBaseline: failures become usual, and cease to be when successes come; hard failures change nothing.
+// TestBaseline: the baseline rises with failures and falls again with successes; hard failures do not change it.
 func TestBaseline(t *testing.T) {
 	var baseline Baseline
 	for range 100 {
 		baseline.Record(Failure)
 	}
 	if got := baseline.ErrorRate(Failure); got < 0.95 {
-		t.Errorf("failures alone: a rate of %v is usual", got)
+		t.Errorf("after failures alone: got baseline %v, want at least 0.95", got)
 	}
 	if got := baseline.ErrorRate(HardFailure); got != 0 {
-		t.Errorf("a hard failure: a rate of %v, want 0", got)
+		t.Errorf("error rate of a hard failure: got %v, want 0", got)
 	}
 	before := baseline
 	if baseline.Record(HardFailure); baseline != before {
-		t.Errorf("a hard failure moved the rate from %v to %v", before, baseline)
+		t.Errorf("a hard failure moved the baseline from %v to %v", before, baseline)
 	}
 	for range 200 {
 		baseline.Record(Success)
 	}
 	if got := baseline.ErrorRate(Failure); got > minErrorRate {
-		t.Errorf("successes again: a rate of %v is usual, want at most %v", got, minErrorRate)
+		t.Errorf("after successes: got baseline %v, want at most %v", got, minErrorRate)
 	}
 }
 
-// TestEjectedCountsForNothing: what an ejected endpoint does is weighed against the baseline and does not move it.
-func TestEjectedCountsForNothing(t *testing.T) {
+// TestEjectedEndpointLeavesBaseline: the outcomes of an ejected endpoint do not move the baseline.
+func TestEjectedEndpointLeavesBaseline(t *testing.T) {
 	baseline := Baseline(0.1)
 	var health Health
 	health.Eject(0, Failing)
@@ -83,16 +83,16 @@
 			t.Errorf("outcome %d of an ejected endpoint moved the baseline to %v", outcome, baseline)
 		}
 	}
-	var sound Health
-	if sound.Observe(Failure, &baseline); baseline <= 0.1 {
-		t.Errorf("a failure of an endpoint in use left the baseline at %v", baseline)
+	var healthy Health
+	if healthy.Observe(Failure, &baseline); baseline <= 0.1 {
+		t.Errorf("a failure of an endpoint in use left the baseline at %v, want more than 0.1", baseline)
 	}
 }
 
-// TestOdds: with a baseline far from a faulty endpoint's rate two failures in three show it, with failures alone none
-// does.
+// TestOdds: two failures in three show a faulty endpoint where failures are rare, and show nothing where healthy
+// endpoints fail as often as a faulty one.
 func TestOdds(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		rate float64
 		want bool
 	}{{minErrorRate, true}, {FaultyErrorRate, false}} {
@@ -102,18 +102,20 @@
 			if i%3 == 0 {
 				outcome = Success
 			}
-			odds.Update(outcome, c.rate)
+			odds.Update(outcome, test.rate)
 		}
-		if got := odds >= EjectionThreshold; got != c.want || odds > 2*EjectionThreshold || odds < 0 {
-			t.Errorf("a usual rate of %v: odds of %.1f, faulty %v, want %v", c.rate, odds, got, c.want)
+		if got := odds >= EjectionThreshold; got != test.want || odds > 2*EjectionThreshold || odds < 0 {
+			t.Errorf("error rate %v of healthy endpoints: odds %.1f, got faulty %v, want %v",
+				test.rate, odds, got, test.want)
 		}
 	}
 }
 
-// TestFailureIsNeverGood: where more than a faulty endpoint's rate is usual, a failure is no sign in its favour.
-func TestFailureIsNeverGood(t *testing.T) {
+// TestFailureNeverLowersOdds: a failure does not lower the odds, even where endpoints fail more often than a faulty one
+// is assumed to.
+func TestFailureNeverLowersOdds(t *testing.T) {
 	odds := Odds(3)
 	if odds.Update(Failure, 0.95); odds != 3 {
-		t.Errorf("a failure moved the odds from 3 to %v", odds)
+		t.Errorf("odds after a failure: got %v, want 3 as before", odds)
 	}
 }
