--- a/internal/policy/endpointset/health.go
+++ b/internal/policy/endpointset/health.go
@@ -28,7 +28,7 @@
 	return s.parentPeers.OthersSlowRate(&parent.peerGroupMember, now, len(s.Parents.Members()))
 }
 
-// AddSilence adds to an endpoint's suspicion the silence since one of its attempts in flight was sent, whose response is
+// AddSilence adds to an endpoint's suspicion the silence since an attempt in flight was sent. The attempt's response is
 // expected within expectedSeconds.
 func (s *Set[A]) AddSilence(now time.Duration, endpoint *Endpoint[A], sentAt time.Duration, expectedSeconds float64) {
 	endpoint.Health.AddSilence(now, sentAt, expectedSeconds)
