--- a/internal/policy/aimd/aimd.go
+++ b/internal/policy/aimd/aimd.go
@@ -22,7 +22,7 @@
 	MinLimit = 0.08
 
 	maxLimit      = 2 * InitialLimit
-	increaseFills = 0.25 // fills, for each fill within its objective
+	increaseFills = 0.25 // fills that the limit rises by for each fill within its objective
 
 	// A slow fill multiplies the limit by 1 - decreaseFills/linkCapacity, but by no less than minDecreaseFactor. The
 	// cached-only values apply to fills that the parent serves from its cache: if those are slow, the link is short of
--- a/internal/policy/endpointset/endpointset.go
+++ b/internal/policy/endpointset/endpointset.go
@@ -222,7 +222,7 @@
 	}
 }
 
-// Skipped reports whether an endpoint is in a ranking and is skipped there now.
+// Skipped reports whether an endpoint is in a ranking and is skipped there at the time now.
 func (s *Set[A]) Skipped(endpoint *Endpoint[A], now time.Duration) bool {
 	ranking := s.ranking(endpoint)
 	return ranking != nil && ranking.Skipped(endpoint.index, now)
--- a/internal/policy/endpointset/silence_test.go
+++ b/internal/policy/endpointset/silence_test.go
@@ -80,7 +80,7 @@
 				}
 			}
 			if len(set.suspects) > len(entries) {
-				t.Fatalf("%d suspects among %d endpoints", len(set.suspects), len(entries))
+				t.Fatalf("got %d suspects, want at most one for each of %d endpoints", len(set.suspects), len(entries))
 			}
 		}
 	})
--- a/internal/policy/outlier/outlier.go
+++ b/internal/policy/outlier/outlier.go
@@ -1,7 +1,7 @@
 // Package outlier detects faulty endpoints by three signs: their outcomes (Odds against the Baseline of their kind),
 // their silence, and fills that are slow while those of the other endpoints are not (PeerGroup). Health combines the
-// signs for one endpoint and holds its ejection: the endpoint gets single trial requests at growing intervals until it
-// is readmitted.
+// signs for one endpoint and records whether it is ejected. An ejected endpoint gets only single trial requests, at
+// growing intervals, until it is readmitted.
 //
 // Fills through several parents all wait for one origin. If the origin is slow, every parent's fills are slow. If a
 // parent were ejected for this, other parents would fill its objects: they do not cache them, and would ask the slow
@@ -60,7 +60,7 @@
 // Timeliness says whether an outcome came within its objective.
 type Timeliness int
 
-// The values of Timeliness, as an outcome counts in a member's slow rate.
+// The values of Timeliness, which an outcome adds to a member's slow rate as numbers.
 const (
 	InTime Timeliness = 0
 	Slow   Timeliness = 1
@@ -75,7 +75,7 @@
 }
 
 // NewPeerGroup returns a group without outcomes. At about ten outcomes a second it notices a shared cause within a
-// second, and the end of that cause as fast.
+// second, and the end of that cause as quickly.
 func NewPeerGroup() PeerGroup {
 	return PeerGroup{halfLife: groupHalfLife, outcomeWeight: groupOutcomeWeight}
 }
