--- a/internal/bootstrap/bench_test.go
+++ b/internal/bootstrap/bench_test.go
@@ -21,7 +21,7 @@
 		peers = append(peers, bootstrap.Peer{Name: fmt.Sprintf("p%03d", i), Zone: "z"})
 	}
 	m := bootstrap.New(0, bootstrap.Config{
-		Name: "p000", Incarnation: 1, Zone: "z", Peers: true, Lists: 1, Fleet: size,
+		Name: "p000", Incarnation: 1, Zone: "z", PeersEnabled: true, ListCount: 1, FleetSize: size,
 	})
 	m.PeersChanged(0, peers)
 	m.ListFromService(time.Second, 0, 1, endpoints)
--- a/internal/bootstrap/bootstrap.go
+++ b/internal/bootstrap/bootstrap.go
@@ -36,8 +36,8 @@
 //
 // Bounds:
 //   - advertisements of a list by Config.MaxAdvertisements, what is fetched by Config.MaxEndpoints, earlier lists for
-//     deltas by Config.History, complete lists that are served by MaxServedPerWindow in ServeWindow;
-//   - at most Config.Pollers*MaxWidening proxies of a zone poll, apart from isolated ones and confirmations;
+//     deltas by Config.MaxHistory, complete lists that are served by MaxServedPerWindow in ServeWindow;
+//   - at most Config.Pollers*MaxPollerMultiplier proxies of a zone poll, apart from isolated ones and confirmations;
 //   - a fetch goes to another peer after FetchTimeout, and ends after MaxFetchAttempts.
 package bootstrap
 
@@ -104,7 +104,7 @@
 		startedAt:        now,
 		random:           rand.New(rand.NewPCG(config.Seed, config.Incarnation)),
 		members:          map[string]bool{},
-		lists:            make([]listState, config.Lists),
+		lists:            make([]listState, config.ListCount),
 		confirmStartedAt: now - MinConfirmInterval,
 		nextInquiry:      now + SettleTime,
 		distrustedUntil:  map[string]time.Duration{},
@@ -118,10 +118,10 @@
 // PeersChanged takes the proxies that are alive, in any order; this one may be among them.
 func (m *Machine) PeersChanged(now time.Duration, peers []Peer) []Effect {
 	m.advance(now)
-	if !m.peersSeen && len(peers) > 0 && m.config.Peers {
+	if !m.peersSeen && len(peers) > 0 && m.config.PeersEnabled {
 		m.peersSeen = true
 		// Pollers start only now: time has to pass before their absence means isolation.
-		m.isolatedPollAt = max(m.isolatedPollAt, m.now+SettleTime+MinWindow+m.jitter())
+		m.isolatedPollAt = max(m.isolatedPollAt, m.now+SettleTime+MinPollWindow+m.jitter())
 	}
 	m.setMembers(peers)
 	return m.step()
@@ -179,8 +179,8 @@
 	return m.step()
 }
 
-// Next returns when Step is due at the latest.
-func (m *Machine) Next() time.Duration {
+// NextStep returns when Step is due at the latest.
+func (m *Machine) NextStep() time.Duration {
 	for i := range m.lists {
 		if l := &m.lists[i]; l.fetch != nil || l.candidate != nil || l.current == nil {
 			return m.now + busyTick
@@ -212,8 +212,8 @@
 	return current.ListVersion, true
 }
 
-// Polls reports whether this proxy polls the service.
-func (m *Machine) Polls() bool { return m.polling }
+// IsPolling reports whether this proxy polls the service.
+func (m *Machine) IsPolling() bool { return m.polling }
 
 // Digest returns what this proxy advertises of its lists.
 func (m *Machine) Digest() []Advertisement {
--- a/internal/bootstrap/config.go
+++ b/internal/bootstrap/config.go
@@ -12,41 +12,41 @@
 	Name              string
 	Incarnation       uint64 // of this process: differs with each start
 	Zone              string
-	Peers             bool // the settings have a block for peers
-	Lists             int  // lists of the list service
-	Fleet             int  // configured number of proxies
+	PeersEnabled      bool // the settings have a block for peers
+	ListCount         int  // lists of the list service
+	FleetSize         int  // configured number of proxies
 	Pollers           int  // proxies of a zone that poll
 	MaxEndpoints      int  // of a list; a longer one is rejected
 	MaxAdvertisements int  // remembered of each list
-	History           int  // earlier versions of a list that are cached for deltas
+	MaxHistory        int  // earlier versions of a list that are cached for deltas
 	Seed              uint64
 }
 
 // WithDefaults returns the settings with the defaults in place of zero values.
 func (c Config) WithDefaults() Config {
-	c.Fleet = max(1, c.Fleet)
+	c.FleetSize = max(1, c.FleetSize)
 	c.Pollers = cmp.Or(c.Pollers, 3)
 	c.MaxEndpoints = cmp.Or(c.MaxEndpoints, membership.DefaultMaxEndpoints)
 	c.MaxAdvertisements = cmp.Or(c.MaxAdvertisements, 16)
-	c.History = cmp.Or(c.History, 4)
+	c.MaxHistory = cmp.Or(c.MaxHistory, 4)
 	return c
 }
 
 // Polling of the list service.
 const (
-	// WindowPerProxy is what each proxy of a fleet adds to the window over which isolated proxies spread their
+	// PollWindowPerProxy is what each proxy of a fleet adds to the window over which isolated proxies spread their
 	// first poll: some 65 calls a second for each list, whatever the fleet's size.
-	WindowPerProxy = 15 * time.Millisecond
-	// MinWindow is the shortest such window.
-	MinWindow = 250 * time.Millisecond
+	PollWindowPerProxy = 15 * time.Millisecond
+	// MinPollWindow is the shortest such window.
+	MinPollWindow = 250 * time.Millisecond
 	// SettleTime after the start is left for meeting peers before the first proxy polls.
 	SettleTime = 200 * time.Millisecond
 	// PollGracePeriod is how long a poller that is no longer needed goes on.
 	PollGracePeriod = 2 * time.Second
-	// WidenInterval is the silence of the service after which Config.Pollers more proxies of a zone poll.
-	WidenInterval = 5 * time.Second
-	// MaxWidening is how many times Config.Pollers poll at most while the service is silent.
-	MaxWidening = 4
+	// PollerIncreaseInterval is the silence of the service after which Config.Pollers more proxies of a zone poll.
+	PollerIncreaseInterval = 5 * time.Second
+	// MaxPollerMultiplier is how many times Config.Pollers poll at most while the service is silent.
+	MaxPollerMultiplier = 4
 )
 
 // Heartbeats of pollers.
--- a/internal/bootstrap/decisions_fleet_test.go
+++ b/internal/bootstrap/decisions_fleet_test.go
@@ -118,8 +118,8 @@
 	p.incarnation++
 	p.knownVersions = make([]uint64, len(f.service.lists))
 	p.Machine = New(f.now, Config{
-		Name: p.name, Incarnation: p.incarnation, Zone: p.zone, Peers: f.peers, Lists: len(f.service.lists),
-		Fleet: f.size, Pollers: 2, MaxAdvertisements: 8, History: 3, Seed: f.random.Uint64(),
+		Name: p.name, Incarnation: p.incarnation, Zone: p.zone, PeersEnabled: f.peers, ListCount: len(f.service.lists),
+		FleetSize: f.size, Pollers: 2, MaxAdvertisements: 8, MaxHistory: 3, Seed: f.random.Uint64(),
 	})
 	f.publishMembers()
 }
@@ -157,7 +157,7 @@
 		switch e := e.(type) {
 		case Send:
 			f.send(p, e)
-		case Poll:
+		case SetPolling:
 			p.polls = e.On
 			p.polledAt = 0
 		}
@@ -418,8 +418,8 @@
 
 // recordState records what a machine reports of itself.
 func (f *fleet) recordState(p *proxy) {
-	polls, ready := digesttest.YesNo(p.Polls()), digesttest.YesNo(p.Ready())
-	words := []string{p.name, polls, ready, digesttest.Microseconds(p.Next())}
+	polls, ready := digesttest.YesNo(p.IsPolling()), digesttest.YesNo(p.Ready())
+	words := []string{p.name, polls, ready, digesttest.Microseconds(p.NextStep())}
 	for list := range f.service.lists {
 		mark, inForce := p.Version(list)
 		words = append(words, digesttest.YesNo(inForce), versionText(mark))
--- a/internal/bootstrap/digest.go
+++ b/internal/bootstrap/digest.go
@@ -61,7 +61,7 @@
 
 // stepHeartbeat sends a heartbeat when it is due.
 func (m *Machine) stepHeartbeat() {
-	if !m.polling || !m.config.Peers || m.now < m.nextHeartbeat {
+	if !m.polling || !m.config.PeersEnabled || m.now < m.nextHeartbeat {
 		return
 	}
 	m.nextHeartbeat = m.now + m.heartbeatInterval()
@@ -79,7 +79,7 @@
 // stepInquiry sends the digest to a few members of any zone while a list is missing, so that they answer with
 // theirs: the service may be unreachable, and all of the zone may have started together.
 func (m *Machine) stepInquiry() {
-	if !m.config.Peers || len(m.memberNames) == 0 || m.now < m.nextInquiry || !m.lacksList() {
+	if !m.config.PeersEnabled || len(m.memberNames) == 0 || m.now < m.nextInquiry || !m.lacksList() {
 		return
 	}
 	m.nextInquiry = m.now + HeartbeatInterval/2
--- a/internal/bootstrap/effects.go
+++ b/internal/bootstrap/effects.go
@@ -15,8 +15,8 @@
 	Message Message
 }
 
-// Poll starts or stops polling the list service.
-type Poll struct{ On bool }
+// SetPolling starts or stops polling the list service.
+type SetPolling struct{ On bool }
 
 // Adopt puts a list of peers in force. With Hint it adds endpoints and removes none.
 type Adopt struct {
@@ -43,7 +43,7 @@
 const noList = -1
 
 func (Send) isEffect()         {}
-func (Poll) isEffect()         {}
+func (SetPolling) isEffect()   {}
 func (Adopt) isEffect()        {}
 func (SourceStatus) isEffect() {}
 func (LogEntry) isEffect()     {}
@@ -53,14 +53,14 @@
 
 // The events.
 const (
-	Polling          Event = iota // this proxy starts to poll the service
-	Following                     // it stops, and follows its peers
-	Isolated                      // it starts to poll since it receives from no poller
-	ListAccepted                  // a list with a quorum of peers is in force
-	HintUsed                      // a list that one peer alone advertises is used, as nothing else is known
-	PeerRefuted                   // the service contradicts a peer, whose messages are dropped for DistrustPeriod
-	ChecksumMismatch              // content does not have the checksum its sender advertised
-	eventCount                    // number of events
+	PollingStarted         Event = iota // this proxy starts to poll the service
+	PollingStopped                      // it stops, and follows its peers
+	IsolatedPollingStarted              // it starts to poll since it receives from no poller
+	ListAccepted                        // a list with a quorum of peers is in force
+	HintUsed                            // a list that one peer alone advertises is used, as nothing else is known
+	PeerRefuted                         // the service contradicts a peer, whose messages are dropped for DistrustPeriod
+	ChecksumMismatch                    // content does not have the checksum its sender advertised
+	eventCount                          // number of events
 )
 
 // String returns the event's value in the log.
--- a/internal/bootstrap/faults_test.go
+++ b/internal/bootstrap/faults_test.go
@@ -47,7 +47,7 @@
 				n.cutOff = n.polling
 			}
 			sim.changeList(func() { sim.endpoints[0].State = membership.Draining })
-			sim.runUntil(sim.now + 4*WidenInterval)
+			sim.runUntil(sim.now + 4*PollerIncreaseInterval)
 		}},
 		{"all pollers are killed at once", func(sim *simulation) {
 			sim.startAll()
@@ -157,7 +157,7 @@
 		{ListVersion: advertised, Number: 0, Total: 1 << 30},
 		{ListVersion: advertised, Number: 5, Total: 2},
 	} {
-		n := New(0, Config{Name: "a", Zone: "z", Peers: true, Lists: 1, Fleet: 3})
+		n := New(0, Config{Name: "a", Zone: "z", PeersEnabled: true, ListCount: 1, FleetSize: 3})
 		n.PeersChanged(0, []Peer{{"b", "z"}, {"c", "z"}})
 		n.MessageReceived(1, Message{From: "b", Digest: []Advertisement{{ListVersion: advertised}}})
 		rejected := false
--- a/internal/bootstrap/polling.go
+++ b/internal/bootstrap/polling.go
@@ -27,8 +27,8 @@
 		m.startPolling(reason)
 	case m.polling && m.now-m.pollNeededAt >= PollGracePeriod:
 		m.polling = false
-		m.addEffect(Poll{On: false})
-		m.log(Following, noList, "")
+		m.addEffect(SetPolling{On: false})
+		m.log(PollingStopped, noList, "")
 	}
 	if !m.polling {
 		m.stepSourceStatus()
@@ -37,18 +37,18 @@
 
 func (m *Machine) startPolling(reason pollReason) {
 	m.polling = true
-	m.addEffect(Poll{On: true})
-	if reason == pollIsolated && m.config.Peers {
-		m.log(Isolated, noList, "")
+	m.addEffect(SetPolling{On: true})
+	if reason == pollIsolated && m.config.PeersEnabled {
+		m.log(IsolatedPollingStarted, noList, "")
 		return
 	}
-	m.log(Polling, noList, "")
+	m.log(PollingStarted, noList, "")
 }
 
 // pollReason decides whether this proxy should poll now. It draws the time of an isolated poll when the last poller
 // is lost.
 func (m *Machine) pollReason() pollReason {
-	if !m.config.Peers || len(m.members) == 0 {
+	if !m.config.PeersEnabled || len(m.members) == 0 {
 		if m.now >= m.isolatedPollAt {
 			return pollIsolated
 		}
@@ -79,8 +79,8 @@
 	if m.now < m.startedAt+SettleTime {
 		return false
 	}
-	halfInView := 2*(len(m.members)+1) >= m.config.Fleet
-	return halfInView || m.now >= m.startedAt+m.fleetWindow()+MinWindow
+	halfInView := 2*(len(m.members)+1) >= m.config.FleetSize
+	return halfInView || m.now >= m.startedAt+m.fleetWindow()+MinPollWindow
 }
 
 // rank is this proxy's place, from 0, in the rendezvous order of its zone.
@@ -109,7 +109,7 @@
 			continue
 		}
 		silence := m.now - max(view.lastSeen, m.startedAt)
-		limit = max(limit, m.config.Pollers*min(MaxWidening, 1+int(silence/WidenInterval)))
+		limit = max(limit, m.config.Pollers*min(MaxPollerMultiplier, 1+int(silence/PollerIncreaseInterval)))
 	}
 	return limit, pollersInView
 }
@@ -146,12 +146,14 @@
 }
 
 // fleetWindow is the time over which the fleet spreads its isolated polls.
-func (m *Machine) fleetWindow() time.Duration { return time.Duration(m.config.Fleet) * WindowPerProxy }
+func (m *Machine) fleetWindow() time.Duration {
+	return time.Duration(m.config.FleetSize) * PollWindowPerProxy
+}
 
 // jitter draws a delay from the window of the fleet.
 func (m *Machine) jitter() time.Duration {
-	if m.config.Fleet == 1 {
+	if m.config.FleetSize == 1 {
 		return 0
 	}
-	return time.Duration(m.random.Int64N(int64(max(MinWindow, m.fleetWindow()))))
+	return time.Duration(m.random.Int64N(int64(max(MinPollWindow, m.fleetWindow()))))
 }
--- a/internal/bootstrap/polling_test.go
+++ b/internal/bootstrap/polling_test.go
@@ -12,7 +12,7 @@
 // pollers' word of a new version and its content, the service looked silent for as long as a follower had not polled.
 func TestChangeOfTheListElectsNoPollers(t *testing.T) {
 	for _, own := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
-		machine := New(0, Config{Name: own, Zone: "z", Peers: true, Lists: 1, Fleet: 8, Pollers: 3})
+		machine := New(0, Config{Name: own, Zone: "z", PeersEnabled: true, ListCount: 1, FleetSize: 8, Pollers: 3})
 		var peers []Peer
 		for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
 			if name != own {
@@ -30,7 +30,7 @@
 				listed := VersionOf(0, version, endpoints)
 				digest := []Advertisement{{ListVersion: listed, LastSeen: 10 * time.Millisecond}}
 				for _, effect := range machine.MessageReceived(now, Message{From: peer.Name, Digest: digest}) {
-					poll, isPoll := effect.(Poll)
+					poll, isPoll := effect.(SetPolling)
 					polls = polls || isPoll && poll.On
 				}
 			}
@@ -49,9 +49,9 @@
 	}
 }
 
-// TestSilenceOfTheServiceElectsPollers: while no poller has seen the service for WidenInterval, more proxies poll.
+// TestSilenceOfTheServiceElectsPollers: while no poller has seen the service for PollerIncreaseInterval, more proxies poll.
 func TestSilenceOfTheServiceElectsPollers(t *testing.T) {
-	machine := New(0, Config{Name: "own", Zone: "z", Peers: true, Lists: 1, Fleet: 8, Pollers: 3})
+	machine := New(0, Config{Name: "own", Zone: "z", PeersEnabled: true, ListCount: 1, FleetSize: 8, Pollers: 3})
 	var peers []Peer
 	for i := range 7 {
 		peers = append(peers, Peer{fmt.Sprint("p", i), "z"})
@@ -60,7 +60,7 @@
 	endpoints := []membership.Endpoint{{ID: "x", Address: "127.0.0.1:1"}}
 	machine.ListFromService(0, 0, 1, endpoints)
 	limit := 0
-	for now := time.Duration(0); now <= 2*WidenInterval; now += time.Second {
+	for now := time.Duration(0); now <= 2*PollerIncreaseInterval; now += time.Second {
 		for _, peer := range peers[:3] {
 			digest := []Advertisement{{ListVersion: VersionOf(0, 1, endpoints), LastSeen: now}}
 			machine.MessageReceived(now, Message{From: peer.Name, Digest: digest})
@@ -68,6 +68,6 @@
 		limit, _ = machine.pollerLimit()
 	}
 	if limit != 9 {
-		t.Errorf("%d pollers of the zone after %v of silence, want 9", limit, 2*WidenInterval)
+		t.Errorf("%d pollers of the zone after %v of silence, want 9", limit, 2*PollerIncreaseInterval)
 	}
 }
--- a/internal/bootstrap/simulation_test.go
+++ b/internal/bootstrap/simulation_test.go
@@ -143,7 +143,7 @@
 	n.incarnation++
 	n.lastVersion = ListVersion{}
 	n.Machine = New(sim.now, Config{
-		Name: n.name, Zone: n.zone, Incarnation: n.incarnation, Peers: n.withPeers, Lists: 1, Fleet: n.fleetSize,
+		Name: n.name, Zone: n.zone, Incarnation: n.incarnation, PeersEnabled: n.withPeers, ListCount: 1, FleetSize: n.fleetSize,
 		Seed: sim.random.Uint64(),
 	})
 	incarnation := n.incarnation
@@ -153,7 +153,7 @@
 			return
 		}
 		sim.handle(n, func() []Effect { return n.Step(sim.now) })
-		sim.schedule(max(10*ms, n.Next()-sim.now), tick)
+		sim.schedule(max(10*ms, n.NextStep()-sim.now), tick)
 	}
 	sim.schedule(0, tick)
 	sim.publishMembers()
@@ -201,7 +201,7 @@
 		switch effect := effect.(type) {
 		case Send:
 			sim.send(n, effect)
-		case Poll:
+		case SetPolling:
 			if effect.On {
 				sim.poll(n, n.incarnation)
 			}
@@ -243,7 +243,7 @@
 
 func (sim *simulation) checkBounds(n *node) {
 	l := &n.lists[0]
-	if len(l.advertisements) > n.config.MaxAdvertisements || len(l.history) > n.config.History ||
+	if len(l.advertisements) > n.config.MaxAdvertisements || len(l.history) > n.config.MaxHistory ||
 		len(n.servedPeers) > 1 || len(n.distrustedUntil) > len(sim.nodes) {
 		sim.t.Fatalf("%v: %s has %d advertisements, %d earlier lists, %d served, %d distrusted",
 			sim.now, n.name, len(l.advertisements), len(l.history), len(n.servedPeers), len(n.distrustedUntil))
--- a/internal/bootstrap/transcript_test.go
+++ b/internal/bootstrap/transcript_test.go
@@ -28,11 +28,11 @@
 
 func eventText(w Event) string {
 	switch w {
-	case Polling:
+	case PollingStarted:
 		return "note-asks"
-	case Following:
+	case PollingStopped:
 		return "note-listens"
-	case Isolated:
+	case IsolatedPollingStarted:
 		return "note-alone"
 	case ListAccepted:
 		return "note-believed"
@@ -94,7 +94,7 @@
 	switch e := e.(type) {
 	case Send:
 		x.message(of, e.To, e.Message)
-	case Poll:
+	case SetPolling:
 		x.Write("follow-"+digesttest.YesNo(e.On), of)
 	case Adopt:
 		x.Write("use-hint-"+digesttest.YesNo(e.Hint), of, digesttest.Number(e.List),
--- a/internal/bootstrap/trust.go
+++ b/internal/bootstrap/trust.go
@@ -59,7 +59,7 @@
 func (m *Machine) install(l *listState, installed *endpointList) {
 	if l.current != nil && l.current.Sum != installed.Sum {
 		l.history = append(l.history, l.current)
-		if len(l.history) > m.config.History {
+		if len(l.history) > m.config.MaxHistory {
 			l.history = slices.Clone(l.history[1:])
 		}
 	}
--- a/internal/bootstrap/trust_test.go
+++ b/internal/bootstrap/trust_test.go
@@ -10,7 +10,7 @@
 // TestEachRefutedPeerIsDistrusted has two peers advertise content that the service then contradicts: both lose their
 // trust by the one list, and the peer that told the truth keeps it.
 func TestEachRefutedPeerIsDistrusted(t *testing.T) {
-	machine := New(0, Config{Name: "a", Zone: "z", Peers: true, Lists: 1, Fleet: 4})
+	machine := New(0, Config{Name: "a", Zone: "z", PeersEnabled: true, ListCount: 1, FleetSize: 4})
 	machine.PeersChanged(0, []Peer{{"b", "z"}, {"c", "z"}, {"d", "z"}})
 	endpoints := []membership.Endpoint{{ID: "x", Address: "127.0.0.1:1"}}
 	right := VersionOf(0, 3, endpoints)
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -74,7 +74,7 @@
 // clock was stepped, the latest time counts that a stamp may stand for: an endpoint is then rather too young than too
 // old.
 func (b *Broker) SetOffset(offset time.Duration) {
-	b.offsets.Set(offset)
+	b.offsets.Observe(offset)
 	b.members.SetOffset(offset)
 }
 
--- a/internal/broker/endpoints.go
+++ b/internal/broker/endpoints.go
@@ -154,7 +154,7 @@
 	if reported == 0 {
 		return 0
 	}
-	startedAt := offsets.Latest(reported)
+	startedAt := offsets.LatestMonotonic(reported)
 	if startedAt > now+maxFutureStart {
 		startedAt = now
 	}
--- a/internal/broker/invariants.go
+++ b/internal/broker/invariants.go
@@ -15,18 +15,18 @@
 func (b *Broker) checkWrite(attempt *Attempt, now time.Duration) {
 	request := attempt.Request
 	if request.state != requestAdmitted || request.Canceled || b.open[request.id] != request {
-		b.monitor.Violated(invariant.RequestOpenAtWrite, request.ID)
+		b.monitor.RecordViolation(invariant.RequestOpenAtWrite, request.ID)
 	}
 	if !attempt.Endpoint.usable() || !attempt.Source.usable() {
-		b.monitor.Violated(invariant.EndpointReadyAtWrite, request.ID)
+		b.monitor.RecordViolation(invariant.EndpointReadyAtWrite, request.ID)
 	}
 	if attempt.Deadline > request.ReceivedAt+request.Timeout || now >= attempt.Deadline {
-		b.monitor.Violated(invariant.DeadlineInTime, request.ID)
+		b.monitor.RecordViolation(invariant.DeadlineInTime, request.ID)
 	}
 	isBeside := slices.ContainsFunc(request.attempts, func(other *Attempt) bool {
 		return other != attempt && other.Written && other.Open()
 	})
 	if isBeside && !b.config.Hedging {
-		b.monitor.Violated(invariant.OneAttemptInFlight, request.ID)
+		b.monitor.RecordViolation(invariant.OneAttemptInFlight, request.ID)
 	}
 }
--- a/internal/broker/purge.go
+++ b/internal/broker/purge.go
@@ -26,7 +26,7 @@
 // checkStamp logs where a purge is stamped for a time at which it can't have been issued, unless it came very late:
 // endpoints would have dropped the older copies by now, or it lies in the future.
 func (b *Broker) checkStamp(event Purge) {
-	age := b.now - b.offsets.Latest(event.Issued)
+	age := b.now - b.offsets.LatestMonotonic(event.Issued)
 	isPlausible := age <= b.config.PurgePropagation+purgeSlack && age >= -purgeSlack
 	isLogged := b.stampLoggedAt > 0 && b.now-b.stampLoggedAt < stampLogInterval
 	if isPlausible || isLogged {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -24,14 +24,14 @@
 // the clock on another goroutine.
 func (s *System) SetOffset(offset time.Duration) { s.offset = offset }
 
-// Started is the monotonic time of the start.
-func (s *System) Started() time.Duration { return time.Duration(s.started.UnixNano()) }
+// StartTime is the monotonic time of the start.
+func (s *System) StartTime() time.Duration { return time.Duration(s.started.UnixNano()) }
 
 // Uptime is how long ago the start was.
 func (s *System) Uptime() time.Duration { return time.Since(s.started) }
 
 // Monotonic is the time that everything but stamps goes by.
-func (s *System) Monotonic() time.Duration { return s.Started() + s.Uptime() }
+func (s *System) Monotonic() time.Duration { return s.StartTime() + s.Uptime() }
 
 // Unix is the time since the Unix epoch, for what was stamped by others or will be read by them.
 func (s *System) Unix() time.Duration { return time.Duration(s.UnixTime().UnixNano()) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -11,12 +11,12 @@
 	system := NewSystem()
 	after := time.Now()
 	earliest, latest := time.Duration(before.UnixNano()), time.Duration(after.UnixNano())
-	if got := system.Started(); got < earliest || got > latest {
+	if got := system.StartTime(); got < earliest || got > latest {
 		t.Errorf("Started() = %v, want the Unix time of NewSystem, %v to %v", got, earliest, latest)
 	}
 	uptime := system.Uptime()
 	monotonic := system.Monotonic()
-	if got := monotonic - system.Started(); got < uptime || got > uptime+time.Minute {
+	if got := monotonic - system.StartTime(); got < uptime || got > uptime+time.Minute {
 		t.Errorf("Monotonic() is %v after the start, want the uptime, which was %v just before", got, uptime)
 	}
 }
@@ -34,7 +34,7 @@
 			if got := time.Until(system.UnixTime()); (got - offset).Abs() > tolerance {
 				t.Errorf("UnixTime() is %v ahead of the machine's clock, want %v", got, offset)
 			}
-			if got := system.Monotonic() - system.Started(); got < 0 || got > tolerance {
+			if got := system.Monotonic() - system.StartTime(); got < 0 || got > tolerance {
 				t.Errorf("Monotonic() is %v after the start, want next to nothing", got)
 			}
 		})
--- a/internal/clock/offsets.go
+++ b/internal/clock/offsets.go
@@ -13,9 +13,9 @@
 	seen    bool
 }
 
-// Set takes the newest offset of the Unix clock over the monotonic one. It has to be called often enough for slewing
+// Observe takes the newest offset of the Unix clock over the monotonic one. It has to be called often enough for slewing
 // between two calls to stay below MinStep/2.
-func (o *Offsets) Set(offset time.Duration) {
+func (o *Offsets) Observe(offset time.Duration) {
 	change := offset - o.current
 	switch {
 	case !o.seen:
@@ -28,5 +28,5 @@
 	o.current = offset
 }
 
-// Latest gives the latest monotonic time that a Unix time which others stamped may stand for.
-func (o *Offsets) Latest(stamp time.Duration) time.Duration { return stamp - o.lowest }
+// LatestMonotonic gives the latest monotonic time that a Unix time which others stamped may stand for.
+func (o *Offsets) LatestMonotonic(stamp time.Duration) time.Duration { return stamp - o.lowest }
--- a/internal/clock/offsets_test.go
+++ b/internal/clock/offsets_test.go
@@ -26,9 +26,9 @@
 	} {
 		var offsets Offsets
 		for _, offset := range c.offsets {
-			offsets.Set(offset)
+			offsets.Observe(offset)
 		}
-		if got := offsets.Latest(stamp); got != c.want {
+		if got := offsets.LatestMonotonic(stamp); got != c.want {
 			t.Errorf("%s: Latest(%v) = %v, want %v", c.name, stamp, got, c.want)
 		}
 	}
--- a/internal/clock/tracker.go
+++ b/internal/clock/tracker.go
@@ -16,9 +16,9 @@
 	seen      bool
 }
 
-// Read takes a reading of both clocks, and gives by how much the Unix clock was stepped since the last step that was
+// Observe takes a reading of both clocks, and gives by how much the Unix clock was stepped since the last step that was
 // reported; 0: not at all. The first reading is no step.
-func (t *Tracker) Read(monotonic, unix time.Duration) (step time.Duration) {
+func (t *Tracker) Observe(monotonic, unix time.Duration) (step time.Duration) {
 	t.offset = unix - monotonic
 	if !t.seen {
 		t.seen, t.reference = true, t.offset
--- a/internal/clock/tracker_test.go
+++ b/internal/clock/tracker_test.go
@@ -14,7 +14,7 @@
 		const interval = 100 * time.Millisecond
 		var tracker Tracker
 		monotonic, unix := time.Hour, 1_800_000_000*time.Second
-		tracker.Read(monotonic, unix)
+		tracker.Observe(monotonic, unix)
 		slew := rapid.Int64Range(-500, 500).Draw(t, "slew in parts per million")
 		for range rapid.IntRange(1, 400).Draw(t, "readings") {
 			monotonic += interval
@@ -27,7 +27,7 @@
 				}
 				unix += want
 			}
-			got := tracker.Read(monotonic, unix)
+			got := tracker.Observe(monotonic, unix)
 			if (got == 0) != (want == 0) || (got-want).Abs() > MinStep {
 				t.Fatalf("Read reported a step of %v, want %v", got, want)
 			}
@@ -65,7 +65,7 @@
 			for i, change := range c.changes {
 				monotonic += time.Second
 				unix += time.Second + change
-				if got := tracker.Read(monotonic, unix); got != c.want[i] {
+				if got := tracker.Observe(monotonic, unix); got != c.want[i] {
 					t.Errorf("reading %d, the offset changed by %v: a step of %v, want %v", i, change, got, c.want[i])
 				}
 			}
--- a/internal/frontend/rpc/connection.go
+++ b/internal/frontend/rpc/connection.go
@@ -161,7 +161,7 @@
 // evict closes the connection at the limiter's request. Nothing is open on it.
 func (c *connection) evict() {
 	if len(c.open) > 0 {
-		c.server.Monitor.Violated(invariant.NothingOpenAtClose, c.caller.Remote)
+		c.server.Monitor.RecordViolation(invariant.NothingOpenAtClose, c.caller.Remote)
 	}
 	c.close()
 	if c.conn != nil {
--- a/internal/frontend/rpc/response.go
+++ b/internal/frontend/rpc/response.go
@@ -14,7 +14,7 @@
 	messageID, isOpen := c.messageIDs[request]
 	if !isOpen {
 		if !c.closed && !request.Canceled {
-			c.server.Monitor.Violated(invariant.OneResponse, request.ID)
+			c.server.Monitor.RecordViolation(invariant.OneResponse, request.ID)
 		}
 		return
 	}
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -38,8 +38,8 @@
 	counts [ruleCount]int
 }
 
-// Violated counts and reports that a rule did not hold.
-func (m *Monitor) Violated(rule Rule, subject string) {
+// RecordViolation counts and reports that a rule did not hold.
+func (m *Monitor) RecordViolation(rule Rule, subject string) {
 	if m == nil {
 		return
 	}
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -7,7 +7,7 @@
 	var reported []string
 	m := Monitor{Report: func(rule Rule, subject string) { reported = append(reported, rule.String()+" "+subject) }}
 	for rule := range ruleCount {
-		m.Violated(rule, "b")
+		m.RecordViolation(rule, "b")
 		if rule.String() == "" {
 			t.Errorf("rule %d has no name", rule)
 		}
@@ -19,7 +19,7 @@
 		t.Errorf("%d violations, reported %q, want one of each rule", m.Violations(), reported)
 	}
 	var off *Monitor
-	if off.Violated(OneResponse, "c"); off.Violations() != 0 {
+	if off.RecordViolation(OneResponse, "c"); off.Violations() != 0 {
 		t.Error("a nil monitor has counted")
 	}
 }
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -51,7 +51,7 @@
 	}
 	config := created.machineConfig()
 	if settings.Peers != nil {
-		config.Peers = created.openTransport(config)
+		config.PeersEnabled = created.openTransport(config)
 	}
 	created.machine = bootstrap.New(created.now(), config)
 	return created
@@ -66,7 +66,7 @@
 		Zone:        config.Zone,
 		Program:     programVersion(),
 		Incarnation: config.Incarnation,
-		Fleet:       config.Fleet,
+		Fleet:       config.FleetSize,
 		Bind:        settings.bindAddress(),
 	}
 	opened, err := transport.Open(*settings.Peers, self, f)
@@ -88,8 +88,8 @@
 	config := bootstrap.Config{
 		Name:        plan.platform.Name,
 		Incarnation: rand.Uint64(),
-		Lists:       len(plan.settings.Catalogue.Services),
-		Fleet:       plan.fleetSize(),
+		ListCount:   len(plan.settings.Catalogue.Services),
+		FleetSize:   plan.fleetSize(),
 		Seed:        plan.platform.Seed,
 	}
 	if control.Zone < len(control.ZoneNames) {
@@ -229,7 +229,7 @@
 		switch effect := effect.(type) {
 		case bootstrap.Send:
 			f.send(effect)
-		case bootstrap.Poll:
+		case bootstrap.SetPolling:
 			f.poll(effect)
 		case bootstrap.Adopt:
 			f.adopt(effect)
@@ -254,7 +254,7 @@
 }
 
 // poll starts or stops polling the catalogue.
-func (f *fleet) poll(polled bootstrap.Poll) {
+func (f *fleet) poll(polled bootstrap.SetPolling) {
 	if polled.On {
 		f.server.sources.pollLists()
 		return
@@ -305,7 +305,7 @@
 // writeStatus prints whether this proxy polls, its lists, and the other members, for `sloequay peers`.
 func (f *fleet) writeStatus(out io.Writer) {
 	role := "listens to peers"
-	if f.machine.Polls() {
+	if f.machine.IsPolling() {
 		role = "asks the list service"
 	}
 	fmt.Fprintln(out, role)
--- a/internal/proxy/housekeeping.go
+++ b/internal/proxy/housekeeping.go
@@ -14,7 +14,7 @@
 
 // followUnixClock tells all that compare Unix times how far that clock is from the monotonic one.
 func (s *server) followUnixClock(now time.Duration) {
-	if step := s.unixClock.Read(now, s.clock.Unix()); step != 0 {
+	if step := s.unixClock.Observe(now, s.clock.Unix()); step != 0 {
 		s.log.Event("clock-stepped", "by", step)
 		if s.authenticator != nil {
 			s.authenticator.clockStepped()
--- a/internal/proxy/readiness/readiness.go
+++ b/internal/proxy/readiness/readiness.go
@@ -42,7 +42,7 @@
 // NewStartup returns the startup of a proxy that polls the catalogue as one of a fleet. Its proxies poll one after
 // another, which takes longer the more there are.
 func NewStartup(proxies int) Startup {
-	return Startup{limit: sourceTimeout + time.Duration(proxies)*bootstrap.WindowPerProxy}
+	return Startup{limit: sourceTimeout + time.Duration(proxies)*bootstrap.PollWindowPerProxy}
 }
 
 // CompleteStartup returns the startup of a proxy that waits for no source.
--- a/internal/proxy/readiness/readiness_test.go
+++ b/internal/proxy/readiness/readiness_test.go
@@ -13,7 +13,7 @@
 func TestStartup(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		proxies := rapid.IntRange(0, 100).Draw(t, "proxies")
-		limit := 3*time.Second + time.Duration(proxies)*bootstrap.WindowPerProxy
+		limit := 3*time.Second + time.Duration(proxies)*bootstrap.PollWindowPerProxy
 		startup := NewStartup(proxies)
 		uptime := time.Duration(0)
 		wasComplete := false
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -23,13 +23,13 @@
 // stepShutdown does what the shutdown needs next.
 func (s *server) stepShutdown(now time.Duration) {
 	load := shutdown.Load{
-		Open:          s.openRequests(),
-		Clients:       s.frontend.Clients() + s.loop.PendingAccepts(),
-		Unsent:        s.loop.UnsentBytes(),
-		Deregistering: !s.sources.shutdownDone(),
+		OpenRequests:      s.openRequests(),
+		ClientConnections: s.frontend.Clients() + s.loop.PendingAccepts(),
+		UnsentBytes:       s.loop.UnsentBytes(),
+		Deregistering:     !s.sources.shutdownDone(),
 	}
 	if s.dns != nil {
-		load.Clients += s.dns.Clients()
+		load.ClientConnections += s.dns.Clients()
 	}
 	switch s.shutdown.Step(now, load) {
 	case shutdown.CloseIdle:
@@ -41,7 +41,7 @@
 		s.loop.RequestRound()
 	case shutdown.Exit:
 		s.stopped = true
-		s.log.Event("stopped", "open", load.Open, "clients", load.Clients, "unsent", load.Unsent)
+		s.log.Event("stopped", "open", load.OpenRequests, "clients", load.ClientConnections, "unsent", load.UnsentBytes)
 		s.loop.Stop()
 	}
 }
--- a/internal/shutdown/decisions_test.go
+++ b/internal/shutdown/decisions_test.go
@@ -41,11 +41,11 @@
 		}
 		load := Load{}
 		if random.IntN(decisionSteps) > 2*step {
-			load.Open = random.IntN(3)
-			load.Clients = random.IntN(3)
+			load.OpenRequests = random.IntN(3)
+			load.ClientConnections = random.IntN(3)
 		}
 		if random.IntN(decisionSteps) > 3*step {
-			load.Unsent = random.IntN(2)
+			load.UnsentBytes = random.IntN(2)
 			load.Deregistering = random.IntN(5) == 0
 		}
 		action := actionText(sequence.Step(now, load))
--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -42,10 +42,10 @@
 
 // Load is what the proxy still has to finish.
 type Load struct {
-	Open          int  // requests without a response
-	Clients       int  // connections of clients
-	Unsent        int  // bytes of responses that the system has not taken
-	Deregistering bool // the registration or the peers have yet to be told
+	OpenRequests      int  // requests without a response
+	ClientConnections int  // connections of clients
+	UnsentBytes       int  // bytes of responses that the system has not taken
+	Deregistering     bool // the registration or the peers have yet to be told
 }
 
 // Action is what to do now.
@@ -103,13 +103,13 @@
 	if !s.begun {
 		return KeepServing
 	}
-	s.observeClients(now, load.Clients)
+	s.observeClients(now, load.ClientConnections)
 	elapsed := now - s.signalAt
 	lastResponse := max(arrivalWindow, s.LongestDeadline+excusedWindow)
 	switch {
 	case elapsed >= lastResponse+slowReaderGrace:
 		return Exit
-	case elapsed >= lastResponse && load.Open > 0:
+	case elapsed >= lastResponse && load.OpenRequests > 0:
 		return FailInFlight
 	case elapsed < arrivalWindow && now < s.killAt()-responseMargin-minTimeout:
 		return KeepServing
@@ -130,7 +130,7 @@
 
 // isDone reports whether an exit loses nothing.
 func (s *Sequence) isDone(now time.Duration, load Load) bool {
-	if load.Open != 0 || load.Unsent != 0 || load.Deregistering {
+	if load.OpenRequests != 0 || load.UnsentBytes != 0 || load.Deregistering {
 		return false
 	}
 	return s.noClientSince > 0 && now-s.noClientSince >= reconnectWindow
--- a/internal/shutdown/shutdown_test.go
+++ b/internal/shutdown/shutdown_test.go
@@ -21,14 +21,14 @@
 		{"clients may still arrive", 899 * ms, time.Second, Load{}, KeepServing},
 		{"nothing is open and no client is connected", 900 * ms, 100 * ms, Load{}, Exit},
 		{"the last client has just gone: its request may cross the close", 900 * ms, 99 * ms, Load{}, CloseIdle},
-		{"a client is connected", 2 * time.Second, 0, Load{Clients: 1}, CloseIdle},
-		{"a request is open", 2 * time.Second, time.Second, Load{Open: 1}, CloseIdle},
-		{"part of a response is not sent", 2 * time.Second, time.Second, Load{Unsent: 1}, CloseIdle},
+		{"a client is connected", 2 * time.Second, 0, Load{ClientConnections: 1}, CloseIdle},
+		{"a request is open", 2 * time.Second, time.Second, Load{OpenRequests: 1}, CloseIdle},
+		{"part of a response is not sent", 2 * time.Second, time.Second, Load{UnsentBytes: 1}, CloseIdle},
 		{"a registration is being taken back", 2 * time.Second, time.Second, Load{Deregistering: true}, CloseIdle},
-		{"open up to the longest deadline", 6699 * ms, 0, Load{Open: 1, Clients: 1}, CloseIdle},
-		{"open beyond the longest deadline", 6700 * ms, 0, Load{Open: 1, Clients: 1}, FailInFlight},
-		{"a client does not read its response", 7699 * ms, 0, Load{Clients: 1, Unsent: 1}, CloseIdle},
-		{"nor at the end of its grace", 7700 * ms, 0, Load{Clients: 1, Unsent: 1}, Exit},
+		{"open up to the longest deadline", 6699 * ms, 0, Load{OpenRequests: 1, ClientConnections: 1}, CloseIdle},
+		{"open beyond the longest deadline", 6700 * ms, 0, Load{OpenRequests: 1, ClientConnections: 1}, FailInFlight},
+		{"a client does not read its response", 7699 * ms, 0, Load{ClientConnections: 1, UnsentBytes: 1}, CloseIdle},
+		{"nor at the end of its grace", 7700 * ms, 0, Load{ClientConnections: 1, UnsentBytes: 1}, Exit},
 	} {
 		sequence := Sequence{LongestDeadline: 6 * time.Second}
 		start := time.Hour
@@ -36,7 +36,7 @@
 		if !isIdle || !sequence.Begin(start, start) || sequence.Begin(start+ms, start) {
 			t.Fatal("it begins more than once, or before the signal")
 		}
-		sequence.Step(start, Load{Clients: 1})
+		sequence.Step(start, Load{ClientConnections: 1})
 		if c.noClient > 0 {
 			sequence.Step(start+c.elapsed-c.noClient, Load{})
 		}
@@ -117,19 +117,19 @@
 		for {
 			now += time.Duration(rapid.IntRange(0, 150).Draw(t, "step")) * ms
 			load := Load{
-				Open:          rapid.IntRange(0, 2).Draw(t, "open"),
-				Clients:       rapid.IntRange(0, 1).Draw(t, "clients"),
-				Unsent:        rapid.IntRange(0, 1).Draw(t, "unsent"),
-				Deregistering: rapid.Bool().Draw(t, "blocked"),
+				OpenRequests:      rapid.IntRange(0, 2).Draw(t, "open"),
+				ClientConnections: rapid.IntRange(0, 1).Draw(t, "clients"),
+				UnsentBytes:       rapid.IntRange(0, 1).Draw(t, "unsent"),
+				Deregistering:     rapid.Bool().Draw(t, "blocked"),
 			}
-			if load.Clients > 0 {
+			if load.ClientConnections > 0 {
 				clientSeenAt = now
 			}
 			action := sequence.Step(now, load)
 			elapsed := now - signalAt
 			lastResponse := max(arrivalWindow, sequence.LongestDeadline+excusedWindow)
 			isTimeUp := elapsed >= lastResponse+slowReaderGrace
-			isUnfinished := load.Open > 0 || load.Unsent > 0 || load.Deregistering
+			isUnfinished := load.OpenRequests > 0 || load.UnsentBytes > 0 || load.Deregistering
 			mayArrive := now-clientSeenAt < reconnectWindow || elapsed < arrivalWindow
 			switch {
 			case action != Exit && isTimeUp:
