--- a/internal/clock/drift.go
+++ b/internal/clock/drift.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// newDrift gives none: only a build with the tag clockstep lets a test set the Unix clock.
+// newDrift returns nil: tests can set the Unix clock only in a build with the tag clockstep.
 func newDrift() func() time.Duration { return nil }
--- a/internal/clock/drift_clockstep.go
+++ b/internal/clock/drift_clockstep.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// driftFile names the environment variable that holds the path of the file with the drift, in nanoseconds.
-const driftFile = "SLOEQUAY_CLOCK"
+// driftFileVariable is the environment variable with the path of the file that holds the drift in nanoseconds.
+const driftFileVariable = "SLOEQUAY_CLOCK"
 
-// newDrift follows the file that $SLOEQUAY_CLOCK names, so that tests can set the Unix clock without a privilege. The
-// goroutine that reads the file ends with the process.
+// newDrift returns the drift that the file named by $SLOEQUAY_CLOCK holds, so that tests can set the Unix clock without
+// privileges; nil if the variable is not set. The goroutine that reads the file runs until the process ends.
 func newDrift() func() time.Duration {
-	path := os.Getenv(driftFile)
+	path := os.Getenv(driftFileVariable)
 	if path == "" {
 		return nil
 	}
--- a/internal/clock/drift_clockstep_test.go
+++ b/internal/clock/drift_clockstep_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// TestDriftFileSetsUnixTime: with the tag clockstep Unix time is off by what the file says, once it was read.
+// TestDriftFileSetsUnixTime checks that a build with the tag clockstep adds the drift in the file to Unix time.
 func TestDriftFileSetsUnixTime(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "drift")
-	t.Setenv(driftFile, path)
+	t.Setenv(driftFileVariable, path)
 	const drift = -time.Hour
 	if err := os.WriteFile(path, fmt.Append(nil, int64(drift)), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/clock/offsets.go
+++ b/internal/clock/offsets.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// Offsets follows by which offsets of the Unix clock the stamps of others may go. When this machine's clock is stepped,
-// nobody knows whether it was right before or is now: stamps of others may go by either.
+// Offsets converts Unix times that other machines stamped to monotonic time. When this machine's Unix clock is stepped,
+// it is unknown whether it was right before the step or is right after it, so a stamp may match any offset since the
+// first Observe.
 //
-// Invariant: Latest is never before the time at which something was stamped, if the stamp was made by the Unix clock as
-// this machine had it at any time since the first Set. Slewing moves all offsets along and adds none.
+// Invariant: LatestMonotonic is never before the time at which a stamp was made, if it was made by the Unix clock as
+// this machine had it at any time since the first Observe. Slewing shifts the offsets and adds none.
 type Offsets struct {
 	current time.Duration
-	lowest  time.Duration // of those that stamps may go by
+	lowest  time.Duration // of all offsets that a stamp may match
 	seen    bool
 }
 
-// Observe takes the newest offset of the Unix clock over the monotonic one. It has to be called often enough for slewing
-// between two calls to stay below MinStep/2.
+// Observe records the present offset of the Unix clock from the monotonic clock. It must be called often enough that
+// slewing between two calls stays below MinStep/2.
 func (o *Offsets) Observe(offset time.Duration) {
 	change := offset - o.current
 	switch {
@@ -28,5 +29,5 @@
 	o.current = offset
 }
 
-// LatestMonotonic gives the latest monotonic time that a Unix time which others stamped may stand for.
+// LatestMonotonic returns the latest monotonic time that a Unix time stamped by another machine may correspond to.
 func (o *Offsets) LatestMonotonic(stamp time.Duration) time.Duration { return stamp - o.lowest }
--- a/internal/clock/offsets_test.go
+++ b/internal/clock/offsets_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// TestOffsetsGiveTheLatestTime: a stamp may go by each offset that was in force, and slewing adds none.
-func TestOffsetsGiveTheLatestTime(t *testing.T) {
+// TestOffsetsReturnLatestMonotonicTime checks that a stamp may match every offset since the first, and that slewing
+// adds none.
+func TestOffsetsReturnLatestMonotonicTime(t *testing.T) {
 	const stamp = 10 * time.Hour
 	slewed := make([]time.Duration, 0, 1000)
 	for i := range 1000 {
@@ -17,11 +18,11 @@
 		offsets []time.Duration
 		want    time.Duration
 	}{
-		{"as it began", []time.Duration{time.Hour}, 9 * time.Hour},
+		{"first offset only", []time.Duration{time.Hour}, 9 * time.Hour},
 		{"stepped forward", []time.Duration{time.Hour, 2 * time.Hour}, 9 * time.Hour},
 		{"stepped back", []time.Duration{time.Hour, 0}, 10 * time.Hour},
 		{"stepped back and forward", []time.Duration{time.Hour, 0, time.Hour}, 10 * time.Hour},
-		{"slewed for long", slewed, stamp - 999*10*time.Millisecond},
+		{"slewed for a long time", slewed, stamp - 999*10*time.Millisecond},
 		{"slewed after a step", []time.Duration{0, time.Hour, time.Hour + time.Millisecond}, stamp - time.Millisecond},
 	} {
 		var offsets Offsets
@@ -29,7 +30,7 @@
 			offsets.Observe(offset)
 		}
 		if got := offsets.LatestMonotonic(stamp); got != c.want {
-			t.Errorf("%s: Latest(%v) = %v, want %v", c.name, stamp, got, c.want)
+			t.Errorf("%s: LatestMonotonic(%v) = %v, want %v", c.name, stamp, got, c.want)
 		}
 	}
 }
--- a/internal/clock/tracker.go
+++ b/internal/clock/tracker.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// MinStep is the least change of the offset between two readings that counts as a step of the Unix clock. What is less
-// is a time server's slewing (at most 0.05%, RFC 5905) or the delay between the readings.
+// MinStep is the smallest change of the offset that counts as a step of the Unix clock. Smaller changes come from
+// slewing by a time server (at most 0.05%, RFC 5905) or from the delay between the readings of the two clocks.
 const MinStep = 500 * time.Millisecond
 
-// Tracker follows the offset of the Unix clock from the monotonic one, and finds steps of it. Its zero value has seen
-// no reading.
+// Tracker follows the offset of the Unix clock from the monotonic clock and detects steps. The zero value is ready for
+// use.
 //
-// Invariants: Offset is the newest reading's, so that Monotonic and Unix undo one another; a step is reported once.
+// Invariants: Offset is that of the newest reading, so that Monotonic and Unix are inverse to each other; each step is
+// reported once.
 type Tracker struct {
 	offset    time.Duration
-	reference time.Duration // the offset that the next step counts from
+	reference time.Duration // the offset from which the next step is measured
 	seen      bool
 }
 
-// Observe takes a reading of both clocks, and gives by how much the Unix clock was stepped since the last step that was
-// reported; 0: not at all. The first reading is no step.
+// Observe records a reading of both clocks. It returns by how much the Unix clock was stepped since the last reported
+// step, or 0 if it was not stepped. The first reading is never a step.
 func (t *Tracker) Observe(monotonic, unix time.Duration) (step time.Duration) {
 	t.offset = unix - monotonic
 	if !t.seen {
@@ -30,16 +31,16 @@
 	}
 	t.reference = t.offset
 	if change.Abs() < MinStep {
-		return 0 // slewed as far by and by: no step, and not to be taken for one later
+		return 0 // slewed this far gradually; the moved reference keeps slewing from adding up to a step
 	}
 	return change
 }
 
-// Offset is how far the Unix clock is ahead of the monotonic one.
+// Offset returns how far the Unix clock is ahead of the monotonic clock.
 func (t *Tracker) Offset() time.Duration { return t.offset }
 
-// Unix gives the Unix time of a monotonic one.
+// Unix converts a monotonic time to Unix time.
 func (t *Tracker) Unix(monotonic time.Duration) time.Duration { return monotonic + t.offset }
 
-// Monotonic gives the monotonic time of a Unix one.
+// Monotonic converts a Unix time to monotonic time.
 func (t *Tracker) Monotonic(unix time.Duration) time.Duration { return unix - t.offset }
--- a/internal/clock/tracker_test.go
+++ b/internal/clock/tracker_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestTrackerReportsEachStepOnce: between readings a tenth of a second apart, each step of at least twice MinStep is
-// reported once, with its size, whatever the clock slews beside it, and slewing alone is no step.
+// TestTrackerReportsEachStepOnce checks, with readings 100 ms apart, that each step of at least twice MinStep is
+// reported once and with its size while the clock also slews, and that slewing alone is never reported as a step.
 func TestTrackerReportsEachStepOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const interval = 100 * time.Millisecond
@@ -20,7 +20,7 @@
 			monotonic += interval
 			unix += interval + interval*time.Duration(slew)/1_000_000
 			want := time.Duration(0)
-			if rapid.IntRange(0, 19).Draw(t, "steps if 0") == 0 {
+			if rapid.IntRange(0, 19).Draw(t, "the clock is stepped if 0") == 0 {
 				want = time.Duration(rapid.Int64Range(int64(time.Second), int64(48*time.Hour)).Draw(t, "step"))
 				if rapid.Bool().Draw(t, "backwards") {
 					want = -want
@@ -29,34 +29,34 @@
 			}
 			got := tracker.Observe(monotonic, unix)
 			if (got == 0) != (want == 0) || (got-want).Abs() > MinStep {
-				t.Fatalf("Read reported a step of %v, want %v", got, want)
+				t.Fatalf("Observe reported a step of %v, want %v", got, want)
 			}
 			if got := tracker.Unix(monotonic); got != unix {
-				t.Fatalf("Unix(%v) = %v, want the reading's %v", monotonic, got, unix)
+				t.Fatalf("Unix(%v) = %v, want %v as in the reading", monotonic, got, unix)
 			}
 			if got := tracker.Monotonic(unix); got != monotonic {
-				t.Fatalf("Monotonic(%v) = %v, want the reading's %v", unix, got, monotonic)
+				t.Fatalf("Monotonic(%v) = %v, want %v as in the reading", unix, got, monotonic)
 			}
 		}
 	})
 }
 
-// TestTrackerStepLimits: the offset's change from reading to reading, at the limits between slewing and a step.
+// TestTrackerStepLimits checks changes of the offset at the limits that separate slewing from a step.
 func TestTrackerStepLimits(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		changes []time.Duration
 		want    []time.Duration
 	}{
-		{"a first reading far off is no step", []time.Duration{48 * time.Hour}, []time.Duration{0}},
-		{"a change by MinStep is a step", []time.Duration{0, MinStep}, []time.Duration{0, MinStep}},
-		{"so it is backwards", []time.Duration{0, -MinStep}, []time.Duration{0, -MinStep}},
-		{"a change by less is none", []time.Duration{0, MinStep - 1, 1 - MinStep}, []time.Duration{0, 0, 0}},
-		{"slewing in halves does not add up", []time.Duration{0, MinStep / 2, MinStep / 2, MinStep / 2},
+		{"a large offset in the first reading is no step", []time.Duration{48 * time.Hour}, []time.Duration{0}},
+		{"a change of MinStep is a step", []time.Duration{0, MinStep}, []time.Duration{0, MinStep}},
+		{"a change of -MinStep is a step", []time.Duration{0, -MinStep}, []time.Duration{0, -MinStep}},
+		{"smaller changes are no steps", []time.Duration{0, MinStep - 1, 1 - MinStep}, []time.Duration{0, 0, 0}},
+		{"changes of MinStep/2 do not add up to a step", []time.Duration{0, MinStep / 2, MinStep / 2, MinStep / 2},
 			[]time.Duration{0, 0, 0, 0}},
-		{"less than half adds up to a step with what follows", []time.Duration{0, MinStep/2 - 1, MinStep/2 + 1},
+		{"a change of less than MinStep/2 adds to the next one", []time.Duration{0, MinStep/2 - 1, MinStep/2 + 1},
 			[]time.Duration{0, 0, MinStep}},
-		{"a step back to the first offset is one too", []time.Duration{0, time.Hour, -time.Hour},
+		{"a step back to the first offset is reported too", []time.Duration{0, time.Hour, -time.Hour},
 			[]time.Duration{0, time.Hour, -time.Hour}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -66,7 +66,7 @@
 				monotonic += time.Second
 				unix += time.Second + change
 				if got := tracker.Observe(monotonic, unix); got != c.want[i] {
-					t.Errorf("reading %d, the offset changed by %v: a step of %v, want %v", i, change, got, c.want[i])
+					t.Errorf("reading %d, change of %v: Observe returned %v, want %v", i, change, got, c.want[i])
 				}
 			}
 		})
