--- a/internal/shutdown/decisions_test.go
+++ b/internal/shutdown/decisions_test.go
@@ -13,7 +13,7 @@
 	decisionSteps = 400
 )
 
-// actionText names an action in words that do not change with the names of the constants.
+// actionText returns a fixed word for an action, so that renaming a constant does not change the digests.
 func actionText(action Action) string {
 	switch action {
 	case KeepServing:
@@ -28,8 +28,8 @@
 	return "?"
 }
 
-// stepSequence steps one sequence through seeded loads, past its end. Steps are short after the signal, at which most
-// limits lie, and loads become rarer with time, so that each action is reached.
+// stepSequence steps one sequence through seeded loads, past its end. Steps are shorter than 60 ms, since most limits
+// lie soon after the signal, and loads become rarer with time, so that each action is reached.
 func stepSequence(seed uint64, recorder *digesttest.Recorder, counts map[string]int) {
 	random := rand.New(rand.NewPCG(seed, 72))
 	sequence := Sequence{LongestDeadline: time.Duration(100+random.IntN(8000)) * time.Millisecond}
@@ -61,9 +61,9 @@
 	}
 }
 
-// TestDecisionsStayAsTheyWere steps seeded sequences and compares a digest of all that they return with the one
-// recorded for each seed. A change of names or shape must leave every line as it is.
-func TestDecisionsStayAsTheyWere(t *testing.T) {
+// TestDecisions steps seeded sequences and compares a digest of everything that they return with the one on file for
+// each seed. Renaming or restructuring code must not change any digest.
+func TestDecisions(t *testing.T) {
 	counts := map[string]int{}
 	digesttest.Format{NoResults: true}.Check(t, decisionSeeds, func(seed uint64, recorder *digesttest.Recorder) {
 		stepSequence(seed, recorder, counts)
--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -1,75 +1,75 @@
-// Package shutdown decides how a proxy ends after the signal to do so: how long it goes on serving, what the
-// clients that are still connected get, and when it may exit without losing anything. It does no I/O and reads no
-// clock.
+// Package shutdown decides how a proxy shuts down after the signal: how long it keeps serving, when it closes idle
+// connections or fails open requests, and when the process may exit without losing anything. It does no I/O and reads
+// no clock.
 //
 // Invariants:
-//   - before the time is up it exits only when no request is open, all responses were taken by the system, nothing
-//     is being deregistered, and no client has been connected for reconnectWindow;
-//   - a request that came within excusedWindow, less signalMargin, is never failed before its own deadline;
-//   - a later one is answered before the program may be killed, also where the program stood still when the signal
-//     came; one that is left less than minTimeout is rejected at once, so that its connection can be closed.
+//   - before its time limit (see Bounds), the process exits only when no request is open, the operating system has
+//     taken all responses, deregistration is complete, and no client has been connected for reconnectWindow;
+//   - a request that arrives within excusedWindow less signalMargin is never failed before its own deadline;
+//   - a later request is answered before the platform may kill the process, even if the process stood still when the
+//     signal was sent; if less than minTimeout is left, it is rejected at once, so that its connection can be closed.
 //
-// Bounds: once begun it exits at the latest LongestDeadline, excusedWindow and slowReaderGrace after the signal, or
-// arrivalWindow and slowReaderGrace where that is later.
+// Bounds: the process exits at the latest LongestDeadline + excusedWindow + slowReaderGrace after it handled the
+// signal, or arrivalWindow + slowReaderGrace after it, whichever is later.
 package shutdown
 
 import "time"
 
 const (
-	// arrivalWindow is how long after the signal clients may arrive: they connect for 0.4 s, send requests on these
-	// connections for 0.2 s more, and the rest is what a busy event loop may be late.
+	// arrivalWindow is how long after the signal new clients may arrive: they open connections for up to 400 ms and
+	// send requests on them for another 200 ms; the rest allows for the delay of a busy event loop.
 	arrivalWindow = 900 * time.Millisecond
-	// excusedWindow is how long after the signal requests may arrive that are excused if they are open when the
-	// platform kills the program; a later one has to be answered before.
+	// excusedWindow is how long after the signal a request may arrive that is allowed to be still open when the
+	// platform kills the process. A later request must be answered before the kill.
 	excusedWindow = 700 * time.Millisecond
-	// signalMargin is how much sooner than excusedWindow says a request is taken for a later one: the platform counts
-	// from when it sent the signal, and the program learns of that a moment later. Clients send nothing so late.
+	// signalMargin shortens excusedWindow, because the platform counts from when it sent the signal, slightly before
+	// the process receives it. Clients send no requests that late, so none loses time by it.
 	signalMargin = 50 * time.Millisecond
-	// maxKillDelay and LongestDeadline, the shorter of them, bound when the platform may kill the program: that and
-	// excusedWindow after the signal.
+	// maxKillDelay limits how long the platform waits before it kills the process: excusedWindow plus the shorter of
+	// maxKillDelay and LongestDeadline after it sent the signal.
 	maxKillDelay = 3 * time.Second
-	// responseMargin is taken off the time of a request after excusedWindow, so that its response has reached the
-	// client when the program is killed.
+	// responseMargin is how long before the kill a request that arrives after excusedWindow must have its response, so
+	// that the response reaches the client in time.
 	responseMargin = 100 * time.Millisecond
-	// minTimeout is the least that such a request is forwarded with.
+	// minTimeout is the shortest timeout with which such a request is still forwarded.
 	minTimeout = 50 * time.Millisecond
-	// reconnectWindow is how long no client must have been connected: one whose request crosses our close of its
-	// connection comes again within 50 ms.
+	// reconnectWindow is how long no client may have been connected before the process exits: a client whose request
+	// crosses the proxy's close of its connection reconnects within 50 ms.
 	reconnectWindow = 100 * time.Millisecond
-	// slowReaderGrace is added to the longest deadline for clients that are slow to read.
+	// slowReaderGrace is the extra time after the longest deadline for clients that read responses slowly.
 	slowReaderGrace = time.Second
 )
 
-// Load is what the proxy still has to finish.
+// Load is the work that the proxy still has to finish.
 type Load struct {
 	OpenRequests      int  // requests without a response
-	ClientConnections int  // connections of clients
-	UnsentBytes       int  // bytes of responses that the system has not taken
-	Deregistering     bool // the registration or the peers have yet to be told
+	ClientConnections int  // open connections of clients
+	UnsentBytes       int  // bytes of responses that the operating system has not taken
+	Deregistering     bool // the registry or the peers have not been told of the shutdown yet
 }
 
-// Action is what to do now.
+// Action is what the proxy has to do now.
 type Action int
 
 // The actions.
 const (
-	KeepServing  Action = iota // nothing
+	KeepServing  Action = iota // nothing to do
 	CloseIdle                  // close the connections of clients without an open request
 	FailInFlight               // fail all open requests
-	Exit                       // end the program
+	Exit                       // end the process
 )
 
-// Sequence is the shutdown of one proxy. The zero value has not begun.
+// Sequence is the state of the shutdown of one proxy. The zero value has not begun.
 type Sequence struct {
 	LongestDeadline time.Duration // of all request classes
 	begun           bool
-	signalAt        time.Duration // when the signal was taken: clients arrive until then for certain
-	sentAt          time.Duration // when it may have been sent at the earliest: the kill counts from then
-	noClientSince   time.Duration // 0: a client is connected
+	signalAt        time.Duration // when the signal was handled; clients certainly arrive until then
+	sentAt          time.Duration // when the signal was sent, at the earliest: the time until the kill counts from here
+	noClientSince   time.Duration // 0 while a client is connected
 }
 
-// Begin notes the signal, and reports whether it is the first. Others change nothing. The signal may have been sent at
-// sentAt already, where the program stood still since.
+// Begin records the shutdown signal and reports whether it is the first; later signals change nothing. The signal may
+// have been sent as early as sentAt, if the process stood still between then and now.
 func (s *Sequence) Begin(now, sentAt time.Duration) bool {
 	if s.begun {
 		return false
@@ -80,11 +80,11 @@
 	return true
 }
 
-// Begun reports whether the signal came.
+// Begun reports whether the signal has been recorded.
 func (s *Sequence) Begun() bool { return s.begun }
 
-// TimeoutFor returns how long a request that arrives now may take, given the timeout that its client asks for. Not ok:
-// the program may be killed before it could be answered, and it is to be rejected at once.
+// TimeoutFor returns the timeout for a request that arrives now and whose client asks for the given timeout. If ok is
+// false, the platform may kill the process before the request can be answered: the caller must reject it at once.
 func (s *Sequence) TimeoutFor(now, timeout time.Duration) (allowed time.Duration, ok bool) {
 	if !s.begun || now-s.sentAt < excusedWindow-signalMargin {
 		return timeout, true
@@ -93,12 +93,12 @@
 	return min(timeout, left), left >= minTimeout
 }
 
-// killAt is when the platform may kill the program at the earliest.
+// killAt returns the earliest time at which the platform may kill the process.
 func (s *Sequence) killAt() time.Duration {
 	return s.sentAt + min(s.LongestDeadline, maxKillDelay) + excusedWindow
 }
 
-// Step returns what to do now.
+// Step returns the action that is due for the present time and load.
 func (s *Sequence) Step(now time.Duration, load Load) Action {
 	if !s.begun {
 		return KeepServing
@@ -128,7 +128,7 @@
 	}
 }
 
-// isDone reports whether an exit loses nothing.
+// isDone reports whether the process can exit without losing anything.
 func (s *Sequence) isDone(now time.Duration, load Load) bool {
 	if load.OpenRequests != 0 || load.UnsentBytes != 0 || load.Deregistering {
 		return false
