--- a/internal/bootstrap/bootstrap.go
+++ b/internal/bootstrap/bootstrap.go
@@ -1,27 +1,26 @@
-// Package bootstrap decides how one proxy of a fleet gets its endpoint lists without all of them polling the list
-// service: who polls and when, what is passed on from proxy to proxy, and when a peer's list is trusted. It does no
-// I/O and reads no clock; the caller reports events with their time and carries out the effects.
+// Package bootstrap decides how one proxy of a fleet gets its endpoint lists, so that only a few proxies poll the list
+// service: which proxies poll and when, what they send to each other, and when a list from peers is trusted. It does
+// no I/O and reads no clock; the caller reports events with their time and carries out the effects.
 //
 // Some proxies of each zone poll the service. Rendezvous hashing chooses Config.Pollers among those that are alive,
-// and while the service is silent it chooses more. Pollers send heartbeats to their zone: digests that advertise
-// the version and checksum of each list, and when the service was last seen. Other proxies fetch the lists that
-// they lack from a peer that advertises them, as a delta or in parts. A proxy that sees no poller, or has no peers,
-// polls by itself, at a time drawn from a window that grows with the fleet (full jitter, as in Brooker's
-// "Exponential Backoff And Jitter"), so that a fleet that starts together calls the service at a rate that does not
-// depend on its size.
+// and more while the service is silent. Pollers send heartbeats to their zone: digests that advertise the version and
+// checksum of each list, and when the service was last seen. Other proxies fetch the lists that they lack from a peer
+// that advertises them, as a delta or in parts. A proxy that sees no poller, or has no peers, polls by itself after a
+// random delay from a window that grows with the fleet (full jitter, as in Brooker's "Exponential Backoff And
+// Jitter"), so that a fleet that starts all at once calls the service at a rate that does not depend on its size.
 //
 // A list is trusted if it comes from the service, or if a quorum of peers advertises its version and checksum and
-// its content, once fetched, has that checksum. A list that one peer alone advertises is a hint: it is used only
-// where nothing else is known, and only its endpoints that are up, so that one peer never removes an endpoint. A
-// peer that the service refutes is distrusted for DistrustPeriod.
+// its content, once fetched, has that checksum. A list that only one peer advertises is a hint: it is used only if no
+// other list is known, and only its endpoints that are up, so that a single peer never removes an endpoint. A peer
+// whose advertisement the service contradicts is distrusted for DistrustPeriod.
 //
-// The state of a list, and what changes it:
+// The states of a list and the events that change them:
 //
 //	state       event                                      next state
 //	unknown     advertisement of any version               fetching
 //	fetching    part, delta                                fetching; complete: candidate
-//	fetching    checksum mismatch, attempts used up        as before the fetch
-//	fetching    timeout, busy                              fetching, from another peer
+//	fetching    checksum mismatch, attempts used up        the state before the fetch
+//	fetching    timeout, busy                              fetching, if possible from another peer
 //	candidate   quorum of advertisements                   current
 //	candidate   step, no current list, an endpoint is up   hint
 //	candidate   ConfirmDelay without a quorum              candidate; this proxy polls for ConfirmTimeout
@@ -30,15 +29,17 @@
 //	current     advertisement of a later version           fetching, beside the current list
 //
 // Invariants:
-//   - the version of the current list decreases only when the service itself says so;
+//   - the version of the current list decreases only when the service itself sends an earlier one;
 //   - a hint removes no endpoint, and adds only endpoints that are up;
-//   - messages of proxies that are not members, or distrusted, change nothing.
+//   - messages from proxies that are not members, or that are distrusted, change nothing.
 //
 // Bounds:
-//   - advertisements of a list by Config.MaxAdvertisements, what is fetched by Config.MaxEndpoints, earlier lists for
-//     deltas by Config.MaxHistory, complete lists that are served by MaxServedPerWindow in ServeWindow;
-//   - at most Config.Pollers*MaxPollerMultiplier proxies of a zone poll, apart from isolated ones and confirmations;
-//   - a fetch goes to another peer after FetchTimeout, and ends after MaxFetchAttempts.
+//   - Config.MaxAdvertisements limits the advertisements kept for a list, Config.MaxEndpoints the parts and the delta
+//     of a fetch, Config.MaxHistory the earlier versions kept for deltas, and MaxServedPerWindow the complete lists
+//     served in each ServeWindow;
+//   - at most Config.Pollers*MaxPollerMultiplier proxies of a zone poll, not counting those that are isolated or that
+//     confirm a list;
+//   - a request of a fetch times out after FetchTimeout, and a fetch ends after MaxFetchAttempts requests.
 package bootstrap
 
 import (
@@ -50,11 +51,11 @@
 	"sloequay/internal/membership"
 )
 
-// Peer is another proxy that is alive.
+// Peer identifies a proxy that is alive.
 type Peer struct{ Name, Zone string }
 
-// Machine is the state of one proxy. Its methods take the present time; a time before an earlier one counts as that
-// one.
+// Machine holds the state of one proxy. Its methods take the present time; a time before that of an earlier call is
+// replaced by the time of that call.
 type Machine struct {
 	config    Config
 	now       time.Duration
@@ -62,40 +63,40 @@
 	random    *rand.Rand
 	effects   []Effect
 
-	zonePeers   []Peer // of the own zone, by name
-	members     map[string]bool
-	memberNames []string // of all zones, in order
-	peersSeen   bool     // a peer was in view at some time
+	zonePeers   []Peer          // of this proxy's zone, sorted by name
+	members     map[string]bool // names of the peers of all zones
+	memberNames []string        // the same names, sorted
+	peersSeen   bool            // PeersChanged has reported a proxy
 
 	lists []listState
 
 	polling          bool
-	pollNeededAt     time.Duration // when there was last a reason to poll
-	isolatedPollAt   time.Duration // when to poll if no poller is in view; 0: one is
+	pollNeededAt     time.Duration // when this proxy last had a reason to poll
+	isolatedPollAt   time.Duration // when to poll for lack of a poller; 0: a poller is in view
 	confirmUntil     time.Duration
 	confirmStartedAt time.Duration
 	nextHeartbeat    time.Duration
 	nextInquiry      time.Duration
 
-	distrustedUntil map[string]time.Duration // by peer
-	servedPeers     map[uint64][]string      // peers that were served the current list, by checksum
-	serves          rateLimiter              // complete lists
-	replies         rateLimiter              // digests to proxies without a list
+	distrustedUntil map[string]time.Duration // by name of the peer
+	servedPeers     map[uint64][]string      // names of peers that were served the current list, by its checksum
+	serveLimiter    rateLimiter              // limits the complete lists that are served
+	replyLimiter    rateLimiter              // limits the digests that answer proxies without a list
 }
 
-// listState is what is known of one list.
+// listState holds what this proxy knows about one list.
 type listState struct {
-	current        *endpointList // in force; nil: none yet
-	history        []*endpointList
-	advertisements []peerAdvertisement // newest last, one a peer
+	current        *endpointList       // the list in force; nil: none yet
+	history        []*endpointList     // earlier versions, newest last
+	advertisements []peerAdvertisement // newest last, one for each peer
 	candidate      *candidate          // nil: none
-	fetch          *fetchState         // nil: nothing is fetched
-	silent         bool                // the service, as last reported
-	serviceSeenAt  time.Duration       // by this proxy
-	quorumSeenAt   time.Duration       // by a quorum of pollers, with the list in force
+	fetch          *fetchState         // nil: no fetch is in progress
+	reportedSilent bool                // the service was last reported as silent
+	serviceSeenAt  time.Duration       // when this proxy last saw the service
+	quorumSeenAt   time.Duration       // when a quorum of pollers with the current list last saw it
 }
 
-// New returns a machine that starts now.
+// New returns the machine of a proxy that starts now.
 func New(now time.Duration, config Config) *Machine {
 	config = config.WithDefaults()
 	m := &Machine{
@@ -115,19 +116,19 @@
 	return m
 }
 
-// PeersChanged takes the proxies that are alive, in any order; this one may be among them.
+// PeersChanged handles a change of the proxies that are alive. They come in any order and may include this proxy.
 func (m *Machine) PeersChanged(now time.Duration, peers []Peer) []Effect {
 	m.advance(now)
 	if !m.peersSeen && len(peers) > 0 && m.config.PeersEnabled {
 		m.peersSeen = true
-		// Pollers start only now: time has to pass before their absence means isolation.
+		// The peers may start to poll only now: no poller in view means isolation only after some time.
 		m.isolatedPollAt = max(m.isolatedPollAt, m.now+SettleTime+MinPollWindow+m.jitter())
 	}
 	m.setMembers(peers)
 	return m.step()
 }
 
-// ListFromService takes a complete list that this proxy received from the service.
+// ListFromService handles a complete list that this proxy received from the service.
 func (m *Machine) ListFromService(
 	now time.Duration, list int, version uint64, endpoints []membership.Endpoint,
 ) []Effect {
@@ -137,7 +138,7 @@
 	changed := l.current == nil || l.current.ListVersion != received.ListVersion
 	m.install(l, received)
 	l.serviceSeenAt = m.now
-	l.silent = false
+	l.reportedSilent = false
 	m.refuteAdvertisements(list, l)
 	if changed && m.polling {
 		m.sendHeartbeats()
@@ -145,14 +146,14 @@
 	return m.step()
 }
 
-// ServiceSeen takes an answer of the service to this proxy without a new list.
+// ServiceSeen handles an answer of the service to this proxy that has no new list.
 func (m *Machine) ServiceSeen(now time.Duration, list int) []Effect {
 	m.advance(now)
 	m.lists[list].serviceSeenAt = m.now
 	return m.step()
 }
 
-// MessageReceived takes a message of a peer.
+// MessageReceived handles a message from a peer.
 func (m *Machine) MessageReceived(now time.Duration, message Message) []Effect {
 	m.advance(now)
 	if !m.members[message.From] || m.isDistrusted(message.From) {
@@ -173,13 +174,13 @@
 	return m.step()
 }
 
-// Step does what is due by now.
+// Step carries out what is due by now.
 func (m *Machine) Step(now time.Duration) []Effect {
 	m.advance(now)
 	return m.step()
 }
 
-// NextStep returns when Step is due at the latest.
+// NextStep returns the time by which Step must be called again.
 func (m *Machine) NextStep() time.Duration {
 	for i := range m.lists {
 		if l := &m.lists[i]; l.fetch != nil || l.candidate != nil || l.current == nil {
@@ -189,7 +190,7 @@
 	return m.now + idleTick
 }
 
-// Ready reports whether each list is in force, or used as a hint for HintDelay.
+// Ready reports whether each list is in force, or has been used as a hint for HintDelay.
 func (m *Machine) Ready() bool {
 	for i := range m.lists {
 		l := &m.lists[i]
@@ -215,7 +216,7 @@
 // IsPolling reports whether this proxy polls the service.
 func (m *Machine) IsPolling() bool { return m.polling }
 
-// Digest returns what this proxy advertises of its lists.
+// Digest returns this proxy's advertisements, one for each list.
 func (m *Machine) Digest() []Advertisement {
 	var digest []Advertisement
 	for i := range m.lists {
@@ -229,7 +230,7 @@
 		case l.current != nil:
 			advertisement.LastSeen = m.now - m.viewService(l).lastSeen
 		default:
-			advertisement.LastSeen = m.now - m.startedAt // so that peers know that it is polled for
+			advertisement.LastSeen = m.now - m.startedAt // shows the peers that this proxy polls
 		}
 		digest = append(digest, advertisement)
 	}
@@ -238,10 +239,10 @@
 
 func (m *Machine) advance(now time.Duration) { m.now = max(m.now, now) }
 
-// step does what is due, and returns all effects since the last call.
+// step carries out what is due, and returns all effects since the last call.
 func (m *Machine) step() []Effect {
 	for i := range m.lists {
-		m.stepServiceSeen(&m.lists[i])
+		m.updateQuorumSeenAt(&m.lists[i])
 		m.stepFetch(&m.lists[i])
 		m.stepCandidate(i, &m.lists[i])
 	}
@@ -252,7 +253,7 @@
 	return m.takeEffects()
 }
 
-// setMembers takes the other proxies that are alive, and drops the advertisements of all others.
+// setMembers replaces the set of live peers, and drops the advertisements of all other proxies.
 func (m *Machine) setMembers(peers []Peer) {
 	m.zonePeers = m.zonePeers[:0]
 	m.memberNames = m.memberNames[:0]
@@ -277,7 +278,7 @@
 	}
 }
 
-// list returns the state of a list, or nil for an index that a peer made up.
+// list returns the state of a list, or nil if the index, which comes from a peer, is out of range.
 func (m *Machine) list(index int) *listState {
 	if index < 0 || index >= len(m.lists) {
 		return nil
--- a/internal/bootstrap/checksum.go
+++ b/internal/bootstrap/checksum.go
@@ -11,13 +11,13 @@
 	"sloequay/internal/membership"
 )
 
-// endpointList is the content of a list: endpoints in the order of their IDs, each ID once.
+// endpointList is a version of a list with its content: endpoints sorted by ID, each ID once.
 type endpointList struct {
 	ListVersion
 	endpoints []membership.Endpoint
 }
 
-// newEndpointList orders endpoints and computes their checksum.
+// newEndpointList returns a list with its endpoints sorted and its checksum computed.
 func newEndpointList(list int, version uint64, endpoints []membership.Endpoint) *endpointList {
 	endpoints = SortEndpoints(endpoints)
 	return &endpointList{
@@ -26,30 +26,31 @@
 	}
 }
 
-// SortEndpoints returns a copy in the order that checksums are computed in; of several with one ID the first stays.
+// SortEndpoints returns a copy sorted by ID, as checksums need it. Of several endpoints with the same ID it keeps the
+// first.
 func SortEndpoints(endpoints []membership.Endpoint) []membership.Endpoint {
 	endpoints = slices.Clone(endpoints)
 	slices.SortStableFunc(endpoints, func(a, b membership.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	return slices.CompactFunc(endpoints, func(a, b membership.Endpoint) bool { return a.ID == b.ID })
 }
 
-// VersionOf returns the identity of a list with these endpoints.
+// VersionOf returns the ListVersion of a list with these endpoints.
 func VersionOf(list int, version uint64, endpoints []membership.Endpoint) ListVersion {
 	return newEndpointList(list, version, endpoints).ListVersion
 }
 
-// checksum covers the version and all fields of the endpoints. It detects corrupt and incomplete content; it does
-// not authenticate who made it.
+// checksum returns a checksum of the version and of all fields of the endpoints. It detects corrupt and incomplete
+// content; it does not authenticate the sender.
 func checksum(version uint64, endpoints []membership.Endpoint) uint64 {
-	digest := xxhash.New()
+	hash := xxhash.New()
 	var buffer [8]byte
 	writeNumber := func(number uint64) {
 		binary.LittleEndian.PutUint64(buffer[:], number)
-		_, _ = digest.Write(buffer[:])
+		_, _ = hash.Write(buffer[:])
 	}
 	writeText := func(text string) {
 		writeNumber(uint64(len(text)))
-		_, _ = digest.WriteString(text)
+		_, _ = hash.WriteString(text)
 	}
 	writeNumber(version)
 	for i := range endpoints {
@@ -64,5 +65,5 @@
 		writeNumber(uint64(endpoint.StartedAt))
 		writeNumber(endpoint.Incarnation)
 	}
-	return digest.Sum64()
+	return hash.Sum64()
 }
--- a/internal/bootstrap/config.go
+++ b/internal/bootstrap/config.go
@@ -7,22 +7,22 @@
 	"sloequay/internal/membership"
 )
 
-// Config is the settings of a Machine.
+// Config holds the settings of a Machine.
 type Config struct {
 	Name              string
-	Incarnation       uint64 // of this process: differs with each start
+	Incarnation       uint64 // of this process: a different one after each start
 	Zone              string
-	PeersEnabled      bool // the settings have a block for peers
-	ListCount         int  // lists of the list service
+	PeersEnabled      bool // this proxy exchanges messages with peers
+	ListCount         int  // number of lists of the list service
 	FleetSize         int  // configured number of proxies
-	Pollers           int  // proxies of a zone that poll
-	MaxEndpoints      int  // of a list; a longer one is rejected
-	MaxAdvertisements int  // remembered of each list
-	MaxHistory        int  // earlier versions of a list that are cached for deltas
+	Pollers           int  // number of proxies of a zone that poll
+	MaxEndpoints      int  // limit for a fetched list; a longer one is rejected
+	MaxAdvertisements int  // number of advertisements kept for each list
+	MaxHistory        int  // number of earlier versions of a list kept for deltas
 	Seed              uint64
 }
 
-// WithDefaults returns the settings with the defaults in place of zero values.
+// WithDefaults returns a copy of the settings with defaults in place of zero values.
 func (c Config) WithDefaults() Config {
 	c.FleetSize = max(1, c.FleetSize)
 	c.Pollers = cmp.Or(c.Pollers, 3)
@@ -34,18 +34,20 @@
 
 // Polling of the list service.
 const (
-	// PollWindowPerProxy is what each proxy of a fleet adds to the window over which isolated proxies spread their
-	// first poll: some 65 calls a second for each list, whatever the fleet's size.
+	// PollWindowPerProxy is how much each proxy of the fleet adds to the window over which isolated proxies spread
+	// their first polls. It gives some 65 calls per second for each list, whatever the size of the fleet.
 	PollWindowPerProxy = 15 * time.Millisecond
-	// MinPollWindow is the shortest such window.
+	// MinPollWindow is the minimum length of that window.
 	MinPollWindow = 250 * time.Millisecond
-	// SettleTime after the start is left for meeting peers before the first proxy polls.
+	// SettleTime is how long after its start a proxy waits for peers to appear, before it may be elected to poll or
+	// sends inquiries.
 	SettleTime = 200 * time.Millisecond
-	// PollGracePeriod is how long a poller that is no longer needed goes on.
+	// PollGracePeriod is how long a poller that is no longer needed continues to poll.
 	PollGracePeriod = 2 * time.Second
-	// PollerIncreaseInterval is the silence of the service after which Config.Pollers more proxies of a zone poll.
+	// PollerIncreaseInterval is how long the service must be silent before Config.Pollers more proxies of a zone poll,
+	// and again for each further increase.
 	PollerIncreaseInterval = 5 * time.Second
-	// MaxPollerMultiplier is how many times Config.Pollers poll at most while the service is silent.
+	// MaxPollerMultiplier limits the pollers of a zone to this multiple of Config.Pollers while the service is silent.
 	MaxPollerMultiplier = 4
 )
 
@@ -53,23 +55,24 @@
 const (
 	// HeartbeatInterval is the shortest time between two heartbeats of a poller.
 	HeartbeatInterval = time.Second
-	// MaxHeartbeatsPerSecond is how many messages a poller sends for its heartbeats: in a larger zone they come
-	// less often.
+	// MaxHeartbeatsPerSecond limits the heartbeat messages that a poller sends per second: in a zone with more peers
+	// the interval is longer.
 	MaxHeartbeatsPerSecond = 64
-	// MaxMissedHeartbeats is how many intervals without a sign of the service make it count as silent.
+	// MaxMissedHeartbeats is how many heartbeat intervals may pass without a heartbeat before a poller counts as lost,
+	// or without contact to the service before it counts as silent.
 	MaxMissedHeartbeats = 3
-	// InquiryFanout is how many members a proxy without lists sends its digest to at once, so that they answer with
-	// theirs.
+	// InquiryFanout is how many members receive one inquiry: the digest of a proxy that lacks a list, which they
+	// answer with their own.
 	InquiryFanout = 3
 )
 
 // Trust in peers.
 const (
-	// Quorum is how many peers have to advertise the same version and checksum.
+	// Quorum is how many peers must advertise the same version and checksum.
 	Quorum = 2
-	// HintDelay is how long a list that one peer alone advertises has to be used before the proxy counts as ready.
+	// HintDelay is how long a hint, a list without a quorum, must have been in use before the proxy counts as ready.
 	HintDelay = 500 * time.Millisecond
-	// ConfirmDelay is how long a list may lack a quorum before this proxy polls the service to confirm it.
+	// ConfirmDelay is how long a fetched list may lack a quorum before this proxy polls the service to confirm it.
 	ConfirmDelay = 500 * time.Millisecond
 	// MinConfirmInterval is the shortest time between the starts of two such confirmations.
 	MinConfirmInterval = 10 * time.Second
@@ -81,22 +84,22 @@
 
 // Fetching and serving of lists.
 const (
-	// FetchTimeout is how long a fetch waits for the next message of a peer before it is sent to another one.
+	// FetchTimeout is how long a fetch waits for the next message from a peer before it is retried.
 	FetchTimeout = 300 * time.Millisecond
 	// MaxFetchAttempts is how many requests are sent for one fetch.
 	MaxFetchAttempts = 5
-	// EndpointsPerPart is the size of a part; the last one may have fewer.
+	// EndpointsPerPart is the number of endpoints in a part; the last part may have fewer.
 	EndpointsPerPart = 100
-	// ServeWindow is the time that MaxServedPerWindow and MaxRepliesPerWindow are counted over.
+	// ServeWindow is the window to which MaxServedPerWindow and MaxRepliesPerWindow apply.
 	ServeWindow = 100 * time.Millisecond
-	// MaxServedPerWindow bounds the complete lists that are served.
+	// MaxServedPerWindow limits the complete lists that are served.
 	MaxServedPerWindow = 8
-	// MaxRepliesPerWindow bounds the digests that answer proxies without a list.
+	// MaxRepliesPerWindow limits the digests that answer proxies without a list.
 	MaxRepliesPerWindow = 32
 )
 
 // How often Step is due.
 const (
-	busyTick = 50 * time.Millisecond // while a list is missing, fetched or not yet confirmed
+	busyTick = 50 * time.Millisecond // while a list is missing, being fetched or not yet confirmed
 	idleTick = 4 * busyTick
 )
--- a/internal/bootstrap/digest.go
+++ b/internal/bootstrap/digest.go
@@ -5,43 +5,44 @@
 	"time"
 )
 
-// peerAdvertisement is the last advertisement of a peer for a list.
+// peerAdvertisement is the latest advertisement of a peer for a list.
 type peerAdvertisement struct {
 	Advertisement
 	peer       string
 	receivedAt time.Duration
 }
 
-// serviceView is what is known of the list service for one list.
+// serviceView is what this proxy and the pollers know about the list service, for one list.
 type serviceView struct {
-	lastSeen time.Duration // by this proxy, or by a quorum of its pollers; 0: never
-	pollers  int           // peers whose heartbeats come in time
+	lastSeen time.Duration // when this proxy or a quorum of pollers last saw the service; 0: never
+	pollers  int           // number of peers whose last heartbeat is recent
 }
 
-// viewService combines this proxy's own contact with what the pollers advertise.
+// viewService combines this proxy's own contact to the service with what the pollers advertise.
 func (m *Machine) viewService(list *listState) serviceView {
 	view := serviceView{lastSeen: max(list.quorumSeenAt, list.serviceSeenAt)}
 	for i := range list.advertisements {
-		if m.isHeartbeat(&list.advertisements[i]) {
+		if m.isRecentHeartbeat(&list.advertisements[i]) {
 			view.pollers++
 		}
 	}
 	return view
 }
 
-// isHeartbeat reports whether an advertisement is from a poller and in time.
-func (m *Machine) isHeartbeat(advertisement *peerAdvertisement) bool {
+// isRecentHeartbeat reports whether an advertisement comes from a poller and is at most MaxMissedHeartbeats intervals
+// old.
+func (m *Machine) isRecentHeartbeat(advertisement *peerAdvertisement) bool {
 	maxAge := MaxMissedHeartbeats * m.heartbeatInterval()
 	return advertisement.isFromPoller() && m.now-advertisement.receivedAt <= maxAge
 }
 
-// stepServiceSeen remembers when a quorum of pollers saw the service with the list that is in force here. It has to be
-// remembered: once they have a later version, nobody advertises this one until its content is here.
-func (m *Machine) stepServiceSeen(list *listState) {
-	var newest [Quorum]time.Duration // descending
+// updateQuorumSeenAt records when a quorum of pollers with the current list last saw the service. The time must be
+// kept: once the pollers have a later version, none advertises the current one until this proxy has fetched the later.
+func (m *Machine) updateQuorumSeenAt(list *listState) {
+	var newest [Quorum]time.Duration // in descending order
 	for i := range list.advertisements {
 		advertisement := &list.advertisements[i]
-		if !m.isHeartbeat(advertisement) || list.current == nil || advertisement.Sum != list.current.Sum {
+		if !m.isRecentHeartbeat(advertisement) || list.current == nil || advertisement.Sum != list.current.Sum {
 			continue
 		}
 		seenAt := advertisement.receivedAt - advertisement.LastSeen
@@ -54,7 +55,7 @@
 	list.quorumSeenAt = max(list.quorumSeenAt, newest[Quorum-1])
 }
 
-// heartbeatInterval is the time between two heartbeats of a poller.
+// heartbeatInterval returns the time between two heartbeats of a poller.
 func (m *Machine) heartbeatInterval() time.Duration {
 	return max(HeartbeatInterval, time.Duration(len(m.zonePeers))*time.Second/MaxHeartbeatsPerSecond)
 }
@@ -68,7 +69,7 @@
 	m.sendHeartbeats()
 }
 
-// sendHeartbeats sends the digest to all peers of the zone.
+// sendHeartbeats sends the digest to all peers in the zone.
 func (m *Machine) sendHeartbeats() {
 	digest := m.Digest()
 	for _, peer := range m.zonePeers {
@@ -76,8 +77,8 @@
 	}
 }
 
-// stepInquiry sends the digest to a few members of any zone while a list is missing, so that they answer with
-// theirs: the service may be unreachable, and all of the zone may have started together.
+// stepInquiry sends the digest to a few members of any zone while a list is missing, so that they answer with theirs:
+// the service may be unreachable, and the whole zone may have just started and have no list either.
 func (m *Machine) stepInquiry() {
 	if !m.config.PeersEnabled || len(m.memberNames) == 0 || m.now < m.nextInquiry || !m.lacksList() {
 		return
@@ -93,7 +94,8 @@
 	return slices.ContainsFunc(m.lists, func(l listState) bool { return l.current == nil })
 }
 
-// receiveDigest takes a peer's advertisements, and answers a peer that lacks a list of this proxy's.
+// receiveDigest handles a peer's advertisements, and sends this proxy's digest if the peer lacks a list that this proxy
+// has.
 func (m *Machine) receiveDigest(peer string, digest []Advertisement) {
 	peerLacksList := false
 	for _, advertisement := range digest {
@@ -106,12 +108,12 @@
 			peerLacksList = true
 		}
 	}
-	if peerLacksList && m.replies.allow(m.now, MaxRepliesPerWindow) {
+	if peerLacksList && m.replyLimiter.allow(m.now, MaxRepliesPerWindow) {
 		m.send(peer, Message{Digest: m.Digest()})
 	}
 }
 
-// receiveAdvertisement remembers which version a peer has, and fetches one that may replace the current one.
+// receiveAdvertisement records which version a peer has, and starts to fetch it if it may replace the current list.
 func (m *Machine) receiveAdvertisement(l *listState, peer string, advertisement Advertisement) {
 	l.forget(peer)
 	l.advertisements = append(l.advertisements, peerAdvertisement{advertisement, peer, m.now})
--- a/internal/bootstrap/effects.go
+++ b/internal/bootstrap/effects.go
@@ -6,7 +6,7 @@
 	"sloequay/internal/membership"
 )
 
-// Effect is something for the caller to do.
+// Effect is an action that the caller must carry out.
 type Effect interface{ isEffect() }
 
 // Send sends a message to a peer. The message may be lost.
@@ -18,7 +18,7 @@
 // SetPolling starts or stops polling the list service.
 type SetPolling struct{ On bool }
 
-// Adopt puts a list of peers in force. With Hint it adds endpoints and removes none.
+// Adopt puts a list from peers in force. If Hint is set, the list adds endpoints and removes none.
 type Adopt struct {
 	List      int
 	Version   uint64
@@ -26,7 +26,7 @@
 	Hint      bool
 }
 
-// SourceStatus reports that the service became silent, as seen through peers, or is back.
+// SourceStatus reports that the service, as seen through the peers, has become silent or answers again.
 type SourceStatus struct {
 	List   int
 	Silent bool
@@ -35,11 +35,11 @@
 // LogEntry is a line for the event log.
 type LogEntry struct {
 	Event Event
-	Peer  string // empty: of no peer
-	List  int    // noList: of no list
+	Peer  string // empty if the entry is not about a peer
+	List  int    // noList if the entry is not about a list
 }
 
-// noList is the List of an entry that is about the proxy.
+// noList is the List of a LogEntry that is about the proxy as a whole.
 const noList = -1
 
 func (Send) isEffect()         {}
@@ -54,48 +54,48 @@
 // The events.
 const (
 	PollingStarted         Event = iota // this proxy starts to poll the service
-	PollingStopped                      // it stops, and follows its peers
-	IsolatedPollingStarted              // it starts to poll since it receives from no poller
-	ListAccepted                        // a list with a quorum of peers is in force
-	HintUsed                            // a list that one peer alone advertises is used, as nothing else is known
-	PeerRefuted                         // the service contradicts a peer, whose messages are dropped for DistrustPeriod
-	ChecksumMismatch                    // content does not have the checksum its sender advertised
+	PollingStopped                      // this proxy stops polling and relies on its peers
+	IsolatedPollingStarted              // this proxy starts to poll because no poller is in view
+	ListAccepted                        // a list that a quorum of peers advertises is now in force
+	HintUsed                            // a list without a quorum is used, as no other list is known
+	PeerRefuted                         // the service contradicts a peer, which is distrusted for DistrustPeriod
+	ChecksumMismatch                    // content is malformed or does not match the advertised checksum
 	eventCount                          // number of events
 )
 
-// String returns the event's value in the log.
+// String returns the value of the event in the log.
 func (e Event) String() string {
 	return [eventCount]string{"asks", "listens", "alone", "believed", "hinted", "refuted", "spoilt"}[e]
 }
 
 func (m *Machine) addEffect(e Effect) { m.effects = append(m.effects, e) }
 
-// takeEffects returns what has gathered since the last call.
+// takeEffects returns the effects that were added since the last call.
 func (m *Machine) takeEffects() []Effect {
 	effects := m.effects
 	m.effects = nil
 	return effects
 }
 
-// send sends a message in this proxy's name.
+// send adds the effect of sending a message from this proxy.
 func (m *Machine) send(to string, message Message) {
 	message.From = m.config.Name
 	message.Incarnation = m.config.Incarnation
 	m.addEffect(Send{To: to, Message: message})
 }
 
-// log adds a line about a list and a peer.
+// log adds an entry for the event log.
 func (m *Machine) log(event Event, list int, peer string) {
 	m.addEffect(LogEntry{Event: event, Peer: peer, List: list})
 }
 
-// rateLimiter counts events over windows of ServeWindow. The zero value is ready for use.
+// rateLimiter limits the number of events in each ServeWindow. The zero value is ready for use.
 type rateLimiter struct {
 	windowStart time.Duration
 	count       int
 }
 
-// allow counts an event and reports whether it is within the limit.
+// allow counts an event and reports whether it is within the limit of the window.
 func (r *rateLimiter) allow(now time.Duration, limit int) bool {
 	if now-r.windowStart >= ServeWindow {
 		r.windowStart = now
--- a/internal/bootstrap/fetch.go
+++ b/internal/bootstrap/fetch.go
@@ -7,29 +7,29 @@
 	"sloequay/internal/membership"
 )
 
-// fetchState is the fetch of one list.
+// fetchState is the state of a fetch of one list.
 type fetchState struct {
 	ListVersion
-	peer      string // the last request went to
-	parts     [][]membership.Endpoint
-	received  int // parts
-	deadline  time.Duration
-	attempts  int
-	requested map[string]bool // by peer
+	peer           string // that the last request went to
+	parts          [][]membership.Endpoint
+	receivedParts  int // number of parts received
+	deadline       time.Duration
+	attempts       int
+	requestedPeers map[string]bool // names of peers that were sent a request
 }
 
-// startFetch requests a list from a peer, as the first or a further attempt.
+// startFetch requests a list from a peer, as the first attempt of a fetch or as a further one.
 func (m *Machine) startFetch(l *listState, version ListVersion, peer string) {
 	if l.fetch == nil || l.fetch.Sum != version.Sum {
-		l.fetch = &fetchState{ListVersion: version, requested: map[string]bool{}}
+		l.fetch = &fetchState{ListVersion: version, requestedPeers: map[string]bool{}}
 	}
 	f := l.fetch
 	f.peer = peer
 	f.deadline = m.now + FetchTimeout
 	f.parts = nil
-	f.received = 0
+	f.receivedParts = 0
 	f.attempts++
-	f.requested[peer] = true
+	f.requestedPeers[peer] = true
 	request := &Fetch{ListVersion: version}
 	if l.current != nil {
 		request.HaveSum = l.current.Sum
@@ -37,8 +37,8 @@
 	m.send(peer, Message{Fetch: request})
 }
 
-// stepFetch retries a fetch whose deadline has passed with another peer. A fetch that is given up starts again with
-// the next digest.
+// stepFetch retries a fetch whose deadline has passed, if possible with another peer. After a fetch has failed, the
+// next digest that advertises the list starts a new one.
 func (m *Machine) stepFetch(l *listState) {
 	f := l.fetch
 	if f == nil || m.now < f.deadline {
@@ -52,7 +52,8 @@
 	m.startFetch(l, f.ListVersion, next)
 }
 
-// nextPeer returns a peer that advertises what is fetched, if possible one that got no request yet.
+// nextPeer returns a peer that advertises the list being fetched, if possible one that was sent no request yet. It
+// returns "" if there is none.
 func (l *listState) nextPeer(f *fetchState) string {
 	next := ""
 	for i := range l.advertisements {
@@ -60,19 +61,19 @@
 		if advertisement.Sum != f.Sum {
 			continue
 		}
-		if next == "" || f.requested[next] && !f.requested[advertisement.peer] {
+		if next == "" || f.requestedPeers[next] && !f.requestedPeers[advertisement.peer] {
 			next = advertisement.peer
 		}
 	}
 	return next
 }
 
-// awaits reports whether a list is being fetched in this version from a peer.
+// awaits reports whether this version of the list is being fetched from a peer.
 func (l *listState) awaits(version ListVersion, peer string) bool {
 	return l != nil && l.fetch != nil && l.fetch.ListVersion == version && l.fetch.peer == peer
 }
 
-// receivePart takes a part of what is fetched.
+// receivePart handles a part of the list that is being fetched.
 func (m *Machine) receivePart(peer string, part *Part) {
 	list := m.list(part.List)
 	if !list.awaits(part.ListVersion, peer) {
@@ -88,15 +89,15 @@
 	}
 	if f.parts[part.Number] == nil {
 		f.parts[part.Number] = append([]membership.Endpoint{}, part.Endpoints...)
-		f.received++
+		f.receivedParts++
 	}
 	f.deadline = m.now + FetchTimeout
-	if f.received == part.Total {
+	if f.receivedParts == part.Total {
 		m.completeFetch(list, peer, slices.Concat(f.parts...))
 	}
 }
 
-// fits reports whether a part is within the bounds and goes with those received before.
+// fits reports whether a part is within the bounds and consistent with the parts received before.
 func (f *fetchState) fits(part *Part, maxEndpoints int) bool {
 	if part.Total < 1 || part.Total > maxEndpoints/EndpointsPerPart+1 {
 		return false
@@ -107,7 +108,7 @@
 	return f.parts == nil || len(f.parts) == part.Total
 }
 
-// receiveDelta applies a delta to the current list. One that does not start from it, or is too long, is ignored.
+// receiveDelta applies a delta to the current list. A delta with another base or with too many endpoints is ignored.
 func (m *Machine) receiveDelta(peer string, delta *Delta) {
 	list := m.list(delta.List)
 	if !list.awaits(delta.ListVersion, peer) || list.current == nil || list.current.Sum != delta.BaseSum {
@@ -132,7 +133,7 @@
 	m.completeFetch(list, peer, endpoints)
 }
 
-// completeFetch ends a fetch and makes its content the candidate, if it has the checksum that was advertised.
+// completeFetch ends a fetch. It makes the content the candidate, or distrusts the peer if the checksum is wrong.
 func (m *Machine) completeFetch(l *listState, peer string, endpoints []membership.Endpoint) {
 	want := l.fetch.ListVersion
 	l.fetch = nil
@@ -141,10 +142,10 @@
 		m.distrust(want.List, peer, ChecksumMismatch)
 		return
 	}
-	l.candidate = &candidate{endpointList: fetched, since: m.now}
+	l.candidate = &candidate{endpointList: fetched, fetchedAt: m.now}
 }
 
-// receiveBusy sends the fetch to the peer that is named, or retries it after a backoff with jitter.
+// receiveBusy redirects the fetch to the peer named in the message, or has it retried after a backoff with jitter.
 func (m *Machine) receiveBusy(peer string, busy *Busy) {
 	l := m.list(busy.List)
 	if l == nil || l.fetch == nil || l.fetch.Sum != busy.Sum || l.fetch.peer != peer {
@@ -157,10 +158,10 @@
 	l.fetch.deadline = m.now + time.Duration(m.random.Int64N(int64(FetchTimeout)))
 }
 
-// mayRedirect reports whether a fetch may go to a peer that another one names.
+// mayRedirect reports whether a fetch may be redirected to a peer that another peer named.
 func (m *Machine) mayRedirect(f *fetchState, peer string) bool {
 	if peer == "" || !m.members[peer] || m.isDistrusted(peer) {
 		return false
 	}
-	return !f.requested[peer] && f.attempts < MaxFetchAttempts
+	return !f.requestedPeers[peer] && f.attempts < MaxFetchAttempts
 }
--- a/internal/bootstrap/messages.go
+++ b/internal/bootstrap/messages.go
@@ -6,8 +6,8 @@
 	"sloequay/internal/membership"
 )
 
-// ListVersion identifies the content of a list: its index, the service's version and the checksum. A Sum of 0
-// stands for no content.
+// ListVersion identifies the content of a list: the index of the list, the service's version and the checksum. A Sum
+// of 0 means that there is no content.
 type ListVersion struct {
 	List    int    `codec:"List"`
 	Version uint64 `codec:"Version"`
@@ -18,7 +18,7 @@
 // service.
 type Advertisement struct {
 	ListVersion
-	LastSeen time.Duration `codec:"Heard"` // ago; negative: the sender does not poll
+	LastSeen time.Duration `codec:"Heard"` // time since then; negative: the sender does not poll
 }
 
 // notPolling is the LastSeen of a sender that does not poll.
@@ -38,7 +38,7 @@
 	Busy        *Busy           `codec:"Busy"`
 }
 
-// Fetch requests the content of a list. HaveSum is the checksum of the sender's present one, 0 if it has none.
+// Fetch requests the content of a list. HaveSum is the checksum of the sender's current list, 0 if it has none.
 type Fetch struct {
 	ListVersion
 	HaveSum uint64 `codec:"Have"`
@@ -52,7 +52,7 @@
 	Endpoints []membership.Endpoint `codec:"Boxes"`
 }
 
-// Delta leads from the content with the checksum BaseSum to ListVersion.
+// Delta holds the changes from the content with the checksum BaseSum to that of ListVersion.
 type Delta struct {
 	ListVersion
 	BaseSum   uint64                `codec:"Was"`
@@ -60,8 +60,8 @@
 	Removed   []string              `codec:"Gone"`  // by ID
 }
 
-// Busy answers a Fetch that is not served. Peer has the list as well; if it is empty, the fetch is to be retried
-// later.
+// Busy answers a Fetch that is not served. Peer is another proxy that has the list; if it is empty, the fetch should be
+// retried later.
 type Busy struct {
 	ListVersion
 	Peer string `codec:"Peer"`
--- a/internal/bootstrap/polling.go
+++ b/internal/bootstrap/polling.go
@@ -6,13 +6,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// pollReason is why this proxy should poll the list service.
+// pollReason is the reason for which this proxy should poll the list service.
 type pollReason uint8
 
 const (
 	pollNotNeeded    pollReason = iota
 	pollElected                 // it is among the pollers of its zone
-	pollConfirmation            // a list lacks a quorum, and the service is to confirm it
+	pollConfirmation            // a list lacks a quorum, and the service must confirm it
 	pollIsolated                // no poller is in view
 )
 
@@ -45,8 +45,8 @@
 	m.log(PollingStarted, noList, "")
 }
 
-// pollReason decides whether this proxy should poll now. It draws the time of an isolated poll when the last poller
-// is lost.
+// pollReason returns whether and why this proxy should poll now. When no poller is in view any more, it draws the time
+// of the isolated poll.
 func (m *Machine) pollReason() pollReason {
 	if !m.config.PeersEnabled || len(m.members) == 0 {
 		if m.now >= m.isolatedPollAt {
@@ -63,7 +63,7 @@
 	case pollersInView:
 		m.isolatedPollAt = 0
 	case m.isolatedPollAt == 0:
-		m.isolatedPollAt = m.now + m.jitter() // all of the zone lose them at once
+		m.isolatedPollAt = m.now + m.jitter() // the whole zone loses its pollers at once
 	case m.now >= m.isolatedPollAt:
 		return pollIsolated
 	}
@@ -73,8 +73,8 @@
 	return pollNotNeeded
 }
 
-// isSettled reports whether ranks can be relied on: while less than half of the fleet is in view, many proxies would
-// rank themselves among the pollers.
+// isSettled reports whether rank is reliable: while less than half of the fleet is in view, too many proxies would rank
+// themselves among the pollers. After the poll window of the fleet it reports true in any case.
 func (m *Machine) isSettled() bool {
 	if m.now < m.startedAt+SettleTime {
 		return false
@@ -83,7 +83,7 @@
 	return halfInView || m.now >= m.startedAt+m.fleetWindow()+MinPollWindow
 }
 
-// rank is this proxy's place, from 0, in the rendezvous order of its zone.
+// rank returns this proxy's place, from 0, in the rendezvous hash ranking of its zone.
 func (m *Machine) rank() int {
 	own := m.score(m.config.Name)
 	rank := 0
@@ -97,8 +97,8 @@
 
 func (m *Machine) score(name string) uint64 { return xxhash.Sum64String(m.config.Zone + " " + name) }
 
-// pollerLimit returns how many proxies of the zone should poll, and whether a poller of each list is in view. While
-// the service is silent for the pollers, more of them try, since their connection to it may be what failed.
+// pollerLimit returns how many proxies of the zone should poll, and whether a poller of each list is in view. While the
+// service is silent for the pollers, more proxies poll, since only the pollers' own connections to it may have failed.
 func (m *Machine) pollerLimit() (limit int, pollersInView bool) {
 	limit = m.config.Pollers
 	pollersInView = len(m.lists) > 0
@@ -114,11 +114,12 @@
 	return limit, pollersInView
 }
 
-// startConfirmation has this proxy poll for ConfirmTimeout when a list lacks a quorum for too long.
+// startConfirmation makes this proxy poll for ConfirmTimeout when a fetched list has lacked a quorum for too long.
 func (m *Machine) startConfirmation() {
 	for i := range m.lists {
 		candidate := m.lists[i].candidate
-		if candidate == nil || m.now-candidate.since <= ConfirmDelay || m.now-m.confirmStartedAt < MinConfirmInterval {
+		if candidate == nil || m.now-candidate.fetchedAt <= ConfirmDelay ||
+			m.now-m.confirmStartedAt < MinConfirmInterval {
 			continue
 		}
 		m.confirmStartedAt = m.now
@@ -126,10 +127,10 @@
 	}
 }
 
-// isConfirming reports whether this proxy polls to confirm a list.
+// isConfirming reports whether this proxy is polling to confirm a list.
 func (m *Machine) isConfirming() bool { return m.now < m.confirmUntil }
 
-// stepSourceStatus reports each list whose service became silent, as seen through the pollers, or is back.
+// stepSourceStatus reports for each list if the service, as seen through the pollers, became silent or answers again.
 func (m *Machine) stepSourceStatus() {
 	maxSilence := MaxMissedHeartbeats * m.heartbeatInterval()
 	for i := range m.lists {
@@ -138,19 +139,19 @@
 			continue
 		}
 		silent := m.now-m.viewService(l).lastSeen > maxSilence
-		if silent != l.silent {
-			l.silent = silent
+		if silent != l.reportedSilent {
+			l.reportedSilent = silent
 			m.addEffect(SourceStatus{List: i, Silent: silent})
 		}
 	}
 }
 
-// fleetWindow is the time over which the fleet spreads its isolated polls.
+// fleetWindow returns the time over which the fleet spreads its isolated polls.
 func (m *Machine) fleetWindow() time.Duration {
 	return time.Duration(m.config.FleetSize) * PollWindowPerProxy
 }
 
-// jitter draws a delay from the window of the fleet.
+// jitter returns a random delay from the window of the fleet, or 0 if the fleet has only this proxy.
 func (m *Machine) jitter() time.Duration {
 	if m.config.FleetSize == 1 {
 		return 0
--- a/internal/bootstrap/serve.go
+++ b/internal/bootstrap/serve.go
@@ -4,8 +4,8 @@
 	"slices"
 )
 
-// serveFetch answers a fetch: with a delta where the peer's list is in the history, else with the complete list in
-// parts, or with Busy.
+// serveFetch answers a fetch with a delta if the peer's list is in the history, else with the complete list in parts.
+// It answers with Busy if the requested version is not the current one, or if too many complete lists were served.
 func (m *Machine) serveFetch(peer string, request *Fetch) {
 	l := m.list(request.List)
 	if l == nil || l.current == nil || l.current.Sum != request.Sum {
@@ -16,8 +16,8 @@
 		m.send(peer, Message{Delta: newDelta(base, l.current)})
 		return
 	}
-	if !m.serves.allow(m.now, MaxServedPerWindow) {
-		next := m.alternative(request.Sum, peer)
+	if !m.serveLimiter.allow(m.now, MaxServedPerWindow) {
+		next := m.alternativePeer(request.Sum, peer)
 		m.send(peer, Message{Busy: &Busy{ListVersion: request.ListVersion, Peer: next}})
 		return
 	}
@@ -25,7 +25,7 @@
 	m.sendParts(peer, l.current)
 }
 
-// base returns the earlier list with a checksum.
+// base returns the earlier version with this checksum, from which a delta can start, or nil.
 func (l *listState) base(sum uint64) *endpointList {
 	if sum == 0 {
 		return nil
@@ -38,9 +38,9 @@
 	return nil
 }
 
-// alternative draws one of the peers that were served a list, so that the content spreads as a tree. It is empty if
-// there is none, or if the one drawn is the requester.
-func (m *Machine) alternative(sum uint64, requester string) string {
+// alternativePeer returns a random peer of those that were served the list, so that the content spreads as a tree. It
+// returns "" if there is none, or if the requester was drawn.
+func (m *Machine) alternativePeer(sum uint64, requester string) string {
 	served := m.servedPeers[sum]
 	if len(served) == 0 {
 		return ""
@@ -59,7 +59,7 @@
 	}
 }
 
-// sendParts sends a complete list. An empty one has one part.
+// sendParts sends a complete list in parts. An empty list has one part.
 func (m *Machine) sendParts(peer string, sent *endpointList) {
 	total := max(1, (len(sent.endpoints)+EndpointsPerPart-1)/EndpointsPerPart)
 	for number := range total {
@@ -74,7 +74,7 @@
 	}
 }
 
-// newDelta compares two lists, whose endpoints are in the same order.
+// newDelta returns the changes from base to target, whose endpoints are in the same order.
 func newDelta(base, target *endpointList) *Delta {
 	delta := &Delta{ListVersion: target.ListVersion, BaseSum: base.Sum}
 	rest := base.endpoints
--- a/internal/bootstrap/simulation_test.go
+++ b/internal/bootstrap/simulation_test.go
@@ -143,8 +143,8 @@
 	n.incarnation++
 	n.lastVersion = ListVersion{}
 	n.Machine = New(sim.now, Config{
-		Name: n.name, Zone: n.zone, Incarnation: n.incarnation, PeersEnabled: n.withPeers, ListCount: 1, FleetSize: n.fleetSize,
-		Seed: sim.random.Uint64(),
+		Name: n.name, Zone: n.zone, Incarnation: n.incarnation, PeersEnabled: n.withPeers, ListCount: 1,
+		FleetSize: n.fleetSize, Seed: sim.random.Uint64(),
 	})
 	incarnation := n.incarnation
 	var tick func()
--- a/internal/bootstrap/trust.go
+++ b/internal/bootstrap/trust.go
@@ -7,22 +7,22 @@
 	"sloequay/internal/membership"
 )
 
-// candidate is the complete content of a list that no quorum of peers advertises yet.
+// candidate is a completely fetched list that no quorum of peers advertises yet.
 type candidate struct {
 	*endpointList
-	since    time.Duration
-	hintedAt time.Duration // when it was used as a hint; 0: it was not
+	fetchedAt time.Duration
+	hintedAt  time.Duration // when it was put to use as a hint; 0: it was not
 }
 
-// stepCandidate drops a list that is no longer newer, accepts one that a quorum advertises, and uses one as a hint
-// where nothing else is known.
+// stepCandidate drops a candidate that is no longer newer than the current list, accepts one that a quorum advertises,
+// and uses one as a hint if no other list is known.
 func (m *Machine) stepCandidate(list int, l *listState) {
 	c := l.candidate
 	switch {
 	case c == nil:
 	case !l.isNewer(c.ListVersion):
 		l.candidate = nil
-	case l.advertisers(c.ListVersion) >= Quorum:
+	case l.countAdvertisers(c.ListVersion) >= Quorum:
 		m.accept(list, l)
 	case l.current == nil && c.hintedAt == 0:
 		m.useHint(list, c)
@@ -34,12 +34,13 @@
 	accepted := l.candidate.endpointList
 	m.install(l, accepted)
 	l.candidate = nil
-	l.silent = false
+	l.reportedSilent = false
 	m.addEffect(Adopt{List: list, Version: accepted.Version, Endpoints: accepted.endpoints})
 	m.log(ListAccepted, list, "")
 }
 
-// useHint has the endpoints of a candidate used that are up. Without any it would serve nobody and is not used.
+// useHint publishes the endpoints of a candidate that are up as a hint. A candidate without any would serve no request
+// and is not used.
 func (m *Machine) useHint(list int, c *candidate) {
 	var up []membership.Endpoint
 	for _, endpoint := range c.endpoints {
@@ -55,7 +56,7 @@
 	m.log(HintUsed, list, "")
 }
 
-// install makes a list the current one, and caches the one before for deltas.
+// install makes a list the current one, and keeps the previous one in the history for deltas.
 func (m *Machine) install(l *listState, installed *endpointList) {
 	if l.current != nil && l.current.Sum != installed.Sum {
 		l.history = append(l.history, l.current)
@@ -70,19 +71,19 @@
 	clear(m.servedPeers)
 }
 
-// isNewer reports whether a list may replace the current one. A candidate does not block another one, whatever
-// version it claims.
+// isNewer reports whether a list may replace the current one. It is not compared with the candidate, so that a
+// candidate does not block others, whatever version it claims.
 func (l *listState) isNewer(version ListVersion) bool {
 	return l.current == nil || version.Version > l.current.Version
 }
 
-// hasContent reports whether the content with a checksum is here, in force or as the candidate.
+// hasContent reports whether the current list or the candidate has this checksum.
 func (l *listState) hasContent(sum uint64) bool {
 	return l.current != nil && sum == l.current.Sum || l.candidate != nil && sum == l.candidate.Sum
 }
 
-// advertisers counts the peers that advertise a list.
-func (l *listState) advertisers(version ListVersion) int {
+// countAdvertisers returns the number of peers that advertise this version.
+func (l *listState) countAdvertisers(version ListVersion) int {
 	count := 0
 	for i := range l.advertisements {
 		if l.advertisements[i].ListVersion == version {
@@ -92,8 +93,8 @@
 	return count
 }
 
-// refuteAdvertisements distrusts the peers that the service's own list contradicts, and drops a candidate that it
-// settles.
+// refuteAdvertisements distrusts the peers whose advertisements the service's list contradicts, and drops a candidate
+// that this list confirms or refutes.
 func (m *Machine) refuteAdvertisements(list int, l *listState) {
 	if l.candidate != nil && l.candidate.Sum == l.current.Sum {
 		l.candidate = nil
@@ -109,9 +110,9 @@
 	}
 }
 
-// isRefuted reports whether the service's list contradicts an advertised one: by other content of the same version,
-// or by not having reached the version while this proxy polls to confirm it. Otherwise a later version may be true,
-// since the service may have changed meanwhile.
+// isRefuted reports whether the service's list contradicts an advertised one: because the same version has other
+// content, or because the service has not reached the advertised version while this proxy polls to confirm it. At other
+// times a later version may be genuine, since the list may have changed after the service sent it.
 func (m *Machine) isRefuted(advertised, current ListVersion) bool {
 	if advertised.Version == current.Version {
 		return advertised.Sum != current.Sum
@@ -119,7 +120,7 @@
 	return advertised.Version > current.Version && m.isConfirming()
 }
 
-// distrust drops what a peer has sent, and its messages for DistrustPeriod.
+// distrust discards what a peer has sent, and makes this proxy ignore its messages for DistrustPeriod.
 func (m *Machine) distrust(list int, peer string, reason Event) {
 	m.distrustedUntil[peer] = m.now + DistrustPeriod
 	m.log(reason, list, peer)
@@ -132,10 +133,10 @@
 	}
 }
 
-// isDistrusted reports whether a peer's messages are dropped.
+// isDistrusted reports whether the messages of a peer are ignored at present.
 func (m *Machine) isDistrusted(peer string) bool { return m.distrustedUntil[peer] > m.now }
 
-// stepDistrust forgets the peers whose period is over.
+// stepDistrust removes the entries of peers whose DistrustPeriod is over.
 func (m *Machine) stepDistrust() {
 	for peer, until := range m.distrustedUntil {
 		if until <= m.now {
