--- a/internal/bootstrap/bench_test.go
+++ b/internal/bootstrap/bench_test.go
@@ -9,9 +9,9 @@
 	"sloequay/internal/membership"
 )
 
-// fleetOf returns a machine that has a list of 1000 endpoints from the service, the peers of its zone, and
-// endpoints.
-func fleetOf(size int) (*bootstrap.Machine, []bootstrap.Peer, []membership.Endpoint) {
+// newMachineInZone returns a machine in a zone of the given size that has a list of 1000 endpoints from the service. It
+// also returns the proxies of the zone, the machine itself first, and the endpoints.
+func newMachineInZone(size int) (*bootstrap.Machine, []bootstrap.Peer, []membership.Endpoint) {
 	var endpoints []membership.Endpoint
 	for i := range 1000 {
 		endpoints = append(endpoints, membership.Endpoint{ID: fmt.Sprintf("c%04d", i), Address: "10.0.0.1:80"})
@@ -28,9 +28,9 @@
 	return m, peers, endpoints
 }
 
-// BenchmarkStep steps a proxy in a zone of 100, with as many advertisements as it remembers.
+// BenchmarkStep steps a machine in a zone of 100 proxies that holds the maximum number of advertisements.
 func BenchmarkStep(b *testing.B) {
-	m, peers, _ := fleetOf(100)
+	m, peers, _ := newMachineInZone(100)
 	current, _ := m.Version(0)
 	now := time.Second
 	for i := 0; b.Loop(); i++ {
@@ -46,9 +46,9 @@
 	}
 }
 
-// BenchmarkHeartbeatReceived takes the heartbeats of the pollers of a zone of 300.
+// BenchmarkHeartbeatReceived handles the heartbeats of 12 pollers in a zone of 300 proxies.
 func BenchmarkHeartbeatReceived(b *testing.B) {
-	m, peers, _ := fleetOf(300)
+	m, peers, _ := newMachineInZone(300)
 	current, _ := m.Version(0)
 	now := time.Second
 	for i := 0; b.Loop(); i++ {
@@ -61,7 +61,7 @@
 
 // BenchmarkDelta serves a change of one endpoint of 1000 as a delta.
 func BenchmarkDelta(b *testing.B) {
-	m, peers, endpoints := fleetOf(100)
+	m, peers, endpoints := newMachineInZone(100)
 	base, _ := m.Version(0)
 	endpoints[500].Weight++
 	m.ListFromService(time.Second, 0, 2, endpoints)
@@ -76,9 +76,9 @@
 	}
 }
 
-// BenchmarkListFromService takes a list of 1000 endpoints that has changed.
+// BenchmarkListFromService handles a list of 1000 endpoints of which one has changed.
 func BenchmarkListFromService(b *testing.B) {
-	m, _, endpoints := fleetOf(100)
+	m, _, endpoints := newMachineInZone(100)
 	now := time.Second
 	for i := 0; b.Loop(); i++ {
 		now += time.Millisecond
--- a/internal/bootstrap/bootstrap.go
+++ b/internal/bootstrap/bootstrap.go
@@ -66,7 +66,7 @@
 	zonePeers   []Peer          // of this proxy's zone, sorted by name
 	members     map[string]bool // names of the peers of all zones
 	memberNames []string        // the same names, sorted
-	peersSeen   bool            // PeersChanged has reported a proxy
+	peersSeen   bool            // PeersChanged has reported at least one proxy
 
 	lists []listState
 
--- a/internal/bootstrap/byzantine_test.go
+++ b/internal/bootstrap/byzantine_test.go
@@ -7,7 +7,7 @@
 	"sloequay/internal/membership"
 )
 
-// tamperings are what a byzantine node does to its messages.
+// tamperings are the ways in which a byzantine node falsifies its messages.
 var tamperings = []struct {
 	name   string
 	tamper func(m Message) Message
@@ -39,7 +39,7 @@
 		}
 		return m
 	}},
-	{"content other than advertised", func(m Message) Message {
+	{"content that differs from the advertised one", func(m Message) Message {
 		if m.Part != nil {
 			part := *m.Part
 			part.Endpoints = nil
@@ -69,7 +69,7 @@
 		}
 		return m
 	}},
-	{"always a recent contact with the service", func(m Message) Message {
+	{"a false claim of recent contact to the service", func(m Message) Message {
 		if m.Digest != nil {
 			m.Digest = slices.Clone(m.Digest)
 			for i := range m.Digest {
--- a/internal/bootstrap/config.go
+++ b/internal/bootstrap/config.go
@@ -44,8 +44,8 @@
 	SettleTime = 200 * time.Millisecond
 	// PollGracePeriod is how long a poller that is no longer needed continues to poll.
 	PollGracePeriod = 2 * time.Second
-	// PollerIncreaseInterval is how long the service must be silent before Config.Pollers more proxies of a zone poll,
-	// and again for each further increase.
+	// PollerIncreaseInterval is the time for which the service must be silent before Config.Pollers more proxies of a
+	// zone poll; each further interval of silence adds as many, up to MaxPollerMultiplier.
 	PollerIncreaseInterval = 5 * time.Second
 	// MaxPollerMultiplier limits the pollers of a zone to this multiple of Config.Pollers while the service is silent.
 	MaxPollerMultiplier = 4
--- a/internal/bootstrap/decisions_fleet_test.go
+++ b/internal/bootstrap/decisions_fleet_test.go
@@ -10,23 +10,23 @@
 	"sloequay/internal/membership"
 )
 
-// behavior is how a proxy treats its peers.
+// behavior is how a proxy behaves towards its peers.
 type behavior int
 
 // The behaviors.
 const (
 	honest        behavior = iota
-	laterVersion           // advertises a later list of its own, and serves it
-	equivocating           // advertises another list of the same version
-	truncating             // serves endpoints that do not have the checksum
-	malformed              // serves parts with impossible numbers
-	unresponsive           // serves nothing
-	greedy                 // requests the complete list over and over
-	colluding              // advertises a later list that others like it advertise too
+	laterVersion           // advertises and serves a forged list of a later version
+	equivocating           // advertises another list with the same version as the service's
+	truncating             // leaves out endpoints, so that the checksum does not match
+	malformed              // serves parts with impossible part numbers
+	unresponsive           // serves no list
+	greedy                 // requests the complete list again and again
+	colluding              // advertises the same forged list of a later version as other colluding proxies
 	behaviorCount          // number of behaviors
 )
 
-// proxy is one machine with what surrounds it.
+// proxy is one machine with its simulated environment.
 type proxy struct {
 	*Machine
 	name, zone     string
@@ -34,13 +34,13 @@
 	incarnation    uint64
 	polls          bool
 	polledAt       time.Duration // when it last polled the service
-	knownVersions  []uint64      // by list: the last version that the service sent it
+	knownVersions  []uint64      // by list: the last version that the service sent to it
 	cutFromService bool
-	delay          time.Duration // of all its messages
+	delay          time.Duration // of all messages that it sends
 	behavior       behavior
 }
 
-// delivery is an event that is under way to a proxy.
+// delivery is an event that a proxy will handle at a later time.
 type delivery struct {
 	at          time.Duration
 	to          *proxy
@@ -55,38 +55,38 @@
 	answers  bool
 }
 
-// fleet is some proxies, the service and the network, in ticks of a simulated clock.
+// fleet simulates some proxies, the service and the network in ticks of a simulated clock.
 type fleet struct {
-	random        *rand.Rand
-	now           time.Duration
-	proxies       []*proxy
-	service       service
-	deliveries    []delivery
-	partitioned   bool // the zones are cut from each other
-	size          int  // of the fleet, in the settings of the machines
-	peers         bool
-	endpointsMade int
-	transcript    *transcript
+	random           *rand.Rand
+	now              time.Duration
+	proxies          []*proxy
+	service          service
+	deliveries       []delivery
+	partitioned      bool // the zones cannot reach each other
+	fleetSize        int  // FleetSize in the settings of the machines
+	peersEnabled     bool
+	endpointsCreated int
+	transcript       *transcript
 }
 
 func newFleet(seed uint64, record *transcript) *fleet {
 	f := &fleet{random: rand.New(rand.NewPCG(seed, 72)), now: 7_000 * time.Second, transcript: record}
-	count, lengths := 8, []int{9, 130}
-	f.peers, f.size = seed%12 != 11, count
+	proxyCount, listLengths := 8, []int{9, 130}
+	f.peersEnabled, f.fleetSize = seed%12 != 11, proxyCount
 	if seed%4 == 1 {
-		count, lengths = 16, []int{6, 6}
-		f.size = 40 // less than half of the fleet is in view
+		proxyCount, listLengths = 16, []int{6, 6}
+		f.fleetSize = 40 // less than half of the fleet is in view
 	}
 	f.service.answers = seed%3 != 2
-	for _, length := range lengths {
-		var all []membership.Endpoint
+	for _, length := range listLengths {
+		var endpoints []membership.Endpoint
 		for range length {
-			all = append(all, f.endpoint())
+			endpoints = append(endpoints, f.newEndpoint())
 		}
-		f.service.lists = append(f.service.lists, all)
+		f.service.lists = append(f.service.lists, endpoints)
 		f.service.versions = append(f.service.versions, 1)
 	}
-	for i := range count {
+	for i := range proxyCount {
 		p := &proxy{name: fmt.Sprintf("p%02d", i), zone: "zone" + digesttest.Number(i%(1+int(seed%2)))}
 		f.proxies = append(f.proxies, p)
 		f.restart(p)
@@ -94,21 +94,21 @@
 	return f
 }
 
-func (f *fleet) endpoint() membership.Endpoint {
-	f.endpointsMade++
-	made := f.endpointsMade
+func (f *fleet) newEndpoint() membership.Endpoint {
+	f.endpointsCreated++
+	serial := f.endpointsCreated
 	return membership.Endpoint{
-		ID:          fmt.Sprintf("e%04d", made),
-		Address:     fmt.Sprintf("10.0.%d.%d:80", made/250, made%250),
-		Zone:        made % 3,
-		Kind:        made % 2,
-		Weight:      1 + float64(made%4)/2,
-		Incarnation: uint64(made),
+		ID:          fmt.Sprintf("e%04d", serial),
+		Address:     fmt.Sprintf("10.0.%d.%d:80", serial/250, serial%250),
+		Zone:        serial % 3,
+		Kind:        serial % 2,
+		Weight:      1 + float64(serial%4)/2,
+		Incarnation: uint64(serial),
 		State:       membership.Up,
 	}
 }
 
-// restart starts a proxy, with a new incarnation.
+// restart starts a proxy with a new incarnation.
 func (f *fleet) restart(p *proxy) {
 	p.alive = true
 	p.polls = false
@@ -118,13 +118,14 @@
 	p.incarnation++
 	p.knownVersions = make([]uint64, len(f.service.lists))
 	p.Machine = New(f.now, Config{
-		Name: p.name, Incarnation: p.incarnation, Zone: p.zone, PeersEnabled: f.peers, ListCount: len(f.service.lists),
-		FleetSize: f.size, Pollers: 2, MaxAdvertisements: 8, MaxHistory: 3, Seed: f.random.Uint64(),
+		Name: p.name, Incarnation: p.incarnation, Zone: p.zone, PeersEnabled: f.peersEnabled,
+		ListCount: len(f.service.lists), FleetSize: f.fleetSize, Pollers: 2, MaxAdvertisements: 8, MaxHistory: 3,
+		Seed: f.random.Uint64(),
 	})
 	f.publishMembers()
 }
 
-// publishMembers has all learn a little later who is alive.
+// publishMembers informs each proxy, after a short random delay, of the proxies that are alive.
 func (f *fleet) publishMembers() {
 	for _, p := range f.proxies {
 		f.schedule(p, f.randomDuration(300*time.Millisecond), func(to *proxy) []Effect {
@@ -133,13 +134,13 @@
 	}
 }
 
-func (f *fleet) membersInView(of *proxy) (out []Peer) {
+func (f *fleet) membersInView(of *proxy) (members []Peer) {
 	for _, p := range f.proxies {
 		if p.alive && !(f.partitioned && p.zone != of.zone) {
-			out = append(out, Peer{Name: p.name, Zone: p.zone})
+			members = append(members, Peer{Name: p.name, Zone: p.zone})
 		}
 	}
-	return out
+	return members
 }
 
 func (f *fleet) randomDuration(limit time.Duration) time.Duration {
@@ -164,42 +165,42 @@
 	}
 }
 
-// send schedules a message, tampered with by a byzantine proxy, and loses some.
+// send schedules the delivery of a message, which a byzantine proxy tampers with. Some messages are lost.
 func (f *fleet) send(from *proxy, e Send) {
 	m, isSent := f.tamper(from, e.Message)
-	at := slices.IndexFunc(f.proxies, func(p *proxy) bool { return p.name == e.To })
-	if !isSent || at < 0 {
+	index := slices.IndexFunc(f.proxies, func(p *proxy) bool { return p.name == e.To })
+	if !isSent || index < 0 {
 		return
 	}
-	to := f.proxies[at]
+	to := f.proxies[index]
 	if !to.alive || f.partitioned && to.zone != from.zone || f.random.IntN(50) == 0 {
 		return
 	}
-	after := from.delay + time.Millisecond + f.randomDuration(30*time.Millisecond)
-	for range 1 + f.random.IntN(20)/19 { // some come twice
-		f.schedule(to, after, func(to *proxy) []Effect { return to.MessageReceived(f.now, m) })
+	latency := from.delay + time.Millisecond + f.randomDuration(30*time.Millisecond)
+	for range 1 + f.random.IntN(20)/19 { // some messages are delivered twice
+		f.schedule(to, latency, func(to *proxy) []Effect { return to.MessageReceived(f.now, m) })
 	}
 }
 
-// forged is the list that a byzantine proxy advertises instead of the service's.
-func (f *fleet) forged(p *proxy, list int) (uint64, []membership.Endpoint) {
-	all := slices.Clone(f.service.lists[list])
-	all = all[:1+len(all)/2]
+// forgedList returns the list that a byzantine proxy advertises instead of the service's.
+func (f *fleet) forgedList(p *proxy, list int) (uint64, []membership.Endpoint) {
+	endpoints := slices.Clone(f.service.lists[list])
+	endpoints = endpoints[:1+len(endpoints)/2]
 	version := f.service.versions[list]
 	switch p.behavior {
 	case laterVersion:
 		version += 1000 + p.incarnation
-		all[0].Address = p.name + ":80"
+		endpoints[0].Address = p.name + ":80"
 	case equivocating:
-		all[0].Address = p.name + ":80"
+		endpoints[0].Address = p.name + ":80"
 	case colluding:
 		version += 500
-		all[0].State = membership.Draining
+		endpoints[0].State = membership.Draining
 	}
-	return version, all
+	return version, endpoints
 }
 
-// tamper returns the message that a proxy sends in place of an honest one; false: it sends none.
+// tamper returns the message that a proxy sends in place of the true one, and whether it sends one.
 func (f *fleet) tamper(p *proxy, m Message) (Message, bool) {
 	switch p.behavior {
 	case laterVersion, equivocating, colluding:
@@ -227,33 +228,34 @@
 	return m, true
 }
 
-// forge replaces the true lists by the forged ones.
+// forge replaces the service's lists in a message by forged ones.
 func (f *fleet) forge(p *proxy, m Message) Message {
 	switch {
 	case m.Digest != nil:
 		var advertisements []Advertisement
 		for list := range f.service.lists {
-			version, all := f.forged(p, list)
+			version, endpoints := f.forgedList(p, list)
 			advertisements = append(advertisements, Advertisement{
-				ListVersion: VersionOf(list, version, all),
+				ListVersion: VersionOf(list, version, endpoints),
 				LastSeen:    10 * time.Millisecond,
 			})
 		}
 		m.Digest = advertisements
-	case m.Busy != nil: // it does not have what it advertised, and serves that all the same
+	case m.Busy != nil: // the machine lacks the forged list, which is served all the same
 		list := m.Busy.List
-		version, all := f.forged(p, list)
-		if forgedVersion := VersionOf(list, version, all); forgedVersion == m.Busy.ListVersion {
-			all = SortEndpoints(all)
-			all = all[:min(len(all), EndpointsPerPart)]
-			m.Part = &Part{ListVersion: forgedVersion, Total: 1, Endpoints: all}
+		version, endpoints := f.forgedList(p, list)
+		if forgedVersion := VersionOf(list, version, endpoints); forgedVersion == m.Busy.ListVersion {
+			endpoints = SortEndpoints(endpoints)
+			endpoints = endpoints[:min(len(endpoints), EndpointsPerPart)]
+			m.Part = &Part{ListVersion: forgedVersion, Total: 1, Endpoints: endpoints}
 			m.Busy = nil
 		}
 	}
 	return m
 }
 
-// poll has the service answer a poller: with the complete list where it is new, else once a second without.
+// poll schedules the answers of the service to a poller: a list that is new to the poller, or else once a second an
+// answer without a list.
 func (f *fleet) poll(p *proxy) {
 	if !f.service.answers || p.cutFromService || !p.polls {
 		return
@@ -270,34 +272,34 @@
 			continue
 		}
 		p.knownVersions[list] = version
-		all := slices.Clone(f.service.lists[list])
+		endpoints := slices.Clone(f.service.lists[list])
 		f.schedule(p, f.randomDuration(200*time.Millisecond), func(to *proxy) []Effect {
-			return to.ListFromService(f.now, list, version, all)
+			return to.ListFromService(f.now, list, version, endpoints)
 		})
 	}
 }
 
 func (f *fleet) isOutdated(p *proxy) bool { return !slices.Equal(p.knownVersions, f.service.versions) }
 
-// changeList changes a list of the service.
+// changeList makes a random change to one list of the service.
 func (f *fleet) changeList(*proxy) {
 	list := f.random.IntN(len(f.service.lists))
-	all := slices.Clone(f.service.lists[list])
-	at := f.random.IntN(len(all))
+	endpoints := slices.Clone(f.service.lists[list])
+	at := f.random.IntN(len(endpoints))
 	switch f.random.IntN(4) {
 	case 0:
-		all = append(all, f.endpoint())
+		endpoints = append(endpoints, f.newEndpoint())
 	case 1:
-		if len(all) > 4 {
-			all = slices.Delete(all, at, at+1)
+		if len(endpoints) > 4 {
+			endpoints = slices.Delete(endpoints, at, at+1)
 		}
 	case 2:
-		all[at].State = membership.Draining
+		endpoints[at].State = membership.Draining
 	case 3:
-		all[at].State = membership.Up
-		all[at].Incarnation++
+		endpoints[at].State = membership.Up
+		endpoints[at].Incarnation++
 	}
-	f.service.lists[list] = all
+	f.service.lists[list] = endpoints
 	f.service.versions[list]++
 }
 
@@ -354,22 +356,22 @@
 	f.publishMembers()
 }
 
-// floodFetches has a greedy proxy request complete lists from a peer many times at once.
+// floodFetches makes a greedy proxy request the complete list from a peer ten times at once.
 func (f *fleet) floodFetches(p *proxy) {
 	to := f.proxies[f.random.IntN(len(f.proxies))]
-	mark, known := to.Version(0)
+	version, known := to.Version(0)
 	if p.behavior != greedy || !known || !p.alive {
 		return
 	}
 	for range 10 {
-		m := Message{From: p.name, Incarnation: p.incarnation, Fetch: &Fetch{ListVersion: mark}}
+		m := Message{From: p.name, Incarnation: p.incarnation, Fetch: &Fetch{ListVersion: version}}
 		f.schedule(to, f.randomDuration(20*time.Millisecond), func(to *proxy) []Effect {
 			return to.MessageReceived(f.now, m)
 		})
 	}
 }
 
-// disturb plays one event, drawn from a list that names the common ones more than once.
+// disturb plays one random event. Frequent events are in the list more than once.
 func (f *fleet) disturb() {
 	events := []func(*fleet, *proxy){
 		(*fleet).changeList, (*fleet).changeList, (*fleet).changeList, (*fleet).changeList, (*fleet).kill,
@@ -380,22 +382,22 @@
 	events[f.random.IntN(len(events))](f, f.proxies[f.random.IntN(len(f.proxies))])
 }
 
-// deliver handles what has arrived, in the order of its sending.
+// deliver handles the deliveries that are due, in the order in which they were scheduled.
 func (f *fleet) deliver() {
-	waiting := f.deliveries
+	scheduled := f.deliveries
 	f.deliveries = nil
-	for _, p := range waiting {
+	for _, pending := range scheduled {
 		switch {
-		case p.at > f.now:
-			f.deliveries = append(f.deliveries, p)
-		case p.to.alive && p.to.incarnation == p.incarnation:
-			f.apply(p.to, p.handle(p.to))
+		case pending.at > f.now:
+			f.deliveries = append(f.deliveries, pending)
+		case pending.to.alive && pending.to.incarnation == pending.incarnation:
+			f.apply(pending.to, pending.handle(pending.to))
 		}
 	}
 }
 
-// tick plays one tick.
-func (f *fleet) tick(n int) {
+// tick advances the simulation by one tick.
+func (f *fleet) tick(number int) {
 	f.now += decisionTick
 	if f.random.IntN(12) == 0 {
 		f.disturb()
@@ -407,27 +409,27 @@
 		}
 		f.apply(p, p.Step(f.now))
 		f.poll(p)
-		if n%5 == 0 {
+		if number%5 == 0 {
 			f.floodFetches(p)
 		}
-		if n%10 == 9 {
+		if number%10 == 9 {
 			f.recordState(p)
 		}
 	}
 }
 
-// recordState records what a machine reports of itself.
+// recordState records the state that a machine reports.
 func (f *fleet) recordState(p *proxy) {
 	polls, ready := digesttest.YesNo(p.IsPolling()), digesttest.YesNo(p.Ready())
 	words := []string{p.name, polls, ready, digesttest.Microseconds(p.NextStep())}
 	for list := range f.service.lists {
-		mark, inForce := p.Version(list)
-		words = append(words, digesttest.YesNo(inForce), versionText(mark))
+		version, inForce := p.Version(list)
+		words = append(words, digesttest.YesNo(inForce), versionText(version))
 	}
-	for _, c := range p.Digest() {
-		words = append(words, versionText(c.ListVersion), digesttest.Microseconds(c.LastSeen))
+	for _, advertisement := range p.Digest() {
+		words = append(words, versionText(advertisement.ListVersion), digesttest.Microseconds(advertisement.LastSeen))
 	}
-	f.transcript.Count("asks-" + polls)
-	f.transcript.Count("known-" + ready)
+	f.transcript.Count("polling-" + polls)
+	f.transcript.Count("ready-" + ready)
 	f.transcript.Write("proxy", words...)
 }
--- a/internal/bootstrap/digest.go
+++ b/internal/bootstrap/digest.go
@@ -37,7 +37,8 @@
 }
 
 // updateQuorumSeenAt records when a quorum of pollers with the current list last saw the service. The time must be
-// kept: once the pollers have a later version, none advertises the current one until this proxy has fetched the later.
+// kept, since the pollers stop advertising the current version as soon as they have a later one, which this proxy has
+// yet to fetch.
 func (m *Machine) updateQuorumSeenAt(list *listState) {
 	var newest [Quorum]time.Duration // in descending order
 	for i := range list.advertisements {
--- a/internal/bootstrap/faults_test.go
+++ b/internal/bootstrap/faults_test.go
@@ -8,23 +8,23 @@
 	"sloequay/internal/membership"
 )
 
-// TestFaultsDoNotBlock: nothing waits for a peer without a bound, and all have the list at the end.
+// TestFaultsDoNotBlock checks that no proxy waits for its peers without a bound, and that all have the list at the end.
 func TestFaultsDoNotBlock(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		play func(sim *simulation)
+		run  func(sim *simulation)
 	}{
-		{"peers are in view, and every message is lost", func(sim *simulation) {
+		{"peers are in view, but every message is lost", func(sim *simulation) {
 			sim.loss = 1
 			sim.startAll()
 			sim.runUntil(3 * time.Second)
 			for _, n := range sim.nodes {
 				if !n.Ready() {
-					sim.t.Errorf("%s is not ready after 3 s", n.name)
+					sim.t.Errorf("%s is not ready after 3 s, want it ready", n.name)
 				}
 			}
 		}},
-		{"messages of one poller alone arrive: the service confirms its list", func(sim *simulation) {
+		{"only the messages of one poller arrive: the service confirms its list", func(sim *simulation) {
 			sim.startAll()
 			sim.runUntil(5 * time.Second)
 			poller := ""
@@ -33,9 +33,9 @@
 					poller = n.name
 				}
 			}
-			sim.nodes[5].config.Pollers = 0 // d005 does not poll itself
+			sim.nodes[5].config.Pollers = 0 // so that d005 is never elected to poll
 			sim.runUntil(8 * time.Second)
-			// The others stay in its view, and it receives from one alone.
+			// The others stay in the view of d005, but it receives messages from only one of them.
 			sim.isCut = func(from, to *node) bool { return to.name == "d005" && from.name != poller }
 			sim.changeList(func() { sim.endpoints[0].State = membership.Draining })
 			sim.runUntil(sim.now + 2*time.Second)
@@ -92,16 +92,16 @@
 					})
 				}
 				if len(n.lists[0].advertisements) > len(sim.nodes) {
-					sim.t.Errorf("%s remembers what they advertise", n.name)
+					sim.t.Errorf("%s keeps advertisements of proxies that are not members", n.name)
 				}
 				for _, advertisement := range n.lists[0].advertisements {
 					if advertisement.Version == 1<<40 {
-						sim.t.Errorf("%s believes one of them", n.name)
+						sim.t.Errorf("%s keeps the list advertised by proxies that are not members", n.name)
 					}
 				}
 			}
 		}},
-		{"a list of thousands in parts, over a network that loses a fifth", func(sim *simulation) {
+		{"a list of 3000 endpoints in parts, while a fifth of the messages is lost", func(sim *simulation) {
 			sim.loss = 0.2
 			sim.changeList(func() {
 				for i := range 3000 {
@@ -122,7 +122,7 @@
 			})
 			endpointsSent := 0
 			for _, n := range sim.nodes {
-				n.tamper = func(m Message) Message { // it changes nothing, and counts
+				n.tamper = func(m Message) Message { // counts endpoints and changes nothing
 					if m.Part != nil {
 						endpointsSent += len(m.Part.Endpoints)
 					}
@@ -134,13 +134,13 @@
 				n.tamper = nil
 			}
 			if endpointsSent > 0 {
-				sim.t.Errorf("%d endpoints were sent in parts for a change of two", endpointsSent)
+				sim.t.Errorf("got %d endpoints sent in parts for a change of two endpoints, want 0", endpointsSent)
 			}
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			sim := newSimulation(t, 5, 12, 1, true)
-			c.play(sim)
+			c.run(sim)
 			if sim.loss < 1 {
 				sim.checkAgreement("at the end", len(sim.nodes))
 			}
@@ -148,8 +148,8 @@
 	}
 }
 
-// TestContentWithWrongChecksumIsDropped: content without the checksum that was advertised is dropped, and its
-// sender is distrusted.
+// TestContentWithWrongChecksumIsDropped checks that content that does not match the advertised checksum, or is
+// malformed, is dropped and its sender distrusted.
 func TestContentWithWrongChecksumIsDropped(t *testing.T) {
 	advertised := VersionOf(0, 3, []membership.Endpoint{{ID: "a", Address: "1"}})
 	for _, part := range []Part{
@@ -166,7 +166,7 @@
 			rejected = rejected || isEntry && entry.Event == ChecksumMismatch && entry.Peer == "b"
 		}
 		if !rejected || n.distrustedUntil["b"] == 0 || len(n.lists[0].advertisements) > 0 {
-			t.Errorf("%+v is accepted", part)
+			t.Errorf("%+v was accepted, want it rejected and its sender distrusted", part)
 		}
 	}
 }
--- a/internal/bootstrap/fleet_test.go
+++ b/internal/bootstrap/fleet_test.go
@@ -9,18 +9,18 @@
 	"sloequay/internal/membership"
 )
 
-var plans = flag.Int("plans", 100, "seeded plans to play")
+var plans = flag.Int("plans", 100, "number of seeded fault plans to run")
 
-// startFigures are what a start of a fleet costs the service, and how long it takes.
-type startFigures struct {
-	firstCalls int // in the first 10 s
-	peakCalls  int // in a second
-	quietCalls int // in half a minute without events
-	slowest    time.Duration
+// startStats holds the calls to the service and the time that the start of a fleet takes.
+type startStats struct {
+	firstCalls   int           // to the service in the first 10 s
+	peakCalls    int           // within any second of that time
+	quietCalls   int           // in 30 s without events
+	slowestReady time.Duration // the longest time until a proxy was ready
 }
 
-// playStart starts a fleet, changes its list, and checks that all have it.
-func playStart(t *testing.T, size int, withPeers bool) startFigures {
+// measureStart starts a fleet, changes its list, checks that all proxies have it, and returns the figures.
+func measureStart(t *testing.T, size int, withPeers bool) startStats {
 	t.Helper()
 	maxPollers := size
 	if withPeers {
@@ -31,13 +31,13 @@
 	sim.duplication = 0.02
 	sim.startAll()
 	sim.runUntil(10 * time.Second)
-	var figures startFigures
-	figures.firstCalls, figures.peakCalls = sim.countCalls(0, 10*time.Second)
+	var stats startStats
+	stats.firstCalls, stats.peakCalls = sim.countCalls(0, 10*time.Second)
 	for _, n := range sim.nodes {
 		if n.readyAfter == 0 {
-			t.Fatalf("%d proxies: %s is not ready after 10 s", size, n.name)
+			t.Fatalf("%d proxies: %s is not ready after 10 s, want it ready", size, n.name)
 		}
-		figures.slowest = max(figures.slowest, n.readyAfter)
+		stats.slowestReady = max(stats.slowestReady, n.readyAfter)
 	}
 	sim.runUntil(20 * time.Second)
 	sim.checkAgreement("after the start", maxPollers)
@@ -45,54 +45,56 @@
 	sim.runUntil(sim.now + 900*ms)
 	sim.checkAgreement("after a drain", size)
 	sim.runUntil(60 * time.Second)
-	figures.quietCalls, _ = sim.countCalls(30*time.Second, 60*time.Second)
-	return figures
+	stats.quietCalls, _ = sim.countCalls(30*time.Second, 60*time.Second)
+	return stats
 }
 
-// TestFleetStarts: calls to the service in the first 10 s, in half a quiet minute and at their peak do not grow
-// with the fleet, all proxies are ready in time, and a change reaches all within the second that a drain may take.
+// TestFleetStarts checks that the calls to the service in the first 10 s, at their peak and in 30 s without events do
+// not grow with the fleet, that all proxies are ready in time, and that a change reaches all of them within the second
+// that a drain may take.
 func TestFleetStarts(t *testing.T) {
-	var of30 startFigures
+	var of30 startStats
 	for _, size := range []int{8, 30, 100, 300} {
 		for _, withPeers := range []bool{true, false} {
-			figures := playStart(t, size, withPeers)
-			t.Logf("%3d proxies, peers %v: %d calls in the first 10 s, at most %d in a second, "+
-				"%d a second when quiet, ready within %v", size, withPeers,
-				figures.firstCalls, figures.peakCalls, figures.quietCalls/30, figures.slowest)
-			if figures.slowest > 5*time.Second {
-				t.Errorf("%d proxies, peers %v: ready after %v, want 5 s", size, withPeers, figures.slowest)
+			stats := measureStart(t, size, withPeers)
+			t.Logf("%3d proxies, peers %v: %d calls in the first 10 s, at most %d per second, "+
+				"%d per second without events, ready within %v", size, withPeers,
+				stats.firstCalls, stats.peakCalls, stats.quietCalls/30, stats.slowestReady)
+			if stats.slowestReady > 5*time.Second {
+				t.Errorf("%d proxies, peers %v: ready after %v, want at most 5 s", size, withPeers, stats.slowestReady)
 			}
 			switch {
 			case withPeers && size == 30:
-				of30 = figures
+				of30 = stats
 			case withPeers && size == 300:
-				checkGrowth(t, of30, figures)
+				checkCallGrowth(t, of30, stats)
 			}
 		}
 	}
 }
 
-// checkGrowth checks that ten times the fleet makes at most 1.5 times the calls.
-func checkGrowth(t *testing.T, of30, of300 startFigures) {
+// checkCallGrowth checks that a fleet of ten times the size makes at most 1.5 times the calls.
+func checkCallGrowth(t *testing.T, of30, of300 startStats) {
 	t.Helper()
 	for _, calls := range []struct {
 		when       string
 		small, big int
 	}{
 		{"in the first 10 s", of30.firstCalls, of300.firstCalls},
-		{"in a second", of30.peakCalls, of300.peakCalls},
-		{"when quiet", of30.quietCalls, of300.quietCalls},
+		{"per second at the peak", of30.peakCalls, of300.peakCalls},
+		{"in 30 s without events", of30.quietCalls, of300.quietCalls},
 	} {
 		if float64(calls.big) > 1.5*float64(calls.small) {
-			t.Errorf("300 proxies make %d calls %s, 30 proxies %d", calls.big, calls.when, calls.small)
+			t.Errorf("300 proxies make %d calls %s, want at most 1.5 times the %d of 30 proxies",
+				calls.big, calls.when, calls.small)
 		}
 	}
 }
 
-// TestSeededPlans plays faults drawn from a seed: kills and starts, nodes that are paused, cuts from the service
-// and between peers, an outage, changes of the list, and a byzantine node. Nobody ever accepts what the service
-// never had, and once all faults are over everybody has its list.
-func TestSeededPlans(t *testing.T) {
+// TestSeededFaultPlans plays random faults: kills and restarts, pauses, lost connections to the service and between
+// peers, outages of the service, changes of the list, and a byzantine node. It checks that no node ever accepts a list
+// that the service never had, and that all nodes have the service's list once all faults are over.
+func TestSeededFaultPlans(t *testing.T) {
 	for seed := range uint64(*plans) {
 		sim := newSimulation(t, seed, 6+int(seed%20), 1+int(seed%3), true)
 		sim.loss = sim.random.Float64() * 0.2
@@ -112,11 +114,11 @@
 		}
 		sim.changeList(func() { sim.endpoints[0].Weight++ })
 		sim.runUntil(50 * time.Second)
-		sim.checkAgreement(fmt.Sprintf("seed %d, all faults over", seed), len(sim.nodes))
+		sim.checkAgreement(fmt.Sprintf("seed %d, after all faults", seed), len(sim.nodes))
 	}
 }
 
-// scheduleFault draws a fault, its begin and its end.
+// scheduleFault schedules the begin and the end of a random fault.
 func (sim *simulation) scheduleFault() {
 	n := sim.nodes[sim.random.IntN(len(sim.nodes))]
 	begin := time.Duration(500+sim.random.IntN(20000)) * ms
@@ -156,7 +158,7 @@
 	}
 }
 
-// schedulePartition cuts two sides from each other, or one from the other alone.
+// schedulePartition schedules a partition into two random sides, in both directions or in one only.
 func (sim *simulation) schedulePartition(begin, end time.Duration) {
 	side := map[*node]bool{}
 	for _, n := range sim.nodes {
--- a/internal/bootstrap/messages_test.go
+++ b/internal/bootstrap/messages_test.go
@@ -17,8 +17,8 @@
 
 var updateMessages = flag.Bool("update-messages", false, "write the encoded messages to testdata")
 
-// messages has one of each kind, with every field set.
-func messages() []bootstrap.Message {
+// sampleMessages returns one message of each kind, with every field set.
+func sampleMessages() []bootstrap.Message {
 	version := bootstrap.ListVersion{List: 3, Version: 41, Sum: 1 << 60}
 	endpoints := []membership.Endpoint{{ID: "c1", Address: "10.0.0.1:7001", Zone: 1, Kind: 2, Cell: 3, Weight: 1.5,
 		StartedAt: 5 * time.Second, Incarnation: 9, State: membership.Draining}}
@@ -34,12 +34,12 @@
 	}
 }
 
-// TestMessagesKeepTheirForm compares the encoded messages with those that commit 1dcc078 wrote: proxies of several
-// versions talk to each other during a release.
-func TestMessagesKeepTheirForm(t *testing.T) {
+// TestMessagesKeepTheirEncoding compares the encoded messages with those that commit 1dcc078 wrote, since proxies of
+// several versions exchange messages during a release.
+func TestMessagesKeepTheirEncoding(t *testing.T) {
 	path := filepath.Join("testdata", "messages.hex")
 	var lines []string
-	for _, message := range messages() {
+	for _, message := range sampleMessages() {
 		data, err := transport.Encode(message)
 		if err != nil {
 			t.Fatal(err)
@@ -57,11 +57,11 @@
 	}
 	recorded := strings.Split(strings.TrimSpace(string(text)), "\n")
 	if len(recorded) != len(lines) {
-		t.Fatalf("%d messages in %s, expected %d", len(recorded), path, len(lines))
+		t.Fatalf("got %d messages in %s, want %d", len(recorded), path, len(lines))
 	}
-	for i, message := range messages() {
+	for i, message := range sampleMessages() {
 		if recorded[i] != lines[i] {
-			t.Errorf("message %d is encoded as\n%s, expected\n%s", i, lines[i], recorded[i])
+			t.Errorf("message %d: got encoding\n%s, want\n%s", i, lines[i], recorded[i])
 		}
 		data, err := hex.DecodeString(recorded[i])
 		if err != nil {
@@ -69,7 +69,7 @@
 		}
 		var got bootstrap.Message
 		if err := transport.Decode(data, &got); err != nil || !reflect.DeepEqual(got, message) {
-			t.Errorf("message %d is decoded as %+v (%v), expected %+v", i, got, err, message)
+			t.Errorf("message %d: decoded as %+v (%v), want %+v", i, got, err, message)
 		}
 	}
 }
--- a/internal/bootstrap/polling_test.go
+++ b/internal/bootstrap/polling_test.go
@@ -8,9 +8,9 @@
 	"sloequay/internal/membership"
 )
 
-// TestChangeOfTheListElectsNoPollers guards against a change of the list that has more proxies poll: between the
-// pollers' word of a new version and its content, the service looked silent for as long as a follower had not polled.
-func TestChangeOfTheListElectsNoPollers(t *testing.T) {
+// TestListChangeElectsNoPollers guards against a change of the list that makes more proxies poll. Between receiving the
+// advertisement of a new version and its content, a proxy took the service to have been silent since its own last poll.
+func TestListChangeElectsNoPollers(t *testing.T) {
 	for _, own := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
 		machine := New(0, Config{Name: own, Zone: "z", PeersEnabled: true, ListCount: 1, FleetSize: 8, Pollers: 3})
 		var peers []Peer
@@ -39,18 +39,18 @@
 		machine.ListFromService(now, 0, 1, endpoints)
 		for ; now < 20*time.Second; now += time.Second {
 			if advertise(1) {
-				t.Fatalf("%s polls at %v though pollers are in view", own, now)
+				t.Fatalf("%s started to poll at %v, want no poll: pollers are in view", own, now)
 			}
 		}
 		endpoints = append(endpoints, membership.Endpoint{ID: "y", Address: "127.0.0.1:2"})
 		if advertise(2) {
-			t.Errorf("%s polls as it hears of a new version, though the service was seen 10 ms before", own)
+			t.Errorf("%s started to poll on a new version, want no poll: the service was seen 10 ms before", own)
 		}
 	}
 }
 
-// TestSilenceOfTheServiceElectsPollers: while no poller has seen the service for PollerIncreaseInterval, more proxies poll.
-func TestSilenceOfTheServiceElectsPollers(t *testing.T) {
+// TestServiceSilenceElectsPollers checks that more proxies poll while no poller has seen the service.
+func TestServiceSilenceElectsPollers(t *testing.T) {
 	machine := New(0, Config{Name: "own", Zone: "z", PeersEnabled: true, ListCount: 1, FleetSize: 8, Pollers: 3})
 	var peers []Peer
 	for i := range 7 {
@@ -68,6 +68,6 @@
 		limit, _ = machine.pollerLimit()
 	}
 	if limit != 9 {
-		t.Errorf("%d pollers of the zone after %v of silence, want 9", limit, 2*PollerIncreaseInterval)
+		t.Errorf("got a limit of %d pollers after %v of silence, want 9", limit, 2*PollerIncreaseInterval)
 	}
 }
--- a/internal/bootstrap/simulation_test.go
+++ b/internal/bootstrap/simulation_test.go
@@ -12,7 +12,7 @@
 
 const ms = time.Millisecond
 
-// simulation is many machines in simulated time, a list service, and a network that loses, duplicates, delays and
+// simulation runs many machines in simulated time, with a list service and a network that loses, duplicates, delays and
 // reorders messages.
 type simulation struct {
 	t               testing.TB
@@ -20,33 +20,33 @@
 	now             time.Duration
 	agenda          digesttest.Agenda[func()]
 	nodes           []*node
-	endpoints       []membership.Endpoint // the service's present list
+	endpoints       []membership.Endpoint // the current list of the service
 	version         uint64
 	pastSums        map[uint64]bool // checksums of all lists that the service has had
 	serviceUp       bool
-	calls           []time.Duration // to the service, in order
-	loss            float64
-	duplication     float64
-	isCut           func(from, to *node) bool // nil: nothing is
-	membershipDelay time.Duration             // after a change, until all know who is alive
+	calls           []time.Duration           // times of the calls to the service, in order
+	loss            float64                   // probability that a message is lost
+	duplication     float64                   // probability that a message is sent twice
+	isCut           func(from, to *node) bool // nil: all nodes can reach each other
+	membershipDelay time.Duration             // longest time until a node learns of a change of the members
 }
 
-// node is a machine with what surrounds it.
+// node is a machine with its simulated environment.
 type node struct {
 	*Machine
-	name, zone   string
-	withPeers    bool
-	fleetSize    int
-	alive        bool
-	incarnation  uint64
-	paused       bool
-	missedEvents []func()
-	cutOff       bool                    // from the service
-	tamper       func(m Message) Message // of a byzantine node; nil: it is honest
-	fromService  bool                    // its list is the service's own, not a quorum's
-	lastVersion  ListVersion
-	bootedAt     time.Duration
-	readyAfter   time.Duration // from its start; 0: not yet
+	name, zone    string
+	withPeers     bool
+	fleetSize     int
+	alive         bool
+	incarnation   uint64
+	paused        bool
+	pendingEvents []func()
+	cutOff        bool                    // from the service
+	tamper        func(m Message) Message // of a byzantine node; nil: it is honest
+	fromService   bool                    // its current list comes from the service, not from a quorum of peers
+	lastVersion   ListVersion
+	bootedAt      time.Duration
+	readyAfter    time.Duration // time from its start until it was ready; 0: not ready yet
 }
 
 // isIncarnation reports whether the node is alive and has not been restarted.
@@ -86,7 +86,7 @@
 	sim.now = until
 }
 
-// changeList changes the service's list, which sends the new version to all that poll.
+// changeList changes the service's list. The service sends the new version to all nodes that poll.
 func (sim *simulation) changeList(change func()) {
 	change()
 	sim.version++
@@ -98,7 +98,7 @@
 	}
 }
 
-// sendList has the service send its list to a node.
+// sendList sends the service's list to a node, if the node polls and can be reached.
 func (sim *simulation) sendList(n *node) {
 	if !n.alive || !n.polling || !sim.serviceUp || n.cutOff {
 		return
@@ -109,7 +109,7 @@
 	})
 }
 
-// handle has a node take an event, now or when it is no longer paused.
+// handle makes a node handle an event, at once or, if it is paused, when it resumes.
 func (sim *simulation) handle(n *node, event func() []Effect) {
 	incarnation := n.incarnation
 	run := func() {
@@ -118,18 +118,18 @@
 		}
 	}
 	if n.paused {
-		n.missedEvents = append(n.missedEvents, run)
+		n.pendingEvents = append(n.pendingEvents, run)
 		return
 	}
 	run()
 }
 
-// resume has a paused node take what it missed.
+// resume ends the pause of a node and makes it handle the events of the pause.
 func (sim *simulation) resume(n *node) {
 	n.paused = false
-	missed := n.missedEvents
-	n.missedEvents = nil
-	for _, run := range missed {
+	pending := n.pendingEvents
+	n.pendingEvents = nil
+	for _, run := range pending {
 		run()
 	}
 }
@@ -137,7 +137,7 @@
 func (sim *simulation) start(n *node) {
 	n.alive = true
 	n.paused = false
-	n.missedEvents = nil
+	n.pendingEvents = nil
 	n.bootedAt = sim.now
 	n.readyAfter = 0
 	n.incarnation++
@@ -171,7 +171,7 @@
 	sim.publishMembers()
 }
 
-// publishMembers has all learn who is alive, each a little later.
+// publishMembers informs each node, after a short random delay, of the nodes that are alive.
 func (sim *simulation) publishMembers() {
 	for _, n := range sim.nodes {
 		if !n.alive || !n.withPeers {
@@ -211,7 +211,7 @@
 	}
 	if version, known := n.Version(0); known && version != n.lastVersion {
 		if !n.fromService && version.Version < n.lastVersion.Version {
-			sim.t.Fatalf("%v: %s went back from version %d to %d, and not by the service",
+			sim.t.Fatalf("%v: %s went back from version %d to %d, want this only for a list from the service",
 				sim.now, n.name, n.lastVersion.Version, version.Version)
 		}
 		n.lastVersion = version
@@ -226,17 +226,18 @@
 	if !adopted.Hint {
 		n.fromService = false
 		if !sim.pastSums[VersionOf(0, adopted.Version, adopted.Endpoints).Sum] {
-			sim.t.Fatalf("%v: %s accepts a list that the service never had: version %d, %d endpoints",
+			sim.t.Fatalf("%v: %s accepted a list that the service never had: version %d, %d endpoints",
 				sim.now, n.name, adopted.Version, len(adopted.Endpoints))
 		}
 		return
 	}
 	if len(adopted.Endpoints) == 0 {
-		sim.t.Fatalf("%v: %s takes an empty list from one peer alone", sim.now, n.name)
+		sim.t.Fatalf("%v: %s used an empty list as a hint", sim.now, n.name)
 	}
 	for _, endpoint := range adopted.Endpoints {
 		if endpoint.State != membership.Up {
-			sim.t.Fatalf("%v: %s takes %v of %s from one peer alone", sim.now, n.name, endpoint.State, endpoint.ID)
+			sim.t.Fatalf("%v: %s used a hint with state %v of %s, want only endpoints that are up",
+				sim.now, n.name, endpoint.State, endpoint.ID)
 		}
 	}
 }
@@ -245,12 +246,12 @@
 	l := &n.lists[0]
 	if len(l.advertisements) > n.config.MaxAdvertisements || len(l.history) > n.config.MaxHistory ||
 		len(n.servedPeers) > 1 || len(n.distrustedUntil) > len(sim.nodes) {
-		sim.t.Fatalf("%v: %s has %d advertisements, %d earlier lists, %d served, %d distrusted",
+		sim.t.Fatalf("%v: %s exceeds a bound: %d advertisements, %d earlier lists, %d served, %d distrusted",
 			sim.now, n.name, len(l.advertisements), len(l.history), len(n.servedPeers), len(n.distrustedUntil))
 	}
 }
 
-// send transmits a message, tampered with by a byzantine node.
+// send transmits a message, which a byzantine node tampers with.
 func (sim *simulation) send(from *node, sent Send) {
 	message := sent.Message
 	if from.tamper != nil {
@@ -284,7 +285,7 @@
 	}
 }
 
-// poll calls the service until it answers, and then has it answer each second.
+// poll calls the service each second until it answers, and then goes on with pollEachSecond.
 func (sim *simulation) poll(n *node, incarnation uint64) {
 	if !n.isIncarnation(incarnation) || !n.polling {
 		return
@@ -298,7 +299,7 @@
 	sim.pollEachSecond(n)
 }
 
-// pollEachSecond has the service answer each second, as a blocking query's probe does.
+// pollEachSecond calls the service each second, as the probe of a blocking query does.
 func (sim *simulation) pollEachSecond(n *node) {
 	incarnation := n.incarnation
 	sim.schedule(time.Second, func() {
@@ -317,7 +318,7 @@
 	})
 }
 
-// checkAgreement checks that all honest nodes have the service's list, and that no more poll than should.
+// checkAgreement checks that all honest nodes have the service's list, and that at most maxPollers of them poll.
 func (sim *simulation) checkAgreement(when string, maxPollers int) {
 	sim.t.Helper()
 	want := VersionOf(0, sim.version, sim.endpoints)
@@ -330,17 +331,17 @@
 			pollers++
 		}
 		if version, known := n.Version(0); !known || version != want {
-			sim.t.Fatalf("%s: %s has version %d (%v), the service has %d",
+			sim.t.Fatalf("%s: %s has version %d (known: %v), want the service's version %d",
 				when, n.name, version.Version, known, want.Version)
 		}
 	}
 	if pollers > maxPollers {
-		sim.t.Fatalf("%s: %d proxies poll, at most %d should", when, pollers, maxPollers)
+		sim.t.Fatalf("%s: got %d proxies that poll, want at most %d", when, pollers, maxPollers)
 	}
 }
 
-// countCalls returns the calls to the service in a time, and how many at most of the calls up to one there came
-// within a second.
+// countCalls returns how many calls to the service came in a period, and the largest number of calls in the second up
+// to any of them.
 func (sim *simulation) countCalls(from, to time.Duration) (all, peak int) {
 	first := 0
 	for i, at := range sim.calls {
--- a/internal/bootstrap/transcript_test.go
+++ b/internal/bootstrap/transcript_test.go
@@ -8,8 +8,8 @@
 	"sloequay/internal/membership"
 )
 
-// transcript records all that the machines return, one output a line, and counts the outputs by kind. Its text is made
-// of fixed words and numbers alone, so that it does not change with the names of types, fields and constants.
+// transcript records everything that the machines return, one output per line, and counts the outputs by kind. Its text
+// consists of fixed words and numbers only, so that renaming types, fields or constants does not change the digests.
 type transcript struct {
 	*digesttest.Transcript
 }
@@ -26,8 +26,8 @@
 	return "s?"
 }
 
-func eventText(w Event) string {
-	switch w {
+func eventText(event Event) string {
+	switch event {
 	case PollingStarted:
 		return "note-asks"
 	case PollingStopped:
@@ -46,64 +46,67 @@
 	return "note-?"
 }
 
-func versionText(k ListVersion) string {
-	return digesttest.Number(k.List) + ":" + digesttest.Unsigned(k.Version) + ":" + digesttest.Unsigned(k.Sum)
+func versionText(version ListVersion) string {
+	return digesttest.Number(version.List) + ":" + digesttest.Unsigned(version.Version) + ":" +
+		digesttest.Unsigned(version.Sum)
 }
 
-func endpointsText(all []membership.Endpoint) string {
-	var out strings.Builder
-	for _, b := range all {
-		out.WriteString(strings.Join([]string{
-			b.ID, b.Address, digesttest.Number(b.Zone), digesttest.Number(b.Kind), digesttest.Number(b.Cell),
-			strconv.FormatFloat(b.Weight, 'g', -1, 64), digesttest.Microseconds(b.StartedAt),
-			digesttest.Unsigned(b.Incarnation), stateText(b.State),
+func endpointsText(endpoints []membership.Endpoint) string {
+	var text strings.Builder
+	for _, endpoint := range endpoints {
+		text.WriteString(strings.Join([]string{
+			endpoint.ID, endpoint.Address, digesttest.Number(endpoint.Zone), digesttest.Number(endpoint.Kind),
+			digesttest.Number(endpoint.Cell),
+			strconv.FormatFloat(endpoint.Weight, 'g', -1, 64), digesttest.Microseconds(endpoint.StartedAt),
+			digesttest.Unsigned(endpoint.Incarnation), stateText(endpoint.State),
 		}, ","))
-		out.WriteByte(';')
+		text.WriteByte(';')
 	}
-	return out.String()
+	return text.String()
 }
 
-// message records a message by its kind and content.
+// message records the kind and the content of a message.
 func (x *transcript) message(from, to string, m Message) {
-	head := []string{from, to, m.From, digesttest.Unsigned(m.Incarnation)}
+	words := []string{from, to, m.From, digesttest.Unsigned(m.Incarnation)}
 	switch {
 	case m.Digest != nil:
-		for _, c := range m.Digest {
-			head = append(head, versionText(c.ListVersion), digesttest.Microseconds(c.LastSeen))
+		for _, advertisement := range m.Digest {
+			words = append(words, versionText(advertisement.ListVersion),
+				digesttest.Microseconds(advertisement.LastSeen))
 		}
-		x.Write("send-digest", head...)
+		x.Write("send-digest", words...)
 	case m.Fetch != nil:
-		x.Write("send-want", append(head, versionText(m.Fetch.ListVersion), digesttest.Unsigned(m.Fetch.HaveSum))...)
+		x.Write("send-want", append(words, versionText(m.Fetch.ListVersion), digesttest.Unsigned(m.Fetch.HaveSum))...)
 	case m.Part != nil:
-		x.Write("send-part", append(head, versionText(m.Part.ListVersion), digesttest.Number(m.Part.Number),
+		x.Write("send-part", append(words, versionText(m.Part.ListVersion), digesttest.Number(m.Part.Number),
 			digesttest.Number(m.Part.Total), endpointsText(m.Part.Endpoints))...)
 	case m.Delta != nil:
-		x.Write("send-delta", append(head, versionText(m.Delta.ListVersion), digesttest.Unsigned(m.Delta.BaseSum),
+		x.Write("send-delta", append(words, versionText(m.Delta.ListVersion), digesttest.Unsigned(m.Delta.BaseSum),
 			endpointsText(m.Delta.Endpoints), strings.Join(m.Delta.Removed, ","))...)
 	case m.Busy != nil && m.Busy.Peer != "":
-		x.Write("send-busy-elsewhere", append(head, versionText(m.Busy.ListVersion), m.Busy.Peer)...)
+		x.Write("send-busy-elsewhere", append(words, versionText(m.Busy.ListVersion), m.Busy.Peer)...)
 	case m.Busy != nil:
-		x.Write("send-busy", append(head, versionText(m.Busy.ListVersion))...)
+		x.Write("send-busy", append(words, versionText(m.Busy.ListVersion))...)
 	default:
-		x.Write("send-?", head...)
+		x.Write("send-?", words...)
 	}
 }
 
 // effect records an effect of a machine.
-func (x *transcript) effect(of string, e Effect) {
+func (x *transcript) effect(name string, e Effect) {
 	switch e := e.(type) {
 	case Send:
-		x.message(of, e.To, e.Message)
+		x.message(name, e.To, e.Message)
 	case SetPolling:
-		x.Write("follow-"+digesttest.YesNo(e.On), of)
+		x.Write("follow-"+digesttest.YesNo(e.On), name)
 	case Adopt:
-		x.Write("use-hint-"+digesttest.YesNo(e.Hint), of, digesttest.Number(e.List),
+		x.Write("use-hint-"+digesttest.YesNo(e.Hint), name, digesttest.Number(e.List),
 			digesttest.Unsigned(e.Version), endpointsText(e.Endpoints))
 	case SourceStatus:
-		x.Write("speaks-silent-"+digesttest.YesNo(e.Silent), of, digesttest.Number(e.List))
+		x.Write("speaks-silent-"+digesttest.YesNo(e.Silent), name, digesttest.Number(e.List))
 	case LogEntry:
-		x.Write(eventText(e.Event), of, e.Peer, digesttest.Number(e.List))
+		x.Write(eventText(e.Event), name, e.Peer, digesttest.Number(e.List))
 	default:
-		x.Write("effect-?", of)
+		x.Write("effect-?", name)
 	}
 }
--- a/internal/bootstrap/trust_test.go
+++ b/internal/bootstrap/trust_test.go
@@ -7,8 +7,8 @@
 	"sloequay/internal/membership"
 )
 
-// TestEachRefutedPeerIsDistrusted has two peers advertise content that the service then contradicts: both lose their
-// trust by the one list, and the peer that told the truth keeps it.
+// TestEachRefutedPeerIsDistrusted checks that one list from the service leads to distrust of both peers that advertised
+// other content for its version, and not of the peer that advertised the right content.
 func TestEachRefutedPeerIsDistrusted(t *testing.T) {
 	machine := New(0, Config{Name: "a", Zone: "z", PeersEnabled: true, ListCount: 1, FleetSize: 4})
 	machine.PeersChanged(0, []Peer{{"b", "z"}, {"c", "z"}, {"d", "z"}})
@@ -27,7 +27,7 @@
 
 	for peer, want := range map[string]bool{"b": true, "c": true, "d": false} {
 		if got := machine.distrustedUntil[peer] > machine.now; got != want {
-			t.Errorf("peer %s is distrusted: %v, expected %v", peer, got, want)
+			t.Errorf("peer %s: got distrusted %v, want %v", peer, got, want)
 		}
 	}
 }
