--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -73,7 +73,7 @@
 // converted only once, so that later steps of the Unix clock do not move it. After a step a stamp is taken for the
 // latest time that it may mean: an endpoint then counts as too young rather than too old.
 func (b *Broker) SetOffset(offset time.Duration) {
-	b.offsets.Set(offset)
+	b.offsets.Observe(offset)
 	b.members.SetOffset(offset)
 }
 
--- a/internal/broker/purge.go
+++ b/internal/broker/purge.go
@@ -26,7 +26,7 @@
 // checkStamp logs an implausible stamp of a purge: one in the future, or one so old that endpoints would have dropped
 // the older copies by now. Unless the purge was badly delayed, a clock is wrong.
 func (b *Broker) checkStamp(event Purge) {
-	age := b.now - b.offsets.Latest(event.Issued)
+	age := b.now - b.offsets.LatestMonotonic(event.Issued)
 	isPlausible := age <= b.config.PurgePropagation+purgeSlack && age >= -purgeSlack
 	isLogged := b.stampLoggedAt > 0 && b.now-b.stampLoggedAt < stampLogInterval
 	if isPlausible || isLogged {
