--- a/internal/membership/consul/config.go
+++ b/internal/membership/consul/config.go
@@ -25,7 +25,7 @@
 	Watch        blockingquery.Config
 	TLS          *TLS // nil: agents are called by HTTP
 	Services     []*Service
-	Purges       string        // prefix of the KV store; empty: none
+	PurgePrefix  string        // prefix of the KV store; empty: none
 	Registration *Registration // nil: the proxy does not register itself
 	Bind         net.Addr      // the local address of connections; nil: the system's choice
 }
@@ -75,7 +75,7 @@
 	section.Text("datacentre", &c.Datacenter, pathSegment("datacentre"), "asked for, where it is not the agents' own")
 	section.Choice("mode", &mode, modeNames(), "how consistent answers are to be")
 	c.addTimes(section)
-	section.Text("purges", &c.Purges, nil, "prefix of the KV store that holds purges")
+	section.Text("purges", &c.PurgePrefix, nil, "prefix of the KV store that holds purges")
 	section.Block("tls", false, "HTTPS to the agents", func([]string) (*config.Section, error) {
 		c.TLS = &TLS{}
 		return c.TLS.section(), nil
@@ -90,7 +90,7 @@
 		switch {
 		case len(c.Agents) == 0:
 			return errors.New("no agent is given")
-		case len(c.Services) == 0 && c.Purges == "" && c.Registration == nil:
+		case len(c.Services) == 0 && c.PurgePrefix == "" && c.Registration == nil:
 			return errors.New("neither service nor purges nor register is given")
 		}
 		return nil
--- a/internal/membership/consul/consul.go
+++ b/internal/membership/consul/consul.go
@@ -57,8 +57,8 @@
 			return err
 		}
 	}
-	if c.Config.Purges != "" {
-		prefix := strings.Trim(c.Config.Purges, "/") + "/"
+	if c.Config.PurgePrefix != "" {
+		prefix := strings.Trim(c.Config.PurgePrefix, "/") + "/"
 		feed := &purgeFeed{catalogue: c, prefix: prefix, published: map[string]uint64{}}
 		if err := c.addFollower(feed, agents); err != nil {
 			return err
--- a/internal/membership/consul/health/health.go
+++ b/internal/membership/consul/health/health.go
@@ -98,9 +98,9 @@
 	return fmt.Errorf("expected one of %s or meta:KEY, got %q", strings.Join(idForms, ", "), form)
 }
 
-// Read returns an instance as a source's entry. An instance that can't be used is an error, which names it; it is to
+// Entry returns an instance as a source's entry. An instance that can't be used is an error, which names it; it is to
 // be left out of the list.
-func (r *Rules) Read(instance *Instance) (membership.Entry, error) {
+func (r *Rules) Entry(instance *Instance) (membership.Entry, error) {
 	entry := membership.Entry{
 		ID:          r.endpointID(instance),
 		Zone:        r.Zone,
--- a/internal/membership/consul/health/health_test.go
+++ b/internal/membership/consul/health/health_test.go
@@ -108,7 +108,7 @@
 		if c.rules != nil {
 			c.rules(&rules)
 		}
-		got, err := rules.Read(instance(c.in))
+		got, err := rules.Entry(instance(c.in))
 		if c.err != "" {
 			if err == nil || !strings.HasPrefix(err.Error(), c.err) {
 				t.Errorf("%s: error %v, want %s", c.name, err, c.err)
--- a/internal/membership/consul/service.go
+++ b/internal/membership/consul/service.go
@@ -129,7 +129,7 @@
 		instance.Checks = append(instance.Checks,
 			health.Check{ID: check.CheckID, ServiceID: check.ServiceID, Status: check.Status})
 	}
-	read, err := s.Rules.Read(&instance)
+	read, err := s.Rules.Entry(&instance)
 	if err != nil {
 		return membership.Endpoint{}, err
 	}
--- a/internal/proxy/sources.go
+++ b/internal/proxy/sources.go
@@ -75,8 +75,8 @@
 		// Peers take turns in polling lists; each proxy polls purges.
 		purges := lists
 		purges.Services = nil
-		lists.Purges = ""
-		if purges.Purges != "" {
+		lists.PurgePrefix = ""
+		if purges.PurgePrefix != "" {
 			s.openCatalogue(context.Background(), &purges)
 		}
 	}
