--- a/internal/membership/consul/blockingquery/agents.go
+++ b/internal/membership/consul/blockingquery/agents.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// preferredAgent is the agent that a watch goes back to, the first of the settings.
+// preferredAgent is the index of the first agent in the settings. Watches return to it once it responds to a probe.
 const preferredAgent = 0
 
-// SharedAgents is what several watches of the same agents know of them together.
+// SharedAgents holds what several watches of the same agents know about them.
 type SharedAgents struct{ states []sharedState }
 
-// sharedState is what all watches know of one agent.
+// sharedState holds what all watches know about one agent.
 type sharedState struct {
-	queriedAt         time.Duration // when it was last queried, or a query that was in flight for long failed
+	queriedAt         time.Duration // the last query, or a failure at least RetryInterval after it
 	respondedAt       time.Duration
 	listedAt          time.Duration // when it last returned a list
 	probeFailedAt     time.Duration
-	aliveSinceFailure bool // a probe has succeeded since it failed: it is the list queries that fail
+	aliveSinceFailure bool // a probe has succeeded since the failure, so only list queries fail
 }
 
-// NewSharedAgents makes what watches of so many agents share.
+// NewSharedAgents returns the state that watches of count agents share.
 func NewSharedAgents(count int) *SharedAgents {
 	return &SharedAgents{states: make([]sharedState, count)}
 }
 
-// agentState is what one watch knows of an agent.
+// agentState holds what one watch knows about an agent.
 type agentState struct {
-	failedAt    time.Duration // 0: it has not failed since it last returned a list
-	retryJitter time.Duration
-	listAllowed bool // a probe succeeded: the list may be queried at once
-	needsProbe  bool // it is to be probed before the next list query
+	failedAt    time.Duration // 0: not failed since it returned a list or was preferred again
+	retryJitter time.Duration // added to RetryInterval
+	listAllowed bool          // a probe has succeeded, so the list may be queried at once
+	needsProbe  bool          // it must be probed before the next list query
 }
 
-// chooseAgent returns the agent to query and when that may be: the one in use, or where that one has failed the one
-// that may be queried soonest.
+// chooseAgent returns the agent to query and the earliest time to query it: the agent in use or, if that has failed,
+// the one that may be queried soonest.
 func (w *Watch) chooseAgent() (agent int, at time.Duration) {
 	best := w.currentAgent
 	if w.agents[best].failedAt > 0 {
@@ -45,7 +45,7 @@
 	return best, w.retryAt(best)
 }
 
-// retryAt is when an agent may be queried or probed.
+// retryAt returns the earliest time to query or probe an agent; 0 means at once.
 func (w *Watch) retryAt(agent int) time.Duration {
 	state, shared := &w.agents[agent], &w.shared.states[agent]
 	if state.failedAt == 0 || state.listAllowed || shared.listedAt > state.failedAt {
@@ -54,12 +54,13 @@
 	return shared.queriedAt + RetryInterval + state.retryJitter
 }
 
-// failAgent notes that an agent gave no usable answer, cancels its list query, and has the next Step choose an agent.
-func (w *Watch) failAgent(now time.Duration, agent int, fault Fault) {
+// markAgentFailed records that an agent gave no usable response and cancels its list query. The next Step chooses an
+// agent again.
+func (w *Watch) markAgentFailed(now time.Duration, agent int, fault Fault) {
 	state, shared := &w.agents[agent], &w.shared.states[agent]
-	// The pause is a second and does not grow: what changed meanwhile has to be in force a second after the outage,
-	// and one small query a second is no load.
-	if now-shared.queriedAt >= RetryInterval { // a blocking query was in flight for long
+	// The retry interval of about a second does not grow, because a change made during an outage must take effect
+	// within a second of its end, and one small query per second is a negligible load.
+	if now-shared.queriedAt >= RetryInterval { // a blocking query had been in flight for a while
 		shared.queriedAt = now
 	}
 	state.failedAt = max(now, 1)
@@ -91,8 +92,8 @@
 	return true
 }
 
-// agentResponded notes that an agent has answered.
-func (w *Watch) agentResponded(now time.Duration, agent int) {
+// markAgentResponded records that an agent has responded.
+func (w *Watch) markAgentResponded(now time.Duration, agent int) {
 	w.shared.states[agent].respondedAt = now
 	w.agents[agent].needsProbe = false
 }
--- a/internal/membership/consul/blockingquery/blockingquery.go
+++ b/internal/membership/consul/blockingquery/blockingquery.go
@@ -1,19 +1,19 @@
-// Package blockingquery decides how one blocking query of Consul's HTTP API is kept going over several agents: which
-// agent to query, when and in which mode, when an agent counts as unresponsive, and how far an answer is to be
-// trusted. It does no I/O and reads no clock: its user steps it, carries out the Actions, and reports what came of
-// them.
+// Package blockingquery decides how to keep one blocking query of Consul's HTTP API running across several agents:
+// which agent to query, when and in which consistency mode, when to treat an agent as unresponsive, and how far to
+// trust a response. It does no I/O and reads no clock: its caller calls Step, carries out the returned Actions, and
+// reports their results.
 //
-// The rules for the index are those of Consul's page on blocking queries: it has to be above 0, one that went back
-// means to start again at 0, and an answer with the same index brings nothing new. Several watches of the same agents
-// share what they know of them (SharedAgents); they must be stepped in turn, by one goroutine.
+// The index follows the rules in Consul's documentation of blocking queries: it must be above 0, a query restarts
+// from 0 after the index has decreased, and a response with the same index contains no change. Several watches of the
+// same agents share what they know about them (SharedAgents); one goroutine must step all these watches in turn.
 //
-// Invariants: each watch has at most one list query and one liveness probe in flight. The index it has taken over
-// falls only by an answer in the consistent mode.
+// Invariants: each watch has at most one list query and one liveness probe in flight. Only a response in consistent
+// mode can decrease the accepted index.
 //
-// Bounds: an agent that fails is queried at most once in RetryInterval by all watches together, except that a list
-// query may follow a probe that succeeded at once. It is queried again no later than RetryInterval and MaxRetryJitter
-// after that, and as soon as one watch has its list the others follow at once. So an agent that is back is found
-// within a second and not rushed.
+// Bounds: all watches together query a failing agent at most once per RetryInterval, except that a list query may
+// immediately follow a successful probe. They query it again at most RetryInterval plus MaxRetryJitter later, and once
+// one watch has received its list, the others may query it immediately. So they find a recovered agent within a second
+// without flooding it with queries.
 package blockingquery
 
 import (
@@ -21,36 +21,36 @@
 	"time"
 )
 
-// randomStream is the second word of the random generator's seed. It is fixed, so that a seed gives one course of
-// events.
+// randomStream is the second word of the random generator's seed. It is constant, so that Config.Seed alone determines
+// the random numbers.
 const randomStream = 0x7761746368
 
-// Watch is the state of one blocking query. It is not safe for concurrent use.
+// Watch holds the state of one blocking query. It is not safe for concurrent use.
 type Watch struct {
 	config       Config
 	random       *rand.Rand
 	agents       []agentState
 	shared       *SharedAgents
 	currentAgent int
-	index        uint64
-	serial       uint64
+	index        uint64        // of the last accepted response
+	serial       uint64        // of the last query started
 	listQuery    *pendingQuery // nil: none is in flight
 	probeQuery   *pendingQuery // nil: none is in flight
 
 	nextListAt       time.Duration // the earliest time of the next list query
 	preferredRetryAt time.Duration // the earliest time to probe the preferred agent while another one is in use
-	skipWait         bool          // query without blocking: something may have changed while nothing was in flight
+	skipWait         bool          // do not block: the list may have changed while no list query was in flight
 	confirmRequested bool          // see Confirm
-	indexRegressed   bool          // verify by one query in the consistent mode
-	askLeader        bool          // the last answer was too stale: query once in the default mode
-	lastPartial      bool          // rights or a leader may come back without a change of the index
-	unavailable      bool          // no agent answers
+	indexRegressed   bool          // a response had a lower index: verify it by a query in consistent mode
+	askLeader        bool          // the last response was too stale: query once in default mode
+	lastPartial      bool          // block only briefly: rights or a leader may return without an index change
+	unavailable      bool          // see Unavailable
 
 	canceled []uint64 // serials of queries to cancel by the next Step
-	actions  []Action // what Step returns; reused
+	actions  []Action // the result of Step; reused
 }
 
-// New makes a watch that shares its agents with others.
+// New returns a watch that shares what it knows about its agents with other watches.
 func New(config Config, shared *SharedAgents) *Watch {
 	return &Watch{
 		config:   config,
@@ -61,24 +61,24 @@
 	}
 }
 
-// Unavailable says that no agent answers: the source is silent.
+// Unavailable reports whether all agents have failed and none has returned a list since.
 func (w *Watch) Unavailable() bool { return w.unavailable }
 
-// CurrentAgent is the agent in use.
+// CurrentAgent returns the index of the agent in use.
 func (w *Watch) CurrentAgent() int { return w.currentAgent }
 
-// Index is the newest index that was taken over.
+// Index returns the index of the last accepted response.
 func (w *Watch) Index() uint64 { return w.index }
 
-// Confirm has the list fetched at once in the consistent mode, and from another agent where there is one.
+// Confirm requests an immediate list query in consistent mode, to another agent if one is available.
 func (w *Watch) Confirm() { w.confirmRequested = true }
 
-// Step returns what is to be done by now. The result is valid until the next call.
+// Step returns the actions that are due at now. The result is valid until the next call.
 func (w *Watch) Step(now time.Duration) []Action {
 	w.actions = w.actions[:0]
-	w.expire(now)
+	w.expireQueries(now)
 	if query := w.listQuery; query != nil && w.confirmRequested && !query.confirms {
-		w.cancel(query) // it may block for long
+		w.cancel(query) // it may block for a long time
 		w.listQuery = nil
 	}
 	if w.listQuery == nil {
@@ -86,9 +86,9 @@
 	}
 	if w.listQuery != nil && w.probeQuery == nil {
 		switch {
-		case w.awayFromPreferred() && now >= w.preferredRetryAt:
+		case w.usesFallbackAgent() && now >= w.preferredRetryAt:
 			w.startProbe(now, preferredAgent)
-		case w.mayBlock() && now >= w.probeAt():
+		case w.probesWhileBlocking() && now >= w.probeDueAt():
 			w.startProbe(now, w.listQuery.Agent)
 		}
 	}
@@ -99,73 +99,76 @@
 	return w.actions
 }
 
-// expire fails the agents of queries that are past their deadline, and of a list query whose agent another watch has
-// found dead since.
-func (w *Watch) expire(now time.Duration) {
+// expireQueries marks the agents of queries past their deadline as failed, and the agent of the list query also if a
+// probe of it has failed since the query started.
+func (w *Watch) expireQueries(now time.Duration) {
 	if probe := w.probeQuery; probe != nil && now >= probe.deadline {
 		w.cancel(probe)
 		w.probeQuery = nil
 		w.shared.states[probe.Agent].probeFailedAt = now
-		w.failAgent(now, probe.Agent, TimedOut)
+		w.markAgentFailed(now, probe.Agent, TimedOut)
 	}
-	if query := w.listQuery; query != nil && (now >= query.deadline || w.foundDead(query)) {
-		w.failAgent(now, query.Agent, TimedOut) // which cancels the query
+	if query := w.listQuery; query != nil && (now >= query.deadline || w.probeFailedSince(query)) {
+		w.markAgentFailed(now, query.Agent, TimedOut) // also cancels the query
 	}
 }
 
-// foundDead says that a probe of the query's agent, by this watch or another, has failed since the query began.
-func (w *Watch) foundDead(query *pendingQuery) bool {
+// probeFailedSince reports whether a probe of the query's agent, by this or another watch, has failed since the query
+// started.
+func (w *Watch) probeFailedSince(query *pendingQuery) bool {
 	return w.shared.states[query.Agent].probeFailedAt > query.startedAt
 }
 
-// awayFromPreferred says that the list query in flight is with another agent than the preferred one.
-func (w *Watch) awayFromPreferred() bool {
+// usesFallbackAgent reports whether the list query in flight was sent to an agent other than the preferred one, and not
+// merely to confirm a list.
+func (w *Watch) usesFallbackAgent() bool {
 	return w.listQuery != nil && w.listQuery.Agent != preferredAgent && !w.listQuery.confirms
 }
 
-// mayBlock says that the list query in flight may block for long, and that its agent is to be probed meanwhile.
-func (w *Watch) mayBlock() bool { return w.config.ProbeAfter > 0 && w.listQuery.Index > 0 }
+// probesWhileBlocking reports whether the list query in flight may block for a long time and its agent is to be probed
+// meanwhile.
+func (w *Watch) probesWhileBlocking() bool { return w.config.ProbeAfter > 0 && w.listQuery.Index > 0 }
 
-// probeAt is when the agent of the list query in flight is to be probed.
-func (w *Watch) probeAt() time.Duration {
+// probeDueAt returns when the agent of the list query in flight is to be probed.
+func (w *Watch) probeDueAt() time.Duration {
 	state := &w.shared.states[w.listQuery.Agent]
 	return max(w.listQuery.startedAt, state.respondedAt, state.queriedAt) + w.config.ProbeAfter
 }
 
-// Next is when Step is due at the latest; 0: only once something has come of a query.
+// Next returns the latest time for the next Step, or 0 if it is not due before the result of a query is reported.
 func (w *Watch) Next() time.Duration {
-	// 0 stands for no time, so a step that is due at once is due at 1.
-	const atOnce = 1
+	// 0 means no time, so a step that is due immediately is due at 1 ns.
+	const immediately = 1
 	var next time.Duration
-	sooner := func(at time.Duration) {
+	consider := func(at time.Duration) {
 		if next == 0 || at < next {
 			next = at
 		}
 	}
 	if w.probeQuery != nil {
-		sooner(w.probeQuery.deadline)
+		consider(w.probeQuery.deadline)
 	}
 	if w.listQuery == nil {
 		if w.probeQuery == nil {
-			sooner(max(w.nextListDue(), atOnce))
+			consider(max(w.nextListDueAt(), immediately))
 		}
 		return next
 	}
-	sooner(w.listQuery.deadline)
-	if w.foundDead(w.listQuery) {
-		sooner(atOnce)
+	consider(w.listQuery.deadline)
+	if w.probeFailedSince(w.listQuery) {
+		consider(immediately)
 	}
-	if w.probeQuery == nil && w.mayBlock() {
-		sooner(w.probeAt())
+	if w.probeQuery == nil && w.probesWhileBlocking() {
+		consider(w.probeDueAt())
 	}
-	if w.probeQuery == nil && w.awayFromPreferred() {
-		sooner(max(w.preferredRetryAt, atOnce))
+	if w.probeQuery == nil && w.usesFallbackAgent() {
+		consider(max(w.preferredRetryAt, immediately))
 	}
 	return next
 }
 
-// nextListDue is when the next list query may start, or the probe that has to come before it.
-func (w *Watch) nextListDue() time.Duration {
+// nextListDueAt returns the earliest time of the next list query, or of the probe that must precede it.
+func (w *Watch) nextListDueAt() time.Duration {
 	_, at := w.chooseAgent()
 	if w.confirmRequested || w.indexRegressed {
 		return at
--- a/internal/membership/consul/blockingquery/blockingquery_test.go
+++ b/internal/membership/consul/blockingquery/blockingquery_test.go
@@ -9,16 +9,16 @@
 	"pgregory.net/rapid"
 )
 
-// allFaults is each way in which a query can fail.
+// allFaults lists all ways in which a query can fail.
 var allFaults = []Fault{ConnectionFailed, Rejected, Malformed, TimedOut}
 
-// newWatch makes a watch with agents of its own.
+// newWatch returns a watch that shares its agents with no other.
 func newWatch(config Config) *Watch { return New(config, NewSharedAgents(config.AgentCount)) }
 
-// TestOutage: one agent fails in each way for 5 s and a minute, at any phase. What changed meanwhile arrives within a
-// second of its being back, and it is queried at most once a second.
+// TestOutage: one agent fails in each way, for 5 s or a minute, at various phases. A change made meanwhile arrives
+// within a second of its recovery, and the failing agent is queried at most once per second.
 func TestOutage(t *testing.T) {
-	worst := time.Duration(0)
+	maxDelay := time.Duration(0)
 	for _, fault := range allFaults {
 		for _, length := range []time.Duration{5 * time.Second, time.Minute} {
 			for phase := range 20 {
@@ -35,26 +35,26 @@
 				}
 				simulation.run(to + 2*time.Second)
 				if !simulation.isCurrent() {
-					t.Fatalf("%v for %v: the change never arrived", fault, length)
+					t.Fatalf("%v for %v: got no list with the change within 2 s of the outage", fault, length)
 				}
-				worst = max(worst, simulation.receivedAt-to)
+				maxDelay = max(maxDelay, simulation.receivedAt-to)
 				if simulation.watch.Unavailable() || simulation.availabilityChanges > 2 {
-					t.Errorf("%v for %v: %d changes of availability, unavailable at the end: %v",
+					t.Errorf("%v for %v: got %d changes of availability, unavailable %v, want at most 2, false",
 						fault, length, simulation.availabilityChanges, simulation.watch.Unavailable())
 				}
 			}
 		}
 	}
-	if worst >= time.Second {
-		t.Errorf("what changed in an outage arrived %v after it", worst)
+	if maxDelay >= time.Second {
+		t.Errorf("got the change made in an outage %v after it, want less than 1 s", maxDelay)
 	}
-	t.Logf("worst: %v after the outage", worst)
+	t.Logf("largest delay after an outage: %v", maxDelay)
 }
 
-// TestSharedOutage: three watches of one agent query it together at most once a second while it fails, and each
-// has what changed within a second of its being back.
+// TestSharedOutage: three watches of one failing agent together query it at most once per second, and each receives a
+// change made meanwhile within a second of its recovery.
 func TestSharedOutage(t *testing.T) {
-	worst := time.Duration(0)
+	maxDelay := time.Duration(0)
 	for _, fault := range allFaults {
 		for _, length := range []time.Duration{5 * time.Second, time.Minute} {
 			for phase := range 10 {
@@ -74,22 +74,23 @@
 				simulations.run(to + 2*time.Second)
 				for i, simulation := range simulations {
 					if !simulation.isCurrent() || simulation.watch.Unavailable() {
-						t.Fatalf("%v for %v: watch %d has version %d of %d, unavailable %v", fault, length, i,
-							simulation.receivedVersion, simulation.version, simulation.watch.Unavailable())
+						t.Fatalf("%v for %v: watch %d: got version %d, want %d; got unavailable %v, want false",
+							fault, length, i, simulation.receivedVersion, simulation.version,
+							simulation.watch.Unavailable())
 					}
-					worst = max(worst, simulation.receivedAt-to)
+					maxDelay = max(maxDelay, simulation.receivedAt-to)
 				}
 			}
 		}
 	}
-	if worst >= time.Second {
-		t.Errorf("what changed in an outage arrived %v after it", worst)
+	if maxDelay >= time.Second {
+		t.Errorf("got the change made in an outage %v after it, want less than 1 s", maxDelay)
 	}
-	t.Logf("worst: %v after the outage", worst)
+	t.Logf("largest delay after an outage: %v", maxDelay)
 }
 
-// TestOutageWithoutChange: an agent that is back is known to be within a second, though nothing has changed that
-// would end a blocking query.
+// TestOutageWithoutChange: a recovered agent counts as available within a second, although no change of the list would
+// end a blocking query.
 func TestOutageWithoutChange(t *testing.T) {
 	for _, fault := range allFaults {
 		simulation := newSimulation(Config{}, 1)
@@ -97,47 +98,48 @@
 		simulation.agents[0].faultAt = faultBetween(fault, from, to)
 		simulation.run(to)
 		if !simulation.watch.Unavailable() {
-			t.Errorf("%v: the outage is not known", fault)
+			t.Errorf("%v: got available during the outage, want unavailable", fault)
 		}
 		if simulation.run(to + time.Second); simulation.watch.Unavailable() {
-			t.Errorf("%v: a second after the outage the agent counts as down", fault)
+			t.Errorf("%v: got unavailable a second after the outage, want available", fault)
 		}
 	}
 }
 
-// TestFailover: the agent in use dies just before a change; the change arrives by another, within a second for the
-// silent death too and at once for a loud one, and the watch returns to the preferred agent when that is back.
+// TestFailover: the agent in use fails just before a change. The change arrives from another agent, at once after an
+// error and within 1.8 s if queries get no response, and the watch returns to the preferred agent once it recovers.
 func TestFailover(t *testing.T) {
 	limits := map[Fault]time.Duration{ConnectionFailed: 20 * ms, Rejected: 20 * ms, TimedOut: 1800 * ms}
-	for fault, within := range limits {
+	for fault, maxDelay := range limits {
 		simulation := newSimulation(Config{}, 3)
-		failsAt, back := start+5*time.Second, start+30*time.Second
-		simulation.agents[0].faultAt = faultBetween(fault, failsAt, back)
+		failsAt, recoversAt := start+5*time.Second, start+30*time.Second
+		simulation.agents[0].faultAt = faultBetween(fault, failsAt, recoversAt)
 		simulation.run(failsAt)
 		simulation.change()
 		simulation.run(failsAt + 3*time.Second)
-		if !simulation.isCurrent() || simulation.receivedAt-failsAt > within {
-			t.Errorf("%v: the change arrived after %v, want within %v", fault, simulation.receivedAt-failsAt, within)
+		if !simulation.isCurrent() || simulation.receivedAt-failsAt > maxDelay {
+			t.Errorf("%v: got the change after %v, want it within %v", fault, simulation.receivedAt-failsAt, maxDelay)
 		}
 		if simulation.watch.CurrentAgent() == 0 || simulation.availabilityChanges > 0 {
-			t.Errorf("%v: agent %d in use, %d changes of availability",
+			t.Errorf("%v: got agent %d in use and %d changes of availability, want an agent other than 0 and none",
 				fault, simulation.watch.CurrentAgent(), simulation.availabilityChanges)
 		}
-		simulation.run(back + 20*time.Second)
+		simulation.run(recoversAt + 20*time.Second)
 		if simulation.watch.CurrentAgent() != 0 {
-			t.Errorf("%v: agent %d in use long after the preferred one is back", fault, simulation.watch.CurrentAgent())
+			t.Errorf("%v: got agent %d in use 20 s after the preferred one recovered, want 0",
+				fault, simulation.watch.CurrentAgent())
 		}
 		queriesBefore := len(simulation.agents[0].queriedAt)
 		simulation.change()
-		simulation.run(back + 21*time.Second)
+		simulation.run(recoversAt + 21*time.Second)
 		if !simulation.isCurrent() || len(simulation.agents[0].queriedAt) == queriesBefore {
-			t.Errorf("%v: with the preferred agent in use again the change did not arrive", fault)
+			t.Errorf("%v: got no change from the preferred agent in use again, want one", fault)
 		}
 	}
 }
 
-// TestRandomOutages: whatever the agents do, an agent that fails is queried at most once a second, no more than a
-// list query and a probe are in flight, and a second after any agent is well for good the list is current.
+// TestRandomOutages: with random outages of the agents, a failing agent is not queried three times within
+// RetryInterval, at most one list query and one probe are in flight, and the list is current 2 s after all outages.
 func TestRandomOutages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		agentCount := rapid.IntRange(1, 3).Draw(t, "agents")
@@ -150,9 +152,9 @@
 		for _, agent := range simulation.agents {
 			var outages []outage
 			at := start
-			for range rapid.IntRange(0, 4).Draw(t, "spells") {
-				at += time.Duration(rapid.IntRange(1, 4000).Draw(t, "well")) * ms
-				to := at + time.Duration(rapid.IntRange(1, 6000).Draw(t, "ill"))*ms
+			for range rapid.IntRange(0, 4).Draw(t, "outages") {
+				at += time.Duration(rapid.IntRange(1, 4000).Draw(t, "uptime_ms")) * ms
+				to := at + time.Duration(rapid.IntRange(1, 6000).Draw(t, "downtime_ms"))*ms
 				outages = append(outages, outage{Fault(rapid.IntRange(0, 3).Draw(t, "fault")), at, to})
 				at = to
 			}
@@ -167,9 +169,9 @@
 			}
 		}
 		for simulation.now < last {
-			simulation.run(simulation.now + time.Duration(rapid.IntRange(1, 1500).Draw(t, "until"))*ms)
+			simulation.run(simulation.now + time.Duration(rapid.IntRange(1, 1500).Draw(t, "run_ms"))*ms)
 			if len(simulation.inFlight) > 2 {
-				t.Fatalf("%d queries are in flight", len(simulation.inFlight))
+				t.Fatalf("got %d queries in flight, want at most 2", len(simulation.inFlight))
 			}
 			if rapid.Bool().Draw(t, "confirm") {
 				simulation.watch.Confirm()
@@ -186,37 +188,37 @@
 					allFaulty = allFaulty && isFaulty
 				}
 				if allFaulty && interval < RetryInterval {
-					t.Fatalf("agent %d was queried three times within %v while it failed", i, interval)
+					t.Fatalf("agent %d: got three queries within %v while it failed, want at most two", i, interval)
 				}
 			}
 		}
-		back := simulation.now
+		recoveredAt := simulation.now
 		simulation.change()
-		simulation.run(back + 2*time.Second)
+		simulation.run(recoveredAt + 2*time.Second)
 		if !simulation.isCurrent() || simulation.watch.Unavailable() {
-			t.Fatalf("2 s after all are well version %d has arrived, want %d",
+			t.Fatalf("2 s after all outages: got version %d, want %d and an available watch",
 				simulation.receivedVersion, simulation.version)
 		}
 	})
 }
 
-// TestVerdicts answers some list queries each and looks at the verdicts and the next query.
+// TestVerdicts responds to a sequence of list queries and checks the verdicts and the query that follows.
 func TestVerdicts(t *testing.T) {
 	const wait = 30 * time.Second
-	sound := ResponseMeta{Index: 20, KnownLeader: true}
+	complete := ResponseMeta{Index: 20, KnownLeader: true}
 	regressed := Verdict{Disposition: Discard, Reason: IndexRegressed}
 	for _, c := range []struct {
 		name  string
 		mode  Mode
 		metas []ResponseMeta
 		want  []Verdict
-		next  Query // the query after the last answer
+		next  Query // the query after the last response
 	}{
-		{"a sound answer, then one that blocks", Default, []ResponseMeta{sound},
+		{"complete response, then a blocking query", Default, []ResponseMeta{complete},
 			[]Verdict{{}}, Query{Index: 20, Wait: wait}},
-		{"blocked for the full time", Default, []ResponseMeta{sound, sound},
+		{"no change during the full wait time", Default, []ResponseMeta{complete, complete},
 			[]Verdict{{}, {Disposition: Unchanged}}, Query{Index: 20, Wait: wait}},
-		{"rights are missing", Default, []ResponseMeta{{Index: 20, KnownLeader: true, Filtered: true}},
+		{"token lacks rights", Default, []ResponseMeta{{Index: 20, KnownLeader: true, Filtered: true}},
 			[]Verdict{{Disposition: Partial, Reason: Filtered}}, Query{Index: 20, Wait: RetryInterval}},
 		{"no leader", Stale, []ResponseMeta{{Index: 20}},
 			[]Verdict{{Disposition: Partial, Reason: NoLeader}}, Query{Index: 20, Wait: RetryInterval, Mode: Stale}},
@@ -224,11 +226,13 @@
 			[]Verdict{{Disposition: Partial, Reason: IndexZero}}, Query{Wait: RetryInterval}},
 		{"too stale", Stale, []ResponseMeta{{Index: 20, KnownLeader: true, LastContact: time.Minute}},
 			[]Verdict{{Disposition: Discard, Reason: TooStale}}, Query{}},
-		{"the index went back", Default, []ResponseMeta{sound, {Index: 1, KnownLeader: true}},
+		{"index decreased", Default, []ResponseMeta{complete, {Index: 1, KnownLeader: true}},
 			[]Verdict{{}, regressed}, Query{Mode: Consistent}},
-		{"and for good", Default, []ResponseMeta{sound, {Index: 1, KnownLeader: true}, {Index: 2, KnownLeader: true}},
+		{"index decrease confirmed", Default,
+			[]ResponseMeta{complete, {Index: 1, KnownLeader: true}, {Index: 2, KnownLeader: true}},
 			[]Verdict{{}, regressed, {}}, Query{Index: 2, Wait: wait}},
-		{"or not", Default, []ResponseMeta{sound, {Index: 1, KnownLeader: true}, {Index: 22, KnownLeader: true}},
+		{"index decrease not confirmed", Default,
+			[]ResponseMeta{complete, {Index: 1, KnownLeader: true}, {Index: 22, KnownLeader: true}},
 			[]Verdict{{}, regressed, {}}, Query{Index: 22, Wait: wait}},
 	} {
 		watch := newWatch(Config{AgentCount: 1, Mode: c.mode, Seed: 1}.WithDefaults())
@@ -239,7 +243,7 @@
 			now += time.Second
 			verdict, ok := watch.ListReceived(now, query.Serial, meta)
 			if !ok {
-				t.Fatalf("%s: the answer is not taken", c.name)
+				t.Fatalf("%s: got the response ignored, want a verdict", c.name)
 			}
 			got = append(got, verdict)
 			now += time.Second
@@ -250,49 +254,51 @@
 		}
 		c.next.Serial = query.Serial
 		if diff := cmp.Diff(c.next, *query); diff != "" {
-			t.Errorf("%s: the next query (-want +got):\n%s", c.name, diff)
+			t.Errorf("%s: next query (-want +got):\n%s", c.name, diff)
 		}
 	}
 }
 
-// TestRightsAreBack: after an answer that leaves things out the next query does not block for long: no index moves
-// when a token gets its rights, and the list is taken for complete then though its index is the same.
-func TestRightsAreBack(t *testing.T) {
+// TestListCompleteAfterRightsRestored: after a response that leaves entries out, the next query does not block for
+// long, because no index changes when a token gets its rights. The list then counts as complete despite its unchanged
+// index.
+func TestListCompleteAfterRightsRestored(t *testing.T) {
 	complete := ResponseMeta{Index: 10, KnownLeader: true}
-	for name, lacking := range map[string]ResponseMeta{
+	for name, incomplete := range map[string]ResponseMeta{
 		"filtered":  {Index: 10, KnownLeader: true, Filtered: true},
 		"no leader": {Index: 10},
 	} {
 		watch := newWatch(Config{AgentCount: 1}.WithDefaults())
-		now, back := start, start+10*time.Second
+		now, restoredAt := start, start+10*time.Second
 		queries := 0
-		for now < back+2*time.Second {
+		for now < restoredAt+2*time.Second {
 			if now = max(now+ms, watch.Next()); len(watch.Step(now)) == 0 {
 				continue
 			}
 			queries++
 			query := watch.listQuery
 			now += query.Wait + rtt
-			meta := lacking
-			if now-rtt >= back {
+			meta := incomplete
+			if now-rtt >= restoredAt {
 				meta = complete
 			}
 			verdict, ok := watch.ListReceived(now, query.Serial, meta)
 			if !ok || (verdict.Disposition == Complete) != (meta == complete) {
-				t.Fatalf("%s: after %v: disposition %v, %v", name, now-start, verdict.Disposition, ok)
+				t.Fatalf("%s: after %v: got disposition %v, ok %v", name, now-start, verdict.Disposition, ok)
 			}
 			if verdict.Disposition == Complete {
 				break
 			}
 		}
-		if delay := now - back; delay > RetryInterval+250*ms || queries > 12 {
-			t.Errorf("%s: the list is complete %v after the rights are, with %d queries", name, delay, queries)
+		if delay := now - restoredAt; delay > RetryInterval+250*ms || queries > 12 {
+			t.Errorf("%s: got the complete list after %v and %d queries, want at most RetryInterval + 250 ms and 12",
+				name, delay, queries)
 		}
 	}
 }
 
-// TestConfirm: it cancels what blocks, goes to another agent in the consistent mode, and only a sound answer
-// confirms.
+// TestConfirm: Confirm cancels a blocking query and queries another agent in consistent mode. Only a complete response
+// confirms the list.
 func TestConfirm(t *testing.T) {
 	for _, agents := range []int{1, 2} {
 		watch := newWatch(Config{AgentCount: agents}.WithDefaults())
@@ -311,33 +317,34 @@
 		}
 		want := Query{Serial: blocking.Serial + 1, Agent: agents - 1, Mode: Consistent}
 		if started == nil || *started != want || !canceled {
-			t.Fatalf("%d agents: started %+v, canceled %v", agents, started, canceled)
+			t.Fatalf("%d agents: got query %+v, blocking query canceled %v", agents, started, canceled)
 		}
 		if _, ok := watch.ListReceived(start, blocking.Serial, ResponseMeta{Index: 21, KnownLeader: true}); ok {
-			t.Error("the answer to a query that was canceled is taken")
+			t.Error("got a verdict for the response to a canceled query, want it ignored")
 		}
 		verdict, ok := watch.ListReceived(start, started.Serial, ResponseMeta{Index: 20, KnownLeader: true})
 		if !ok || !verdict.Confirms || verdict.Disposition != Complete {
-			t.Errorf("%d agents: the confirming answer gives %+v %v", agents, verdict, ok)
+			t.Errorf("%d agents: got verdict %+v, ok %v for the confirming response, want Complete and Confirms",
+				agents, verdict, ok)
 		}
 		watch.Confirm()
 		started = watch.Step(start + 2*time.Second)[0].Start
 		filtered := ResponseMeta{Index: 20, KnownLeader: true, Filtered: true}
 		if verdict, _ = watch.ListReceived(start, started.Serial, filtered); verdict.Confirms {
-			t.Error("an answer that lacks rights confirms")
+			t.Error("got a response without full rights that confirms, want none")
 		}
 	}
 }
 
-// TestFlapping: changes that never stop are fetched at a bounded rate.
-func TestFlapping(t *testing.T) {
+// TestListQueryRateIsBounded: a list that changes all the time is fetched at a bounded rate.
+func TestListQueryRateIsBounded(t *testing.T) {
 	simulation := newSimulation(Config{}, 1)
 	for simulation.now < start+10*time.Second {
 		simulation.run(simulation.now + 10*ms)
 		simulation.change()
 	}
 	if n := len(simulation.verdicts); n < 40 || n > 50 {
-		t.Errorf("%d lists were taken in 10 s of a hundred changes a second, want about one each 200 ms", n)
+		t.Errorf("got %d lists in 10 s with 100 changes per second, want 40 to 50, one every 200 ms", n)
 	}
 }
 
--- a/internal/membership/consul/blockingquery/config.go
+++ b/internal/membership/consul/blockingquery/config.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Mode is how consistent an answer is to be.
+// Mode is the consistency mode of a query.
 type Mode uint8
 
 // The modes of Consul's API.
@@ -15,10 +15,10 @@
 	Consistent
 )
 
-// String names a mode as the API does.
+// String returns the mode's name in the API.
 func (m Mode) String() string { return [...]string{"default", "stale", "consistent"}[m] }
 
-// ParseMode returns the mode of a name.
+// ParseMode returns the mode with the given name.
 func ParseMode(name string) (mode Mode, ok bool) {
 	for mode := Default; mode <= Consistent; mode++ {
 		if mode.String() == name {
@@ -28,17 +28,17 @@
 	return Default, false
 }
 
-// Config is the settings of a Watch. Times must be above 0 unless said otherwise.
+// Config holds the settings of a Watch. Durations must be above 0 unless noted otherwise.
 type Config struct {
 	AgentCount          int // the first agent is the preferred one
 	Mode                Mode
-	Wait                time.Duration // how long a blocking query may block
-	ResponseTimeout     time.Duration // for an answer that need not block, and for a body once it has begun
-	MinInterval         time.Duration // between two list queries; bounds the changes of the list a second
-	ProbeAfter          time.Duration // silence of a blocking query after which its agent is probed; 0: never
+	Wait                time.Duration // maximum time that a query blocks, without the agent's jitter
+	ResponseTimeout     time.Duration // for a response that does not block, and for the rest of one that has begun
+	MinInterval         time.Duration // from a list to the next list query; bounds the list changes per second
+	ProbeAfter          time.Duration // silence during a blocking query after which its agent is probed; 0: never
 	ProbeTimeout        time.Duration
-	PreferredRetryAfter time.Duration // after which the preferred agent is tried again
-	MaxStaleness        time.Duration // of an answer in the mode Stale: since its server's last contact with the leader
+	PreferredRetryAfter time.Duration // time after its failure when the preferred agent is probed again
+	MaxStaleness        time.Duration // in mode Stale: limit of ResponseMeta.LastContact
 	Seed                uint64
 }
 
@@ -52,7 +52,7 @@
 	defaultMaxStaleness        = 5 * time.Second
 )
 
-// WithDefaults returns the settings with defaults for what is 0, except for ProbeAfter.
+// WithDefaults returns the settings with defaults in place of zero values, except for ProbeAfter.
 func (c Config) WithDefaults() Config {
 	c.AgentCount = max(1, c.AgentCount)
 	c.Wait = cmp.Or(c.Wait, defaultWait)
@@ -64,9 +64,9 @@
 	return c
 }
 
-// RetryInterval is the time between two queries to an agent that fails, and MaxRetryJitter bounds the random time on
-// top of it. Both together stay under one second, the time by which a change during an outage has to be in force
-// after it.
+// RetryInterval is the time between two queries to a failing agent, and MaxRetryJitter bounds the random delay added to
+// it. Their sum stays below one second, because a change made during an outage must take effect within one second of
+// its end.
 const (
 	RetryInterval  = 980 * time.Millisecond
 	MaxRetryJitter = 12 * time.Millisecond
--- a/internal/membership/consul/blockingquery/query.go
+++ b/internal/membership/consul/blockingquery/query.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Kind is what a query is for.
+// Kind is the purpose of a query.
 type Kind uint8
 
 // The kinds of queries.
 const (
-	ListQuery     Kind = iota // the list, blocking where Index is not 0
-	LivenessProbe             // whether the agent answers: any cheap call
+	ListQuery     Kind = iota // fetches the list; blocks if Index is not 0
+	LivenessProbe             // checks whether the agent responds, by any cheap call
 )
 
-// Query is a query to send to an agent. Exactly one of ListReceived, ProbeSucceeded or QueryFailed is owed for it,
-// unless it is canceled.
+// Query is a query to send to an agent. Unless it is canceled, the caller must report its result by exactly one call
+// of ListReceived, ProbeSucceeded or QueryFailed.
 type Query struct {
 	Serial uint64
 	Kind   Kind
@@ -22,8 +22,8 @@
 	Mode   Mode
 }
 
-// Action is what is to be done: a query to start, or the serial of one to cancel, for which nothing is owed after
-// that.
+// Action is a query to start or, if Start is nil, the serial of a query to cancel. The result of a canceled query need
+// not be reported.
 type Action struct {
 	Start  *Query
 	Cancel uint64
@@ -33,17 +33,18 @@
 type pendingQuery struct {
 	Query
 	startedAt time.Duration
-	deadline  time.Duration // it has failed then
-	confirms  bool          // it was started by a Confirm
+	deadline  time.Duration // the query counts as failed from then on
+	confirms  bool          // it was requested by Confirm
 }
 
-// blockingSlack is the part of Wait that an agent may add to it, so that its clients do not all return together.
-const blockingSlack = 16
+// waitJitterDivisor bounds the jitter by which an agent extends Wait: it is at most Wait/waitJitterDivisor. Agents add
+// it to keep the queries of all clients from ending at the same time.
+const waitJitterDivisor = 16
 
-// startList starts the list query, or first the probe of an agent that has failed.
+// startList starts the list query if it is due, or first a probe if the agent needs one.
 func (w *Watch) startList(now time.Duration) {
 	if w.probeQuery != nil {
-		return // its result decides about the agent
+		return // its result decides which agent to use
 	}
 	agent, at := w.chooseAgent()
 	if now < at || now < w.nextListAt && !w.confirmRequested && !w.indexRegressed {
@@ -61,7 +62,7 @@
 	w.start(now, query)
 }
 
-// newListQuery makes the list query that is due, to an agent or, to confirm, to another one.
+// newListQuery returns the list query that is due. It goes to agent, or to another one if it is to confirm a list.
 func (w *Watch) newListQuery(now time.Duration, agent int) *pendingQuery {
 	query := &pendingQuery{Query: Query{Kind: ListQuery, Agent: agent, Mode: w.config.Mode}, startedAt: now}
 	switch {
@@ -84,13 +85,13 @@
 	}
 	query.deadline = now + w.config.ResponseTimeout
 	if query.Index > 0 {
-		query.deadline += query.Wait + query.Wait/blockingSlack
+		query.deadline += query.Wait + query.Wait/waitJitterDivisor
 	}
 	return query
 }
 
-// confirmingAgent is the next agent that has not failed: another agent's answer weighs more than the same one's
-// again.
+// confirmingAgent returns the next agent that has not failed, since a response from another agent is better evidence
+// than a second one from the same agent. If there is none, it returns agent itself.
 func (w *Watch) confirmingAgent(agent int) int {
 	for i := 1; i < len(w.agents); i++ {
 		if other := (agent + i) % len(w.agents); w.agents[other].failedAt == 0 {
@@ -120,18 +121,18 @@
 
 func (w *Watch) cancel(query *pendingQuery) { w.canceled = append(w.canceled, query.Serial) }
 
-// ProbeSucceeded says that a probe was answered.
+// ProbeSucceeded records that an agent responded to a probe.
 func (w *Watch) ProbeSucceeded(now time.Duration, serial uint64) {
 	probe := w.probeQuery
 	if probe == nil || probe.Serial != serial {
 		return
 	}
 	w.probeQuery = nil
-	w.agentResponded(now, probe.Agent)
+	w.markAgentResponded(now, probe.Agent)
 	agent := &w.agents[probe.Agent]
 	agent.listAllowed = agent.failedAt > 0
 	w.shared.states[probe.Agent].aliveSinceFailure = agent.failedAt > 0
-	if w.awayFromPreferred() && probe.Agent == preferredAgent {
+	if w.usesFallbackAgent() && probe.Agent == preferredAgent {
 		agent.failedAt = 0
 		w.cancel(w.listQuery)
 		w.listQuery = nil
@@ -141,35 +142,36 @@
 	}
 }
 
-// ResponseStarted says that the answer to a list query has begun: the rest must come within ResponseTimeout.
+// ResponseStarted records that the response to a list query has begun. The rest must arrive within ResponseTimeout.
 func (w *Watch) ResponseStarted(now time.Duration, serial uint64) {
 	if query := w.listQuery; query != nil && query.Serial == serial {
 		query.deadline = now + w.config.ResponseTimeout
 	}
 }
 
-// QueryFailed says that a query failed. The next Step returns what follows from it.
+// QueryFailed records that a query failed. The next Step returns the resulting actions.
 func (w *Watch) QueryFailed(now time.Duration, serial uint64, fault Fault) {
 	switch probe, query := w.probeQuery, w.listQuery; {
 	case probe != nil && probe.Serial == serial:
 		w.probeQuery = nil
 		w.shared.states[probe.Agent].probeFailedAt = now
-		w.failAgent(now, probe.Agent, fault)
+		w.markAgentFailed(now, probe.Agent, fault)
 	case query != nil && query.Serial == serial:
 		w.listQuery = nil
 		w.confirmRequested = w.confirmRequested || query.confirms
-		w.failAgent(now, query.Agent, fault)
+		w.markAgentFailed(now, query.Agent, fault)
 	}
 }
 
-// ListReceived says that a list came in full, and returns how to use it. ok is false for a query that was canceled.
+// ListReceived records that a list was received in full and returns how to use it. ok is false if the query was
+// canceled.
 func (w *Watch) ListReceived(now time.Duration, serial uint64, meta ResponseMeta) (verdict Verdict, ok bool) {
 	query := w.listQuery
 	if query == nil || query.Serial != serial {
 		return Verdict{}, false
 	}
 	w.listQuery = nil
-	w.agentResponded(now, query.Agent)
+	w.markAgentResponded(now, query.Agent)
 	w.agents[query.Agent].failedAt = 0
 	shared := &w.shared.states[query.Agent]
 	shared.listedAt = now
@@ -182,13 +184,13 @@
 		w.askLeader = true
 		return Verdict{Disposition: Discard, Reason: TooStale}, true
 	case meta.Index < w.index && query.Mode != Consistent:
-		// Another agent that lags, or a cluster that was rebuilt: a consistent answer shows which.
+		// Either this agent lags behind another one or the cluster was rebuilt; a consistent response shows which.
 		w.indexRegressed = true
 		return Verdict{Disposition: Discard, Reason: IndexRegressed}, true
 	}
-	verdict = w.judge(query, meta)
+	verdict = w.newVerdict(query, meta)
 	if verdict.Reason == IndexZero {
-		w.nextListAt = now + RetryInterval // a query without an index does not block
+		w.nextListAt = now + RetryInterval // a query without an index does not block, so space the queries
 	}
 	w.lastPartial = verdict.Disposition == Partial
 	if query.Mode == Consistent {
@@ -198,8 +200,8 @@
 	return verdict, true
 }
 
-// judge says how to use an answer that is new enough.
-func (w *Watch) judge(query *pendingQuery, meta ResponseMeta) Verdict {
+// newVerdict returns how to use a response that is recent enough.
+func (w *Watch) newVerdict(query *pendingQuery, meta ResponseMeta) Verdict {
 	verdict := Verdict{Confirms: query.confirms && meta.complete()}
 	switch {
 	case meta.Index == 0:
@@ -209,7 +211,7 @@
 	case meta.Filtered:
 		verdict.Disposition, verdict.Reason = Partial, Filtered
 	case meta.Index == w.index && query.Index > 0 && !w.lastPartial:
-		verdict.Disposition = Unchanged // the query has blocked for its full time
+		verdict.Disposition = Unchanged // the query blocked for its full time without a change
 	}
 	return verdict
 }
--- a/internal/membership/consul/blockingquery/simulation_test.go
+++ b/internal/membership/consul/blockingquery/simulation_test.go
@@ -8,7 +8,7 @@
 	rtt   = 2 * ms
 )
 
-// faultFunc says which fault an agent has at a time, if any.
+// faultFunc returns the fault that an agent has at a time, if any.
 type faultFunc func(now time.Duration) (fault Fault, isFaulty bool)
 
 func noFault(time.Duration) (Fault, bool) { return 0, false }
@@ -17,13 +17,13 @@
 	return func(now time.Duration) (Fault, bool) { return fault, now >= from && now < to }
 }
 
-// fakeAgent answers by a script.
+// fakeAgent is a simulated agent whose faults are given by a function of time.
 type fakeAgent struct {
 	faultAt   faultFunc
 	queriedAt []time.Duration // the times of all queries sent to it
 }
 
-// queriesSince counts the queries sent to the agent from a time on.
+// queriesSince returns the number of queries sent to the agent from a time on.
 func (a *fakeAgent) queriesSince(from time.Duration) int {
 	count := 0
 	for _, at := range a.queriedAt {
@@ -34,13 +34,13 @@
 	return count
 }
 
-// simulation plays a watch against agents, in simulated time. The list is its version alone.
+// simulation runs a watch against fake agents in simulated time. Of the list it has only the version number.
 type simulation struct {
 	watch               *Watch
 	agents              []*fakeAgent
 	now                 time.Duration
-	version             uint64 // of the true list; agents answer with it
-	receivedVersion     uint64 // what the watch's user has
+	version             uint64 // of the current list, which agents respond with
+	receivedVersion     uint64 // of the last list that the watch accepted
 	receivedAt          time.Duration
 	inFlight            map[uint64]*scheduled
 	verdicts            []Verdict
@@ -48,13 +48,13 @@
 	wasUnavailable      bool
 }
 
-// scheduled is a query in flight.
+// scheduled is a query in flight and the earliest time of its response.
 type scheduled struct {
 	query      Query
 	respondsAt time.Duration
 }
 
-// newSimulation is a watch with so many agents.
+// newSimulation returns the simulation of one watch with a number of agents.
 func newSimulation(config Config, agents int) *simulation {
 	return newSimulations(config, agents, 1)[0]
 }
@@ -87,7 +87,7 @@
 	return all
 }
 
-// run goes on until a time, all watches in turn.
+// run runs all simulations in turn until a time.
 func (all simulations) run(until time.Duration) {
 	for now := all[0].now; now < until; now += ms {
 		for _, simulation := range all {
@@ -96,7 +96,7 @@
 	}
 }
 
-// run goes on until a time, in steps of 1 ms, as the watch wants them.
+// run advances the simulation to a time in increments of 1 ms and steps the watch whenever a step is due.
 func (s *simulation) run(until time.Duration) {
 	for ; s.now < until; s.now += ms {
 		for serial, query := range s.inFlight {
@@ -122,7 +122,7 @@
 	}
 }
 
-// respond reports what has come of a query by now, if anything.
+// respond reports the result of a query to the watch, if there is one by now.
 func (s *simulation) respond(serial uint64, scheduled *scheduled) {
 	query := scheduled.query
 	fault, isFaulty := s.agents[query.Agent].faultAt(s.now)
@@ -148,8 +148,8 @@
 	}
 }
 
-// isCurrent reports whether the watch's user has the true list.
+// isCurrent reports whether the current list has been received.
 func (s *simulation) isCurrent() bool { return s.receivedVersion == s.version }
 
-// change changes the true list.
+// change makes a new version of the list.
 func (s *simulation) change() { s.version++ }
