--- a/internal/membership/consul/registrar/registrar.go
+++ b/internal/membership/consul/registrar/registrar.go
@@ -1,17 +1,17 @@
-// Package registrar decides how a program keeps itself registered at an agent by a TTL check: when to register, when
-// to renew, when to register again because the agent has lost the registration, and when to deregister. It does no
-// I/O and reads no clock: its user steps it and carries out the Actions.
+// Package registrar decides how a program keeps itself registered at a Consul agent with a TTL check: when to register,
+// when to renew, when to register again because the agent has lost the registration, and when to deregister. It does
+// no I/O and reads no clock: its caller calls Step and carries out the returned Actions.
 //
-// Invariants: at most one Action is in flight. While the agent answers, a renewal comes no later than a third of the
-// TTL after the last. After a call of Deregister the only Action is Deregister.
+// Invariants: at most one Action is in flight. While the agent responds, each renewal is due at most a third of the TTL
+// after the previous one. After Deregister has been called, the only Action is Deregister.
 //
-// Bounds: a failed Action is repeated after maxRetryDelay at the latest, and deregistration is attempted at most
+// Bounds: a failed Action is repeated after at most maxRetryDelay, and deregistration is attempted at most
 // MaxDeregisterAttempts times.
 package registrar
 
 import "time"
 
-// Action is what is to be done.
+// Action is a call to make to the agent.
 type Action uint8
 
 // The actions.
@@ -22,17 +22,17 @@
 	Deregister
 )
 
-// Result is what came of an action.
+// Result is the outcome of an action.
 type Result uint8
 
 // The results.
 const (
 	Succeeded Result = iota
 	NotFound         // the agent does not know the check or the service
-	Failed           // it did not answer, or answered with another error
+	Failed           // the agent did not respond, or responded with another error
 )
 
-// MaxDeregisterAttempts is how often deregistration is attempted before the registration is left to its TTL.
+// MaxDeregisterAttempts is the number of deregistration attempts before the registration is left to expire.
 const MaxDeregisterAttempts = 3
 
 const (
@@ -44,7 +44,7 @@
 	renewalsPerTTL = 3
 )
 
-// Registrar is the state. It is not safe for concurrent use.
+// Registrar holds the state of one registration. It is not safe for concurrent use.
 type Registrar struct {
 	ttl                time.Duration
 	registered         bool
@@ -52,21 +52,22 @@
 	finished           bool
 	inFlight           Action
 	nextStepAt         time.Duration
-	retryDelay         time.Duration // 0: the last action succeeded
+	retryDelay         time.Duration // after the last failure; a success resets it to 0
 	deregisterAttempts int
 }
 
-// New makes one that is not registered. The TTL must be at least a second.
+// New returns a Registrar that is not yet registered. The TTL must be at least one second.
 func New(ttl time.Duration) *Registrar { return &Registrar{ttl: ttl} }
 
-// Step returns what is to be done by now. ActionCompleted is owed for anything but None.
+// Step returns the action that is due at now. Unless it is None, the caller must report its result by
+// ActionCompleted.
 func (r *Registrar) Step(now time.Duration) Action {
 	if r.inFlight != None || r.finished || now < r.nextStepAt {
 		return None
 	}
 	switch {
 	case r.deregistering:
-		// Also where the registration was not answered: it may have arrived.
+		// Also without a confirmed registration: an unanswered one may have reached the agent.
 		r.inFlight = Deregister
 	case r.registered:
 		r.inFlight = Renew
@@ -76,7 +77,7 @@
 	return r.inFlight
 }
 
-// ActionCompleted takes what came of the action in flight.
+// ActionCompleted records the result of the action in flight.
 func (r *Registrar) ActionCompleted(now time.Duration, result Result) {
 	action := r.inFlight
 	r.inFlight = None
@@ -90,10 +91,11 @@
 		r.retryDelay = 0
 		r.nextStepAt = now + r.ttl/renewalsPerTTL
 	case result == NotFound && action == Renew:
-		r.registered = false // an agent that was restarted
+		r.registered = false // the agent was restarted and has lost it
 		r.nextStepAt = now
 	default:
-		// It stays registered while the agent is away: the check expires by itself, and a renewal revives it.
+		// Keep it as registered while the agent is unreachable: the check expires by itself, and a later renewal
+		// makes it pass again.
 		r.retryDelay = min(max(minRetryDelay, 2*r.retryDelay), maxRetryDelay, r.ttl/renewalsPerTTL)
 		r.nextStepAt = now + r.retryDelay
 	}
@@ -109,7 +111,7 @@
 	r.nextStepAt = now + deregisterRetryDelay
 }
 
-// Deregister has the registration removed, as the next action.
+// Deregister makes the removal of the registration the next action.
 func (r *Registrar) Deregister(now time.Duration) {
 	if r.deregistering {
 		return
@@ -118,11 +120,11 @@
 	r.nextStepAt = now
 }
 
-// Next is when Step is due. It counts only while nothing is in flight.
+// Next returns when Step is due. It is meaningful only while no action is in flight.
 func (r *Registrar) Next() time.Duration { return r.nextStepAt }
 
-// Registered reports whether the agent has the registration, as far as is known.
+// Registered reports whether the agent is known to have the registration.
 func (r *Registrar) Registered() bool { return r.registered }
 
-// Finished says that deregistration succeeded, or was attempted often enough.
+// Finished reports whether the registration was removed or all attempts to remove it have failed.
 func (r *Registrar) Finished() bool { return r.finished }
