--- a/internal/membership/consul/health/health.go
+++ b/internal/membership/consul/health/health.go
@@ -1,11 +1,11 @@
-// Package health reads an instance of Consul's catalogue as an endpoint: its ID, address, zone, kind and weight, and
-// by its checks whether it is up, draining or gone. It does no I/O and does not know the client library.
+// Package health converts an instance in Consul's catalogue to an endpoint: its ID, address, zone, kind and weight, and
+// whether its checks make it up, draining or gone. It does no I/O and does not depend on Consul's client library.
 //
-// Invariants: maintenance goes before all other checks and means draining; apart from it the worst of the checks that
-// count decides, as in Consul's own aggregation. An instance that can't be read is an error that names it and never
-// an endpoint with gaps.
+// Invariants: maintenance takes precedence over all other checks and means draining; otherwise the worst of the checks
+// that count decides, as in Consul's own aggregation. An instance that can't be converted results in an error that
+// names it, never in an incomplete endpoint.
 //
-// Bounds: texts of the catalogue's stand in errors up to 64 bytes each, an instance's ID apart.
+// Bounds: errors quote at most 64 characters of each text from the catalogue, except for an instance's ID.
 package health
 
 import (
@@ -21,43 +21,43 @@
 // Check is one check of an instance or of its node.
 type Check struct {
 	ID        string
-	ServiceID string // of the instance; empty: it is the node's check
+	ServiceID string // of the instance; empty for a check of the node
 	Status    string
 }
 
-// Instance is what the catalogue says of one instance of a service.
+// Instance is one instance of a service as the catalogue describes it.
 type Instance struct {
 	ID            string
 	Node          string
-	Address       string // empty: the node's address is the instance's
+	Address       string // empty: NodeAddress is used
 	NodeAddress   string
 	Port          int
 	Meta          map[string]string
 	PassingWeight int
 	WarningWeight int
 	Checks        []Check
-	CreateIndex   uint64 // another one with each registration
+	CreateIndex   uint64 // differs for each registration
 }
 
-// Rules is how instances of a service are read.
+// Rules defines how the instances of a service are converted.
 type Rules struct {
-	// ID is where an endpoint's ID comes from: "service" (the instance's ID, which must then be unique in the
+	// ID says what to use as an endpoint's ID: "service" (the instance's ID, which must then be unique in the
 	// cluster), "node", "node/service", or "meta:KEY".
 	ID string
-	// Zone and Kind are names of the platform's settings. Where they are empty, the metadata under ZoneKey and
-	// KindKey has them.
+	// Zone and Kind are names from the platform's settings. An empty one is taken from the instance's metadata, under
+	// the key ZoneKey or KindKey.
 	Zone, ZoneKey string
 	Kind, KindKey string
-	// StartedAtKey names the metadata with the Unix millisecond of a start, WeightKey the metadata with the weight.
-	// An instance with a warning has its weight from the catalogue in any case.
+	// StartedAtKey is the metadata key of the start time in Unix milliseconds, and WeightKey that of the weight. An
+	// instance with a warning always has the warning weight of the catalogue instead.
 	StartedAtKey, WeightKey string
-	// Checks are the checks that count: "all", "service", "node", or IDs of checks. IgnoredChecks are IDs of checks
-	// that do not count, whatever Checks says. Maintenance always counts.
+	// Checks selects the checks that count: "all", "service", "node", or IDs of checks. IgnoredChecks are IDs of checks
+	// that do not count, regardless of Checks. Maintenance always counts.
 	Checks, IgnoredChecks []string
-	Warning               membership.State // the state that a warning means: Up or Draining
+	Warning               membership.State // the state of an instance with a warning: Up or Draining
 }
 
-// DefaultRules returns the rules in force where the settings say nothing.
+// DefaultRules returns the rules that apply unless the settings change them.
 func DefaultRules() Rules {
 	return Rules{
 		ID:           "service",
@@ -70,7 +70,7 @@
 	}
 }
 
-// The statuses of checks, and the IDs of those that mean maintenance.
+// The statuses of checks, and the IDs of the checks that indicate maintenance.
 const (
 	statusPassing            = "passing"
 	statusWarning            = "warning"
@@ -79,15 +79,15 @@
 	serviceMaintenancePrefix = "_service_maintenance:"
 )
 
-// maxWeight bounds a weight of the metadata.
+// maxWeight is the exclusive upper bound of a weight in the metadata.
 const maxWeight = 1e9
 
-// idForms are the forms of Rules.ID, beside metaPrefix with a key.
+// idForms lists the forms of Rules.ID, apart from metaPrefix followed by a key.
 var idForms = []string{"service", "node", "node/service"}
 
 const metaPrefix = "meta:"
 
-// ValidateIDForm returns an error for a text that is no form of Rules.ID.
+// ValidateIDForm returns an error if form is not a form of Rules.ID.
 func ValidateIDForm(form string) error {
 	if slices.Contains(idForms, form) {
 		return nil
@@ -98,8 +98,8 @@
 	return fmt.Errorf("expected one of %s or meta:KEY, got %q", strings.Join(idForms, ", "), form)
 }
 
-// Entry returns an instance as a source's entry. An instance that can't be used is an error, which names it; it is to
-// be left out of the list.
+// Entry converts an instance to an entry of a source. If the instance can't be used, it returns an error that names
+// it; the instance is then to be left out of the list.
 func (r *Rules) Entry(instance *Instance) (membership.Entry, error) {
 	entry := membership.Entry{
 		ID:          r.endpointID(instance),
@@ -113,7 +113,7 @@
 	if entry.Kind == "" {
 		entry.Kind = instance.Meta[r.KindKey]
 	}
-	if err := r.readInto(&entry, instance); err != nil {
+	if err := r.fillEntry(&entry, instance); err != nil {
 		name := entry.ID
 		if name == "" {
 			name = nodeAndID(instance)
@@ -123,8 +123,8 @@
 	return entry, nil
 }
 
-// readInto reads what can be wrong with an instance. The order decides which fault is named.
-func (r *Rules) readInto(entry *membership.Entry, instance *Instance) error {
+// fillEntry sets the fields that may be invalid in the instance. It returns an error for the first invalid one.
+func (r *Rules) fillEntry(entry *membership.Entry, instance *Instance) error {
 	var err error
 	if entry.StartedAtMS, err = r.startedAtMS(instance); err != nil {
 		return err
@@ -139,11 +139,11 @@
 	} else if entry.Weight, err = r.weight(instance); err != nil {
 		return err
 	}
-	entry.Address, err = addressOf(instance)
+	entry.Address, err = endpointAddress(instance)
 	return err
 }
 
-// endpointID may return an empty text, where the metadata lacks the key.
+// endpointID returns the endpoint's ID. It is empty if the ID comes from the metadata and its key is missing there.
 func (r *Rules) endpointID(instance *Instance) string {
 	if key, isMeta := strings.CutPrefix(r.ID, metaPrefix); isMeta {
 		return instance.Meta[key]
@@ -171,7 +171,7 @@
 	return startedAtMS, nil
 }
 
-// weight returns the weight of an instance that has no warning.
+// weight returns the weight of an instance without a warning.
 func (r *Rules) weight(instance *Instance) (float64, error) {
 	text := instance.Meta[r.WeightKey]
 	if text == "" {
@@ -179,15 +179,15 @@
 	}
 	weight, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(weight) || weight <= 0 || weight >= maxWeight {
-		return 0, fmt.Errorf("%s %.32q is not a number above 0", r.WeightKey, text)
+		return 0, fmt.Errorf("%s %.32q is not a number above 0 and below 1e9", r.WeightKey, text)
 	}
 	return weight, nil
 }
 
-// addressOf returns host:port. A host with a colon is taken for an IPv6 address and put into brackets.
-func addressOf(instance *Instance) (string, error) {
+// endpointAddress returns host:port. A host with a colon is taken for an IPv6 address and put in brackets.
+func endpointAddress(instance *Instance) (string, error) {
 	if instance.Port <= 0 || instance.Port > math.MaxUint16 {
-		return "", fmt.Errorf("port %d", instance.Port)
+		return "", fmt.Errorf("port %d is not in the range 1 to 65535", instance.Port)
 	}
 	host := instance.Address
 	if host == "" {
@@ -199,8 +199,8 @@
 	return host + ":" + strconv.Itoa(instance.Port), nil
 }
 
-// aggregateState returns the worst state of the checks that count. Maintenance goes before the rest: it is meant, and
-// other checks may fail because of it.
+// aggregateState returns the worst state of the checks that count. Maintenance takes precedence over them, because it
+// is intentional and may make other checks fail.
 func (r *Rules) aggregateState(instance *Instance) (state membership.State, isWarning bool, err error) {
 	if slices.ContainsFunc(instance.Checks, isMaintenance) {
 		return membership.Draining, false, nil
@@ -218,7 +218,7 @@
 		case statusCritical:
 			state = membership.Gone
 		default:
-			return state, false, fmt.Errorf("check %.64q has the status %.32q", check.ID, check.Status)
+			return state, false, fmt.Errorf("check %.64q has the unknown status %.32q", check.ID, check.Status)
 		}
 	}
 	return state, isWarning, nil
