--- a/internal/membership/consul/client.go
+++ b/internal/membership/consul/client.go
@@ -20,15 +20,15 @@
 
 const (
 	dialTimeout = time.Second
-	// tlsTimeout bounds connecting to an agent by TLS, the handshake included.
+	// tlsTimeout limits connecting to an agent over TLS, including the handshake.
 	tlsTimeout = 3 * time.Second
-	// idleConnTimeout and maxIdleConnsPerAgent bound the connections that a client keeps open.
+	// idleConnTimeout and maxIdleConnsPerAgent limit the idle connections that a client keeps open.
 	idleConnTimeout      = 90 * time.Second
 	maxIdleConnsPerAgent = 4
 )
 
-// clients makes the API's clients, one for each agent, with connections of their own.
-func (c *Config) clients() ([]*api.Client, error) {
+// newClients returns one API client for each agent, with its own connections.
+func (c *Config) newClients() ([]*api.Client, error) {
 	scheme := "http"
 	var dialer *tlsclient.Dialer
 	if c.TLS != nil {
@@ -40,7 +40,7 @@
 	}
 	var clients []*api.Client
 	for _, agent := range c.Agents {
-		transport := c.transport(dialer)
+		transport := c.newTransport(dialer)
 		client, err := api.NewClient(&api.Config{
 			Address:    agent,
 			Scheme:     scheme,
@@ -56,8 +56,8 @@
 	return clients, nil
 }
 
-// transport makes the connections of one client. dialer is nil without TLS.
-func (c *Config) transport(dialer *tlsclient.Dialer) *http.Transport {
+// newTransport returns the HTTP transport of one client. dialer is nil without TLS.
+func (c *Config) newTransport(dialer *tlsclient.Dialer) *http.Transport {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout, LocalAddr: c.Bind}).DialContext,
 		MaxIdleConnsPerHost: maxIdleConnsPerAgent,
@@ -78,8 +78,8 @@
 	return transport
 }
 
-// token reads the token's file for each call, since it may have changed.
-func (c *Config) token() (string, error) {
+// readToken returns the token from its file. It is called for each API call because the file may have changed.
+func (c *Config) readToken() (string, error) {
 	if c.TokenFile == "" {
 		return "", nil
 	}
@@ -87,7 +87,7 @@
 	return strings.TrimSpace(string(text)), err
 }
 
-// queryOptions returns the options of a call to an agent.
+// queryOptions returns the options of the API call for a query.
 func queryOptions(ctx context.Context, query blockingquery.Query, token string) *api.QueryOptions {
 	options := &api.QueryOptions{
 		WaitIndex:         query.Index,
@@ -99,23 +99,23 @@
 	return options.WithContext(ctx)
 }
 
-// withResponseTrace has a function called when the answer to a call begins.
+// withResponseTrace returns a context in which an API call reports the first byte of its response to responseStarted.
 func withResponseTrace(ctx context.Context, responseStarted func()) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotFirstResponseByte: responseStarted})
 }
 
-// faultOf classifies why a query failed. The client keeps the causes of its errors, so their types are enough:
-// whatever the connection returns is a net.Error, syscall.ECONNRESET and the other errors of system calls among them.
-// No text is looked at, since parts of it may be the agent's.
+// faultOf classifies why a query failed. The client wraps the causes of its errors, so their types suffice: all errors
+// of a connection are net.Errors, including syscall.ECONNRESET and other system call errors. Error texts are not
+// examined, since an agent may have written parts of them.
 func faultOf(err error) blockingquery.Fault {
-	var status api.StatusError
-	var network net.Error
+	var statusErr api.StatusError
+	var netErr net.Error
 	switch {
-	case errors.As(err, &status):
+	case errors.As(err, &statusErr):
 		return blockingquery.Rejected
-	case errors.Is(err, context.DeadlineExceeded), errors.As(err, &network) && network.Timeout():
+	case errors.Is(err, context.DeadlineExceeded), errors.As(err, &netErr) && netErr.Timeout():
 		return blockingquery.TimedOut
-	case errors.As(err, &network), errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
+	case errors.As(err, &netErr), errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 		return blockingquery.ConnectionFailed
 	}
 	return blockingquery.Malformed
--- a/internal/membership/consul/client_test.go
+++ b/internal/membership/consul/client_test.go
@@ -20,7 +20,7 @@
 	"sloequay/internal/membership/consul/blockingquery"
 )
 
-// TestFaultOf: a fault is classified by the types of an error's chain, whatever words stand in its text.
+// TestFaultOf: a fault is classified by the types in an error's chain, regardless of the error's text.
 func TestFaultOf(t *testing.T) {
 	connReset := os.NewSyscallError("read", syscall.ECONNRESET)
 	for _, c := range []struct {
@@ -28,107 +28,108 @@
 		err  error
 		want blockingquery.Fault
 	}{
-		{"a status", fmt.Errorf("agent: %w", api.StatusError{Code: http.StatusInternalServerError}),
+		{"error status", fmt.Errorf("agent: %w", api.StatusError{Code: http.StatusInternalServerError}),
 			blockingquery.Rejected},
-		{"a status that speaks of a reset", api.StatusError{Code: http.StatusBadGateway, Body: "connection reset"},
+		{"error status whose body mentions a reset",
+			api.StatusError{Code: http.StatusBadGateway, Body: "connection reset"},
 			blockingquery.Rejected},
-		{"out of time", &url.Error{Op: "Get", Err: context.DeadlineExceeded},
+		{"deadline exceeded", &url.Error{Op: "Get", Err: context.DeadlineExceeded},
 			blockingquery.TimedOut},
-		{"a dial out of time", &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded},
+		{"dial timeout", &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded},
 			blockingquery.TimedOut},
-		{"a reset", connReset,
+		{"connection reset", connReset,
 			blockingquery.ConnectionFailed},
-		{"a reset on a connection", &net.OpError{Op: "read", Err: connReset},
+		{"connection reset while reading", &net.OpError{Op: "read", Err: connReset},
 			blockingquery.ConnectionFailed},
-		{"a reset, wrapped", fmt.Errorf("reading the body: %w", &net.OpError{Op: "read", Err: connReset}),
+		{"connection reset, wrapped", fmt.Errorf("reading the body: %w", &net.OpError{Op: "read", Err: connReset}),
 			blockingquery.ConnectionFailed},
-		{"a closed pipe", syscall.EPIPE,
+		{"broken pipe", syscall.EPIPE,
 			blockingquery.ConnectionFailed},
-		{"a dial that was refused", &url.Error{Op: "Get", Err: &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}},
+		{"dial refused", &url.Error{Op: "Get", Err: &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}},
 			blockingquery.ConnectionFailed},
-		{"no name", &net.DNSError{Err: "no such host", Name: "agent.test", IsNotFound: true},
+		{"host name not found", &net.DNSError{Err: "no such host", Name: "agent.test", IsNotFound: true},
 			blockingquery.ConnectionFailed},
-		{"an end before the answer", &url.Error{Op: "Get", Err: io.EOF},
+		{"EOF before the response", &url.Error{Op: "Get", Err: io.EOF},
 			blockingquery.ConnectionFailed},
-		{"an end within the answer", io.ErrUnexpectedEOF,
+		{"EOF within the response", io.ErrUnexpectedEOF,
 			blockingquery.ConnectionFailed},
-		{"no JSON", json.Unmarshal([]byte("{,"), new(any)),
+		{"invalid JSON", json.Unmarshal([]byte("{,"), new(any)),
 			blockingquery.Malformed},
-		{"a text that speaks of a reset", errors.New(`invalid duration "connection reset"`),
+		{"error text that mentions a reset", errors.New(`invalid duration "connection reset"`),
 			blockingquery.Malformed},
 	} {
 		if got := faultOf(c.err); got != c.want {
-			t.Errorf("%s: %v gives %v, want %v", c.name, c.err, got, c.want)
+			t.Errorf("%s: faultOf(%v): got %v, want %v", c.name, c.err, got, c.want)
 		}
 	}
 }
 
-// sendAndEnd sends a text as it is and ends the connection, with a reset or in order.
-func sendAndEnd(t *testing.T, w http.ResponseWriter, text string, end func(*net.TCPConn)) {
+// sendAndClose sends a response as it is and then closes the connection by closeConn.
+func sendAndClose(t *testing.T, w http.ResponseWriter, response string, closeConn func(*net.TCPConn)) {
 	conn, buffer, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		t.Error(err)
 		return
 	}
-	buffer.WriteString(text)
+	buffer.WriteString(response)
 	buffer.Flush()
-	time.Sleep(20 * time.Millisecond) // so that the text is read before the end comes
-	end(conn.(*net.TCPConn))
+	time.Sleep(20 * time.Millisecond) // lets the client read the text before the connection ends
+	closeConn(conn.(*net.TCPConn))
 }
 
-func closeInOrder(conn *net.TCPConn) { conn.Close() }
+func closeGracefully(conn *net.TCPConn) { conn.Close() }
 
-func reset(conn *net.TCPConn) {
+func resetConn(conn *net.TCPConn) {
 	conn.SetLinger(0)
 	conn.Close()
 }
 
-// TestFaultOfConnection: what the client makes of connections that break at each stage of an answer is classified as
-// what it is.
-func TestFaultOfConnection(t *testing.T) {
+// TestFaultOfBrokenConnection: the client's errors for connections that break at each stage of a response, and for
+// invalid responses, are classified correctly.
+func TestFaultOfBrokenConnection(t *testing.T) {
 	const (
-		timeout   = time.Second
-		header    = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\nX-Consul-Index: 7\r\n\r\n"
-		firstPart = header + `[{"Node":`
+		timeout         = time.Second
+		header          = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\nX-Consul-Index: 7\r\n\r\n"
+		partialResponse = header + `[{"Node":`
 	)
 	for _, c := range []struct {
-		name   string
-		answer func(w http.ResponseWriter)
-		want   blockingquery.Fault
+		name    string
+		respond func(w http.ResponseWriter)
+		want    blockingquery.Fault
 	}{
-		{"reset before the header", func(w http.ResponseWriter) { sendAndEnd(t, w, "", reset) },
+		{"reset before the header", func(w http.ResponseWriter) { sendAndClose(t, w, "", resetConn) },
 			blockingquery.ConnectionFailed},
-		{"closed before the header", func(w http.ResponseWriter) { sendAndEnd(t, w, "", closeInOrder) },
+		{"closed before the header", func(w http.ResponseWriter) { sendAndClose(t, w, "", closeGracefully) },
 			blockingquery.ConnectionFailed},
-		{"reset within the body", func(w http.ResponseWriter) { sendAndEnd(t, w, firstPart, reset) },
+		{"reset within the body", func(w http.ResponseWriter) { sendAndClose(t, w, partialResponse, resetConn) },
 			blockingquery.ConnectionFailed},
-		{"closed within the body", func(w http.ResponseWriter) { sendAndEnd(t, w, firstPart, closeInOrder) },
+		{"closed within the body", func(w http.ResponseWriter) { sendAndClose(t, w, partialResponse, closeGracefully) },
 			blockingquery.ConnectionFailed},
 		{"status 500", func(w http.ResponseWriter) { w.WriteHeader(http.StatusInternalServerError) },
 			blockingquery.Rejected},
-		{"a body that is no JSON", func(w http.ResponseWriter) { io.WriteString(w, "connection reset") },
+		{"body is not JSON", func(w http.ResponseWriter) { io.WriteString(w, "connection reset") },
 			blockingquery.Malformed},
-		{"a body whose error quotes the agent", func(w http.ResponseWriter) {
+		{"body whose decoding error quotes the agent", func(w http.ResponseWriter) {
 			io.WriteString(w, `[{"Checks":[{"Definition":{"Interval":"connection reset"}}]}]`)
 		}, blockingquery.Malformed},
-		{"no answer in time", func(http.ResponseWriter) { time.Sleep(timeout + 100*time.Millisecond) },
+		{"no response in time", func(http.ResponseWriter) { time.Sleep(timeout + 100*time.Millisecond) },
 			blockingquery.TimedOut},
 	} {
-		err := queryServer(t, c.answer, timeout)
+		err := queryServer(t, c.respond, timeout)
 		if err == nil {
-			t.Errorf("%s: no error", c.name)
+			t.Errorf("%s: got no error, want one", c.name)
 		} else if got := faultOf(err); got != c.want {
-			t.Errorf("%s: %v gives %v, want %v", c.name, err, got, c.want)
+			t.Errorf("%s: faultOf(%v): got %v, want %v", c.name, err, got, c.want)
 		}
 	}
 }
 
-// queryServer queries a server that answers so and returns the error.
-func queryServer(t *testing.T, answer func(w http.ResponseWriter), timeout time.Duration) error {
+// queryServer queries a server that responds by a function, and returns the client's error.
+func queryServer(t *testing.T, respond func(w http.ResponseWriter), timeout time.Duration) error {
 	t.Helper()
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { answer(w) }))
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { respond(w) }))
 	defer server.Close()
-	clients, err := (&Config{Agents: []string{server.Listener.Addr().String()}}).clients()
+	clients, err := (&Config{Agents: []string{server.Listener.Addr().String()}}).newClients()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/membership/consul/config.go
+++ b/internal/membership/consul/config.go
@@ -16,21 +16,21 @@
 	"sloequay/internal/membership/consul/health"
 )
 
-// Config is the block `catalogue` of the settings.
+// Config holds the settings in the block `catalogue`.
 type Config struct {
 	Agents       []string // host:port; the first is the preferred one
 	TokenFile    string
 	Datacenter   string // empty: the agents' own
 	Mode         blockingquery.Mode
 	Watch        blockingquery.Config
-	TLS          *TLS // nil: agents are called by HTTP
+	TLS          *TLS // nil: agents are called over plain HTTP
 	Services     []*Service
-	PurgePrefix  string        // prefix of the KV store; empty: none
+	PurgePrefix  string        // prefix of the purges' keys in the KV store; empty: no purges
 	Registration *Registration // nil: the proxy does not register itself
-	Bind         net.Addr      // the local address of connections; nil: the system's choice
+	Bind         net.Addr      // local address of connections to agents; nil: chosen by the system
 }
 
-// TLS is how agents are called by HTTPS.
+// TLS holds the settings for calling agents over HTTPS. CA, Cert and Key are the paths of files.
 type TLS struct {
 	CA         string
 	Cert       string
@@ -38,10 +38,10 @@
 	ServerName string
 	Now        func() time.Time // the Unix clock; nil: the system's
 
-	sharedDialer *tlsclient.Dialer // made when the settings are checked, before anything runs
+	sharedDialer *tlsclient.Dialer // made while the settings are checked, before any other goroutine uses it
 }
 
-// Service is one service whose instances are endpoints.
+// Service is a service whose instances are used as endpoints.
 type Service struct {
 	Name   string
 	Tags   []string
@@ -49,13 +49,13 @@
 	Rules  health.Rules
 }
 
-// Registration is the proxy's own registration.
+// Registration holds the settings of the proxy's own registration.
 type Registration struct {
 	Service string
 	ID      string // empty: the proxy's name
-	Address string // empty: where the proxy listens
+	Address string // host:port; empty: where the proxy listens
 	Tags    []string
-	TTL     time.Duration
+	TTL     time.Duration // of the check
 }
 
 const (
@@ -70,17 +70,18 @@
 	section := &config.Section{}
 	c.Watch = blockingquery.Config{ProbeAfter: defaultProbeAfter}.WithDefaults()
 	mode := c.Mode.String()
-	section.Words("agent", &c.Agents, hostPort, "addresses of agents, host:port; the first is the one at home")
-	section.Text("token-file", &c.TokenFile, readableFile, "file that holds the token; read again for each question")
-	section.Text("datacentre", &c.Datacenter, pathSegment("datacentre"), "asked for, where it is not the agents' own")
-	section.Choice("mode", &mode, modeNames(), "how consistent answers are to be")
+	section.Words("agent", &c.Agents, validateHostPort, "host:port of the agents; the first is the preferred one")
+	section.Text("token-file", &c.TokenFile, validateReadableFile, "file with the token; read again for each call")
+	section.Text("datacentre", &c.Datacenter, pathSegmentValidator("datacentre"),
+		"datacenter to query; default: that of the agents")
+	section.Choice("mode", &mode, modeNames(), "consistency mode of the queries")
 	c.addTimes(section)
-	section.Text("purges", &c.PurgePrefix, nil, "prefix of the KV store that holds purges")
+	section.Text("purges", &c.PurgePrefix, nil, "prefix of the purges' keys in the KV store")
 	section.Block("tls", false, "HTTPS to the agents", func([]string) (*config.Section, error) {
 		c.TLS = &TLS{}
 		return c.TLS.section(), nil
 	})
-	section.Block("service", true, "a service whose instances are endpoints", c.serviceSection)
+	section.Block("service", true, "a service whose instances are used as endpoints", c.serviceSection)
 	section.Block("register", false, "the proxy's own registration", func([]string) (*config.Section, error) {
 		c.Registration = &Registration{TTL: defaultTTL}
 		return c.Registration.section(), nil
@@ -89,9 +90,9 @@
 		c.Mode, _ = blockingquery.ParseMode(mode)
 		switch {
 		case len(c.Agents) == 0:
-			return errors.New("no agent is given")
+			return errors.New("at least one agent is required")
 		case len(c.Services) == 0 && c.PurgePrefix == "" && c.Registration == nil:
-			return errors.New("neither service nor purges nor register is given")
+			return errors.New("at least one of service, purges and register is required")
 		}
 		return nil
 	})
@@ -107,34 +108,35 @@
 	return names
 }
 
-// addTimes adds the directives for the times of the watches.
+// addTimes adds the directives for the intervals and timeouts of the watches.
 func (c *Config) addTimes(section *config.Section) {
 	section.Duration("stale-most", &c.Watch.MaxStaleness, 10*time.Millisecond, 10*time.Minute,
-		"oldest answer that mode stale takes")
+		"maximum staleness of a response in mode stale")
 	section.Duration("wait", &c.Watch.Wait, time.Second, 10*time.Minute,
-		"of one blocking query")
+		"maximum time that a query blocks")
 	section.Duration("limit", &c.Watch.ResponseTimeout, 100*time.Millisecond, time.Minute,
-		"for an answer that need not wait")
+		"timeout of a query that does not block")
 	section.Duration("gap", &c.Watch.MinInterval, 10*time.Millisecond, 800*time.Millisecond,
-		"between two lists while things change")
+		"minimum interval between two lists while the list changes")
 	section.Duration("probe", &c.Watch.ProbeAfter, 100*time.Millisecond, time.Minute,
-		"silence after which an agent is asked whether it lives")
+		"silence after which an agent is probed")
 	section.Duration("probe-limit", &c.Watch.ProbeTimeout, 50*time.Millisecond, 10*time.Second,
-		"for the answer to that")
+		"timeout of a probe")
 	section.Duration("home", &c.Watch.PreferredRetryAfter, time.Second, time.Hour,
-		"after which the agent at home is tried again")
+		"time after which the preferred agent is tried again")
 }
 
 // section returns the directives of the block `tls`.
 func (t *TLS) section() *config.Section {
 	section := &config.Section{}
-	section.Text("ca", &t.CA, readableFile, "file with the authorities that sign agents; the system's without it")
-	section.Text("cert", &t.Cert, readableFile, "file with our certificate")
-	section.Text("key", &t.Key, readableFile, "file with its key")
-	section.Text("server-name", &t.ServerName, nil, "name that the agents' certificates have")
+	section.Text("ca", &t.CA, validateReadableFile,
+		"file with the CA certificates for the agents; default: the system's")
+	section.Text("cert", &t.Cert, validateReadableFile, "file with the proxy's client certificate")
+	section.Text("key", &t.Key, validateReadableFile, "file with the private key of the certificate")
+	section.Text("server-name", &t.ServerName, nil, "name in the agents' certificates; default: the agent's host")
 	section.Check(func() error {
 		if (t.Cert == "") != (t.Key == "") {
-			return errors.New("cert and key go together")
+			return errors.New("cert and key must be given together")
 		}
 		_, err := t.dialer()
 		return err
@@ -144,7 +146,7 @@
 
 // serviceSection adds a service and returns the directives of its block.
 func (c *Config) serviceSection(words []string) (*config.Section, error) {
-	if len(words) != 1 || pathSegment("service")(words[0]) != nil {
+	if len(words) != 1 || pathSegmentValidator("service")(words[0]) != nil {
 		return nil, errors.New("expected the name of one service")
 	}
 	name := words[0]
@@ -166,18 +168,18 @@
 	section.Words("tag", &s.Tags, nil, "tags that an instance must all have")
 	section.Text("filter", &s.Filter, nil, "filter expression of the API")
 	section.Text("id", &rules.ID, health.ValidateIDForm,
-		"where an endpoint's id comes from: service, node, node/service or meta:KEY")
-	section.Text("site", &rules.Zone, nil, "site of all instances, where the metadata does not tell it")
-	section.Text("site-key", &rules.ZoneKey, nil, "metadata that has the site")
-	section.Text("class", &rules.Kind, nil, "class of all instances, where the metadata does not tell it")
-	section.Text("class-key", &rules.KindKey, nil, "metadata that has the class")
-	section.Text("born-key", &rules.StartedAtKey, nil, "metadata that has the Unix millisecond of a late start")
+		"origin of an endpoint's id: service, node, node/service or meta:KEY")
+	section.Text("site", &rules.Zone, nil, "site of all instances; default: taken from their metadata")
+	section.Text("site-key", &rules.ZoneKey, nil, "metadata key of the site")
+	section.Text("class", &rules.Kind, nil, "class of all instances; default: taken from their metadata")
+	section.Text("class-key", &rules.KindKey, nil, "metadata key of the class")
+	section.Text("born-key", &rules.StartedAtKey, nil, "metadata key of the start time in Unix milliseconds")
 	section.Text("capacity-key", &rules.WeightKey, nil,
-		"metadata that has the weight; the weights by health without it")
+		"metadata key of the weight; without it the catalogue's weights by health apply")
 	section.Words("check", &rules.Checks, nil, "checks that count: all, service, node, or ids")
 	section.Words("ignore-check", &rules.IgnoredChecks, nil, "ids of checks that do not count")
 	section.Choice("warning", &warning, []string{membership.Up.String(), membership.Draining.String()},
-		"what a warning means")
+		"state of an instance with a warning")
 	section.Check(func() error {
 		rules.Warning = membership.Up
 		if warning == membership.Draining.String() {
@@ -191,11 +193,11 @@
 // section returns the directives of the block `register`.
 func (r *Registration) section() *config.Section {
 	section := &config.Section{}
-	section.Text("service", &r.Service, pathSegment("service"), "name of the service")
-	section.Text("id", &r.ID, pathSegment("instance"), "of this proxy; its name without it")
-	section.Text("address", &r.Address, hostPort, "host:port to be told; where it listens without it")
+	section.Text("service", &r.Service, pathSegmentValidator("service"), "name of the service")
+	section.Text("id", &r.ID, pathSegmentValidator("instance"), "id of this proxy; default: the proxy's name")
+	section.Text("address", &r.Address, validateHostPort, "host:port to register; default: where the proxy listens")
 	section.Words("tag", &r.Tags, nil, "tags of the instance")
-	section.Duration("ttl", &r.TTL, time.Second, 10*time.Minute, "of the check")
+	section.Duration("ttl", &r.TTL, time.Second, 10*time.Minute, "TTL of the check")
 	section.Check(func() error {
 		if r.Service == "" {
 			return errors.New("service is missing")
@@ -205,8 +207,9 @@
 	return section
 }
 
-// pathSegment returns a check that refuses what can't be part of a path.
-func pathSegment(what string) func(string) error {
+// pathSegmentValidator returns a function that rejects text that can't be one segment of a URL path. The error says
+// what the text should name.
+func pathSegmentValidator(what string) func(string) error {
 	return func(text string) error {
 		if text == "" || strings.ContainsAny(text, "/?#% ") || len(text) > maxPathSegmentBytes {
 			return fmt.Errorf("expected the name of a %s, got %q", what, text)
@@ -215,14 +218,14 @@
 	}
 }
 
-func hostPort(text string) error {
+func validateHostPort(text string) error {
 	if _, port, err := net.SplitHostPort(text); err != nil || port == "" {
 		return fmt.Errorf("expected host:port, got %q", text)
 	}
 	return nil
 }
 
-func readableFile(path string) error {
+func validateReadableFile(path string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return err
@@ -230,7 +233,7 @@
 	return file.Close()
 }
 
-// dialer returns what connects to agents, which takes its files over when they change. All clients share it.
+// dialer returns the dialer for connections to agents, which all clients share. watchFiles keeps its files up to date.
 func (t *TLS) dialer() (*tlsclient.Dialer, error) {
 	if t.sharedDialer != nil {
 		return t.sharedDialer, nil
@@ -246,8 +249,7 @@
 	return dialer, err
 }
 
-// Sources returns the sources of endpoints that the catalogue is, one for each service, for the membership's
-// settings.
+// Sources returns the membership sources that the catalogue provides, one for each service.
 func (c *Config) Sources(damping membership.Damping) []membership.Source {
 	var sources []membership.Source
 	for _, service := range c.Services {
--- a/internal/membership/consul/config_test.go
+++ b/internal/membership/consul/config_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// TestSettings: what is missing or wrong in the block is named by its directive.
-func TestSettings(t *testing.T) {
+// TestConfigErrors checks that each error names the position and the directive that is missing or invalid.
+func TestConfigErrors(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"service cache {\n}",
-			"test:1: catalogue: no agent is given"},
+			"test:1: catalogue: at least one agent is required"},
 		{"agent 127.0.0.1:8500",
-			"test:1: catalogue: neither service nor purges nor register is given"},
+			"test:1: catalogue: at least one of service, purges and register is required"},
 		{"agent here\nservice cache {\n}",
 			`test:2: catalogue.agent: expected host:port, got "here"`},
 		{"agent 127.0.0.1:1\nservice a/b {\n}",
--- a/internal/membership/consul/consul.go
+++ b/internal/membership/consul/consul.go
@@ -1,13 +1,13 @@
 // Package consul follows Consul's catalogue as a source of endpoints and its KV store as a source of purges, and
-// keeps the proxy itself registered. The packages blockingquery, health and registrar decide; this one does the I/O,
-// on goroutines of its own, since Consul's client blocks.
+// keeps the proxy itself registered. The packages blockingquery, health and registrar make the decisions. This package
+// does the I/O, on goroutines of its own because Consul's client blocks.
 //
-// Invariants: one goroutine publishes all events, in the order in which the answers came. A purge is published once
-// for each change of its key. A list that may lack endpoints is published as incomplete.
+// Invariants: one goroutine publishes all events, in the order in which the responses arrived. A purge is published
+// once for each change of its key. A list that may lack endpoints is published as incomplete.
 //
-// Bounds: each service, and the prefix of purges, has at most two calls in flight. Events are published in batches of
-// maxBatchSize, so that a large list does not hold up whoever takes them. Texts of an agent's are logged up to
-// maxLoggedBytes.
+// Bounds: each service, and the prefix of purges, has at most two calls in flight. Purges, and the parts of a large
+// list, are published in batches of at most maxBatchSize so that they do not hold up the receiver. Error texts, which
+// an agent may have written, are logged up to maxLoggedRunes characters.
 package consul
 
 import (
@@ -20,25 +20,26 @@
 )
 
 const (
-	// maxBatchSize is how many endpoints or purges are published together.
+	// maxBatchSize is the largest number of purges, or of endpoints in a part of a list, that are published together.
 	maxBatchSize = 500
-	// taskQueueLength is how many results and requests may wait for the goroutine that steps the followers.
+	// taskQueueLength is the number of results and requests that may wait for the goroutine that steps the followers.
 	taskQueueLength = 64
-	// idleWait is how long that goroutine sleeps when no follower has a time set.
+	// idleWait is how long that goroutine sleeps when no follower has a next step scheduled.
 	idleWait = time.Hour
 )
 
-// Catalogue is the running source. Set the fields before Start or KeepRegistered, and do not change them afterwards.
+// Catalogue follows Consul's catalogue and KV store, and registers the proxy. Set the exported fields before calling
+// Start or KeepRegistered, and do not change them afterwards.
 type Catalogue struct {
 	Config      *Config
 	Names       membership.Names
-	FirstSource int // the source of the first service; the others follow in the order of Config.Services
-	// Publish hands events on and returns once they are taken. One goroutine calls it.
+	FirstSource int // index of the first service's source; the others follow in the order of Config.Services
+	// Publish passes events on and returns once they are accepted. Only one goroutine calls it.
 	Publish func(...membership.SourceEvent)
-	// Log writes a log event. Several goroutines may call it at a time.
+	// Log writes a log event. Several goroutines may call it concurrently.
 	Log func(event string, fields ...any)
-	Now func() time.Duration
-	// AgentAlive is called when a liveness probe has succeeded; nil: it is not.
+	Now func() time.Duration // the monotonic clock
+	// AgentAlive is called after each successful liveness probe; nil: never.
 	AgentAlive func()
 	Seed       uint64
 
@@ -46,8 +47,8 @@
 	tasks     chan func() // to run on the followers' goroutine
 }
 
-// Start begins to follow, until ctx ends. All followers run on one goroutine, since they share what they know of the
-// agents; each call runs on a goroutine of its own. All of them end with ctx.
+// Start starts following the services and purges until ctx ends. All followers run on one goroutine, because they
+// share what they know about the agents; each call runs on its own goroutine. All these goroutines end with ctx.
 func (c *Catalogue) Start(ctx context.Context) error {
 	c.tasks = make(chan func(), taskQueueLength)
 	agents := blockingquery.NewSharedAgents(len(c.Config.Agents))
@@ -59,7 +60,7 @@
 	}
 	if c.Config.PurgePrefix != "" {
 		prefix := strings.Trim(c.Config.PurgePrefix, "/") + "/"
-		feed := &purgeFeed{catalogue: c, prefix: prefix, published: map[string]uint64{}}
+		feed := &purgeFeed{catalogue: c, prefix: prefix, seenIndexes: map[string]uint64{}}
 		if err := c.addFollower(feed, agents); err != nil {
 			return err
 		}
@@ -71,9 +72,9 @@
 	return nil
 }
 
-// addFollower adds the follower of a feed. Each has a client of its own for each agent.
+// addFollower adds a follower for a feed, with its own client for each agent.
 func (c *Catalogue) addFollower(feed feed, agents *blockingquery.SharedAgents) error {
-	clients, err := c.Config.clients()
+	clients, err := c.Config.newClients()
 	if err != nil {
 		return err
 	}
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// watchFiles has the files of TLS taken over when they change. Its goroutine ends with ctx.
+// watchFiles reloads the TLS files when they change. Its goroutine ends with ctx.
 func (c *Catalogue) watchFiles(ctx context.Context) error {
 	settings := c.Config.TLS
 	if settings == nil {
@@ -111,15 +112,15 @@
 	return nil
 }
 
-// Confirm has a source's list fetched at once, in the consistent mode. It may be dropped where much is waiting
-// already; the table of endpoints requests it again then.
+// Confirm requests that a source's list be fetched immediately, in consistent mode. The request is dropped if the task
+// queue is full; the table of endpoints repeats it then.
 func (c *Catalogue) Confirm(source int) {
 	if i := source - c.FirstSource; i >= 0 && i < len(c.Config.Services) {
 		c.tryRun(c.followers[i].watch.Confirm)
 	}
 }
 
-// run steps the followers until ctx ends. Only this goroutine touches them.
+// run steps the followers until ctx ends. Only its goroutine accesses their state.
 func (c *Catalogue) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -127,7 +128,7 @@
 		for _, follower := range c.followers {
 			follower.step(ctx)
 		}
-		timer.Reset(c.waitForStep())
+		timer.Reset(c.timeToNextStep())
 		select {
 		case <-ctx.Done():
 			return
@@ -138,9 +139,9 @@
 	}
 }
 
-// waitForStep is how long no follower has to be stepped. It is to be called once all have been: one may have found
-// something that holds for others.
-func (c *Catalogue) waitForStep() time.Duration {
+// timeToNextStep returns the time until the next step of any follower is due. Call it after all followers have been
+// stepped, because the step of one may make others due earlier.
+func (c *Catalogue) timeToNextStep() time.Duration {
 	wait := idleWait
 	for _, follower := range c.followers {
 		if next := follower.watch.Next(); next != 0 {
@@ -150,7 +151,7 @@
 	return wait
 }
 
-// tryRun runs a task on the followers' goroutine, or drops it when that is far behind.
+// tryRun runs a task on the followers' goroutine, or drops it if the task queue is full.
 func (c *Catalogue) tryRun(task func()) {
 	select {
 	case c.tasks <- task:
--- a/internal/membership/consul/consul_test.go
+++ b/internal/membership/consul/consul_test.go
@@ -15,7 +15,7 @@
 	"sloequay/internal/membership"
 )
 
-// newAgent starts an emulated agent that ends with the test.
+// newAgent starts an emulated agent that is closed at the end of the test.
 func newAgent(t *testing.T, cluster *consul.Cluster) *consul.Agent {
 	t.Helper()
 	agent, err := cluster.NewAgent("a")
@@ -44,7 +44,7 @@
 	return certFile, keyFile
 }
 
-// newTLSServer has an agent answer by HTTPS, and demand a certificate.
+// newTLSServer serves an agent over HTTPS and requires client certificates signed by the authority.
 func newTLSServer(t *testing.T, authority *emulator.Authority, agent *consul.Agent) *httptest.Server {
 	t.Helper()
 	pair, err := tls.LoadX509KeyPair(makeCertificate(t, authority, "server"))
@@ -69,63 +69,65 @@
 		Meta: map[string]string{"site": "edge", "class": "std"}}
 }
 
-// TestHTTPS: the agent is trusted by its authority and name, and sees our certificate; without either nothing is taken.
+// TestHTTPS: the client verifies the agent's certificate by its authority and name and presents its own certificate.
+// If any of these is missing or wrong, no list arrives.
 func TestHTTPS(t *testing.T) {
 	authority := newAuthority(t)
-	ourCert, ourKey := makeCertificate(t, authority, "doorman")
+	clientCert, clientKey := makeCertificate(t, authority, "proxy")
 	cluster := consul.NewCluster()
 	agent := newAgent(t, cluster)
 	cluster.Put(newInstance("c1", 1))
 	server := newTLSServer(t, authority, agent)
 	ca := "ca " + authority.File + "\n"
-	pair := "cert " + ourCert + "\nkey " + ourKey + "\n"
+	pair := "cert " + clientCert + "\nkey " + clientKey + "\n"
 	for _, c := range []struct {
 		name, tls string
 		works     bool
 	}{
-		{"all right", ca + pair + "server-name consul.test", true},
-		{"no certificate of ours", ca + "server-name consul.test", false},
-		{"another name", ca + pair + "server-name other.test", false},
-		{"no authority", pair + "server-name consul.test", false},
+		{"CA, certificate and name", ca + pair + "server-name consul.test", true},
+		{"no client certificate", ca + "server-name consul.test", false},
+		{"wrong server name", ca + pair + "server-name other.test", false},
+		{"no CA", pair + "server-name consul.test", false},
 	} {
 		recorder := &recorder{}
 		address := server.Listener.Addr().String()
 		recorder.start(t, parseConfig(t, "agent "+address+"\nservice cache {\n}\ntls {\n"+c.tls+"\n}"))
-		lists, logged := recorder.until(t, c.name+": something comes",
+		lists, logged := recorder.waitUntil(t, c.name+": a list or a log event",
 			func(lists []membership.List, logged []string) bool { return len(lists)+len(logged) > 0 })
 		if works := len(lists) > 0; works != c.works {
-			t.Errorf("%s: lists %d, %v", c.name, len(lists), logged)
+			t.Errorf("%s: got %d lists, logged %v", c.name, len(lists), logged)
 		}
 	}
 }
 
-// TestFilesChange: an authority and a certificate that are put right while the proxy runs are taken over without a
-// restart.
-func TestFilesChange(t *testing.T) {
-	authority, stranger := newAuthority(t), newAuthority(t)
-	folder := t.TempDir()
-	replaceFiles(t, folder, stranger)
+// TestTLSFilesReloaded: wrong CA and certificate files that are replaced by correct ones while the proxy runs take
+// effect without a restart.
+func TestTLSFilesReloaded(t *testing.T) {
+	authority, otherAuthority := newAuthority(t), newAuthority(t)
+	dir := t.TempDir()
+	replaceTLSFiles(t, dir, otherAuthority)
 	server := newTLSServer(t, authority, newAgent(t, consul.NewCluster()))
 	recorder := &recorder{}
 	recorder.start(t, parseConfig(t, fmt.Sprintf(
 		"agent %s\nservice cache {\n}\ntls {\nca %[2]s/ca\ncert %[2]s/cert\nkey %[2]s/key\nserver-name consul.test\n}",
-		server.Listener.Addr(), folder)))
-	if lists, _ := recorder.until(t, "the stranger's files fail", someLog); len(lists) > 0 {
-		t.Fatal("a list by the stranger's authority")
+		server.Listener.Addr(), dir)))
+	if lists, _ := recorder.waitUntil(t, "an error with the wrong files", hasLog); len(lists) > 0 {
+		t.Fatal("got a list with the files of the wrong authority, want none")
 	}
-	replaceFiles(t, folder, authority)
-	recorder.until(t, "the right files are in force", someList)
+	replaceTLSFiles(t, dir, authority)
+	recorder.waitUntil(t, "a list with the correct files", hasList)
 }
 
-// replaceFiles puts an authority's certificate, and one that it signs, into a folder, each in one step.
-func replaceFiles(t *testing.T, folder string, authority *emulator.Authority) {
+// replaceTLSFiles replaces the CA certificate, and a client certificate and key that it signs, in a directory. Each
+// file is replaced atomically.
+func replaceTLSFiles(t *testing.T, dir string, authority *emulator.Authority) {
 	t.Helper()
-	certFile, keyFile := makeCertificate(t, authority, "doorman")
-	for name, from := range map[string]string{"ca": authority.File, "cert": certFile, "key": keyFile} {
-		path := filepath.Join(folder, name)
-		text, err := os.ReadFile(from)
+	certFile, keyFile := makeCertificate(t, authority, "proxy")
+	for name, source := range map[string]string{"ca": authority.File, "cert": certFile, "key": keyFile} {
+		path := filepath.Join(dir, name)
+		content, err := os.ReadFile(source)
 		if err == nil {
-			err = os.WriteFile(path+".new", text, 0o600)
+			err = os.WriteFile(path+".new", content, 0o600)
 		}
 		if err == nil {
 			err = os.Rename(path+".new", path)
@@ -136,7 +138,7 @@
 	}
 }
 
-// TestLargeListInParts: a first list of thousands comes in parts, and the complete list last.
+// TestLargeListInParts: a first list of 2500 instances arrives in parts, followed by the complete list.
 func TestLargeListInParts(t *testing.T) {
 	const instanceCount = 2500
 	cluster := consul.NewCluster()
@@ -148,23 +150,25 @@
 	cluster.PutAll("cache", instances)
 	recorder := &recorder{}
 	recorder.start(t, parseConfig(t, "agent "+agent.Address()+"\nservice cache {\n}"))
-	lists, _ := recorder.until(t, "the complete list is there", func(lists []membership.List, _ []string) bool {
+	lists, _ := recorder.waitUntil(t, "the complete list", func(lists []membership.List, _ []string) bool {
 		return len(lists) > 0 && !lists[len(lists)-1].Part
 	})
 	parts, last := lists[:len(lists)-1], lists[len(lists)-1]
-	sum := 0
+	partEndpoints := 0
 	for _, part := range parts {
-		sum += len(part.Endpoints)
+		partEndpoints += len(part.Endpoints)
 		if !part.Part || len(part.Endpoints) > maxBatchSize {
-			t.Errorf("a part of %d endpoints, part %v", len(part.Endpoints), part.Part)
+			t.Errorf("got list of %d endpoints with Part %v, want at most maxBatchSize and true",
+				len(part.Endpoints), part.Part)
 		}
 	}
-	if sum != instanceCount || len(last.Endpoints) != instanceCount {
-		t.Errorf("%d endpoints in parts, %d in the complete list", sum, len(last.Endpoints))
+	if partEndpoints != instanceCount || len(last.Endpoints) != instanceCount {
+		t.Errorf("got %d endpoints in the parts and %d in the complete list, want 2500 in each",
+			partEndpoints, len(last.Endpoints))
 	}
 }
 
-// TestQueryParameters: datacentre, filter, tags and mode go out with each query.
+// TestQueryParameters: each query contains the datacenter, filter, tags and mode of the settings.
 func TestQueryParameters(t *testing.T) {
 	cluster := consul.NewCluster()
 	agent := newAgent(t, cluster)
@@ -176,19 +180,20 @@
 		recorder := &recorder{}
 		recorder.start(t, parseConfig(t, "agent "+agent.Address()+"\ndatacentre dc9\nmode "+mode+
 			"\nservice cache {\ntag edge\nfilter 'Service.Port == 1'\n}"))
-		lists, _ := recorder.until(t, "a list comes", someList)
+		lists, _ := recorder.waitUntil(t, "a list", hasList)
 		if endpoints := lists[0].Endpoints; len(endpoints) != 1 || endpoints[0].ID != "c1" {
-			t.Errorf("%s: %+v, want the one with the tag", mode, endpoints)
+			t.Errorf("mode %s: got endpoints %+v, want only c1, which has the tag", mode, endpoints)
 		}
 		datacenter, _ := agent.Query("dc")
 		filter, _ := agent.Query("filter")
 		if datacenter != "dc9" || filter != "Service.Port == 1" {
-			t.Errorf("%s: dc %q, filter %q", mode, datacenter, filter)
+			t.Errorf("mode %s: got dc %q and filter %q, want dc9 and the configured filter",
+				mode, datacenter, filter)
 		}
 		_, isStale := agent.Query("stale")
 		_, isConsistent := agent.Query("consistent")
 		if isStale != (mode == "stale") || isConsistent != (mode == "consistent") {
-			t.Errorf("%s: stale %v, consistent %v", mode, isStale, isConsistent)
+			t.Errorf("mode %s: got stale %v, consistent %v", mode, isStale, isConsistent)
 		}
 	}
 }
--- a/internal/membership/consul/follower.go
+++ b/internal/membership/consul/follower.go
@@ -9,21 +9,21 @@
 	"sloequay/internal/membership/consul/blockingquery"
 )
 
-// feed is what a follower keeps up to date: the instances of a service, or the purges.
+// feed is the data that a follower keeps up to date: the instances of a service, or the purges.
 type feed interface {
-	// name is the feed's in the log.
+	// name returns the feed's name in the log.
 	name() string
-	// fetch makes the call. It runs on a goroutine of its own and must not touch the feed's state: what the answer
-	// changes there is left to the function that it returns, which runs on the followers' goroutine.
+	// fetch makes the API call. It runs on a goroutine of its own and must not access the feed's state. The function
+	// that it returns applies the response to that state and runs on the followers' goroutine.
 	fetch(client *api.Client, options *api.QueryOptions) (applyFunc, *api.QueryMeta, error)
-	// availabilityChanged says that no agent answers any more, or that one answers again.
+	// availabilityChanged is called when no agent responds any more, and when one responds again.
 	availabilityChanged(unavailable bool)
 }
 
-// applyFunc takes over an answer, as far as the verdict allows.
+// applyFunc applies a response, as far as the verdict allows.
 type applyFunc func(verdict blockingquery.Verdict, index uint64)
 
-// follower keeps one blocking query going for a feed. Its fields belong to the followers' goroutine.
+// follower keeps one blocking query running for a feed. Only the followers' goroutine changes its fields.
 type follower struct {
 	catalogue *Catalogue
 	feed      feed
@@ -31,14 +31,14 @@
 	clients   []*api.Client                 // by agent
 	cancels   map[uint64]context.CancelFunc // of the calls in flight, by serial
 
-	// What was logged last, so that only changes are.
+	// The values that were logged last, so that only changes are logged.
 	unavailable     bool
 	lastAgent       int
 	lastReason      blockingquery.Reason
 	tokenUnreadable bool
 }
 
-// step carries out what the watch decides.
+// step carries out the actions that are due and logs what has changed.
 func (f *follower) step(ctx context.Context) {
 	for _, action := range f.watch.Step(f.catalogue.Now()) {
 		if action.Start != nil {
@@ -50,11 +50,12 @@
 	f.logChanges()
 }
 
-// start makes a call on a goroutine of its own, which ends at the latest when its query is canceled or ctx ends.
+// start makes the API call for a query on its own goroutine, which ends at the latest when the query is canceled or ctx
+// ends.
 func (f *follower) start(ctx context.Context, query blockingquery.Query) {
 	ctx, cancel := context.WithCancel(ctx)
 	f.cancels[query.Serial] = cancel
-	token, err := f.catalogue.Config.token()
+	token, err := f.catalogue.Config.readToken()
 	if isUnreadable := err != nil; isUnreadable != f.tokenUnreadable {
 		f.tokenUnreadable = isUnreadable
 		if isUnreadable {
@@ -75,7 +76,7 @@
 	}
 }
 
-// probe calls an agent and reports whether it answers.
+// probe calls an agent and reports to the watch whether it responds.
 func (f *follower) probe(ctx context.Context, query blockingquery.Query, token string) {
 	_, err := f.clients[query.Agent].Status().LeaderWithQueryOptions(queryOptions(ctx, query, token))
 	f.complete(ctx, query, func() {
@@ -90,7 +91,7 @@
 	})
 }
 
-// fetch calls an agent for the feed's list and reports what came of it.
+// fetch gets the feed's list from an agent and reports the result to the watch.
 func (f *follower) fetch(ctx context.Context, query blockingquery.Query, token string) {
 	traced := withResponseTrace(ctx, func() {
 		f.catalogue.tryRun(func() { f.watch.ResponseStarted(f.catalogue.Now(), query.Serial) })
@@ -105,7 +106,7 @@
 	})
 }
 
-// complete has the result of a call reported on the followers' goroutine, unless its query was canceled.
+// complete calls report on the followers' goroutine, unless the query was canceled.
 func (f *follower) complete(ctx context.Context, query blockingquery.Query, report func()) {
 	select {
 	case f.catalogue.tasks <- func() {
@@ -140,7 +141,7 @@
 	apply(verdict, meta.Index)
 }
 
-// logChanges logs what the watch has found of the agents.
+// logChanges logs a change of the agents' availability or of the agent in use, and tells the feed of the former.
 func (f *follower) logChanges() {
 	if unavailable := f.watch.Unavailable(); unavailable != f.unavailable {
 		f.unavailable = unavailable
@@ -158,10 +159,10 @@
 	}
 }
 
-// agent is the address of an agent.
+// agent returns the address of the agent with an index.
 func (f *follower) agent(index int) string { return f.catalogue.Config.Agents[index] }
 
-// maxLoggedBytes is how much of an error is logged, since an agent may have written it.
-const maxLoggedBytes = 200
+// maxLoggedRunes limits how much of an error is logged, since an agent may have written its text.
+const maxLoggedRunes = 200
 
-func truncated(err error) string { return fmt.Sprintf("%.*s", maxLoggedBytes, err.Error()) }
+func truncated(err error) string { return fmt.Sprintf("%.*s", maxLoggedRunes, err.Error()) }
--- a/internal/membership/consul/purges.go
+++ b/internal/membership/consul/purges.go
@@ -17,7 +17,7 @@
 	catalogue *Catalogue
 	prefix    string // ends in a slash
 
-	published map[string]uint64 // by key: the ModifyIndex that was published
+	seenIndexes map[string]uint64 // by key: the ModifyIndex for which it was last published or rejected
 }
 
 func (f *purgeFeed) name() string { return "purges" }
@@ -28,10 +28,10 @@
 	return apply, meta, err
 }
 
-// availabilityChanged changes nothing: purges are not a source of endpoints.
+// availabilityChanged does nothing, because purges are not a source of endpoints.
 func (f *purgeFeed) availabilityChanged(bool) {}
 
-// apply publishes the keys that are new or were changed.
+// apply publishes the keys that are new or have changed.
 func (f *purgeFeed) apply(pairs api.KVPairs, verdict blockingquery.Verdict) {
 	if verdict.Disposition == blockingquery.Discard {
 		return
@@ -41,7 +41,7 @@
 	for _, pair := range pairs {
 		listed[pair.Key] = pair.ModifyIndex
 		isFolder := strings.HasSuffix(pair.Key, "/")
-		if isFolder || f.published[pair.Key] == pair.ModifyIndex {
+		if isFolder || f.seenIndexes[pair.Key] == pair.ModifyIndex {
 			continue
 		}
 		purge, err := invalidation.ParsePurge(strings.TrimPrefix(pair.Key, f.prefix), string(pair.Value))
@@ -57,9 +57,9 @@
 		})
 	}
 	if verdict.Disposition == blockingquery.Complete {
-		f.published = listed
-	} else { // a key that the answer leaves out need not be gone
-		maps.Copy(f.published, listed)
+		f.seenIndexes = listed
+	} else { // a key that the response lacks may still exist
+		maps.Copy(f.seenIndexes, listed)
 	}
 	for batch := range slices.Chunk(events, maxBatchSize) {
 		f.catalogue.Publish(batch...)
--- a/internal/membership/consul/purges_test.go
+++ b/internal/membership/consul/purges_test.go
@@ -13,9 +13,9 @@
 	"sloequay/internal/membership/consul/blockingquery"
 )
 
-// TestPurges: a key is published when it is new and when it was changed; what an answer leaves out is forgotten only
-// where the answer is complete; folders and what can't be read are left out.
-func TestPurges(t *testing.T) {
+// TestPurgesPublishedOnChange: a key is published when it is new or has changed. A key that a response lacks is
+// forgotten only if the response is complete. Folders and invalid keys are not published.
+func TestPurgesPublishedOnChange(t *testing.T) {
 	pair := func(key string, index uint64) *api.KVPair {
 		return &api.KVPair{Key: key, ModifyIndex: index, Value: []byte("5")}
 	}
@@ -32,8 +32,8 @@
 			Log:     recorder.log,
 			Publish: func(events ...membership.SourceEvent) { published = append(published, events...) },
 		},
-		prefix:    "purges/",
-		published: map[string]uint64{},
+		prefix:      "purges/",
+		seenIndexes: map[string]uint64{},
 	}
 	for _, c := range []struct {
 		name        string
@@ -41,20 +41,21 @@
 		pairs       api.KVPairs
 		want        []membership.SourceEvent
 	}{
-		{"a folder and two keys", complete,
+		{"folder and two keys", complete,
 			api.KVPairs{pair("purges/", 1), pair("purges/group/1", 2), pair("purges/object/00000000000000ff", 3)},
 			[]membership.SourceEvent{purge(1), object}},
-		{"a new key", complete, api.KVPairs{pair("purges/group/1", 2), pair("purges/group/2", 4)},
+		{"new key", complete, api.KVPairs{pair("purges/group/1", 2), pair("purges/group/2", 4)},
 			[]membership.SourceEvent{purge(2)}},
-		{"a changed key", complete, api.KVPairs{pair("purges/group/1", 5), pair("purges/group/2", 4)},
+		{"changed key", complete, api.KVPairs{pair("purges/group/1", 5), pair("purges/group/2", 4)},
 			[]membership.SourceEvent{purge(1)}},
-		{"left out of a partial answer", partial, api.KVPairs{pair("purges/group/2", 4)}, nil},
-		{"back after that", complete, api.KVPairs{pair("purges/group/1", 5), pair("purges/group/2", 4)}, nil},
-		{"an answer to discard", discard, api.KVPairs{pair("purges/group/9", 9)}, nil},
-		{"left out of a complete answer", complete, api.KVPairs{pair("purges/group/2", 4)}, nil},
-		{"put back with the same index", complete, api.KVPairs{pair("purges/group/1", 5), pair("purges/group/2", 4)},
+		{"missing from a partial response", partial, api.KVPairs{pair("purges/group/2", 4)}, nil},
+		{"unchanged after the partial response", complete,
+			api.KVPairs{pair("purges/group/1", 5), pair("purges/group/2", 4)}, nil},
+		{"response to discard", discard, api.KVPairs{pair("purges/group/9", 9)}, nil},
+		{"missing from a complete response", complete, api.KVPairs{pair("purges/group/2", 4)}, nil},
+		{"added again with the same index", complete, api.KVPairs{pair("purges/group/1", 5), pair("purges/group/2", 4)},
 			[]membership.SourceEvent{purge(1)}},
-		{"a key that can't be read", complete, api.KVPairs{pair("purges/else", 6), pair("purges/group/2", 4)}, nil},
+		{"invalid key", complete, api.KVPairs{pair("purges/else", 6), pair("purges/group/2", 4)}, nil},
 	} {
 		published = nil
 		feed.apply(c.pairs, blockingquery.Verdict{Disposition: c.disposition})
@@ -63,11 +64,11 @@
 		}
 	}
 	if _, logged := recorder.recorded(); len(logged) != 1 {
-		t.Errorf("logged %q, want one key that was rejected", logged)
+		t.Errorf("logged %q, want one rejected key", logged)
 	}
 }
 
-// TestPurgesInBatches: purges that are there at the start come in batches.
+// TestPurgesInBatches: the purges that exist at the start are published in batches.
 func TestPurgesInBatches(t *testing.T) {
 	const count = maxBatchSize + 7
 	cluster := consul.NewCluster()
@@ -86,6 +87,6 @@
 		t.Fatal(err)
 	}
 	if first, second := <-batches, <-batches; first != maxBatchSize || second != count-maxBatchSize {
-		t.Errorf("batches of %d and %d, want %d and %d", first, second, maxBatchSize, count-maxBatchSize)
+		t.Errorf("got batches of %d and %d purges, want %d and %d", first, second, maxBatchSize, count-maxBatchSize)
 	}
 }
--- a/internal/membership/consul/recorder_test.go
+++ b/internal/membership/consul/recorder_test.go
@@ -14,7 +14,7 @@
 
 var testNames = membership.Names{Zones: []string{"hub", "edge"}, Kinds: []string{"std", "parent", "origin"}}
 
-// parse reads the directives of a block `catalogue`.
+// parse reads settings from the directives of a block `catalogue`.
 func parse(text string) (*Config, error) {
 	catalogue := &Config{}
 	root := &config.Section{}
@@ -38,7 +38,7 @@
 	logged []string
 }
 
-// start starts a catalogue that the recorder follows, until the test's end.
+// start starts a catalogue that reports to the recorder until the end of the test.
 func (r *recorder) start(t *testing.T, config *Config) {
 	t.Helper()
 	catalogue := &Catalogue{
@@ -48,8 +48,8 @@
 		Log:     r.log,
 		Publish: r.publish,
 	}
-	ctx, end := context.WithCancel(context.Background())
-	t.Cleanup(end)
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(cancel)
 	if err := catalogue.Start(ctx); err != nil {
 		t.Fatal(err)
 	}
@@ -71,29 +71,29 @@
 	}
 }
 
-// recorded returns what has come by now.
+// recorded returns what has been recorded so far.
 func (r *recorder) recorded() (lists []membership.List, logged []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.lists), slices.Clone(r.logged)
 }
 
-// until waits for a condition on what was recorded, and returns that.
-func (r *recorder) until(
-	t *testing.T, what string, reached func(lists []membership.List, logged []string) bool,
+// waitUntil waits up to 10 s until reached accepts what has been recorded, and returns that.
+func (r *recorder) waitUntil(
+	t *testing.T, condition string, reached func(lists []membership.List, logged []string) bool,
 ) (lists []membership.List, logged []string) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); ; time.Sleep(2 * time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(2 * time.Millisecond) {
 		lists, logged := r.recorded()
 		if reached(lists, logged) {
 			return lists, logged
 		}
-		if time.Now().After(end) {
-			t.Fatalf("waited in vain until %s; logged %v", what, logged)
+		if time.Now().After(deadline) {
+			t.Fatalf("timed out after 10 s waiting for %s; logged %v", condition, logged)
 		}
 	}
 }
 
-func someList(lists []membership.List, _ []string) bool { return len(lists) > 0 }
+func hasList(lists []membership.List, _ []string) bool { return len(lists) > 0 }
 
-func someLog(_ []membership.List, logged []string) bool { return len(logged) > 0 }
+func hasLog(_ []membership.List, logged []string) bool { return len(logged) > 0 }
--- a/internal/membership/consul/register.go
+++ b/internal/membership/consul/register.go
@@ -13,33 +13,33 @@
 	"sloequay/internal/membership/consul/registrar"
 )
 
-// registrationTimeout bounds one call for the registration.
+// registrationTimeout limits one API call for the registration.
 const registrationTimeout = time.Second
 
-// KeepRegistered keeps the proxy registered at the preferred agent until stop is closed, and then deregisters it. It
-// returns once that is done, which takes registrar.MaxDeregisterAttempts calls at most. name and listen stand in
-// where the settings have no ID and no address.
+// KeepRegistered keeps the proxy registered at the preferred agent until stop is closed, and then deregisters it by at
+// most registrar.MaxDeregisterAttempts calls before it returns. name and listen are the ID and the address to register
+// if the settings have none.
 func (c *Catalogue) KeepRegistered(stop <-chan struct{}, name, listen string) error {
 	client, err := c.newRegistrarClient(name, listen)
 	if err != nil {
 		return err
 	}
-	decider := registrar.New(c.Config.Registration.TTL)
+	registration := registrar.New(c.Config.Registration.TTL)
 	isFailing := false
-	for !decider.Finished() {
-		action := decider.Step(c.Now())
+	for !registration.Finished() {
+		action := registration.Step(c.Now())
 		if action == registrar.None {
 			select {
 			case <-stop:
-				decider.Deregister(c.Now())
+				registration.Deregister(c.Now())
 				stop = nil
-			case <-time.After(max(0, decider.Next()-c.Now())):
+			case <-time.After(max(0, registration.Next()-c.Now())):
 			}
 			continue
 		}
-		wasRegistered := decider.Registered()
-		err := client.call(action)
-		decider.ActionCompleted(c.Now(), resultOf(err))
+		wasRegistered := registration.Registered()
+		err := client.execute(action)
+		registration.ActionCompleted(c.Now(), resultOf(err))
 		switch {
 		case err != nil && !isFailing:
 			c.Log("catalogue-registration-failed", "id", client.service.ID, "error", truncated(err))
@@ -48,13 +48,13 @@
 		}
 		isFailing = err != nil
 	}
-	if !decider.Registered() {
+	if !registration.Registered() {
 		c.Log("catalogue-deregistered", "id", client.service.ID)
 	}
 	return nil
 }
 
-// registrarClient makes the calls that the registrar wants.
+// registrarClient makes the API calls for the registrar's actions.
 type registrarClient struct {
 	config  *Config
 	agent   *api.Agent
@@ -62,7 +62,7 @@
 }
 
 func (c *Catalogue) newRegistrarClient(name, listen string) (*registrarClient, error) {
-	clients, err := c.Config.clients()
+	clients, err := c.Config.newClients()
 	if err != nil {
 		return nil, err
 	}
@@ -99,12 +99,12 @@
 	}, nil
 }
 
-// call carries out one action. A token that can't be read is left out: the agent then rejects the call, and that is
-// logged.
-func (r *registrarClient) call(action registrar.Action) error {
+// execute carries out one action. If the token can't be read, the call is made without it: the agent then rejects the
+// call, which is logged.
+func (r *registrarClient) execute(action registrar.Action) error {
 	ctx, cancel := context.WithTimeout(context.Background(), registrationTimeout)
 	defer cancel()
-	token, _ := r.config.token()
+	token, _ := r.config.readToken()
 	options := (&api.QueryOptions{Token: token}).WithContext(ctx)
 	switch action {
 	case registrar.Register:
@@ -118,11 +118,11 @@
 }
 
 func resultOf(err error) registrar.Result {
-	var status api.StatusError
+	var statusErr api.StatusError
 	switch {
 	case err == nil:
 		return registrar.Succeeded
-	case errors.As(err, &status) && status.Code == http.StatusNotFound:
+	case errors.As(err, &statusErr) && statusErr.Code == http.StatusNotFound:
 		return registrar.NotFound
 	}
 	return registrar.Failed
--- a/internal/membership/consul/service.go
+++ b/internal/membership/consul/service.go
@@ -11,8 +11,8 @@
 	"sloequay/internal/membership/consul/health"
 )
 
-// errIncompleteEntry is the reason for leaving out an entry that lacks what every entry has.
-var errIncompleteEntry = errors.New("an entry without service or node")
+// errIncompleteEntry is the reason for rejecting an entry without a service or a node.
+var errIncompleteEntry = errors.New("the entry has no service or no node")
 
 // serviceFeed publishes the instances of a service as the endpoints of a source.
 type serviceFeed struct {
@@ -20,7 +20,7 @@
 	service   *Service
 	source    int
 
-	rejected      map[string]string // the instances left out of the last list, with the reasons; each is logged once
+	rejected      map[string]string // reasons by rejected instance of the last list, so that each is logged once
 	endpointCount int               // of the last list
 }
 
@@ -57,7 +57,7 @@
 	})
 }
 
-// endpoints reads the entries. Those that can't be used are logged and left out.
+// endpoints converts the entries to endpoints. Entries that can't be used are logged and left out.
 func (f *serviceFeed) endpoints(entries []*api.ServiceEntry) []membership.Endpoint {
 	var endpoints []membership.Endpoint
 	rejected := map[string]string{}
@@ -78,8 +78,8 @@
 	return endpoints
 }
 
-// publishParts publishes a list that is much longer than the last one in parts first, so that the list itself has
-// little left that is new and does not hold up whoever takes it.
+// publishParts publishes a list in parts before the complete list if it is much longer than the last one. Little in
+// the complete list is new then, so that it does not hold up the receiver.
 func (f *serviceFeed) publishParts(endpoints []membership.Endpoint, index uint64) {
 	if len(endpoints) <= f.endpointCount+maxBatchSize {
 		return
@@ -93,7 +93,7 @@
 	f.catalogue.Publish(membership.ListReceived{Source: f.source, List: list})
 }
 
-// instanceName is how the log names an entry.
+// instanceName returns the name of an entry in the log.
 func instanceName(entry *api.ServiceEntry) string {
 	if !hasServiceAndNode(entry) {
 		return "?"
@@ -105,7 +105,7 @@
 	return entry != nil && entry.Service != nil && entry.Node != nil
 }
 
-// endpoint reads an entry by the service's rules.
+// endpoint converts an entry to an endpoint by the service's rules.
 func (s *Service) endpoint(entry *api.ServiceEntry, names membership.Names) (membership.Endpoint, error) {
 	if !hasServiceAndNode(entry) {
 		return membership.Endpoint{}, errIncompleteEntry
@@ -129,9 +129,9 @@
 		instance.Checks = append(instance.Checks,
 			health.Check{ID: check.CheckID, ServiceID: check.ServiceID, Status: check.Status})
 	}
-	read, err := s.Rules.Entry(&instance)
+	membershipEntry, err := s.Rules.Entry(&instance)
 	if err != nil {
 		return membership.Endpoint{}, err
 	}
-	return names.Endpoint(read)
+	return names.Endpoint(membershipEntry)
 }
--- a/internal/membership/consul/service_test.go
+++ b/internal/membership/consul/service_test.go
@@ -10,7 +10,7 @@
 	"sloequay/internal/membership"
 )
 
-// FuzzEntries: no answer of an agent's ends the program, and what is taken of it is an endpoint that can be used.
+// FuzzEntries: an agent's response never makes the program panic, and each endpoint converted from it is usable.
 func FuzzEntries(f *testing.F) {
 	f.Add([]byte(`[{"Node":{"Node":"n","Address":"10.0.0.1"},
 		"Service":{"ID":"c1","Port":8443,"Meta":{"site":"edge","class":"std"},"Weights":{"Passing":4}},
@@ -29,15 +29,15 @@
 			endpoint, err := service.endpoint(entry, testNames)
 			switch {
 			case err != nil && err.Error() == "":
-				t.Fatal("an error without a reason")
+				t.Fatal("got an error without a text")
 			case err == nil && !isUsable(endpoint):
-				t.Fatalf("taken: %+v", endpoint)
+				t.Fatalf("got unusable endpoint %+v", endpoint)
 			}
 		}
 	})
 }
 
-// isUsable says whether an endpoint has what the table needs. One that is gone needs no place and no address.
+// isUsable reports whether an endpoint has what the table needs. A gone endpoint needs no zone, kind or address.
 func isUsable(endpoint membership.Endpoint) bool {
 	if endpoint.ID == "" || endpoint.StartedAt < 0 || math.IsNaN(endpoint.Weight) {
 		return false
