--- a/test/cancellation_test.go
+++ b/test/cancellation_test.go
@@ -24,7 +24,7 @@
 	patient := map[string]string{"limit": "60000"} // or the deadline would call the attempts off
 	one.send(request(1, "footage", patient, ""))
 	first := <-pending
-	one.send(cancelNotice(1))
+	one.send(cancelNotification(1))
 	waitCancellations(1)
 	two.send(request(2, "footage", patient, ""))
 	<-pending
@@ -48,8 +48,8 @@
 		ends        func(bed *testbed, c *client)
 	}{
 		{"the client takes it back", "1500", func(_ *testbed, c *client) {
-			c.send(cancelNotice(1))
-			c.awaitRound(9)
+			c.send(cancelNotification(1))
+			c.waitRequestsRead(9)
 		}},
 		{"the client goes", "1500", func(_ *testbed, c *client) { _ = c.conn.Close() }},
 		{"its time is up", "400", func(bed *testbed, c *client) {
@@ -82,7 +82,7 @@
 			}
 			// An answer for each further connection shows that all before was read.
 			bed.setResponder(answerDone)
-			other.ask(3, "lookup", nil)
+			other.call(3, "lookup", nil)
 			if quits := bed.cancellations(); len(quits) > 0 {
 				t.Errorf("%d QUIT went out, want none", len(quits))
 			}
@@ -101,8 +101,8 @@
 var waitingRequests = []waitingRequest{
 	{"for a dial", func(bed *testbed, c *client, _ chan *receivedRequest) func() {
 		c.send(request(1, "lookup", map[string]string{"limit": "3000"}, ""))
-		c.awaitRound(2)
-		return func() { go bed.endpoints.Serve("c1", bed.fullListener) }
+		c.waitRequestsRead(2)
+		return func() { go bed.endpoints.Serve("c1", bed.fullBacklogListener) }
 	}, 0},
 	{"for its answer", func(bed *testbed, c *client, pending chan *receivedRequest) func() {
 		c.send(request(1, "lookup", nil, ""))
@@ -121,7 +121,7 @@
 				pending := make(chan *receivedRequest, 100)
 				bed := newTestbed(t, func(attempt *receivedRequest) { pending <- attempt }, "c2")
 				if c.sent == 0 {
-					bed.listAt("c1", bed.listenWithFullBacklog())
+					bed.setListedAddress("c1", bed.listenWithFullBacklog())
 					bed.platformLimits()["dial-timeout-ms"] = 60000
 				}
 				bed.start()
@@ -142,7 +142,7 @@
 				other, id := bed.dial(), uint64(100)
 				bed.waitUntil("another client is served", func() bool {
 					id++
-					return other.ask(id, "lookup", map[string]string{"item": hexID(id)}).Error == ""
+					return other.call(id, "lookup", map[string]string{"item": hexID(id)}).Error == ""
 				})
 				sent := bed.received(func(attempt *receivedRequest) bool {
 					return attempt.Word == "ASK" && attempt.ID == hexID(1)
@@ -160,7 +160,7 @@
 // served.
 func TestClientsAbandonRequestsDuringDial(t *testing.T) {
 	bed := newTestbed(t, nil, "c2")
-	bed.listAt("c1", bed.listenWithFullBacklog())
+	bed.setListedAddress("c1", bed.listenWithFullBacklog())
 	limits := bed.platformLimits()
 	limits["dial-timeout-ms"], limits["streams-per-conn"] = 60000, 1000
 	bed.start()
@@ -189,7 +189,7 @@
 		}
 	}
 	time.Sleep(400 * time.Millisecond) // the case's own time, in which the clients' leaving is read
-	go bed.endpoints.Serve("c1", bed.fullListener)
+	go bed.endpoints.Serve("c1", bed.fullBacklogListener)
 	stayed, served := clients[0], false
 	for deadline := time.Now().Add(waitLimit); !served && time.Now().Before(deadline); {
 		answer, err := stayed.read()
@@ -219,11 +219,11 @@
 	var clients []*client
 	for range len(abandonWays)*each + 1 {
 		c := bed.dial()
-		c.awaitRound(9) // so that it was let in
+		c.waitRequestsRead(9) // so that it was let in
 		clients = append(clients, c)
 	}
 	stayed := clients[0]
-	bed.standStill()
+	bed.suspend()
 	stayed.send(request(1, "lookup", map[string]string{"limit": "60000"}, ""))
 	for n, c := range clients[1:] {
 		for id := range uint64(requests) {
@@ -243,7 +243,7 @@
 	bed.waitUntil("the others' ends were read", func() bool {
 		return len(bed.received(func(attempt *receivedRequest) bool { return attempt.ID == hexID(1) })) == 1
 	})
-	stayed.ask(2, "lookup", nil)
+	stayed.call(2, "lookup", nil)
 	forwarded := bed.received(func(attempt *receivedRequest) bool {
 		return attempt.Word == "ASK" && strings.HasPrefix(attempt.ID, "aa")
 	})
--- a/test/catalogue_outage_test.go
+++ b/test/catalogue_outage_test.go
@@ -22,7 +22,7 @@
 	}{{"hangs", consul.Hang}, {"refuses", consul.Refuse}, {"resets", consul.Reset}, {"says 500", consul.Status500}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			bed := newCatalogueTestbed(t, answerFilled, "c3")
+			bed := newCatalogueTestbed(t, answerAsEmptyCaches, "c3")
 			cluster, agents := bed.enableCatalogue(1, "")
 			bed.start()
 			bed.waitEndpointsKnown(5)
@@ -41,7 +41,7 @@
 			agents[0].SetFault(consul.None, 0)
 			back := time.Now()
 			bed.waitUnused("c1", back, 1500*time.Millisecond)
-			load.stopAllServed(t)
+			load.stopAndExpectServed(t)
 			if limit := int(took/time.Second) + 2; c.fault != consul.Refuse && polls > limit {
 				t.Errorf("the agent was asked %d times in %v, want at most %d", polls, took, limit)
 			}
@@ -74,7 +74,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			bed := newCatalogueTestbed(t, answerFilled, "c3", "c4", "c5")
+			bed := newCatalogueTestbed(t, answerAsEmptyCaches, "c3", "c4", "c5")
 			cluster, agents := bed.enableCatalogue(1, "limit 500ms")
 			bed.start()
 			bed.waitEndpointsKnown(7)
@@ -108,7 +108,7 @@
 			if !bed.logged("event=list-loss-confirmed") {
 				t.Error("the real loss was not suspected and confirmed")
 			}
-			load.stopAllServed(t)
+			load.stopAndExpectServed(t)
 		})
 	}
 }
@@ -116,7 +116,7 @@
 // TestCatalogueAgentFailover: the agent in use dies between a change and its answer.
 func TestCatalogueAgentFailover(t *testing.T) {
 	t.Parallel()
-	bed := newCatalogueTestbed(t, answerFilled)
+	bed := newCatalogueTestbed(t, answerAsEmptyCaches)
 	cluster, agents := bed.enableCatalogue(2, "")
 	bed.start()
 	load := bed.startLookups()
@@ -130,7 +130,7 @@
 	if bed.logged("event=catalogue-unreachable") {
 		t.Error("the catalogue counts as unreachable, want the other agent used")
 	}
-	load.stopAllServed(t)
+	load.stopAndExpectServed(t)
 }
 
 // TestStartFromSnapshot: a start while no source answers, with a snapshot that is sound, torn, or of a newer version.
@@ -141,7 +141,7 @@
 	path := filepath.Join(t.TempDir(), "list")
 	bed.addSettings("snapshot {", "file "+path, "every 100ms", "}")
 	bed.start()
-	serves := func() bool { return bed.dial().ask(1, "footage", nil).Error == "" }
+	serves := func() bool { return bed.dial().call(1, "footage", nil).Error == "" }
 	bed.waitUntil("it serves", serves)
 	var sound string
 	bed.waitUntil("the snapshot has all endpoints", func() bool {
--- a/test/catalogue_test.go
+++ b/test/catalogue_test.go
@@ -17,7 +17,7 @@
 // TestCatalogueStatusStopsTraffic: what the catalogue says of an endpoint holds, under load, as target and as source.
 func TestCatalogueStatusStopsTraffic(t *testing.T) {
 	t.Parallel()
-	bed := newCatalogueTestbed(t, answerFilled, "c3", "p2")
+	bed := newCatalogueTestbed(t, answerAsEmptyCaches, "c3", "p2")
 	cluster, _ := bed.enableCatalogue(1, "")
 	bed.addSettings("list {", "flap-cut 0", "}")
 	bed.start()
@@ -46,7 +46,7 @@
 		}
 		bed.waitInUse(id)
 	}
-	load.stopAllServed(t)
+	load.stopAndExpectServed(t)
 }
 
 // TestCriticalEndpointReleasesWaitingAttempts: an endpoint is marked critical while fills from it are under way and
@@ -59,7 +59,7 @@
 			fills <- attempt
 			return
 		}
-		answerFilled(attempt)
+		answerAsEmptyCaches(attempt)
 	})
 	cluster, _ := bed.enableCatalogue(1, "")
 	cluster.Put(bed.catalogueInstance("c1", bed.listenWithFullBacklog())) // no connection to c1 comes up
@@ -91,7 +91,7 @@
 		}
 	}
 	for id := uint64(100); id < 140; id++ {
-		client.ask(id, "footage", map[string]string{"item": hexID(id + 1), "ram": "1"})
+		client.call(id, "footage", map[string]string{"item": hexID(id + 1), "ram": "1"})
 	}
 	for _, id := range []string{"c1", "p1"} {
 		if uses := bed.usesSince(id, marked); len(uses) > 0 {
@@ -124,7 +124,7 @@
 // silent.
 func TestListServiceAndCatalogueDisagree(t *testing.T) {
 	t.Parallel()
-	bed := newTestbed(t, answerFilled)
+	bed := newTestbed(t, answerAsEmptyCaches)
 	cluster, agents := bed.enableCatalogue(1, "")
 	bed.addSettings("list {", "flap-cut 0", "}")
 	bed.start()
@@ -132,7 +132,7 @@
 	last := bed.startHeartbeats()
 	tell := func(number int, health string) {
 		last.Store(int64(number))
-		bed.listFeed <- bed.listChange(number, "c1", health)
+		bed.listFeed <- bed.healthChangeEvent(number, "c1", health)
 	}
 	load := bed.startLookups()
 	bed.waitInUse("c1")
@@ -155,13 +155,13 @@
 	tell(4, "draining")
 	tell(5, "up") // said after the catalogue fell silent: it overrules its last word
 	bed.waitInUse("c1")
-	load.stopAllServed(t)
+	load.stopAndExpectServed(t)
 }
 
 // TestEndpointRegisteredAtNewAddress: an id comes back within 100 ms on another port, under another registration.
 func TestEndpointRegisteredAtNewAddress(t *testing.T) {
 	t.Parallel()
-	bed := newCatalogueTestbed(t, answerFilled)
+	bed := newCatalogueTestbed(t, answerAsEmptyCaches)
 	cluster, _ := bed.enableCatalogue(1, "")
 	bed.start()
 	load := bed.startLookups()
@@ -174,7 +174,7 @@
 	cluster.Put(bed.catalogueInstance("c1", newAddress))
 	sentTo := func(address string, since time.Time) []*receivedRequest {
 		return bed.received(func(attempt *receivedRequest) bool {
-			return sentOrSourced("c1")(attempt) && attempt.Endpoint == "c1" &&
+			return usesEndpoint("c1")(attempt) && attempt.Endpoint == "c1" &&
 				attempt.Conn.LocalAddr().String() == address &&
 				attempt.At.After(since)
 		})
@@ -187,14 +187,14 @@
 	if stale := sentTo(oldAddress, first); len(stale) > 0 {
 		t.Errorf("the old address was sent %d attempts after the new one was in use, want none", len(stale))
 	}
-	load.stopAllServed(t)
+	load.stopAndExpectServed(t)
 }
 
 // TestFlappingCheckIsDamped: a check that flaps a hundred times a second costs a bounded number of changes, and the
 // endpoint is down when it is marked down for good.
 func TestFlappingCheckIsDamped(t *testing.T) {
 	t.Parallel()
-	bed := newCatalogueTestbed(t, answerFilled)
+	bed := newCatalogueTestbed(t, answerAsEmptyCaches)
 	cluster, _ := bed.enableCatalogue(1, "")
 	bed.start()
 	load := bed.startLookups()
@@ -210,7 +210,7 @@
 	if n := bed.timesLogged("endpoint=c1"); n > 30 {
 		t.Errorf("%d lines of an endpoint that flapped, want at most 30", n)
 	}
-	load.stopAllServed(t)
+	load.stopAndExpectServed(t)
 }
 
 // TestUnusableCatalogueInstances: instances of no use are left out, each logged once and not with every answer; and
@@ -260,7 +260,7 @@
 	id := uint64(0)
 	asksForFresh := func(fields map[string]string) bool {
 		id++
-		client.ask(id, "footage", fields)
+		client.call(id, "footage", fields)
 		return bed.lastAttempt().Fields["fresh"] != ""
 	}
 	bed.waitUntil("the purge holds", func() bool { return asksForFresh(nil) })
@@ -321,7 +321,7 @@
 // over seeded changes under 150 requests a second. -drains sets how many.
 func TestDrainLatency(t *testing.T) {
 	t.Parallel()
-	bed := newCatalogueTestbed(t, answerFilled, "c3", "c4", "c5", "c6", "p2")
+	bed := newCatalogueTestbed(t, answerAsEmptyCaches, "c3", "c4", "c5", "c6", "p2")
 	cluster, _ := bed.enableCatalogue(1, "")
 	bed.addSettings("list {", "flap-cut 0", "}")
 	bed.start()
@@ -345,7 +345,7 @@
 		}
 		marked := cluster.Written(id)
 		bed.waitUnused(id, marked, time.Second)
-		uses := bed.received(sentOrSourced(id))
+		uses := bed.received(usesEndpoint(id))
 		latencies = append(latencies, max(0, uses[len(uses)-1].At.Sub(marked)))
 		if removed {
 			cluster.Put(bed.catalogueInstance(id, bed.endpointAddress(id)))
@@ -353,7 +353,7 @@
 			cluster.Mark(service, id, consul.Passing)
 		}
 	}
-	load.stopAllServed(t)
+	load.stopAndExpectServed(t)
 	slices.Sort(latencies)
 	t.Logf("all: %v", latencies)
 	at := func(q float64) time.Duration {
--- a/test/clients_test.go
+++ b/test/clients_test.go
@@ -49,7 +49,7 @@
 		}
 	}
 	client := bed.dial()
-	if answer := client.ask(1, "footage", nil); answer.Error != "" {
+	if answer := client.call(1, "footage", nil); answer.Error != "" {
 		t.Errorf("after all that: %+v, want it served", answer)
 	}
 }
@@ -57,9 +57,9 @@
 // malformedFrames is what clients can send that can't be used, by what is wrong with it. Request 77 is open.
 func malformedFrames() map[string][]byte {
 	with := func(field, value string) []byte { return request(1, "footage", map[string]string{field: value}, "") }
-	head := func(rest ...byte) []byte { return append(requestHead(1), rest...) }
+	head := func(rest ...byte) []byte { return append(requestPrefix(1), rest...) }
 	plain := request(1, "footage", nil, "")
-	hugeText := append(msgpack.AppendMap(requestHead(1), 1), 0xdb, 0xff, 0xff, 0xff, 0xff)
+	hugeText := append(msgpack.AppendMap(requestPrefix(1), 1), 0xdb, 0xff, 0xff, 0xff, 0xff)
 	return map[string][]byte{
 		"says nothing":                          {},
 		"half a request":                        request(1, "footage", nil, "body")[:40],
@@ -80,8 +80,8 @@
 		"a key without end":                     with("unique", strings.Repeat("k", 200)),
 		"a tag that an endpoint might not read": with("got", "\xff"),
 		"two requests under one number":         append(bytes.Clone(plain), plain...),
-		"a request taken back at once":          append(append(bytes.Clone(plain), cancelNotice(1)...), 0xc1),
-		"hundreds of requests at once":          requestFlood(300),
+		"a request taken back at once":          append(append(bytes.Clone(plain), cancelNotification(1)...), 0xc1),
+		"hundreds of requests at once":          requestBatch(300),
 		"an answer instead of a request":        {0x94, 0x01, 0x09, 0xc0, 0xc0},
 		"a limit that is none":                  with("limit", "-5"),
 		"a class that does not exist":           request(1, "footage_x", nil, ""),
@@ -135,7 +135,7 @@
 func TestCompleteRequestIsAnsweredBeforeProtocolError(t *testing.T) {
 	half := request(2, "charge", map[string]string{"unique": "k2"}, "body")
 	half = half[:len(half)-3]
-	hugeText := append(requestHead(2), 0x81, 0xdb, 0xff, 0xff, 0xff, 0xff)
+	hugeText := append(requestPrefix(2), 0x81, 0xdb, 0xff, 0xff, 0xff, 0xff)
 	for _, c := range []struct {
 		name string
 		then []byte
@@ -204,7 +204,7 @@
 	for id := range uint64(200) {
 		bed.dial() // and says nothing
 		client := bed.dial()
-		if answer := client.ask(id+1, "footage", nil); answer.Error != "" {
+		if answer := client.call(id+1, "footage", nil); answer.Error != "" {
 			t.Fatalf("client %d: %+v, want it served", id, answer)
 		}
 	}
@@ -261,7 +261,7 @@
 	client, id := bed.dial(), uint64(0)
 	bed.waitUntil("sound requests are served again", func() bool {
 		id++
-		return client.ask(id, "footage", nil).Error == ""
+		return client.call(id, "footage", nil).Error == ""
 	})
 	bed.expectRunning()
 }
--- a/test/clock_test.go
+++ b/test/clock_test.go
@@ -15,7 +15,7 @@
 	keys := bed.enableIdentity("")
 	bed.addSettings("snapshot {", "file "+filepath.Join(t.TempDir(), "list"), "every 100ms", "}")
 	var err error
-	if bed.program, err = clockstepProgram(); err != nil {
+	if bed.programPath, err = buildClockstepProgram(); err != nil {
 		t.Fatal(err)
 	}
 	driftFile, nextDrift := filepath.Join(t.TempDir(), "drift"), filepath.Join(t.TempDir(), "next")
@@ -30,11 +30,11 @@
 		bed.waitLoggedTimes("event=clock-stepped", steps)
 	}
 	valid, stolen := keys.token("lane-1", "lanes", 2*time.Hour), keys.token("lane-2", "lanes", 2*time.Hour)
-	keys.must("key", "revoke", "subject", "lane-2", "--for", "3h")
+	keys.mustRun("key", "revoke", "subject", "lane-2", "--for", "3h")
 	client, id := bed.dial(), uint64(0)
 	lookup := func(token string) reply {
 		id++
-		return client.ask(id, "lookup", map[string]string{"token": token})
+		return client.call(id, "lookup", map[string]string{"token": token})
 	}
 	bed.waitUntil("the stolen token is revoked", func() bool { return lookup(stolen).Fields["reason"] == "revoked" })
 	expectServed := func(when string) {
@@ -80,7 +80,7 @@
 	setDrift(0)
 	expectServed("back at the right time")
 	expectReason("a token whose revocation had ended a day ahead", stolen, "revoked")
-	bed.listFeed <- invalidateObject(2, "7f3a9c21e0b4d655", time.Now().UnixMilli())
+	bed.listFeed <- objectInvalidation(2, "7f3a9c21e0b4d655", time.Now().UnixMilli())
 	bed.waitUntil("a purge holds", func() bool {
 		lookup(valid)
 		return bed.lastAttempt().Fields["fresh"] != ""
--- a/test/commands_test.go
+++ b/test/commands_test.go
@@ -16,7 +16,7 @@
 	cluster, agents := bed.enableCatalogue(1, "")
 	cluster.Mark("cache", "c1", "maintenance")
 	bed.writeConfig()
-	bed.listFeed <- bed.listChange(2, "c2", "removed")
+	bed.listFeed <- bed.healthChangeEvent(2, "c2", "removed")
 	bed.listFeed <- "2"
 	view := func() string {
 		return mustRunProgram(t, "endpoints", "--config", bed.configPath, "--conf", bed.settingsPath, "--wait", "1s")
--- a/test/connections_test.go
+++ b/test/connections_test.go
@@ -93,7 +93,7 @@
 	client.send(request(1, "footage", patient("1", "40"), ""))
 	bed.waitAttempts(1)
 	for id := uint64(2); id <= 4; id++ {
-		client.ask(id, "footage", patient(strconv.FormatUint(id, 10), "80"))
+		client.call(id, "footage", patient(strconv.FormatUint(id, 10), "80"))
 	}
 	<-read
 	if answer := client.mustRead(); answer.ID != 1 || answer.Body != "1" {
@@ -115,7 +115,7 @@
 			bed := newTestbed(t, func(attempt *receivedRequest) { attempt.Answer(c.word, c.fields, "") }, "c2")
 			bed.start()
 			client := bed.dial()
-			client.ask(1, c.class, map[string]string{"unique": "k1", "limit": "1500"})
+			client.call(1, c.class, map[string]string{"unique": "k1", "limit": "1500"})
 			var out *receivedRequest // the attempt that is out for all that its endpoint said
 			seen := map[string]bool{}
 			ofRequest := func(line *receivedRequest) bool { return line.ID == hexID(1) }
@@ -143,7 +143,7 @@
 func TestResetNewConnectionsDoNotEject(t *testing.T) {
 	bed := newTestbed(t, nil, "c2")
 	listener := bed.listenOn("127.0.0.1:0")
-	bed.listAt("c1", listener.Addr().String())
+	bed.setListedAddress("c1", listener.Addr().String())
 	sound := make(chan net.Conn)
 	go func() {
 		for n := 0; ; n++ {
@@ -197,7 +197,7 @@
 			}, "c2")
 			bed.start()
 			client := bed.dial()
-			answer := client.ask(1, "footage", map[string]string{"ram": "2000", "limit": "60000"})
+			answer := client.call(1, "footage", map[string]string{"ram": "2000", "limit": "60000"})
 			if answer.Body != "sound" {
 				t.Fatalf("%+v, want it served", answer)
 			}
@@ -259,7 +259,7 @@
 	}
 	time.Sleep(time.Until(began.Add(1200 * time.Millisecond))) // longer than anything new is put behind it
 	other := bed.dial()
-	answer := other.ask(3, "lookup", map[string]string{"limit": "9000"})
+	answer := other.call(3, "lookup", map[string]string{"limit": "9000"})
 	if answer.Body != "done" || nextReceived(t, responder.pending).Conn == *responder.first.Load() {
 		t.Errorf("%+v, want it served by another connection", answer)
 	}
@@ -289,7 +289,7 @@
 			bed.start()
 			client := bed.dial()
 			for id := range uint64(10) {
-				answer := client.ask(id+1, class, map[string]string{"unique": fmt.Sprint("k", id)})
+				answer := client.call(id+1, class, map[string]string{"unique": fmt.Sprint("k", id)})
 				if answer.Body != "done" {
 					t.Fatalf("%+v, want it served", answer)
 				}
@@ -322,7 +322,7 @@
 			client := bed.dial()
 			for id := range uint64(200) {
 				class := []string{"lookup", "charge"}[id%2]
-				answer := client.ask(id+1, class, map[string]string{"unique": fmt.Sprint("k", id)})
+				answer := client.call(id+1, class, map[string]string{"unique": fmt.Sprint("k", id)})
 				if answer.Body != "done" {
 					t.Fatalf("request %d: %+v, want it served", id, answer)
 				}
@@ -359,7 +359,7 @@
 func expectUnreadAttemptsDropped(t *testing.T, bed *testbed) {
 	t.Helper()
 	address, read := bed.listenWithoutReading()
-	bed.listAt("o1", address)
+	bed.setListedAddress("o1", address)
 	bed.start()
 	const requests, each = 150, 25
 	body := strings.Repeat("x", 48000)
--- a/test/cpu_test.go
+++ b/test/cpu_test.go
@@ -25,7 +25,7 @@
 		t.Skip("needs -cpu-requests")
 	}
 	if *cpuProgram != "" {
-		program = *cpuProgram
+		programPath = *cpuProgram
 	}
 	bed, client, token := newCPUTestbed(t)
 	before := bed.cpuTicks()
--- a/test/dns_test.go
+++ b/test/dns_test.go
@@ -28,7 +28,7 @@
 	bed.addSettings("contracts {", "team lanes {", "class lookup", "}", "others {", "}", "}")
 	bed.start()
 	port := bed.listeners["c2"].Addr().(*net.TCPAddr).Port
-	served := func(names ...string) dnsAnswer { return dnsAnswer{Rcode: "NOERROR", Names: names} }
+	served := func(names ...string) dnsAnswer { return dnsAnswer{Rcode: "NOERROR", RecordData: names} }
 	failed := func(rcode, text string) dnsAnswer { return dnsAnswer{Rcode: rcode, Text: text} }
 	for _, network := range []string{"udp", "tcp"} {
 		resolver := bed.dialDNS(network)
@@ -72,7 +72,7 @@
 	if answer := resolver.mustRead(); answer.Rcode != "FORMERR" || answer.ID != 7 {
 		t.Errorf("what can't be read: %+v, want FORMERR to query 7", answer)
 	}
-	resolver.expectNoMore()
+	resolver.expectNoFurtherAnswer()
 }
 
 // TestDNSRetransmitsAreIdempotent: a charge is retried while its first attempt is out. There must be one attempt, one
@@ -94,19 +94,19 @@
 	tcp.query(3, name, dns.TypeTXT)
 	// All questions have been read once something asked behind them is answered.
 	for _, resolver := range []*dnsClient{first, retry, tcp} {
-		resolver.expectNoMore()
+		resolver.expectNoFurtherAnswer()
 	}
 	close(release)
 	served := []string{"outcome=served", "remark=hit"}
 	for id, resolver := range map[uint16]*dnsClient{1: first, 2: retry, 3: tcp} {
-		want := dnsAnswer{ID: id, Rcode: "NOERROR", Names: served}
+		want := dnsAnswer{ID: id, Rcode: "NOERROR", RecordData: served}
 		if diff := cmp.Diff(want, resolver.mustRead()); diff != "" {
 			t.Errorf("query %d (-want +got):\n%s", id, diff)
 		}
-		resolver.expectNoMore()
+		resolver.expectNoFurtherAnswer()
 	}
 	retry.query(4, name, dns.TypeTXT) // within the window
-	if diff := cmp.Diff(dnsAnswer{ID: 4, Rcode: "NOERROR", Names: served}, retry.mustRead()); diff != "" {
+	if diff := cmp.Diff(dnsAnswer{ID: 4, Rcode: "NOERROR", RecordData: served}, retry.mustRead()); diff != "" {
 		t.Errorf("asked again (-want +got):\n%s", diff)
 	}
 	if attempts := bed.attempts(); len(attempts) != 1 || attempts[0].Endpoint != "o1" {
@@ -121,7 +121,7 @@
 	bed := newTestbed(t, nil)
 	bed.startNameServer(map[string]string{"c2.plaza.test.": "127.0.0.1", "c3.plaza.test.": "127.0.0.1"})
 	// c2 is listed by name. So is c3, and its name leads to the address of c1: a record that is out of date.
-	bed.listAt("c2", strings.Replace(bed.endpointAddress("c2"), "127.0.0.1", "c2.plaza.test", 1))
+	bed.setListedAddress("c2", strings.Replace(bed.endpointAddress("c2"), "127.0.0.1", "c2.plaza.test", 1))
 	outOfDate := strings.Replace(bed.endpointAddress("c1"), "127.0.0.1", "c3.plaza.test", 1)
 	bed.enableDNS("resolver " + bed.nameServer.address())
 	bed.start()
@@ -155,10 +155,11 @@
 		return out != nil
 	})
 	namesC2 := func(answer dnsAnswer) bool {
-		return len(answer.Names) == 1 && strings.HasPrefix(answer.Names[0], "c2:")
+		return len(answer.RecordData) == 1 && strings.HasPrefix(answer.RecordData[0], "c2:")
 	}
 	began := time.Now()
-	bed.listFeed <- listEvent(2, false, bed.entry("c1", "draining"), listEntry("c3", outOfDate, "edge", "std", "up", 0))
+	bed.listFeed <- listEvent(2, false, bed.endpointEntry("c1", "draining"),
+		listEntry("c3", outOfDate, "edge", "std", "up", 0))
 	time.Sleep(500 * time.Millisecond) // the case's own half second
 	out.Answer("ACK", "remark=hit", "")
 	if answer := resolver.mustRead(); answer.Rcode != "NOERROR" || !namesC2(answer) {
@@ -170,7 +171,7 @@
 			t.Fatalf("query %d: %+v, want c2 named", id, answer)
 		}
 	}
-	resolver.expectNoMore()
+	resolver.expectNoFurtherAnswer()
 	drained := began.Add(time.Second)
 	after := bed.received(func(attempt *receivedRequest) bool {
 		return attempt.Endpoint == "c1" && attempt.At.After(drained)
--- a/test/drill_test.go
+++ b/test/drill_test.go
@@ -29,7 +29,7 @@
 	if *drillProxies > 0 {
 		plan.Proxies = *drillProxies
 	}
-	result, err := drill.Run(plan, program, t.TempDir(), seed, nil)
+	result, err := drill.Run(plan, programPath, t.TempDir(), seed, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -151,12 +151,13 @@
 			"!",
 			listEvent(next, true, listEntry("c1", "nowhere", "edge", "std", "up", 0)), // no address
 			"!",
-			emptyList(next), // all endpoints are gone
-			emptyList(next), // twice
+			emptyListEvent(next), // all endpoints are gone
+			emptyListEvent(next), // twice
 			strconv.Itoa(next),
 			listEvent(1, false, listEntry("c9", "127.0.0.1:1", "edge", "std", "up", 0)), // old
 			strconv.Itoa(next + 5), // five were missed, it says
-			listEvent(next+1, true, bed.listed[0], bed.listed[0], bed.listed[1], bed.listed[2], bed.listed[3]),
+			listEvent(next+1, true, bed.listedEndpoints[0], bed.listedEndpoints[0], bed.listedEndpoints[1],
+				bed.listedEndpoints[2], bed.listedEndpoints[3]),
 		} {
 			select {
 			case bed.listFeed <- line:
@@ -176,11 +177,11 @@
 func (r *faultRun) sendSoundList() {
 	bed := r.testbed
 	standing := bed.dial()
-	standing.awaitRound(1)
+	standing.waitRequestsRead(1)
 	bed.waitUntil("an endpoint serves again", func() bool {
 		// Numbers that the program has already, or that skip some, have it ask again: then the next one will do.
 		r.listVersion++
-		for _, line := range []string{listEvent(r.listVersion, true, bed.listed...), "!"} {
+		for _, line := range []string{listEvent(r.listVersion, true, bed.listedEndpoints...), "!"} {
 			select {
 			case bed.listFeed <- line:
 			default:
@@ -292,7 +293,7 @@
 			return err
 		}
 		if c.faults.withdrawEvery > 0 && id%uint64(c.faults.withdrawEvery) == 0 {
-			_ = c.protocol.Send(cancelNotice(id))
+			_ = c.protocol.Send(cancelNotification(id))
 			delete(c.open, id)
 			c.withdrawn[id] = true
 		}
@@ -407,9 +408,9 @@
 	client := bed.dial()
 	for id := uint64(1); id <= 3000; id++ {
 		client.send(request(id, "footage", map[string]string{"limit": "3600000"}, ""))
-		client.send(cancelNotice(id))
+		client.send(cancelNotification(id))
 		if id%16 == 0 { // else they would be taken back in the round they came in, and not be taken up
-			client.awaitRound(id)
+			client.waitRequestsRead(id)
 			bed.waitUntil("nothing is open", func() bool { return bed.stateCounts(socket)["pool.0.open"] == 0 })
 		}
 	}
--- a/test/harness_catalogue_test.go
+++ b/test/harness_catalogue_test.go
@@ -66,8 +66,8 @@
 	return cluster, all
 }
 
-// sentOrSourced fits an attempt that was sent to an endpoint, or names it as the source to fill from.
-func sentOrSourced(id string) func(*receivedRequest) bool {
+// usesEndpoint fits an attempt that was sent to an endpoint, or names it as the source to fill from.
+func usesEndpoint(id string) func(*receivedRequest) bool {
 	return func(attempt *receivedRequest) bool {
 		return attempt.Word == "ASK" && (attempt.Endpoint == id || attempt.Fields["via"] == id)
 	}
@@ -75,7 +75,7 @@
 
 // usesSince gives the attempts that were sent to an endpoint, or named it as the source, after a moment.
 func (bed *testbed) usesSince(id string, since time.Time) []*receivedRequest {
-	uses := sentOrSourced(id)
+	uses := usesEndpoint(id)
 	return bed.received(func(attempt *receivedRequest) bool { return uses(attempt) && attempt.At.After(since) })
 }
 
@@ -90,7 +90,7 @@
 func (bed *testbed) waitUnused(id string, since time.Time, within time.Duration) {
 	bed.t.Helper()
 	last := func() time.Time {
-		uses := bed.received(sentOrSourced(id))
+		uses := bed.received(usesEndpoint(id))
 		if len(uses) == 0 {
 			return since
 		}
--- a/test/harness_clients_test.go
+++ b/test/harness_clients_test.go
@@ -83,35 +83,35 @@
 	return answer
 }
 
-// ask sends a request without a body, and takes the next answer.
-func (c *client) ask(id uint64, class string, fields map[string]string) reply {
+// call sends a request without a body, and takes the next answer.
+func (c *client) call(id uint64, class string, fields map[string]string) reply {
 	c.t.Helper()
 	c.send(request(id, class, fields, ""))
 	return c.mustRead()
 }
 
-// awaitRound asks for the status: once that is answered, the program has read all that the client sent before.
-func (c *client) awaitRound(id uint64) {
+// waitRequestsRead asks for the status: once that is answered, the program has read all that the client sent before.
+func (c *client) waitRequestsRead(id uint64) {
 	c.t.Helper()
-	c.ask(id, "status", nil)
+	c.call(id, "status", nil)
 }
 
-// requestHead is a request up to the place of its fields.
-func requestHead(id uint64) []byte {
+// requestPrefix is a request up to the place of its fields.
+func requestPrefix(id uint64) []byte {
 	b := msgpack.AppendUint(msgpack.AppendUint(msgpack.AppendArray(nil, 4), 0), id)
 	return msgpack.AppendArray(msgpack.AppendText(b, "footage"), 2)
 }
 
-// requestFlood is that many requests in one piece.
-func requestFlood(count int) (frames []byte) {
+// requestBatch is that many requests in one piece.
+func requestBatch(count int) (frames []byte) {
 	for id := range uint64(count) {
 		frames = append(frames, request(id+1, "footage", map[string]string{"item": "00000000000000bb"}, "")...)
 	}
 	return frames
 }
 
-// cancelNotice is the notice that takes a request back. Small ids are written in one byte, others in five.
-func cancelNotice(id uint64) []byte {
+// cancelNotification is the notice that takes a request back. Small ids are written in one byte, others in five.
+func cancelNotification(id uint64) []byte {
 	frame := []byte("\x93\x02\xa8withdraw\x91")
 	if id < 128 {
 		return append(frame, byte(id))
@@ -124,7 +124,7 @@
 	name    string
 	abandon func(c *client, id uint64)
 }{
-	{"withdraw", func(c *client, id uint64) { c.send(cancelNotice(id)) }},
+	{"withdraw", func(c *client, id uint64) { c.send(cancelNotification(id)) }},
 	{"close", func(c *client, _ uint64) { _ = c.conn.Close() }},
 	{"reset", func(c *client, _ uint64) {
 		_ = c.conn.(*net.TCPConn).SetLinger(0)
@@ -138,7 +138,7 @@
 func abandonNoticed(bed *testbed, c *client, way string) bool {
 	switch way {
 	case "withdraw":
-		return c.ask(3, "status", nil).ID == 3
+		return c.call(3, "status", nil).ID == 3
 	case "half-close":
 		_ = c.conn.SetReadDeadline(time.Now().Add(waitLimit))
 		_, err := c.conn.Read(make([]byte, 1))
--- a/test/harness_dns_test.go
+++ b/test/harness_dns_test.go
@@ -39,8 +39,8 @@
 	return &dnsClient{bed.t, &dns.Conn{Conn: conn}}
 }
 
-// newQuestion is a query for a name in the zone, with EDNS.
-func newQuestion(id uint16, name string, qtype uint16) *dns.Msg {
+// newDNSQuery is a query for a name in the zone, with EDNS.
+func newDNSQuery(id uint16, name string, qtype uint16) *dns.Msg {
 	message := new(dns.Msg).SetQuestion(name+"."+zone, qtype)
 	message.Id = id
 	message.SetEdns0(1232, false)
@@ -50,17 +50,17 @@
 // query sends a question for a name in the zone.
 func (c *dnsClient) query(id uint16, name string, qtype uint16) {
 	c.t.Helper()
-	if err := c.conn.WriteMsg(newQuestion(id, name, qtype)); err != nil {
+	if err := c.conn.WriteMsg(newDNSQuery(id, name, qtype)); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
 // dnsAnswer is an answer in the words of the table tests.
 type dnsAnswer struct {
-	ID    uint16
-	Rcode string
-	Names []string // what the records of the answer name
-	Text  string   // of the extended error
+	ID         uint16
+	Rcode      string
+	RecordData []string // what the records of the answer name
+	Text       string   // of the extended error
 }
 
 // mustRead takes one answer, and fails without it or if it may be cached.
@@ -78,11 +78,11 @@
 		switch record := record.(type) {
 		case *dns.SRV:
 			target := strings.TrimSuffix(record.Target, ".box."+zone)
-			answer.Names = append(answer.Names, fmt.Sprintf("%s:%d", target, record.Port))
+			answer.RecordData = append(answer.RecordData, fmt.Sprintf("%s:%d", target, record.Port))
 		case *dns.A:
-			answer.Names = append(answer.Names, record.A.String())
+			answer.RecordData = append(answer.RecordData, record.A.String())
 		case *dns.TXT:
-			answer.Names = append(answer.Names, record.Txt...)
+			answer.RecordData = append(answer.RecordData, record.Txt...)
 		}
 	}
 	return answer
@@ -100,8 +100,8 @@
 	return text
 }
 
-// expectNoMore checks that no further answer is on its way: what comes next is that of a question asked now.
-func (c *dnsClient) expectNoMore() {
+// expectNoFurtherAnswer checks that no further answer is on its way: what comes next is that of a question asked now.
+func (c *dnsClient) expectNoFurtherAnswer() {
 	c.t.Helper()
 	c.query(9999, "n0.00000000000000aa.nosuchclass._", dns.TypeA)
 	if answer := c.mustRead(); answer.ID != 9999 {
--- a/test/harness_endpoints_test.go
+++ b/test/harness_endpoints_test.go
@@ -40,8 +40,8 @@
 // answerDone serves an attempt.
 func answerDone(attempt *receivedRequest) { attempt.Answer("ACK", "tag=t1", "done") }
 
-// answerFilled is for caches that hold nothing: each request is filled from a parent or the origin.
-func answerFilled(attempt *receivedRequest) {
+// answerAsEmptyCaches is for caches that hold nothing: each request is filled from a parent or the origin.
+func answerAsEmptyCaches(attempt *receivedRequest) {
 	if attempt.Fields["via"] == "" && attempt.Endpoint[0] == 'c' {
 		attempt.Answer("NOENT", "-", "")
 		return
@@ -118,18 +118,18 @@
 		bed.t.Fatal(err)
 	}
 	file := os.NewFile(uintptr(fd), "full")
-	bed.fullListener, err = net.FileListener(file)
+	bed.fullBacklogListener, err = net.FileListener(file)
 	_ = file.Close()
 	if err != nil {
 		bed.t.Fatal(err)
 	}
-	bed.t.Cleanup(func() { _ = bed.fullListener.Close() })
-	filler, err := net.Dial("tcp", bed.fullListener.Addr().String()) // the queue has one place
+	bed.t.Cleanup(func() { _ = bed.fullBacklogListener.Close() })
+	filler, err := net.Dial("tcp", bed.fullBacklogListener.Addr().String()) // the queue has one place
 	if err != nil {
 		bed.t.Fatal(err)
 	}
 	bed.t.Cleanup(func() { _ = filler.Close() })
-	return bed.fullListener.Addr().String()
+	return bed.fullBacklogListener.Addr().String()
 }
 
 // listenAndClose gives an address where each connection is closed as soon as it has come.
@@ -242,7 +242,7 @@
 		}}
 	listener := bed.listenOn("127.0.0.1:0")
 	go bed.endpoints.Serve(id, tls.NewListener(listener, config))
-	bed.listAt(id, listener.Addr().String())
+	bed.setListedAddress(id, listener.Addr().String())
 }
 
 // startNameServer starts one that knows the records, for endpoints that are listed by name.
--- a/test/harness_identity_test.go
+++ b/test/harness_identity_test.go
@@ -26,12 +26,12 @@
 
 // run runs a command on the directory.
 func (k keyring) run(args ...string) (string, error) {
-	out, err := exec.Command(program, append(args, "--dir", k.dir)...).CombinedOutput()
+	out, err := exec.Command(programPath, append(args, "--dir", k.dir)...).CombinedOutput()
 	return strings.TrimSpace(string(out)), err
 }
 
-// must is run for a command that must succeed.
-func (k keyring) must(args ...string) string {
+// mustRun is run for a command that must succeed.
+func (k keyring) mustRun(args ...string) string {
 	k.t.Helper()
 	out, err := k.run(args...)
 	if err != nil {
@@ -43,7 +43,7 @@
 // token signs one for a subject, which is valid so long.
 func (k keyring) token(subject, tenant string, life time.Duration) string {
 	k.t.Helper()
-	return k.must("token", "sign", "--subject", subject, "--tenant", tenant, "--life", life.String(),
+	return k.mustRun("token", "sign", "--subject", subject, "--tenant", tenant, "--life", life.String(),
 		"--audience", "proxy")
 }
 
@@ -52,7 +52,7 @@
 func (bed *testbed) enableIdentity(extra string) keyring {
 	bed.t.Helper()
 	keys := newKeyring(bed.t)
-	keys.must("key", "new", "--id", "k1")
+	keys.mustRun("key", "new", "--id", "k1")
 	bed.addSettings("identity {", "keys "+keys.dir, "audience proxy", "skew 0s",
 		"role reader {", "right lookup footage", "}",
 		"tenant lanes {", "right charge", "role reader", "}",
--- a/test/harness_listservice_test.go
+++ b/test/harness_listservice_test.go
@@ -15,16 +15,16 @@
 		"share": 4, "born_ms": startedAt}
 }
 
-// entry is the entry of one of the testbed's endpoints.
-func (bed *testbed) entry(id, health string) map[string]any {
+// endpointEntry is the entry of one of the testbed's endpoints.
+func (bed *testbed) endpointEntry(id, health string) map[string]any {
 	_, class, site := placement(id)
 	return listEntry(id, bed.endpointAddress(id), site, class, health, 0)
 }
 
-// listAt has the list that the program starts with name an address for an endpoint.
-func (bed *testbed) listAt(id, address string) {
+// setListedAddress has the list that the program starts with name an address for an endpoint.
+func (bed *testbed) setListedAddress(id, address string) {
 	bed.t.Helper()
-	for _, entry := range bed.listed {
+	for _, entry := range bed.listedEndpoints {
 		if entry["host"] == id {
 			entry["dial"] = address
 			return
@@ -40,21 +40,21 @@
 	return string(text)
 }
 
-// listChange is the event that tells a new health of one endpoint.
-func (bed *testbed) listChange(number int, id, health string) string {
-	return listEvent(number, false, bed.entry(id, health))
+// healthChangeEvent is the event that tells a new health of one endpoint.
+func (bed *testbed) healthChangeEvent(number int, id, health string) string {
+	return listEvent(number, false, bed.endpointEntry(id, health))
 }
 
-// emptyList is the event of a complete list that has no endpoint.
-func emptyList(number int) string { return listEvent(number, true, []map[string]any{}...) }
+// emptyListEvent is the event of a complete list that has no endpoint.
+func emptyListEvent(number int) string { return listEvent(number, true, []map[string]any{}...) }
 
-// invalidateObject is the event that refuses copies of an object from before a Unix millisecond.
-func invalidateObject(number int, object string, issued int64) string {
+// objectInvalidation is the event that refuses copies of an object from before a Unix millisecond.
+func objectInvalidation(number int, object string, issued int64) string {
 	return fmt.Sprintf(`{"no":%d,"recall":{"item":%q,"issued":%d}}`, number, object, issued)
 }
 
-// invalidateGroup is the same for all objects of a group.
-func invalidateGroup(number, group int, issued int64) string {
+// groupInvalidation is the same for all objects of a group.
+func groupInvalidation(number, group int, issued int64) string {
 	return fmt.Sprintf(`{"no":%d,"recall":{"lot":%d,"issued":%d}}`, number, group, issued)
 }
 
@@ -100,7 +100,7 @@
 	client := bed.dial()
 	before := len(bed.attemptsAt(id))
 	for n := range uint64(20) {
-		if answer := client.ask(n+1, "lookup", map[string]string{"item": hexID(n + 1)}); answer.Error != "" {
+		if answer := client.call(n+1, "lookup", map[string]string{"item": hexID(n + 1)}); answer.Error != "" {
 			bed.t.Errorf("%+v, want it served elsewhere", answer)
 		}
 	}
--- a/test/harness_load_test.go
+++ b/test/harness_load_test.go
@@ -22,9 +22,10 @@
 	requestsPerClient = 25
 )
 
-// openMany sends 500 requests, each with an id and a key of its own, and waits until all are with the endpoints,
-// whose responder must hand them to pending.
-func (bed *testbed) openMany(pending chan *receivedRequest, class string, fields map[string]string) *openRequests {
+// sendOpenRequests sends 500 requests, each with an id and a key of its own, and waits until all are with the
+// endpoints, whose responder must hand them to pending.
+func (bed *testbed) sendOpenRequests(pending chan *receivedRequest, class string,
+	fields map[string]string) *openRequests {
 	bed.t.Helper()
 	open := &openRequests{testbed: bed, pending: pending}
 	for n := range openClients {
@@ -69,7 +70,7 @@
 	done   sync.WaitGroup
 }
 
-// startTraffic sends frames on one connection, so many a second, until stopAllServed. frame gives that of the nth
+// startTraffic sends frames on one connection, so many a second, until stopAndExpectServed. frame gives that of the nth
 // request, from 1 on, which is its id too.
 func (bed *testbed) startTraffic(perSecond int, frame func(n uint64) []byte) *traffic {
 	bed.t.Helper()
@@ -137,8 +138,8 @@
 	load.counts[outcome] += requests
 }
 
-// stopAllServed ends the traffic, and fails unless all of it was served.
-func (load *traffic) stopAllServed(t *testing.T) {
+// stopAndExpectServed ends the traffic, and fails unless all of it was served.
+func (load *traffic) stopAndExpectServed(t *testing.T) {
 	t.Helper()
 	close(load.stop)
 	load.done.Wait()
--- a/test/harness_process_test.go
+++ b/test/harness_process_test.go
@@ -58,8 +58,8 @@
 	return strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
 }
 
-// standStill stops the program and waits until none of its threads runs any more.
-func (bed *testbed) standStill() {
+// suspend stops the program and waits until none of its threads runs any more.
+func (bed *testbed) suspend() {
 	bed.t.Helper()
 	bed.signal(syscall.SIGSTOP)
 	threads := fmt.Sprintf("/proc/%d/task/*/stat", bed.cmd.Process.Pid)
--- a/test/harness_settings_test.go
+++ b/test/harness_settings_test.go
@@ -19,8 +19,8 @@
 	return regexp.MustCompile(`(?m)^#(    +[a-z}])`).ReplaceAllString(text, "$1")
 }
 
-// settingsFolder makes a folder with all files that the examples in the shipped settings name.
-func settingsFolder(t *testing.T) string {
+// makeSettingsDir makes a folder with all files that the examples in the shipped settings name.
+func makeSettingsDir(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	mustRunProgram(t, "key", "new", "--dir", filepath.Join(dir, "keys"))
--- a/test/harness_syscalls_test.go
+++ b/test/harness_syscalls_test.go
@@ -349,7 +349,7 @@
 			fmt.Fprintln(os.Stderr, "faults: reply:", errno)
 		}
 		if fault != nil && fault.random == nil { // after the reply, which the program waits for
-			fmt.Fprintln(os.Stderr, refusedText(fault.name))
+			fmt.Fprintln(os.Stderr, injectedFailureText(fault.name))
 		}
 	}
 }
@@ -371,8 +371,8 @@
 	return nil
 }
 
-// refusedText is what stands in the program's log for each call that a count or a file had fail.
-func refusedText(name string) string { return "faults: " + name + " refused" }
+// injectedFailureText is what stands in the program's log for each call that a count or a file had fail.
+func injectedFailureText(name string) string { return "faults: " + name + " refused" }
 
 // startWithFaults starts the test binary as the program with system calls that fail.
 func (bed *testbed) startWithFaults(faults string) {
@@ -384,7 +384,7 @@
 	if err != nil {
 		bed.t.Fatal(err)
 	}
-	bed.program = self
+	bed.programPath = self
 	bed.env = append(bed.env, faultsVariable+"="+faults)
 	bed.start()
 }
@@ -408,8 +408,9 @@
 	}
 }
 
-// TestFaultsAreNarrowed shows that a fault can mean one operation of one poller, in the order that a script gives.
-func TestFaultsAreNarrowed(t *testing.T) {
+// TestFaultsSelectOperationAndPoller shows that a fault can mean one operation of one poller, in the order that a
+// script gives.
+func TestFaultsSelectOperationAndPoller(t *testing.T) {
 	const goDescriptor, gnetDescriptor = 4, 9
 	script := filepath.Join(t.TempDir(), "script")
 	faults, err := parseFaults("epoll_ctl_add/go=ENOMEM?" + script + ",epoll_ctl_mod=ENOMEM@2-2")
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -32,16 +32,16 @@
 	t *testing.T
 
 	// What the program is started with; a test may change it before start.
-	program      string           // path; empty: the build that is shipped
-	env          []string         // beside the test's own
-	flags        []string         // of the command serve
-	config       map[string]any   // the platform's configuration
-	configPath   string           // of the file that it is written to
-	listed       []map[string]any // the endpoint list in config
-	settingsPath string           // of our settings, which addSettings adds to; empty: none
-	ip           string           // loopback address of this testbed alone
-	address      string           // that clients connect to
-	dnsAddress   string           // empty: DNS is off
+	programPath     string           // path; empty: the build that is shipped
+	env             []string         // beside the test's own
+	flags           []string         // of the command serve
+	config          map[string]any   // the platform's configuration
+	configPath      string           // of the file that it is written to
+	listedEndpoints []map[string]any // the endpoint list in config
+	settingsPath    string           // of our settings, which addSettings adds to; empty: none
+	ip              string           // loopback address of this testbed alone
+	address         string           // that clients connect to
+	dnsAddress      string           // empty: DNS is off
 
 	// The process.
 	cmd    *exec.Cmd // nil: none runs
@@ -49,13 +49,13 @@
 	log    logBuffer
 
 	// The emulators.
-	endpoints    *emulator.Endpoints
-	listeners    map[string]net.Listener // of the endpoints, by id
-	listService  *listService
-	listFeed     chan string // lines for the list service to send
-	listPolls    chan string // what the program has asked the list service for
-	nameServer   *nameServer
-	fullListener net.Listener // see listenWithFullBacklog
+	endpoints           *emulator.Endpoints
+	listeners           map[string]net.Listener // of the endpoints, by id
+	listService         *listService
+	listFeed            chan string // lines for the list service to send
+	listPolls           chan string // what the program has asked the list service for
+	nameServer          *nameServer
+	fullBacklogListener net.Listener // see listenWithFullBacklog
 }
 
 // placement is where an endpoint stands, by the first letter of its id: the service that a catalogue has it in, its
@@ -74,13 +74,13 @@
 // answer by respond; nil: as emulator.NewEndpoints does.
 func newTestbed(t *testing.T, respond func(*receivedRequest), absent ...string) *testbed {
 	t.Helper()
-	bed := &testbed{t: t, listed: []map[string]any{}, listeners: map[string]net.Listener{},
+	bed := &testbed{t: t, listedEndpoints: []map[string]any{}, listeners: map[string]net.Listener{},
 		endpoints: emulator.NewEndpoints(respond)}
 	t.Cleanup(bed.endpoints.Close)
 	for _, id := range []string{"c1", "c2", "p1", "o1"} {
 		bed.addEndpoint(id)
 		if !slices.Contains(absent, id) {
-			bed.listed = append(bed.listed, bed.entry(id, "up"))
+			bed.listedEndpoints = append(bed.listedEndpoints, bed.endpointEntry(id, "up"))
 		}
 	}
 	var err error
@@ -94,7 +94,7 @@
 	if err := json.Unmarshal([]byte(emulator.Settings), &settings); err != nil {
 		t.Fatal(err)
 	}
-	initial := map[string]any{"seq": 1, "whole": true, "hosts": bed.listed}
+	initial := map[string]any{"seq": 1, "whole": true, "hosts": bed.listedEndpoints}
 	bed.config = map[string]any{"name": "n1", "listen": bed.address, "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "settings": settings,
 		"bulletin": bed.listService.address(),
@@ -183,11 +183,11 @@
 func (bed *testbed) start() {
 	bed.t.Helper()
 	bed.writeConfig()
-	if bed.program == "" {
-		bed.program = program
+	if bed.programPath == "" {
+		bed.programPath = programPath
 	}
 	arguments := append([]string{"serve", "--config", bed.configPath}, bed.flags...)
-	bed.launch(exec.Command(bed.program, arguments...), &bed.log)
+	bed.launch(exec.Command(bed.programPath, arguments...), &bed.log)
 	bed.waitUntil("the program answers status", func() bool { return emulator.Ready(bed.address) })
 }
 
@@ -203,14 +203,14 @@
 	bed.cmd, bed.exited = cmd, exited
 }
 
-// startSelf starts the test binary as the program, with a variable in its environment by which TestMain knows.
-func (bed *testbed) startSelf(variable string) {
+// startTestBinary starts the test binary as the program, with a variable in its environment by which TestMain knows.
+func (bed *testbed) startTestBinary(variable string) {
 	bed.t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		bed.t.Fatal(err)
 	}
-	bed.program, bed.env = self, []string{variable + "=1"}
+	bed.programPath, bed.env = self, []string{variable + "=1"}
 	bed.start()
 }
 
@@ -264,12 +264,12 @@
 	}
 }
 
-// program is the path of the build under test, which TestMain makes.
-var program string
+// programPath is the path of the build under test, which TestMain makes.
+var programPath string
 
 // runProgram runs a command of the program to its end, and gives what it prints on either stream.
 func runProgram(args ...string) (string, error) {
-	out, err := exec.Command(program, args...).CombinedOutput()
+	out, err := exec.Command(programPath, args...).CombinedOutput()
 	return string(out), err
 }
 
@@ -308,8 +308,8 @@
 	if err != nil {
 		panic(err)
 	}
-	program = filepath.Join(dir, "sloequay")
-	if out, err := exec.Command("go", "build", "-o", program, "../cmd/sloequay").CombinedOutput(); err != nil {
+	programPath = filepath.Join(dir, "sloequay")
+	if out, err := exec.Command("go", "build", "-o", programPath, "../cmd/sloequay").CombinedOutput(); err != nil {
 		panic(string(out))
 	}
 	code := m.Run()
@@ -317,9 +317,9 @@
 	os.Exit(code)
 }
 
-// clockstepProgram builds the program with a Unix clock that a test can set, once, and gives its path.
-var clockstepProgram = sync.OnceValues(func() (string, error) {
-	path := program + "-clockstep"
+// buildClockstepProgram builds the program with a Unix clock that a test can set, once, and gives its path.
+var buildClockstepProgram = sync.OnceValues(func() (string, error) {
+	path := programPath + "-clockstep"
 	build := exec.Command("go", "build", "-tags", "clockstep", "-o", path, "../cmd/sloequay")
 	if out, err := build.CombinedOutput(); err != nil {
 		return "", fmt.Errorf("%w: %s", err, out)
--- a/test/identity_test.go
+++ b/test/identity_test.go
@@ -47,7 +47,7 @@
 		if c.token != "" {
 			fields["token"] = c.token
 		}
-		answer := client.ask(uint64(9000+i), c.class, fields)
+		answer := client.call(uint64(9000+i), c.class, fields)
 		if answer.Error != c.err || answer.Fields["reason"] != c.reason {
 			t.Errorf("%s with %.10q: %+v, want %q for %q", c.class, c.token, answer, c.err, c.reason)
 		}
@@ -107,7 +107,7 @@
 	id := uint64(1)
 	bed.waitUntil("the token has expired", func() bool {
 		id++
-		return client.ask(id, "lookup", map[string]string{"token": short}).Fields["reason"] == "expired"
+		return client.call(id, "lookup", map[string]string{"token": short}).Fields["reason"] == "expired"
 	})
 	if answer := charge(1001, short, "u1"); answer.Error != "" {
 		t.Errorf("the retry: %+v, want it taken by the first attempt's authority", answer)
@@ -134,15 +134,15 @@
 	keys := bed.enableIdentity("")
 	bed.start()
 	token := keys.token("lane-1", "lanes", time.Hour)
-	open := bed.openMany(pending, "charge", map[string]string{"token": token})
-	keys.must("key", "revoke", "subject", "lane-1")
+	open := bed.sendOpenRequests(pending, "charge", map[string]string{"token": token})
+	keys.mustRun("key", "revoke", "subject", "lane-1")
 	began := time.Now()
 	client := bed.dial()
 	id := uint64(0)
 	bed.waitUntil("it is revoked", func() bool {
 		id++
 		fields := map[string]string{"token": token, "limit": "300"}
-		return client.ask(id, "lookup", fields).Fields["reason"] == "revoked"
+		return client.call(id, "lookup", fields).Fields["reason"] == "revoked"
 	})
 	if took := time.Since(began); took > 2*time.Second {
 		t.Errorf("the revocation took %v, want at most 2 s", took)
@@ -167,12 +167,12 @@
 		token := keys.token(subject, "lanes", time.Hour)
 		reason := func() string {
 			id++
-			return client.ask(id, "lookup", map[string]string{"token": token, "ram": "1"}).Fields["reason"]
+			return client.call(id, "lookup", map[string]string{"token": token, "ram": "1"}).Fields["reason"]
 		}
 		if got := reason(); got != "" {
 			t.Fatalf("before the revocation: rejected for %q, want it served", got)
 		}
-		keys.must("key", "revoke", "subject", subject)
+		keys.mustRun("key", "revoke", "subject", subject)
 		began := time.Now()
 		bed.waitUntil("the revocation holds", func() bool { return reason() == "revoked" })
 		took = append(took, time.Since(began))
@@ -193,7 +193,7 @@
 // exchange sends the query, and gives the answer and whether its signature is right.
 func (q *signedQuery) exchange(t *testing.T, client *dnsClient, id uint16) (answer *dns.Msg, signature error) {
 	t.Helper()
-	message := newQuestion(id, q.question, dns.TypeTXT)
+	message := newDNSQuery(id, q.question, dns.TypeTXT)
 	packet, mac := []byte(nil), ""
 	var err error
 	if q.key == "" {
@@ -227,7 +227,7 @@
 	keys := bed.enableIdentity("")
 	bed.enableDNS("")
 	secret := func(name, tenant string) string {
-		line := keys.must("key", "tsig", name, "--tenant", tenant, "--subject", strings.TrimSuffix(name, "."))
+		line := keys.mustRun("key", "tsig", name, "--tenant", tenant, "--subject", strings.TrimSuffix(name, "."))
 		return line[strings.LastIndex(line, ":")+1:]
 	}
 	lane, other, staff := secret("lane-3.", "lanes"), secret("lane-4.", "lanes"), secret("terminal-7.", "staff")
@@ -344,7 +344,7 @@
 		c.sent++
 		began := time.Now()
 		fields := map[string]string{"token": c.token, "ram": "1", "txn": hexID(began.UnixNano())}
-		if answer := c.client.ask(c.sent, "lookup", fields); answer.Error != "" {
+		if answer := c.client.call(c.sent, "lookup", fields); answer.Error != "" {
 			c.client.t.Fatalf("one of the others: %+v, want it served", answer)
 		}
 		took = append(took, time.Since(began))
--- a/test/idle_test.go
+++ b/test/idle_test.go
@@ -52,7 +52,7 @@
 	}},
 	{"endpoints close each connection at once", func(bed *testbed) {
 		address := bed.listenAndClose()
-		for _, entry := range bed.listed {
+		for _, entry := range bed.listedEndpoints {
 			entry["dial"] = address
 		}
 	}, func(bed *testbed) {
@@ -105,7 +105,7 @@
 	t.Run("a goroutine that spins is seen", func(t *testing.T) {
 		t.Parallel()
 		bed := newTestbed(t, nil)
-		bed.startSelf(spinVariable)
+		bed.startTestBinary(spinVariable)
 		bed.waitUntil("it is seen", func() bool { return cpuShare(t, bed.cmd.Process.Pid, time.Second) > idleShare })
 	})
 }
@@ -118,7 +118,7 @@
 			t.Parallel()
 			bed := newTLSTestbed(t, nil)
 			bed.startWithFaults("epoll_ctl_add/go=" + errno + "%0.5")
-			bed.dial().ask(1, "lookup", nil) // it has started
+			bed.dial().call(1, "lookup", nil) // it has started
 			if share := cpuShare(t, bed.cmd.Process.Pid, time.Second); share > idleShare {
 				t.Errorf("it used %.2f of a core with nothing to do, want at most %.2f", share, idleShare)
 			}
--- a/test/keys_test.go
+++ b/test/keys_test.go
@@ -29,16 +29,16 @@
 			t.Errorf("%v: %v, want an error and %q in\n%s", args, err, want, out)
 		}
 	}
-	keys.must("key", "new", "--id", "a")
+	keys.mustRun("key", "new", "--id", "a")
 	expectRejected("rotate", "key", "new")
 	token := keys.token("s1", "staff", time.Hour)
-	expect(keys.must("token", "verify", token, "--audience", "proxy"),
+	expect(keys.mustRun("token", "verify", token, "--audience", "proxy"),
 		"^good: subject s1 of tenant staff, by key a")
-	expect(keys.must("token", "show", token), `"tenant": "staff"`, `"kid": "a"`)
+	expect(keys.mustRun("token", "show", token), `"tenant": "staff"`, `"kid": "a"`)
 	expectRejected("refused: audience", "token", "verify", token, "--audience", "other")
-	expect(keys.must("key", "rotate", "--id", "b", "--algorithm", "ES256"), "b +ES256 +coming", "a +EdDSA +signing")
-	keys.must("key", "revoke", "token", "t123", "--for", "1h")
-	keys.must("key", "retire", "a")
+	expect(keys.mustRun("key", "rotate", "--id", "b", "--algorithm", "ES256"), "b +ES256 +coming", "a +EdDSA +signing")
+	keys.mustRun("key", "revoke", "token", "t123", "--for", "1h")
+	keys.mustRun("key", "retire", "a")
 	expectRejected("refused: retired", "token", "verify", token)
 	expectRejected("no key signs now", "token", "sign", "--subject", "x", "--tenant", "y")
 	expectRejected("expected token, subject or key", "key", "revoke", "team", "x")
@@ -61,17 +61,17 @@
 	const rotations = 3
 	for i := range rotations {
 		old, next := fmt.Sprint("k", i+1), fmt.Sprint("k", i+2)
-		keys.must("key", "rotate", "--id", next, "--publish", "400ms", "--accept", "100ms", "--overlap", "900ms")
+		keys.mustRun("key", "rotate", "--id", next, "--publish", "400ms", "--accept", "100ms", "--overlap", "900ms")
 		bed.waitUntil("the next key signs", func() bool {
-			return matches(next+" +EdDSA +signing", keys.must("key", "list"))
+			return matches(next+" +EdDSA +signing", keys.mustRun("key", "list"))
 		})
 		token.Store(keys.token("lane-1", "lanes", time.Hour)) // tokens of the old key are in flight still
 		bed.waitUntil("the old key is retired", func() bool {
-			return matches(old+" +EdDSA +retired", keys.must("key", "list"))
+			return matches(old+" +EdDSA +retired", keys.mustRun("key", "list"))
 		})
 	}
-	load.stopAllServed(t)
-	answer := bed.dial().ask(1, "lookup", map[string]string{"token": first})
+	load.stopAndExpectServed(t)
+	answer := bed.dial().call(1, "lookup", map[string]string{"token": first})
 	if answer.Error != "Denied" || answer.Fields["reason"] != "retired" {
 		t.Errorf("%+v, want the retired key's token denied as such", answer)
 	}
@@ -89,7 +89,7 @@
 	id := uint64(0)
 	taken := func() bool {
 		id++
-		return client.ask(id, "lookup", map[string]string{"token": token}).Error == ""
+		return client.call(id, "lookup", map[string]string{"token": token}).Error == ""
 	}
 	if !taken() {
 		t.Fatal("the token is rejected at first, want it taken")
@@ -123,7 +123,7 @@
 	if err := errors.Join(os.Chmod(keysFile, 0o644), os.Rename(filepath.Join(away, "private"), private)); err != nil {
 		t.Fatal(err)
 	}
-	keys.must("key", "rotate", "--id", "k9", "--publish", "0s", "--accept", "0s", "--overlap", "1h")
+	keys.mustRun("key", "rotate", "--id", "k9", "--publish", "0s", "--accept", "0s", "--overlap", "1h")
 	token = keys.token("lane-1", "lanes", time.Hour)
 	bed.waitUntil("a token of the next key is taken", taken)
 }
--- a/test/listeners_test.go
+++ b/test/listeners_test.go
@@ -92,7 +92,7 @@
 		defer conn.Close()
 		_ = conn.SetDeadline(time.Now().Add(waitLimit))
 		stream := &dns.Conn{Conn: conn}
-		if err := stream.WriteMsg(newQuestion(7, "n0.00000000000000aa.lookup._", dns.TypeA)); err != nil {
+		if err := stream.WriteMsg(newDNSQuery(7, "n0.00000000000000aa.lookup._", dns.TypeA)); err != nil {
 			return err
 		}
 		answer, err := stream.ReadMsg()
@@ -185,7 +185,7 @@
 			bed.startWithFaults(fmt.Sprintf("epoll_ctl_add=ENOMEM@%d-%d", n, n+refusedTogether-1))
 			bed.waitUntil("all are refused", func() bool {
 				_ = entryPoints[0].ask(bed) // adds further ones
-				return bed.timesLogged(refusedText("epoll_ctl_add")) == refusedTogether
+				return bed.timesLogged(injectedFailureText("epoll_ctl_add")) == refusedTogether
 			})
 			for _, entry := range entryPoints {
 				if err := entry.ask(bed); err != nil {
--- a/test/listwatch_test.go
+++ b/test/listwatch_test.go
@@ -14,7 +14,7 @@
 	bed := newTestbed(t, nil, "c2")
 	bed.start()
 	bed.expectListPoll("after 1")
-	bed.listFeed <- invalidateObject(2, "00000000000000aa", 1)
+	bed.listFeed <- objectInvalidation(2, "00000000000000aa", 1)
 	bed.listFeed <- "2"
 	bed.listFeed <- "!" // the connection ends
 	bed.listFeed <- "!" // may meet the old connection
@@ -23,19 +23,19 @@
 	case <-bed.listPolls:
 	case <-time.After(time.Second):
 	}
-	bed.listFeed <- invalidateGroup(4, 3, 1) // 3 is missing
+	bed.listFeed <- groupInvalidation(4, 3, 1) // 3 is missing
 	bed.listFeed <- "!"
 	bed.expectListPoll("after 2")
 	bed.listFeed <- unreadable
 	bed.listFeed <- "!"
 	bed.expectListPoll("after 2") // asked for again
 	bed.listFeed <- unreadable    // it has it so
-	bed.listFeed <- listEvent(4, false, bed.entry("c1", "removed"), bed.entry("c2", "up"))
+	bed.listFeed <- listEvent(4, false, bed.endpointEntry("c1", "removed"), bed.endpointEntry("c2", "up"))
 	client := bed.dial()
 	id := uint64(0)
 	bed.waitUntil("c2 serves, and c1 no more", func() bool {
 		id++
-		client.ask(id, "footage", map[string]string{"item": hexID(id)})
+		client.call(id, "footage", map[string]string{"item": hexID(id)})
 		return bed.lastAttempt().Endpoint == "c2"
 	})
 }
@@ -50,7 +50,7 @@
 	}{
 		{"silent in the middle of a line", []string{`~{"no":2,"roster":{"seq":2,"who`}, "nothing received for"},
 		{"a heartbeat beyond what was told", []string{"1", "5"}, "event 2 was missed"},
-		{"events in another order", []string{invalidateGroup(3, 3, 1)}, "event 3 came after event 1"},
+		{"events in another order", []string{groupInvalidation(3, 3, 1)}, "event 3 came after event 1"},
 		{"the connection ends", []string{"1", "!"}, "connection ended"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -64,8 +64,8 @@
 			bed.waitLogMatches(`event=endpoint-list-stale error="?` + c.why)
 			bed.listFeed <- "!" // the emulator serves one connection at a time
 			bed.expectListPoll("after 1")
-			bed.listFeed <- bed.listChange(2, "c1", "draining")
-			bed.listFeed <- bed.listChange(2, "c1", "up") // a repeat: it has this number
+			bed.listFeed <- bed.healthChangeEvent(2, "c1", "draining")
+			bed.listFeed <- bed.healthChangeEvent(2, "c1", "up") // a repeat: it has this number
 			bed.expectDrained("c1")
 		})
 	}
@@ -78,7 +78,7 @@
 	bed.config["bulletin"] = listener.Addr().String()
 	bed.start()
 	first, _ := bed.acceptListPoll(listener)
-	event := invalidateObject(2, "00000000000000aa", 1) + "\n"
+	event := objectInvalidation(2, "00000000000000aa", 1) + "\n"
 	_, _ = first.Write([]byte(event + event + `{"no":3,"rec`)) // one event twice, and half of another
 	if _, after := bed.acceptListPoll(listener); after != "after 2" {
 		t.Errorf("the program asked for %q, want all after event 2", after)
@@ -93,7 +93,7 @@
 	client := bed.dial()
 	for id := uint64(1); id <= 2; id++ {
 		bed.waitListPoll()
-		if answer := client.ask(id, "lookup", nil); answer.Error != "" {
+		if answer := client.call(id, "lookup", nil); answer.Error != "" {
 			t.Errorf("%+v, want it served", answer)
 		}
 		if id == 1 {
@@ -110,13 +110,13 @@
 	bed.waitListPoll()
 	client := bed.dial()
 	issued := time.Now().Add(-100 * time.Millisecond).UnixMilli()
-	bed.listFeed <- invalidateObject(2, "7f3a9c21e0b4d655", issued)
-	bed.listFeed <- invalidateGroup(3, 9, issued)
+	bed.listFeed <- objectInvalidation(2, "7f3a9c21e0b4d655", issued)
+	bed.listFeed <- groupInvalidation(3, 9, issued)
 	id := uint64(0)
 	for _, fields := range []map[string]string{{}, {"item": "00000000000000bb", "batch": "9"}} {
 		bed.waitUntil("requests ask for younger copies", func() bool {
 			id++
-			client.ask(id, "footage", fields)
+			client.call(id, "footage", fields)
 			last := bed.lastAttempt()
 			var maxAge int64
 			_, _ = fmt.Sscan(last.Fields["fresh"], &maxAge)
@@ -143,7 +143,7 @@
 	bed.waitAttempts(1)
 	old := bed.attempts()[0].Conn
 	successor := listEntry("c7", bed.endpointAddress("c1"), "edge", "std", "up", time.Now().UnixMilli())
-	bed.listFeed <- listEvent(2, false, bed.entry("c1", "removed"), successor)
+	bed.listFeed <- listEvent(2, false, bed.endpointEntry("c1", "removed"), successor)
 	bed.waitUntil("the attempt to the old endpoint is tried again", func() bool { return len(bed.attempts()) > 1 })
 	client.send(request(2, "footage", map[string]string{"nth": "1"}, ""))
 	answer := client.mustRead()
@@ -165,20 +165,20 @@
 func TestEndpointDrainsDuringDial(t *testing.T) {
 	bed := newTestbed(t, nil, "c2")
 	address := bed.listenWithFullBacklog()
-	bed.listAt("c1", address)
+	bed.setListedAddress("c1", address)
 	bed.platformLimits()["dial-timeout-ms"] = 60000
 	bed.start()
 	bed.waitListPoll()
 	client := bed.dial()
 	client.send(request(1, "footage", map[string]string{"limit": "60000"}, ""))
-	if answer := client.ask(2, "status", nil); !answer.Ready {
+	if answer := client.call(2, "status", nil); !answer.Ready {
 		t.Fatalf("%+v came first, want the status while the request waits", answer)
 	}
 	bed.listFeed <- listEvent(2, false, listEntry("c1", address, "edge", "std", "draining", 0))
 	if answer := client.mustRead(); answer.ID != 1 || answer.Error != "" {
 		t.Errorf("%+v, want the request served elsewhere", answer)
 	}
-	go bed.endpoints.Serve("c1", bed.fullListener) // what comes up now must stay empty
+	go bed.endpoints.Serve("c1", bed.fullBacklogListener) // what comes up now must stay empty
 	waiting, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -203,7 +203,7 @@
 				return
 			}
 			time.AfterFunc(2*time.Second, func() {
-				_, _ = conn.Write([]byte(bed.listChange(2, "c1", "draining") + "\n"))
+				_, _ = conn.Write([]byte(bed.healthChangeEvent(2, "c1", "draining") + "\n"))
 			})
 		}
 	}()
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -112,9 +112,9 @@
 		t.Skip("the filter is written for Linux on amd64")
 	}
 	bed := newTestbed(t, nil)
-	bed.startSelf(filterVariable)
+	bed.startTestBinary(filterVariable)
 	client := bed.dial()
-	if answer := client.ask(5, "footage", nil); answer.Error != "" || answer.Body != "7f3a9c21e0b4d655" {
+	if answer := client.call(5, "footage", nil); answer.Error != "" || answer.Body != "7f3a9c21e0b4d655" {
 		t.Fatalf("answer %+v, want the body served", answer)
 	}
 	bed.signal(syscall.SIGTERM)
--- a/test/pools_test.go
+++ b/test/pools_test.go
@@ -26,7 +26,7 @@
 	prefix := map[string]string{"cams": "c0", "lanes": "a0"} // of the attempts' ids, by team
 	ask := func(team string) reply {
 		id++
-		return caller.ask(id, "lookup", map[string]string{"team": team, "ram": "1", "limit": "2000",
+		return caller.call(id, "lookup", map[string]string{"team": team, "ram": "1", "limit": "2000",
 			"txn": fmt.Sprintf("%s%014x", prefix[team], id), "item": hexID(id%50 + 1)})
 	}
 	for range 40 {
@@ -84,7 +84,8 @@
 	client, id := bed.dial(), uint64(0)
 	ask := func(team string) reply {
 		id++
-		return client.ask(id, "lookup", map[string]string{"team": team, "ram": "1", "item": hexID(id), "limit": "2000"})
+		return client.call(id, "lookup", map[string]string{"team": team, "ram": "1", "item": hexID(id),
+			"limit": "2000"})
 	}
 	bed.waitUntil("all of the lanes' is moved", func() bool {
 		if answer := ask("lanes"); answer.Error != "" {
--- a/test/quota_test.go
+++ b/test/quota_test.go
@@ -28,7 +28,7 @@
 			bed.start()
 			client := bed.dial()
 			for i, want := range c.wants {
-				answer := client.ask(uint64(i+1), c.class, map[string]string{"team": "lanes"})
+				answer := client.call(uint64(i+1), c.class, map[string]string{"team": "lanes"})
 				if answer.Error != want || want != "" && answer.Fields["later"] == "" {
 					t.Errorf("request %d: %+v, want the error %q with a wait", i+1, answer, want)
 				}
@@ -110,7 +110,7 @@
 	bed := newTestbed(t, func(attempt *receivedRequest) { pending <- attempt })
 	bed.addSettings(before)
 	bed.start()
-	open := bed.openMany(pending, "lookup", map[string]string{"team": "lanes"})
+	open := bed.sendOpenRequests(pending, "lookup", map[string]string{"team": "lanes"})
 	for i := range 10 {
 		text := fmt.Sprintf("contracts {\nteam lanes {\nopen %d\nrequests %d/s\n}\n}\n", 400+30*i, 1000+i)
 		switch i {
@@ -126,13 +126,13 @@
 		bed.waitLoggedTimes("event=contracts-reloaded", i+1)
 	}
 	client := bed.dial()
-	answer := client.ask(1, "lookup", map[string]string{"team": "lanes", "txn": "00000000000000aa"})
+	answer := client.call(1, "lookup", map[string]string{"team": "lanes", "txn": "00000000000000aa"})
 	if answer.Fields["budget"] != "lanes open" {
 		t.Errorf("with 500 open of 500: %+v, want it rejected by the budget %q", answer, "lanes open")
 	}
 	open.answerAll()
 	bed.setResponder(nil)
-	answer = client.ask(2, "lookup", map[string]string{"team": "lanes", "txn": "00000000000000ab"})
+	answer = client.call(2, "lookup", map[string]string{"team": "lanes", "txn": "00000000000000ab"})
 	if answer.Error != "" {
 		t.Errorf("once all have ended: %+v, want it served", answer)
 	}
--- a/test/reload_test.go
+++ b/test/reload_test.go
@@ -17,7 +17,7 @@
 	bed.config["bulletin"] = old.Addr().String()
 	bed.start()
 	first, _ := bed.acceptListPoll(old)
-	_, _ = first.Write([]byte(invalidateObject(2, "00000000000000aa", 1) + "\n"))
+	_, _ = first.Write([]byte(objectInvalidation(2, "00000000000000aa", 1) + "\n"))
 	writeFile(t, bed.configPath, `{"listen":`)
 	bed.signal(syscall.SIGHUP)
 	bed.waitLogged("reload-failed")
@@ -29,13 +29,14 @@
 		t.Errorf("the program asked the new list service for %q, want all after event 2", after)
 	}
 	_, _ = first.Write([]byte(listEvent(3, true) + "\n")) // all endpoints gone, says the old one
-	list := listEvent(3, true, bed.entry("c2", "up"), bed.entry("p1", "up"), bed.entry("o1", "up"))
+	list := listEvent(3, true, bed.endpointEntry("c2", "up"), bed.endpointEntry("p1", "up"),
+		bed.endpointEntry("o1", "up"))
 	_, _ = second.Write([]byte(list + "\n"))
 	client := bed.dial()
 	id := uint64(0)
 	bed.waitUntil("c2 serves, which the new list service has named", func() bool {
 		id++
-		answer := client.ask(id, "footage", nil)
+		answer := client.call(id, "footage", nil)
 		return answer.Error == "" && bed.lastAttempt().Endpoint == "c2"
 	})
 }
@@ -46,11 +47,11 @@
 	bed := newTestbed(t, nil)
 	bed.start()
 	bed.waitListPoll()
-	bed.listFeed <- invalidateGroup(2, 3, time.Now().UnixMilli())
+	bed.listFeed <- groupInvalidation(2, 3, time.Now().UnixMilli())
 	client, id := bed.dial(), uint64(0)
 	bed.waitUntil("event 2 has come", func() bool {
 		id++
-		client.ask(id, "footage", map[string]string{"batch": "3"})
+		client.call(id, "footage", map[string]string{"batch": "3"})
 		return bed.lastAttempt().Fields["fresh"] != ""
 	})
 	later := bed.freeAddress()
@@ -71,7 +72,7 @@
 	case <-time.After(waitLimit):
 		t.Fatalf("the new list service is not asked within %v", waitLimit)
 	}
-	next.feed <- bed.listChange(3, "c1", "draining")
+	next.feed <- bed.healthChangeEvent(3, "c1", "draining")
 	bed.expectDrained("c1")
 }
 
--- a/test/requests_test.go
+++ b/test/requests_test.go
@@ -95,7 +95,7 @@
 			})
 			bed.start()
 			client := bed.dial()
-			client.ask(5, "footage", map[string]string{"txn": "00000000000000a1"})
+			client.call(5, "footage", map[string]string{"txn": "00000000000000a1"})
 			for len(ranks) > 0 {
 				<-ranks
 			}
@@ -103,7 +103,7 @@
 			if c.second != "" {
 				fields["second"] = c.second
 			}
-			client.ask(6, "footage", fields)
+			client.call(6, "footage", fields)
 			if got := <-ranks; got != c.want {
 				t.Errorf("the second request is kept at rank %q, want %q", got, c.want)
 			}
@@ -149,7 +149,8 @@
 			})
 			bed.start()
 			client := bed.dial()
-			if answer := client.ask(1, c.class, map[string]string{"unique": "k1"}); answer.Error+answer.Body != c.want {
+			if answer := client.call(1, c.class,
+				map[string]string{"unique": "k1"}); answer.Error+answer.Body != c.want {
 				t.Errorf("answer %+v, want %q", answer, c.want)
 			}
 			var endpoints []string
@@ -169,7 +170,7 @@
 	_ = bed.listeners["o1"].Close()
 	bed.start()
 	client := bed.dial()
-	if answer := client.ask(1, "charge", map[string]string{"unique": "k1"}); answer.Error != "" {
+	if answer := client.call(1, "charge", map[string]string{"unique": "k1"}); answer.Error != "" {
 		t.Errorf("%+v, want it served by way of a cache", answer)
 	}
 	if attempts := bed.attempts(); len(attempts) != 1 || attempts[0].Fields["via"] != "o1" {
@@ -181,7 +182,7 @@
 // once, but its connection comes up when endpoints drop repeats no more: it must not go out.
 func TestRetryDroppedAfterDedupWindow(t *testing.T) {
 	bed := newTestbed(t, nil)
-	bed.listAt("o1", bed.listenWithFullBacklog()) // its queue holds one connection, which nobody has taken
+	bed.setListedAddress("o1", bed.listenWithFullBacklog()) // its queue holds one connection, which nobody has taken
 	bed.platformLimits()["dial-timeout-ms"] = 60000
 	for _, entry := range bed.platformSettings()["classes"].([]any) {
 		if class := entry.(map[string]any); class["name"] == "charge" {
@@ -190,7 +191,7 @@
 	}
 	bed.start()
 	accept := func() net.Conn {
-		conn, err := bed.fullListener.Accept()
+		conn, err := bed.fullBacklogListener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -203,7 +204,7 @@
 	if !readAttempt(first) {
 		t.Fatal("the first attempt has not come complete")
 	}
-	filler, err := net.Dial("tcp", bed.fullListener.Addr().String()) // no further one does
+	filler, err := net.Dial("tcp", bed.fullBacklogListener.Addr().String()) // no further one does
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -213,7 +214,7 @@
 	_ = accept().Close()
 	reached := make(chan bool, 1)
 	go func() {
-		conn, err := bed.fullListener.Accept()
+		conn, err := bed.fullBacklogListener.Accept()
 		if err != nil {
 			t.Errorf("the late connection: %v", err)
 			reached <- false
@@ -236,12 +237,12 @@
 func TestUnsentRequestRejectedByHalfTime(t *testing.T) {
 	t.Parallel()
 	bed := newTestbed(t, nil, "c2")
-	bed.listAt("c1", bed.listenWithFullBacklog())
+	bed.setListedAddress("c1", bed.listenWithFullBacklog())
 	bed.platformLimits()["dial-timeout-ms"] = 60000
 	bed.start()
 	client := bed.dial()
 	began := time.Now()
-	answer := client.ask(1, "footage", map[string]string{"limit": "6000"})
+	answer := client.call(1, "footage", map[string]string{"limit": "6000"})
 	if answer.Error != "Overloaded" || answer.Fields["later"] == "" {
 		t.Errorf("%+v, want it rejected with a wait", answer)
 	}
@@ -276,7 +277,7 @@
 				t.Errorf("too much open: %+v, want it rejected with later=%q", answer, c.want)
 			}
 			other := bed.dial()
-			answer := other.ask(99, "footage", map[string]string{"team": "lanes"})
+			answer := other.call(99, "footage", map[string]string{"team": "lanes"})
 			if answer.Error != "Overloaded" || (answer.Fields["later"] != "") != c.allowed {
 				t.Errorf("not in the contract: %+v, want it rejected, with a wait: %v", answer, c.allowed)
 			}
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -57,7 +57,7 @@
 	if on := enabledBlocks(parseSettings(t, "shipped", shippedSettings(t))); len(on) > 0 {
 		t.Errorf("the shipped file turns on %v, want nothing", on)
 	}
-	examples, dir := exampleSettings(t), settingsFolder(t)
+	examples, dir := exampleSettings(t), makeSettingsDir(t)
 	for _, name := range []string{"keys", "boxes-ca.pem", "doorman.pem", "doorman.key", "peers.key"} {
 		examples = strings.ReplaceAll(examples, "./"+name, filepath.Join(dir, name))
 	}
@@ -95,7 +95,7 @@
 		{"an unknown word", func(bed *testbed) {
 			bed.platformSettings()["family-info"] = map[string]any{"detail": "some"}
 		}, "family-info.detail"},
-		{"a list entry", func(bed *testbed) { bed.listed[0]["site"] = "nowhere" }, "site"},
+		{"a list entry", func(bed *testbed) { bed.listedEndpoints[0]["site"] = "nowhere" }, "site"},
 		{"contracts", func(bed *testbed) { bed.addSettings("contracts {\n team a {\n  opne 3\n }\n}") },
 			":3: contracts.team.opne: unknown directive; there is open"},
 		{"the DNS zone", func(bed *testbed) { bed.addSettings("dns {\n listen 127.0.0.1:53\n}") },
--- a/test/shutdown_test.go
+++ b/test/shutdown_test.go
@@ -91,7 +91,7 @@
 // playHalfRead: SIGTERM comes while a request is half read.
 func playHalfRead(t *testing.T, bed *testbed, pending chan *receivedRequest) {
 	client := bed.dial()
-	client.awaitRound(9) // so that it is idle, but for what it has begun
+	client.waitRequestsRead(9) // so that it is idle, but for what it has begun
 	frame := request(1, "charge", map[string]string{"unique": "k1"}, "body")
 	client.send(frame[:len(frame)-2])
 	bed.dial() // idle
@@ -163,8 +163,8 @@
 // playSIGTERMInStandstill: the 3.7 s count from when SIGTERM was sent, which is 1 s before the program can take it.
 func playSIGTERMInStandstill(t *testing.T, bed *testbed, pending chan *receivedRequest) {
 	client := bed.dial()
-	client.awaitRound(9)
-	bed.standStill()
+	client.waitRequestsRead(9)
+	bed.suspend()
 	at := time.Now()
 	bed.signal(syscall.SIGTERM)
 	time.Sleep(time.Second)
@@ -182,8 +182,8 @@
 // SIGTERM was sent all the same.
 func playSIGTERMInShortStandstill(t *testing.T, bed *testbed, pending chan *receivedRequest) {
 	client := bed.dial()
-	client.awaitRound(9)
-	bed.standStill()
+	client.waitRequestsRead(9)
+	bed.suspend()
 	at := time.Now()
 	bed.signal(syscall.SIGTERM)
 	time.Sleep(90 * time.Millisecond)
@@ -298,14 +298,14 @@
 	t.Run("its dial", func(t *testing.T) {
 		t.Parallel()
 		bed := newTestbed(t, nil, "c2")
-		bed.listAt("c1", bed.listenWithFullBacklog())
+		bed.setListedAddress("c1", bed.listenWithFullBacklog())
 		bed.platformLimits()["dial-timeout-ms"] = 60000
 		bed.start()
 		client := bed.dial()
 		client.send(request(1, "lookup", map[string]string{"limit": "3000"}, ""))
-		client.awaitRound(2)
+		client.waitRequestsRead(2)
 		bed.terminate()
-		go bed.endpoints.Serve("c1", bed.fullListener)
+		go bed.endpoints.Serve("c1", bed.fullBacklogListener)
 		if answer := client.mustRead(); answer.Error != "" {
 			t.Errorf("%+v, want it served", answer)
 		}
@@ -315,7 +315,7 @@
 		t.Parallel()
 		bed := newTestbed(t, nil)
 		origin := bed.listenOn("127.0.0.1:0")
-		bed.listAt("o1", origin.Addr().String())
+		bed.setListedAddress("o1", origin.Addr().String())
 		bed.start()
 		half, terminated := make(chan struct{}), make(chan struct{})
 		go answerLargeRequestInHalves(origin, half, terminated)
@@ -353,7 +353,7 @@
 	for round := range 3 {
 		bed.start()
 		client := bed.dial()
-		if answer := client.ask(1, "footage", nil); answer.Error != "" {
+		if answer := client.call(1, "footage", nil); answer.Error != "" {
 			t.Fatalf("round %d: %+v, want it served", round, answer)
 		}
 		bed.kill()
--- a/test/signals_test.go
+++ b/test/signals_test.go
@@ -53,12 +53,12 @@
 	}
 	defer reader.Close()
 	fillPipe(t, writer)
-	bed.launch(exec.Command(program, "serve", "--config", bed.configPath), writer)
+	bed.launch(exec.Command(programPath, "serve", "--config", bed.configPath), writer)
 	bed.waitUntil("the program answers status", func() bool { return emulator.Ready(bed.address) })
 	_ = writer.Close()
 	client := bed.dial()
 	for id := range uint64(20) {
-		if answer := client.ask(id+1, "footage", nil); answer.Error != "" {
+		if answer := client.call(id+1, "footage", nil); answer.Error != "" {
 			t.Fatalf("answer %+v, want the body served", answer)
 		}
 	}
@@ -89,7 +89,7 @@
 	settings := filepath.Join(t.TempDir(), "sloequay.conf")
 	writeFile(t, settings, "")
 	replaceByPipe(t, settings)
-	bed.launch(exec.Command(program, "serve", "--config", bed.configPath, "--conf", settings), &bed.log)
+	bed.launch(exec.Command(programPath, "serve", "--config", bed.configPath, "--conf", settings), &bed.log)
 	pipe, err := os.OpenFile(settings, os.O_WRONLY, 0) // opens once the program reads it
 	if err != nil {
 		t.Fatal(err)
--- a/test/standstill_test.go
+++ b/test/standstill_test.go
@@ -21,8 +21,8 @@
 	bed := newTestbed(t, nil)
 	bed.start()
 	client := bed.dial()
-	client.awaitRound(9)
-	bed.standStill()
+	client.waitRequestsRead(9)
+	bed.suspend()
 	sent := time.Now()
 	client.send(request(1, "lookup", map[string]string{"limit": "2500"}, ""))
 	client.send(request(2, "lookup", map[string]string{"limit": "300"}, ""))
@@ -80,7 +80,7 @@
 		t.Parallel()
 		bed := newTestbed(t, nil)
 		bed.start()
-		bed.standStill()
+		bed.suspend()
 		var clients []*client
 		for range 20 {
 			clients = append(clients, ask(bed))
@@ -126,7 +126,7 @@
 			client.query(1, "n0.00000000000000aa.lookup._", dns.TypeA)
 			client.mustRead()
 			before := len(bed.attempts())
-			bed.standStill()
+			bed.suspend()
 			client.query(2, "n0.00000000000000bb.lookup._", dns.TypeA)
 			time.Sleep(standstill)
 			bed.signal(syscall.SIGCONT)
--- a/test/stored_test.go
+++ b/test/stored_test.go
@@ -12,11 +12,11 @@
 // expectPrinted runs check --print on settings and compares what it prints with a file in testdata.
 func expectPrinted(t *testing.T, settings, stored string) {
 	t.Helper()
-	dir := settingsFolder(t)
+	dir := makeSettingsDir(t)
 	writeFile(t, filepath.Join(dir, "sloequay.conf"), settings)
 	bed := newTestbed(t, nil)
 	bed.writeConfig()
-	check := exec.Command(program, "check", "--print", "--config", bed.configPath, "--conf", "sloequay.conf")
+	check := exec.Command(programPath, "check", "--print", "--config", bed.configPath, "--conf", "sloequay.conf")
 	check.Dir = dir
 	printed, err := check.CombinedOutput()
 	if err != nil {
--- a/test/syscalls_test.go
+++ b/test/syscalls_test.go
@@ -21,7 +21,7 @@
 		"accept4=EPROTO@12-12,accept4=ENETUNREACH@14-14,accept4=EMFILE@16-18")
 	for range 12 {
 		client := bed.dial()
-		if answer := client.ask(5, "footage", nil); answer.Error != "" || answer.Body != "7f3a9c21e0b4d655" {
+		if answer := client.call(5, "footage", nil); answer.Error != "" || answer.Body != "7f3a9c21e0b4d655" {
 			t.Fatalf("answer %+v, want the body served", answer)
 		}
 	}
@@ -36,7 +36,7 @@
 	bed.startWithFaults("connect=EADDRNOTAVAIL%0.4,connect=ENOBUFS%0.2,socket=ENFILE%0.3")
 	for id := range uint64(60) {
 		client := bed.dial()
-		answer := client.ask(id+1, "footage", map[string]string{"item": hexID(id + 1), "limit": "3000"})
+		answer := client.call(id+1, "footage", map[string]string{"item": hexID(id + 1), "limit": "3000"})
 		if answer.Error != "" {
 			t.Errorf("answer %+v, want the body served", answer)
 		}
@@ -78,7 +78,7 @@
 	bed := newTestbed(t, nil)
 	bed.enableDNS("")
 	bed.startWithFaults("socket=ENFILE@1-3,socket=ENOBUFS@5-6,connect=ENETUNREACH@1-2,epoll_ctl=ENOMEM@3-3")
-	if answer := bed.dial().ask(5, "footage", nil); answer.Error != "" {
+	if answer := bed.dial().call(5, "footage", nil); answer.Error != "" {
 		t.Errorf("answer %+v, want the body served", answer)
 	}
 }
--- a/test/tls_test.go
+++ b/test/tls_test.go
@@ -39,7 +39,7 @@
 		config := bed.clientConfig(c.name)
 		for round := range 2 {
 			client := bed.dialTLS(config)
-			answer := client.ask(1, c.class, map[string]string{"unique": fmt.Sprint(c.name, round),
+			answer := client.call(1, c.class, map[string]string{"unique": fmt.Sprint(c.name, round),
 				"txn": hexID(len(c.name)*2 + round)})
 			if answer.Error != c.err || answer.Fields["reason"] != c.reason || answer.Body != c.body {
 				t.Errorf("%q, %s, round %d: error %q, reason %q, %d bytes, want %q, %q, %d bytes", c.name, c.class,
@@ -90,7 +90,7 @@
 	plain := dialAndWrite(t, bed.tlsAddress, string(request(1, "lookup", nil, "")))
 	expectClosed(t, "plain text to the TLS listener", plain)
 	good := bed.dialTLS(bed.clientConfig("lane3.lanes.test"))
-	if answer := good.ask(1, "lookup", nil); answer.Error != "" {
+	if answer := good.call(1, "lookup", nil); answer.Error != "" {
 		t.Errorf("beside slow handshakes: %+v, want it served", answer)
 	}
 	for _, conn := range slow {
@@ -120,7 +120,7 @@
 	if n := bed.timesLogged("event=tls-handshake-failed"); n != 1 {
 		t.Errorf("%d lines of failed handshakes with one source, want 1", n)
 	}
-	if answer := good.ask(2, "lookup", nil); answer.Error != "" {
+	if answer := good.call(2, "lookup", nil); answer.Error != "" {
 		t.Errorf("after all that: %+v, want it served", answer)
 	}
 }
@@ -154,13 +154,13 @@
 	bed.waitUntil("the next certificate is in force", func() bool {
 		return serial(bed.dialTLS(bed.clientConfig("lane5.lanes.test"))) != first
 	})
-	if answer := standing.ask(1, "lookup", nil); answer.Error != "" {
+	if answer := standing.call(1, "lookup", nil); answer.Error != "" {
 		t.Errorf("by the connection that stood: %+v, want it served", answer)
 	}
 	finished := tls.Client(half, config)
 	if err := finished.Handshake(); err == nil { // it may have run out of time
 		client := newClient(t, finished)
-		if answer := client.ask(1, "lookup", map[string]string{"txn": "00000000000000ff"}); answer.Error != "" {
+		if answer := client.call(1, "lookup", map[string]string{"txn": "00000000000000ff"}); answer.Error != "" {
 			t.Errorf("by the handshake that was half done: %+v, want it served", answer)
 		}
 	}
@@ -177,7 +177,7 @@
 	base := bed.openDescriptors()
 	for n := range 20 {
 		client := bed.dialTLS(config)
-		client.ask(1, "lookup", map[string]string{"txn": hexID(n + 100)})
+		client.call(1, "lookup", map[string]string{"txn": hexID(n + 100)})
 		if n%2 == 0 {
 			client.send([]byte{0xc1, 0xc1, 0xc1}) // what can't be read has the program end it
 			if answer, err := client.read(); err == nil {
@@ -224,7 +224,7 @@
 	bed.startWithFaults(duplicates.name + "=" + errno + "?" + duplicates.path)
 	warm := bed.dialTLS(bed.clientConfig("lane3.lanes.test")) // connects the endpoints
 	for id := range uint64(20) {
-		warm.ask(id+1, "lookup", map[string]string{"item": hexID(id + 1)})
+		warm.call(id+1, "lookup", map[string]string{"item": hexID(id + 1)})
 	}
 	return duplicates
 }
--- a/test/upstream_tls_test.go
+++ b/test/upstream_tls_test.go
@@ -54,7 +54,7 @@
 	var id atomic.Uint64
 	ask := func() reply {
 		n := id.Add(1)
-		return client.ask(n, "footage", map[string]string{"item": hexID(n)})
+		return client.call(n, "footage", map[string]string{"item": hexID(n)})
 	}
 	for range 30 {
 		if answer := ask(); answer.Error != "" || answer.Body != large {
--- a/test/watches_test.go
+++ b/test/watches_test.go
@@ -51,7 +51,7 @@
 }
 
 // count is how many calls were refused so far.
-func (r refusal) count() int { return r.bed.timesLogged(refusedText(r.name)) }
+func (r refusal) count() int { return r.bed.timesLogged(injectedFailureText(r.name)) }
 
 // wait waits until so many calls were refused.
 func (r refusal) wait(count int) {
@@ -101,7 +101,7 @@
 	bed.t.Helper()
 	client := bed.dial()
 	for id := range uint64(20) {
-		client.ask(id+1, "footage", map[string]string{"item": hexID(id + 1), "limit": "3000"})
+		client.call(id+1, "footage", map[string]string{"item": hexID(id + 1), "limit": "3000"})
 	}
 	_ = client.conn.Close()
 }
@@ -416,7 +416,7 @@
 				t.Errorf("%d of %d answers came whole (%v), want all; %d changes were refused",
 					whole, largeAnswerCount, err, bed.change.count())
 			}
-			client.awaitRound(largeAnswerCount + 1) // the connection lives on
+			client.waitRequestsRead(largeAnswerCount + 1) // the connection lives on
 		})
 	}
 }
@@ -431,12 +431,12 @@
 	if whole, err := readLargeAnswers(client); whole != largeAnswerCount || err != nil {
 		t.Fatalf("%d of %d answers came whole (%v), want all", whole, largeAnswerCount, err)
 	}
-	client.awaitRound(largeAnswerCount + 1)
+	client.waitRequestsRead(largeAnswerCount + 1)
 	if share := cpuShare(t, bed.cmd.Process.Pid, time.Second); share > idleShare {
 		t.Errorf("it used %.2f of a core with nothing to do, want at most %.2f; %d changes were refused",
 			share, idleShare, bed.change.count())
 	}
-	client.awaitRound(largeAnswerCount + 2) // the connection lives on
+	client.waitRequestsRead(largeAnswerCount + 2) // the connection lives on
 }
 
 // TestLogTellsOfRefusedWatches: a client loses patience while its connection is not watched, or loses its connection.
