--- a/test/harness_catalogue_test.go
+++ b/test/harness_catalogue_test.go
@@ -13,7 +13,7 @@
 	"sloequay/internal/emulator/consul"
 )
 
-// catalogueInstance is an endpoint as a catalogue has it, at an address.
+// catalogueInstance returns the catalogue registration of an endpoint at an address.
 func (bed *testbed) catalogueInstance(id, address string) consul.Instance {
 	bed.t.Helper()
 	service, class, site := placement(id)
@@ -21,28 +21,28 @@
 	if err != nil {
 		bed.t.Fatal(err)
 	}
-	number, err := strconv.Atoi(port)
+	portNumber, err := strconv.Atoi(port)
 	if err != nil {
 		bed.t.Fatal(err)
 	}
 	return consul.Instance{Node: "node-" + id, NodeAddress: "127.0.0.1", Service: service, ID: id, Address: host,
-		Port: number, Meta: map[string]string{"site": site, "class": class},
+		Port: portNumber, Meta: map[string]string{"site": site, "class": class},
 		Weights: consul.Weights{Passing: 4, Warning: 1}}
 }
 
-// newCatalogueTestbed has the endpoints of newTestbed and further ones, of which the list service has none: they are
-// for a catalogue to tell.
-func newCatalogueTestbed(t *testing.T, respond func(*receivedRequest), further ...string) *testbed {
+// newCatalogueTestbed returns a testbed with the endpoints of newTestbed and those in extraIDs. The list service lists
+// none of them: the program can learn of them only from a catalogue.
+func newCatalogueTestbed(t *testing.T, respond func(*receivedRequest), extraIDs ...string) *testbed {
 	t.Helper()
 	bed := newTestbed(t, respond, "c1", "c2", "p1", "o1")
-	for _, id := range further {
+	for _, id := range extraIDs {
 		bed.addEndpoint(id)
 	}
 	return bed
 }
 
-// enableCatalogue has an emulated catalogue with some agents tell the testbed's endpoints, and the program follow it.
-// extra goes into the block of the settings.
+// enableCatalogue registers the testbed's endpoints in an emulated catalogue with the given number of agents, and
+// configures the program to watch it. extra is added to the catalogue block of the settings.
 func (bed *testbed) enableCatalogue(agents int, extra string) (*consul.Cluster, []*consul.Agent) {
 	bed.t.Helper()
 	cluster := consul.NewCluster()
@@ -66,28 +66,30 @@
 	return cluster, all
 }
 
-// usesEndpoint fits an attempt that was sent to an endpoint, or names it as the source to fill from.
+// usesEndpoint returns a predicate that reports whether an attempt was sent to the endpoint or names it as the source
+// of a fill.
 func usesEndpoint(id string) func(*receivedRequest) bool {
 	return func(attempt *receivedRequest) bool {
 		return attempt.Word == "ASK" && (attempt.Endpoint == id || attempt.Fields["via"] == id)
 	}
 }
 
-// usesSince gives the attempts that were sent to an endpoint, or named it as the source, after a moment.
+// usesSince returns the attempts after since that were sent to the endpoint or named it as the source of a fill.
 func (bed *testbed) usesSince(id string, since time.Time) []*receivedRequest {
 	uses := usesEndpoint(id)
 	return bed.received(func(attempt *receivedRequest) bool { return uses(attempt) && attempt.At.After(since) })
 }
 
-// waitInUse waits until an endpoint is used from now on.
+// waitInUse waits until an attempt made after the call uses the endpoint.
 func (bed *testbed) waitInUse(id string) {
 	bed.t.Helper()
 	from := time.Now()
 	bed.waitUntil(id+" is in use", func() bool { return len(bed.usesSince(id, from)) > 0 })
 }
 
-// waitUnused waits until an endpoint was not used for a while, and fails if it was later than within after since.
-func (bed *testbed) waitUnused(id string, since time.Time, within time.Duration) {
+// waitUnused waits until the endpoint has not been used for 400 ms, and fails the test if its last use came more than
+// maxDelay after since, the time of the change that takes it out of use.
+func (bed *testbed) waitUnused(id string, since time.Time, maxDelay time.Duration) {
 	bed.t.Helper()
 	last := func() time.Time {
 		uses := bed.received(usesEndpoint(id))
@@ -97,13 +99,13 @@
 		return uses[len(uses)-1].At
 	}
 	deadline := time.Now().Add(waitLimit)
-	for time.Since(last()) < 400*time.Millisecond || time.Since(since) < within+300*time.Millisecond {
+	for time.Since(last()) < 400*time.Millisecond || time.Since(since) < maxDelay+300*time.Millisecond {
 		if time.Now().After(deadline) {
-			bed.t.Fatalf("%s is in use still, %v after it was marked", id, time.Since(since))
+			bed.t.Fatalf("endpoint %s is still in use %v after the change", id, time.Since(since))
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	if lastUse := last().Sub(since); lastUse > within {
-		bed.t.Errorf("%s was used %v after it was marked, want at most %v", id, lastUse, within)
+	if lastUse := last().Sub(since); lastUse > maxDelay {
+		bed.t.Errorf("endpoint %s was last used %v after the change, want at most %v", id, lastUse, maxDelay)
 	}
 }
--- a/test/harness_clients_test.go
+++ b/test/harness_clients_test.go
@@ -13,22 +13,22 @@
 	"sloequay/internal/frontend/rpc/msgpack"
 )
 
-// client is an emulator of a client of the platform's front, for a test.
+// client is an emulated client of the platform's frontend, bound to a test.
 type client struct {
 	t        *testing.T
 	conn     net.Conn
 	protocol *emulator.Client
 }
 
-// reply is an answer as the client reads it.
+// reply is a response as the client reads it.
 type reply = emulator.Reply
 
-// newClient speaks the clients' protocol on a connection.
+// newClient returns a client that speaks the frontend's protocol on an established connection.
 func newClient(t *testing.T, conn net.Conn) *client {
 	return &client{t: t, conn: conn, protocol: emulator.NewClient(conn)}
 }
 
-// dial connects a client, until the test ends.
+// dial connects a client. The connection is closed when the test ends.
 func (bed *testbed) dial() *client {
 	bed.t.Helper()
 	c, err := emulator.Dial(bed.address)
@@ -39,7 +39,8 @@
 	return &client{t: bed.t, conn: c.Conn, protocol: c}
 }
 
-// dialSmallBuffer connects a client whose connection holds little that it has not read.
+// dialSmallBuffer connects a client with a small receive buffer, so that the program cannot send it much more than it
+// has read.
 func (bed *testbed) dialSmallBuffer() *client {
 	bed.t.Helper()
 	dialer := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
@@ -54,15 +55,15 @@
 	return newClient(bed.t, conn)
 }
 
-// request builds the frame of one; see emulator.Request.
+// request returns the frame of a request; see emulator.Request.
 func request(id uint64, class string, fields map[string]string, body string) []byte {
 	return emulator.Request(id, class, fields, body)
 }
 
-// hexID writes a number as objects and attempts have their ids.
+// hexID formats a number as the id of an object or an attempt: 16 hexadecimal digits.
 func hexID[N int | int64 | uint64](number N) string { return fmt.Sprintf("%016x", number) }
 
-// send writes a frame, or a part of one.
+// send writes a frame, or a part of one, to the connection.
 func (c *client) send(frame []byte) {
 	c.t.Helper()
 	if err := c.protocol.Send(frame); err != nil {
@@ -70,39 +71,40 @@
 	}
 }
 
-// read takes one answer.
+// read reads the next response, and gives up after waitLimit.
 func (c *client) read() (reply, error) { return c.protocol.Read(waitLimit) }
 
-// mustRead takes one answer, and fails without it.
+// mustRead reads the next response, and fails the test if there is none.
 func (c *client) mustRead() reply {
 	c.t.Helper()
 	answer, err := c.read()
 	if err != nil {
-		c.t.Fatalf("no answer came: %v", err)
+		c.t.Fatalf("read response: %v", err)
 	}
 	return answer
 }
 
-// call sends a request without a body, and takes the next answer.
+// call sends a request without a body and returns the next response.
 func (c *client) call(id uint64, class string, fields map[string]string) reply {
 	c.t.Helper()
 	c.send(request(id, class, fields, ""))
 	return c.mustRead()
 }
 
-// waitRequestsRead asks for the status: once that is answered, the program has read all that the client sent before.
+// waitRequestsRead waits until the program has read all that the client has sent: it sends a status request, which is
+// answered only after everything before it was read.
 func (c *client) waitRequestsRead(id uint64) {
 	c.t.Helper()
 	c.call(id, "status", nil)
 }
 
-// requestPrefix is a request up to the place of its fields.
+// requestPrefix returns the frame of a request up to its fields, which the caller appends.
 func requestPrefix(id uint64) []byte {
 	b := msgpack.AppendUint(msgpack.AppendUint(msgpack.AppendArray(nil, 4), 0), id)
 	return msgpack.AppendArray(msgpack.AppendText(b, "footage"), 2)
 }
 
-// requestBatch is that many requests in one piece.
+// requestBatch returns the frames of count requests, to be sent in one write.
 func requestBatch(count int) (frames []byte) {
 	for id := range uint64(count) {
 		frames = append(frames, request(id+1, "footage", map[string]string{"item": "00000000000000bb"}, "")...)
@@ -110,7 +112,8 @@
 	return frames
 }
 
-// cancelNotification is the notice that takes a request back. Small ids are written in one byte, others in five.
+// cancelNotification returns the frame of the notification that cancels a request. It encodes ids below 128 in one
+// byte and others in five.
 func cancelNotification(id uint64) []byte {
 	frame := []byte("\x93\x02\xa8withdraw\x91")
 	if id < 128 {
@@ -119,7 +122,7 @@
 	return append(frame, 0xce, byte(id>>24), byte(id>>16), byte(id>>8), byte(id))
 }
 
-// abandonWays are the ways in which a client leaves a request.
+// abandonWays are the ways in which a client can abandon a request.
 var abandonWays = []struct {
 	name    string
 	abandon func(c *client, id uint64)
@@ -133,8 +136,9 @@
 	{"half-close", func(c *client, _ uint64) { _ = c.conn.(*net.TCPConn).CloseWrite() }},
 }
 
-// abandonNoticed says whether the program knows that a client has left by one of the abandonWays: it answers no more on
-// a connection that still is, and closes one that is half closed.
+// abandonNoticed reports whether the program has noticed that a client abandoned a request in one of the abandonWays.
+// After a cancellation the next response on the connection must be to a later request, and a half-closed connection
+// must be closed by the program.
 func abandonNoticed(bed *testbed, c *client, way string) bool {
 	switch way {
 	case "withdraw":
@@ -144,6 +148,6 @@
 		_, err := c.conn.Read(make([]byte, 1))
 		return errors.Is(err, io.EOF)
 	}
-	// Another client that connects and asks afterwards is read in a later round.
+	// The program reads a client that connects now in a later round than the close or reset.
 	return emulator.Ready(bed.address)
 }
--- a/test/harness_dns_test.go
+++ b/test/harness_dns_test.go
@@ -10,10 +10,10 @@
 	"github.com/miekg/dns"
 )
 
-// zone is the one that the program answers for.
+// zone is the DNS zone that the program serves.
 const zone = "boxes.test."
 
-// enableDNS turns the DNS side on; extra is added to its block.
+// enableDNS enables the DNS frontend; extra is added to the dns block of the settings.
 func (bed *testbed) enableDNS(extra string) {
 	bed.t.Helper()
 	address := bed.freeAddress()
@@ -21,13 +21,13 @@
 	bed.dnsAddress = address
 }
 
-// dnsClient is an emulator of a resolver that asks the program over UDP or TCP.
+// dnsClient is an emulated resolver that queries the program over UDP or TCP.
 type dnsClient struct {
 	t    *testing.T
 	conn *dns.Conn
 }
 
-// dialDNS connects one, until the test ends; network is udp or tcp.
+// dialDNS connects a dnsClient over network, "udp" or "tcp". The connection is closed when the test ends.
 func (bed *testbed) dialDNS(network string) *dnsClient {
 	bed.t.Helper()
 	conn, err := net.Dial(network, bed.dnsAddress)
@@ -39,7 +39,7 @@
 	return &dnsClient{bed.t, &dns.Conn{Conn: conn}}
 }
 
-// newDNSQuery is a query for a name in the zone, with EDNS.
+// newDNSQuery returns a query for a name in the zone, with EDNS.
 func newDNSQuery(id uint16, name string, qtype uint16) *dns.Msg {
 	message := new(dns.Msg).SetQuestion(name+"."+zone, qtype)
 	message.Id = id
@@ -47,7 +47,7 @@
 	return message
 }
 
-// query sends a question for a name in the zone.
+// query sends a query for a name in the zone.
 func (c *dnsClient) query(id uint16, name string, qtype uint16) {
 	c.t.Helper()
 	if err := c.conn.WriteMsg(newDNSQuery(id, name, qtype)); err != nil {
@@ -55,25 +55,25 @@
 	}
 }
 
-// dnsAnswer is an answer in the words of the table tests.
+// dnsAnswer is the part of a DNS response that tests compare.
 type dnsAnswer struct {
 	ID         uint16
 	Rcode      string
-	RecordData []string // what the records of the answer name
-	Text       string   // of the extended error
+	RecordData []string // of the answer section: TARGET:PORT (SRV), address (A) or texts (TXT)
+	Text       string   // of the extended error; empty: none
 }
 
-// mustRead takes one answer, and fails without it or if it may be cached.
+// mustRead reads the next response, and fails the test if there is none or if it may be cached (its TTL is not 0).
 func (c *dnsClient) mustRead() dnsAnswer {
 	c.t.Helper()
 	message, err := c.conn.ReadMsg()
 	if err != nil {
-		c.t.Fatalf("no answer came: %v", err)
+		c.t.Fatalf("read response: %v", err)
 	}
 	answer := dnsAnswer{ID: message.Id, Rcode: dns.RcodeToString[message.Rcode], Text: extendedError(message)}
 	for _, record := range message.Answer {
 		if record.Header().Ttl != 0 {
-			c.t.Errorf("TTL %d in %v, want 0", record.Header().Ttl, record)
+			c.t.Errorf("got TTL %d in %v, want 0", record.Header().Ttl, record)
 		}
 		switch record := record.(type) {
 		case *dns.SRV:
@@ -88,7 +88,7 @@
 	return answer
 }
 
-// extendedError is the text of a message's extended error (RFC 8914); empty: it has none.
+// extendedError returns the text of a message's extended error (RFC 8914), or "" if it has none.
 func extendedError(message *dns.Msg) (text string) {
 	if opt := message.IsEdns0(); opt != nil {
 		for _, option := range opt.Option {
@@ -100,11 +100,11 @@
 	return text
 }
 
-// expectNoFurtherAnswer checks that no further answer is on its way: what comes next is that of a question asked now.
+// expectNoFurtherAnswer fails the test if another response is on its way: the next one must be to a query sent now.
 func (c *dnsClient) expectNoFurtherAnswer() {
 	c.t.Helper()
 	c.query(9999, "n0.00000000000000aa.nosuchclass._", dns.TypeA)
 	if answer := c.mustRead(); answer.ID != 9999 {
-		c.t.Errorf("%+v came besides, want no further answer", answer)
+		c.t.Errorf("got the further response %+v, want none", answer)
 	}
 }
--- a/test/harness_endpoints_test.go
+++ b/test/harness_endpoints_test.go
@@ -18,10 +18,11 @@
 	"sloequay/internal/emulator"
 )
 
-// receivedRequest is one line that an endpoint has read: an attempt (ASK), its cancellation (QUIT) or a check (NOOP).
+// receivedRequest is one line that an endpoint has read: an attempt (ASK), its cancellation (QUIT) or a health check
+// (NOOP).
 type receivedRequest = emulator.ReceivedRequest
 
-// addEndpoint adds one that listens; the list does not have it for that.
+// addEndpoint starts an emulated endpoint. It does not add it to the endpoint list.
 func (bed *testbed) addEndpoint(id string) {
 	bed.t.Helper()
 	listener, err := bed.endpoints.Add(id, "127.0.0.1:0")
@@ -31,16 +32,17 @@
 	bed.listeners[id] = listener
 }
 
-// endpointAddress is where an endpoint listens.
+// endpointAddress returns the address that an endpoint listens on.
 func (bed *testbed) endpointAddress(id string) string { return bed.listeners[id].Addr().String() }
 
-// setResponder sets how endpoints answer from now on; nil: as emulator.NewEndpoints does.
+// setResponder sets how endpoints respond from now on; nil restores the default of emulator.NewEndpoints.
 func (bed *testbed) setResponder(respond func(*receivedRequest)) { bed.endpoints.SetResponder(respond) }
 
-// answerDone serves an attempt.
+// answerDone responds to an attempt with success and the body "done".
 func answerDone(attempt *receivedRequest) { attempt.Answer("ACK", "tag=t1", "done") }
 
-// answerAsEmptyCaches is for caches that hold nothing: each request is filled from a parent or the origin.
+// answerAsEmptyCaches responds as endpoints do whose caches are empty: a cache serves an object only if the attempt
+// names a parent or the origin to fill it from.
 func answerAsEmptyCaches(attempt *receivedRequest) {
 	if attempt.Fields["via"] == "" && attempt.Endpoint[0] == 'c' {
 		attempt.Answer("NOENT", "-", "")
@@ -49,43 +51,43 @@
 	attempt.Answer("ACK", "tag=t1,minted=1,remark=filled,lag=1", attempt.Fields["thing"])
 }
 
-// received gives what endpoints have read that fits, in the order of its coming.
-func (bed *testbed) received(fits func(*receivedRequest) bool) []*receivedRequest {
-	return bed.endpoints.Received(fits)
+// received returns the lines that endpoints have read and that match, in the order of their arrival.
+func (bed *testbed) received(match func(*receivedRequest) bool) []*receivedRequest {
+	return bed.endpoints.Received(match)
 }
 
-// hasWord fits what has a word of the endpoints' protocol.
+// hasWord returns a predicate that reports whether a line begins with a word of the endpoints' protocol.
 func hasWord(word string) func(*receivedRequest) bool {
 	return func(line *receivedRequest) bool { return line.Word == word }
 }
 
-// attempts gives the attempts that endpoints have read.
+// attempts returns the attempts that endpoints have read.
 func (bed *testbed) attempts() []*receivedRequest { return bed.received(hasWord("ASK")) }
 
-// attemptsAt gives the attempts that one endpoint has read.
+// attemptsAt returns the attempts that one endpoint has read.
 func (bed *testbed) attemptsAt(id string) []*receivedRequest {
 	return bed.received(func(attempt *receivedRequest) bool { return attempt.Word == "ASK" && attempt.Endpoint == id })
 }
 
-// lastAttempt is the newest of all attempts.
+// lastAttempt returns the most recent attempt that an endpoint has read.
 func (bed *testbed) lastAttempt() *receivedRequest {
 	all := bed.attempts()
 	return all[len(all)-1]
 }
 
-// attemptsOfClass gives the attempts of a class of requests.
+// attemptsOfClass returns the attempts for requests of a class.
 func (bed *testbed) attemptsOfClass(class string) []*receivedRequest {
 	return bed.received(func(attempt *receivedRequest) bool { return attempt.Fields["profile"] == class })
 }
 
-// cancellations gives the QUIT lines that endpoints have read.
+// cancellations returns the QUIT lines that endpoints have read.
 func (bed *testbed) cancellations() []*receivedRequest { return bed.received(hasWord("QUIT")) }
 
-// waitAttempts waits until endpoints have read just so many attempts.
+// waitAttempts waits until endpoints have read exactly count attempts.
 func (bed *testbed) waitAttempts(count int) {
 	bed.t.Helper()
-	what := fmt.Sprint(count, " attempts have reached endpoints")
-	bed.waitUntil(what, func() bool { return len(bed.attempts()) == count })
+	condition := fmt.Sprint(count, " attempts have reached endpoints")
+	bed.waitUntil(condition, func() bool { return len(bed.attempts()) == count })
 }
 
 // waitFirstAttempt waits until an endpoint has read an attempt.
@@ -94,27 +96,28 @@
 	bed.waitUntil("an attempt has reached an endpoint", func() bool { return len(bed.attempts()) > 0 })
 }
 
-// nextReceived is the next attempt that a responder has handed on.
+// nextReceived returns the next attempt that a responder has sent to the channel.
 func nextReceived(t *testing.T, received chan *receivedRequest) *receivedRequest {
 	t.Helper()
 	select {
 	case attempt := <-received:
 		return attempt
 	case <-time.After(waitLimit):
-		t.Fatalf("no attempt has reached an endpoint within %v", waitLimit)
+		t.Fatalf("no attempt reached an endpoint within %v", waitLimit)
 		return nil
 	}
 }
 
-// listenWithFullBacklog gives an address where nothing is accepted and the queue is full, so that dials wait.
+// listenWithFullBacklog returns the address of a listener that accepts nothing and whose backlog is full, so that dials
+// to it wait.
 func (bed *testbed) listenWithFullBacklog() (address string) {
 	bed.t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		bed.t.Fatal(err)
 	}
-	at := &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}
-	if err := errors.Join(syscall.Bind(fd, at), syscall.Listen(fd, 0)); err != nil {
+	socketAddress := &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}
+	if err := errors.Join(syscall.Bind(fd, socketAddress), syscall.Listen(fd, 0)); err != nil {
 		bed.t.Fatal(err)
 	}
 	file := os.NewFile(uintptr(fd), "full")
@@ -124,7 +127,7 @@
 		bed.t.Fatal(err)
 	}
 	bed.t.Cleanup(func() { _ = bed.fullBacklogListener.Close() })
-	filler, err := net.Dial("tcp", bed.fullBacklogListener.Addr().String()) // the queue has one place
+	filler, err := net.Dial("tcp", bed.fullBacklogListener.Addr().String()) // the backlog holds one connection
 	if err != nil {
 		bed.t.Fatal(err)
 	}
@@ -132,7 +135,7 @@
 	return bed.fullBacklogListener.Addr().String()
 }
 
-// listenAndClose gives an address where each connection is closed as soon as it has come.
+// listenAndClose returns the address of a listener that closes each connection as soon as it has accepted it.
 func (bed *testbed) listenAndClose() (address string) {
 	bed.t.Helper()
 	listener := bed.listenOn("127.0.0.1:0")
@@ -148,8 +151,9 @@
 	return listener.Addr().String()
 }
 
-// listenWithoutReading gives an address that takes connections and reads nothing until it is sent a channel by read.
-// It then reads all connections to their ends, and sends how many complete attempts came on each.
+// listenWithoutReading returns the address of a listener that accepts connections and reads nothing from them until it
+// receives a channel from read. It then reads every connection to its end, and sends on that channel how many complete
+// attempts each carried.
 func (bed *testbed) listenWithoutReading() (address string, read chan chan []int) {
 	bed.t.Helper()
 	listener := bed.listenOn("127.0.0.1:0")
@@ -184,12 +188,12 @@
 	return listener.Addr().String(), read
 }
 
-// setSmallReceiveBuffer has a socket hold little that was not read.
+// setSmallReceiveBuffer limits how much unread data a socket holds.
 func setSmallReceiveBuffer(fd uintptr) error {
 	return syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
 }
 
-// countAttempts counts the attempts that come complete on a connection, until it ends.
+// countAttempts reads a connection to its end and returns how many complete attempts it carried.
 func countAttempts(conn net.Conn) (n int) {
 	for r := bufio.NewReader(conn); ; {
 		line, err := r.ReadString('\n')
@@ -208,7 +212,7 @@
 	}
 }
 
-// readAttempt reads one attempt, and says whether it came complete before the connection ended.
+// readAttempt reads one attempt, and reports whether it was complete before the connection ended.
 func readAttempt(conn net.Conn) bool {
 	r := bufio.NewReaderSize(conn, 16)
 	line, err := r.ReadString('\n')
@@ -219,25 +223,25 @@
 	return err == nil
 }
 
-// channelListener is a listener whose connections come from a channel.
+// channelListener is a listener that takes its connections from a channel.
 type channelListener struct {
 	net.Listener
 	conns chan net.Conn
 }
 
-// Accept gives the next connection of the channel.
+// Accept returns the next connection from the channel.
 func (l channelListener) Accept() (net.Conn, error) { return <-l.conns, nil }
 
-// serveTLS has an endpoint listen by TLS, with a certificate for a name, where clients must show one of the same
-// authority. seen is told the name of each, at every handshake.
-func (bed *testbed) serveTLS(authority *emulator.Authority, id, name string, seen func(string)) {
+// serveTLS serves an endpoint by TLS, with a certificate for name, and requires clients to present a certificate of the
+// same authority. onHandshake is called at every handshake with the name in the client's certificate.
+func (bed *testbed) serveTLS(authority *emulator.Authority, id, name string, onHandshake func(string)) {
 	bed.t.Helper()
 	roots := x509.NewCertPool()
 	roots.AddCert(authority.Cert)
 	config := &tls.Config{ClientCAs: roots, ClientAuth: tls.RequireAndVerifyClientCert,
 		Certificates: []tls.Certificate{makeCertificate(bed.t, authority, name)},
 		VerifyConnection: func(state tls.ConnectionState) error {
-			seen(state.PeerCertificates[0].DNSNames[0])
+			onHandshake(state.PeerCertificates[0].DNSNames[0])
 			return nil
 		}}
 	listener := bed.listenOn("127.0.0.1:0")
@@ -245,7 +249,7 @@
 	bed.setListedAddress(id, listener.Addr().String())
 }
 
-// startNameServer starts one that knows the records, for endpoints that are listed by name.
+// startNameServer starts a name server with the given records, for endpoints that are listed by host name.
 func (bed *testbed) startNameServer(records map[string]string) {
 	bed.t.Helper()
 	var err error
--- a/test/harness_identity_test.go
+++ b/test/harness_identity_test.go
@@ -12,43 +12,44 @@
 	"sloequay/internal/emulator"
 )
 
-// keyring works a directory of keys by the program's own commands.
+// keyring manages a key directory with the program's own commands.
 type keyring struct {
 	t   *testing.T
 	dir string
 }
 
-// newKeyring names a directory that is not there yet.
+// newKeyring returns a keyring whose directory does not exist yet.
 func newKeyring(t *testing.T) keyring {
 	t.Helper()
 	return keyring{t, filepath.Join(t.TempDir(), "keys")}
 }
 
-// run runs a command on the directory.
+// run runs a command of the program on the key directory and returns its output.
 func (k keyring) run(args ...string) (string, error) {
 	out, err := exec.Command(programPath, append(args, "--dir", k.dir)...).CombinedOutput()
 	return strings.TrimSpace(string(out)), err
 }
 
-// mustRun is run for a command that must succeed.
+// mustRun is like run but fails the test if the command fails.
 func (k keyring) mustRun(args ...string) string {
 	k.t.Helper()
 	out, err := k.run(args...)
 	if err != nil {
-		k.t.Fatalf("%v: %v, want it to succeed: %s", args, err, out)
+		k.t.Fatalf("command %v: got error %v, want success; output: %s", args, err, out)
 	}
 	return out
 }
 
-// token signs one for a subject, which is valid so long.
-func (k keyring) token(subject, tenant string, life time.Duration) string {
+// token signs a token for a subject of a tenant, valid for lifetime.
+func (k keyring) token(subject, tenant string, lifetime time.Duration) string {
 	k.t.Helper()
-	return k.mustRun("token", "sign", "--subject", subject, "--tenant", tenant, "--life", life.String(),
+	return k.mustRun("token", "sign", "--subject", subject, "--tenant", tenant, "--life", lifetime.String(),
 		"--audience", "proxy")
 }
 
-// enableIdentity turns identity on: lanes may charge, staff may look up, and callers without a token may do what
-// extra says.
+// enableIdentity enables identity with two tenants: lanes may send charge, lookup and footage requests, staff only
+// lookup and footage. extra is added to the identity block of the settings; it can grant rights to callers without a
+// token.
 func (bed *testbed) enableIdentity(extra string) keyring {
 	bed.t.Helper()
 	keys := newKeyring(bed.t)
@@ -61,7 +62,7 @@
 	return keys
 }
 
-// newAuthority makes one that signs certificates.
+// newAuthority creates a certificate authority.
 func newAuthority(t *testing.T) *emulator.Authority {
 	t.Helper()
 	authority, err := emulator.NewAuthority(t.TempDir())
@@ -71,8 +72,8 @@
 	return authority
 }
 
-// makeCertificateFiles makes a certificate for a name, and gives the paths of it and of its key, which are named by
-// base. A second call with the same base replaces both.
+// makeCertificateFiles creates a certificate for a name, and returns the paths of the certificate and its key. base is
+// the prefix of both file names; a second call with the same base replaces both files.
 func makeCertificateFiles(t *testing.T, authority *emulator.Authority, base, name string) (cert, key string) {
 	t.Helper()
 	cert, key, err := authority.Make(base, name)
@@ -82,7 +83,7 @@
 	return cert, key
 }
 
-// makeCertificate makes a certificate for a name and loads it.
+// makeCertificate creates a certificate for a name and loads it.
 func makeCertificate(t *testing.T, authority *emulator.Authority, name string) tls.Certificate {
 	t.Helper()
 	cert, key := makeCertificateFiles(t, authority, strings.ReplaceAll(name, ".", "-"), name)
@@ -93,13 +94,13 @@
 	return pair
 }
 
-// tlsTestbed has identity with a TLS listener, and tenants for the certificates of lanes and of a terminal.
+// tlsTestbed is a testbed with identity, a TLS listener, and tenants for the certificates of lanes and of one terminal.
 type tlsTestbed struct {
 	*testbed
 	authority  *emulator.Authority
 	tlsAddress string
-	cert       string // path of the listener's certificate
-	key        string // path of its key
+	cert       string // path of the listener's certificate file
+	key        string // path of the listener's key file
 }
 
 func newTLSTestbed(t *testing.T, respond func(*receivedRequest)) *tlsTestbed {
@@ -109,7 +110,7 @@
 	return bed
 }
 
-// enableTLS turns identity on with a TLS listener; extra is added to the block of identity.
+// enableTLS enables identity with a TLS listener; extra is added to the identity block of the settings.
 func (bed *tlsTestbed) enableTLS(extra string) {
 	bed.t.Helper()
 	bed.cert, bed.key = makeCertificateFiles(bed.t, bed.authority, "server", "proxy.test")
@@ -121,7 +122,7 @@
 		"tenant terminals {", "right lookup", "certificate t7.staff.test", "}", extra}, "\n"))
 }
 
-// clientConfig is a client's, with a certificate for a name; empty: none.
+// clientConfig returns a client's TLS configuration, with a certificate for name; if name is empty, with none.
 func (bed *tlsTestbed) clientConfig(name string) *tls.Config {
 	bed.t.Helper()
 	roots := x509.NewCertPool()
@@ -134,7 +135,7 @@
 	return config
 }
 
-// dialTLS connects a client by TLS, until the test ends.
+// dialTLS connects a client by TLS. The connection is closed when the test ends.
 func (bed *tlsTestbed) dialTLS(config *tls.Config) *client {
 	bed.t.Helper()
 	conn, err := tls.Dial("tcp", bed.tlsAddress, config)
--- a/test/harness_listservice_test.go
+++ b/test/harness_listservice_test.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// listEntry is an endpoint as the list service tells it; startedAt is in Unix milliseconds, 0 if it was not told.
+// listEntry returns the list service's entry for an endpoint. startedAt is in Unix milliseconds; 0: unknown.
 func listEntry(id, address, site, class, health string, startedAt int64) map[string]any {
 	return map[string]any{"host": id, "dial": address, "site": site, "class": class, "block": 0, "health": health,
 		"share": 4, "born_ms": startedAt}
 }
 
-// endpointEntry is the entry of one of the testbed's endpoints.
+// endpointEntry returns the list entry of one of the testbed's endpoints.
 func (bed *testbed) endpointEntry(id, health string) map[string]any {
 	_, class, site := placement(id)
 	return listEntry(id, bed.endpointAddress(id), site, class, health, 0)
 }
 
-// setListedAddress has the list that the program starts with name an address for an endpoint.
+// setListedAddress sets the address of an endpoint in the list that the program starts with.
 func (bed *testbed) setListedAddress(id, address string) {
 	bed.t.Helper()
 	for _, entry := range bed.listedEndpoints {
@@ -30,55 +30,57 @@
 			return
 		}
 	}
-	bed.t.Fatalf("the endpoint %s is not in the list", id)
+	bed.t.Fatalf("endpoint %s is not in the initial list", id)
 }
 
-// listEvent is a numbered line of the list service: the complete list, or the entries that have changed.
+// listEvent returns a numbered event of the list service: the complete list, or only the entries that changed.
 func listEvent(number int, complete bool, entries ...map[string]any) string {
 	list := map[string]any{"seq": number, "whole": complete, "hosts": entries}
 	text, _ := json.Marshal(map[string]any{"no": number, "roster": list})
 	return string(text)
 }
 
-// healthChangeEvent is the event that tells a new health of one endpoint.
+// healthChangeEvent returns the event that sets the health of one endpoint.
 func (bed *testbed) healthChangeEvent(number int, id, health string) string {
 	return listEvent(number, false, bed.endpointEntry(id, health))
 }
 
-// emptyListEvent is the event of a complete list that has no endpoint.
+// emptyListEvent returns the event with a complete list of no endpoints.
 func emptyListEvent(number int) string { return listEvent(number, true, []map[string]any{}...) }
 
-// objectInvalidation is the event that refuses copies of an object from before a Unix millisecond.
+// objectInvalidation returns the event that invalidates the copies of an object from before issued, in Unix
+// milliseconds.
 func objectInvalidation(number int, object string, issued int64) string {
 	return fmt.Sprintf(`{"no":%d,"recall":{"item":%q,"issued":%d}}`, number, object, issued)
 }
 
-// groupInvalidation is the same for all objects of a group.
+// groupInvalidation is like objectInvalidation for all objects of a group.
 func groupInvalidation(number, group int, issued int64) string {
 	return fmt.Sprintf(`{"no":%d,"recall":{"lot":%d,"issued":%d}}`, number, group, issued)
 }
 
-// waitListPoll waits until the program has asked the list service, and gives what for.
+// waitListPoll waits until the program polls the list service, and returns the line that it sent.
 func (bed *testbed) waitListPoll() string {
 	bed.t.Helper()
 	select {
-	case after := <-bed.listPolls:
-		return after
+	case poll := <-bed.listPolls:
+		return poll
 	case <-time.After(waitLimit):
-		bed.t.Fatalf("the program has not asked the list service within %v", waitLimit)
+		bed.t.Fatalf("the program did not poll the list service within %v", waitLimit)
 		return ""
 	}
 }
 
-// expectListPoll waits until the program has asked the list service, and fails unless it was for what is wanted.
+// expectListPoll waits until the program polls the list service, and fails the test unless it sent the line want.
 func (bed *testbed) expectListPoll(want string) {
 	bed.t.Helper()
 	if got := bed.waitListPoll(); got != want {
-		bed.t.Fatalf("the program asked the list service for %q, want %q", got, want)
+		bed.t.Fatalf("list service poll: got %q, want %q", got, want)
 	}
 }
 
-// acceptListPoll takes the next connection to a list service of the test's own, with what the program asks for there.
+// acceptListPoll accepts the program's next connection to the test's own list service, and returns it with the line
+// that the program sent.
 func (bed *testbed) acceptListPoll(listener net.Listener) (net.Conn, string) {
 	bed.t.Helper()
 	conn, err := listener.Accept()
@@ -93,7 +95,8 @@
 	return conn, strings.TrimSpace(line)
 }
 
-// expectDrained waits until the program knows that an endpoint drains, and fails unless requests go elsewhere then.
+// expectDrained waits until the program knows that an endpoint is draining, and fails the test unless other endpoints
+// serve all requests from then on.
 func (bed *testbed) expectDrained(id string) {
 	bed.t.Helper()
 	bed.waitLogMatches("event=endpoint-draining endpoint=" + id)
@@ -101,7 +104,7 @@
 	before := len(bed.attemptsAt(id))
 	for n := range uint64(20) {
 		if answer := client.call(n+1, "lookup", map[string]string{"item": hexID(n + 1)}); answer.Error != "" {
-			bed.t.Errorf("%+v, want it served elsewhere", answer)
+			bed.t.Errorf("got response %+v, want it served by another endpoint", answer)
 		}
 	}
 	if sent := len(bed.attemptsAt(id)) - before; sent > 0 {
--- a/test/harness_load_test.go
+++ b/test/harness_load_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// openRequests are 500 requests that endpoints have read and not answered.
+// openRequests holds 500 requests that endpoints have read and not answered.
 type openRequests struct {
 	testbed *testbed
-	pending chan *receivedRequest
+	pending chan *receivedRequest // the attempts, as endpoints have read them
 	clients []*client
 }
 
@@ -22,8 +22,8 @@
 	requestsPerClient = 25
 )
 
-// sendOpenRequests sends 500 requests, each with an id and a key of its own, and waits until all are with the
-// endpoints, whose responder must hand them to pending.
+// sendOpenRequests sends 500 requests, each with its own request id and idempotency key, and waits until endpoints
+// have read all of them. The endpoints' responder must send the attempts to pending.
 func (bed *testbed) sendOpenRequests(pending chan *receivedRequest, class string,
 	fields map[string]string) *openRequests {
 	bed.t.Helper()
@@ -32,19 +32,19 @@
 		client := bed.dial()
 		open.clients = append(open.clients, client)
 		for id := range uint64(requestsPerClient) {
-			own := maps.Clone(fields)
-			own["unique"], own["txn"] = fmt.Sprintf("u%d.%d", n, id), fmt.Sprintf("%08x%08x", n, id)
-			own["limit"], own["ram"] = "60000", "0.1"
-			client.send(request(id, class, own, ""))
+			requestFields := maps.Clone(fields)
+			requestFields["unique"], requestFields["txn"] = fmt.Sprintf("u%d.%d", n, id), fmt.Sprintf("%08x%08x", n, id)
+			requestFields["limit"], requestFields["ram"] = "60000", "0.1"
+			client.send(request(id, class, requestFields, ""))
 		}
 	}
-	bed.waitUntil("all requests are with endpoints", func() bool {
+	bed.waitUntil("endpoints have read all requests", func() bool {
 		return len(pending) == openClients*requestsPerClient
 	})
 	return open
 }
 
-// answerAll has the endpoints answer, and fails unless each request is served once.
+// answerAll has the endpoints answer all open requests, and fails the test unless each is served exactly once.
 func (o *openRequests) answerAll() {
 	o.testbed.t.Helper()
 	for range openClients * requestsPerClient {
@@ -55,23 +55,23 @@
 		for range requestsPerClient {
 			answer := client.mustRead()
 			if seen[answer.ID] || answer.Error != "" {
-				o.testbed.t.Errorf("%+v, want each open request served once", answer)
+				o.testbed.t.Errorf("got response %+v, want each open request served once", answer)
 			}
 			seen[answer.ID] = true
 		}
 	}
 }
 
-// traffic is requests at an even pace, and what came of them.
+// traffic sends requests at a constant rate and counts their outcomes.
 type traffic struct {
 	mu     sync.Mutex
-	counts map[string]int // by error and reason; served: empty
+	counts map[string]int // by "ERROR REASON"; empty if served
 	stop   chan struct{}
 	done   sync.WaitGroup
 }
 
-// startTraffic sends frames on one connection, so many a second, until stopAndExpectServed. frame gives that of the nth
-// request, from 1 on, which is its id too.
+// startTraffic sends perSecond requests a second on one connection until stopAndExpectServed is called. frame returns
+// the frame of the nth request, counted from 1; n is also its id.
 func (bed *testbed) startTraffic(perSecond int, frame func(n uint64) []byte) *traffic {
 	bed.t.Helper()
 	load := &traffic{counts: map[string]int{}, stop: make(chan struct{})}
@@ -99,7 +99,7 @@
 	return load
 }
 
-// startLookups is traffic of 150 lookups a second, each for another object.
+// startLookups starts traffic of 150 lookups a second, each for a different object.
 func (bed *testbed) startLookups() *traffic {
 	bed.t.Helper()
 	return bed.startTraffic(150, func(n uint64) []byte {
@@ -107,12 +107,13 @@
 	})
 }
 
-// read counts the answers until as many have come as were sent, which is told once nothing more will be.
+// read counts the responses until there is one for each request. sent delivers the number of requests once the last one
+// was sent.
 func (load *traffic) read(client *client, sent <-chan int) {
 	total, deadline := -1, time.Time{}
 	for got := 0; got != total; {
 		if total >= 0 && time.Now().After(deadline) {
-			load.count("no answer", total-got)
+			load.count("no response", total-got)
 			return
 		}
 		answer, err := client.protocol.Read(100 * time.Millisecond)
@@ -131,52 +132,52 @@
 	}
 }
 
-// count adds to how many requests have ended in a way.
+// count adds a number of requests to those that ended with an outcome.
 func (load *traffic) count(outcome string, requests int) {
 	load.mu.Lock()
 	defer load.mu.Unlock()
 	load.counts[outcome] += requests
 }
 
-// stopAndExpectServed ends the traffic, and fails unless all of it was served.
+// stopAndExpectServed stops the traffic, and fails the test unless all of its requests were served.
 func (load *traffic) stopAndExpectServed(t *testing.T) {
 	t.Helper()
 	close(load.stop)
 	load.done.Wait()
 	for outcome, n := range load.counts {
 		if outcome != "" {
-			t.Errorf("%d requests ended with %q, want all served, as %d were", n, outcome, load.counts[""])
+			t.Errorf("%d requests ended with %q and %d were served, want all served", n, outcome, load.counts[""])
 		}
 	}
 	if load.counts[""] == 0 {
-		t.Error("no request was served")
+		t.Error("no request was served, want at least one")
 	}
 }
 
-// teamLoad sends requests of a team at a rate, without waiting for answers, and counts what comes.
+// teamLoad sends requests of a team at a fixed rate, without waiting for responses, and counts the outcomes.
 type teamLoad struct {
 	team          string
 	sent          int
 	served        int
-	onTime        int // served within half a second
-	rejected      int // by a budget that the answer names
-	budgets       map[string]int
-	withoutBudget []reply // other errors
-	duplicates    int     // answers to nothing that is open
+	onTime        int            // served within half a second
+	rejected      int            // by a budget that the response names
+	budgets       map[string]int // rejected requests by the name of the budget
+	withoutBudget []reply        // other errors
+	duplicates    int            // responses to requests that are not open
 }
 
-// teamConnections is how many connections a load is spread over, as one has at most 32 requests open.
+// teamConnections is the number of connections of a load: one connection can have at most 32 requests open.
 const teamConnections = 16
 
-// teamConnection is one of them, with the requests that are open on it.
+// teamConnection is one connection of a load and the send times of its open requests, by id.
 type teamConnection struct {
 	*client
-	began map[uint64]time.Time
+	sentAt map[uint64]time.Time
 }
 
-// send sends for a time, each request with a limit of 3 s and an id that begins with prefix, and waits for all
-// answers.
-func (load *teamLoad) send(bed *testbed, perSecond float64, length time.Duration, prefix string) {
+// send sends perSecond requests a second for duration and waits for all responses. Each request has a time limit of 3 s
+// and a request id (txn) that begins with prefix.
+func (load *teamLoad) send(bed *testbed, perSecond float64, duration time.Duration, prefix string) {
 	bed.t.Helper()
 	if load.budgets == nil {
 		load.budgets = map[string]int{}
@@ -187,7 +188,7 @@
 	for i := range connections {
 		connections[i] = teamConnection{bed.dial(), map[uint64]time.Time{}}
 	}
-	total := int(perSecond * length.Seconds())
+	total := int(perSecond * duration.Seconds())
 	for i := range connections {
 		readers.Add(1)
 		go func() {
@@ -195,25 +196,25 @@
 			for n := i; n < total; n += teamConnections {
 				answer, err := connections[i].read()
 				if err != nil {
-					bed.t.Errorf("%s: no answer came: %v", load.team, err)
+					bed.t.Errorf("team %s: read response: %v", load.team, err)
 					return
 				}
 				mu.Lock()
-				began, open := connections[i].began[answer.ID]
-				delete(connections[i].began, answer.ID)
-				load.count(answer, time.Since(began), open)
+				sentAt, open := connections[i].sentAt[answer.ID]
+				delete(connections[i].sentAt, answer.ID)
+				load.count(answer, time.Since(sentAt), open)
 				mu.Unlock()
 			}
 		}()
 	}
 	start := time.Now()
 	for n := range total {
-		if early := time.Duration(float64(n)/perSecond*1e9) - time.Since(start); early > time.Millisecond {
-			time.Sleep(early)
+		if delay := time.Duration(float64(n)/perSecond*1e9) - time.Since(start); delay > time.Millisecond {
+			time.Sleep(delay)
 		}
 		connection := connections[n%teamConnections]
 		mu.Lock()
-		connection.began[uint64(n)] = time.Now()
+		connection.sentAt[uint64(n)] = time.Now()
 		load.sent++
 		mu.Unlock()
 		connection.send(request(uint64(n), "lookup", map[string]string{"team": load.team, "ram": "1", "limit": "3000",
@@ -222,14 +223,14 @@
 	readers.Wait()
 }
 
-// count takes an answer that came after a time, to a request that was open or not.
-func (load *teamLoad) count(answer reply, took time.Duration, open bool) {
+// count records a response, its latency, and whether the request that it answers was open.
+func (load *teamLoad) count(answer reply, latency time.Duration, open bool) {
 	switch {
 	case !open:
 		load.duplicates++
 	case answer.Error == "":
 		load.served++
-		if took < 500*time.Millisecond {
+		if latency < 500*time.Millisecond {
 			load.onTime++
 		}
 	case answer.Fields["budget"] != "":
--- a/test/harness_process_test.go
+++ b/test/harness_process_test.go
@@ -15,26 +15,26 @@
 	"sloequay/internal/proxy/admin"
 )
 
-// processUsage is what the system tells of a running process.
+// processUsage is the CPU time of a running process and its threads, and its child processes.
 type processUsage struct {
-	threads  map[int]time.Duration // processor time
-	total    time.Duration         // of all threads that run
-	children []int
+	cpuByThread map[int]time.Duration // CPU time by thread id
+	totalCPU    time.Duration         // of all running threads
+	children    []int                 // process ids
 }
 
-// readProcessUsage reads it from /proc; an error: the process is gone.
+// readProcessUsage reads the usage of a process from /proc. It returns an error if the process has exited.
 func readProcessUsage(pid int) (usage processUsage, err error) {
-	usage.threads = map[int]time.Duration{}
+	usage.cpuByThread = map[int]time.Duration{}
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	for _, path := range tasks {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			continue // it has ended
+			continue // the thread has ended
 		}
 		thread, _ := strconv.Atoi(filepath.Base(filepath.Dir(path)))
 		n, _ := strconv.ParseInt(strings.Fields(string(text))[0], 10, 64)
-		usage.threads[thread] = time.Duration(n)
-		usage.total += time.Duration(n)
+		usage.cpuByThread[thread] = time.Duration(n)
+		usage.totalCPU += time.Duration(n)
 	}
 	stats, _ := filepath.Glob("/proc/[0-9]*/stat")
 	for _, path := range stats {
@@ -47,24 +47,24 @@
 			usage.children = append(usage.children, child)
 		}
 	}
-	if len(usage.threads) == 0 {
-		return usage, fmt.Errorf("the process %d is gone", pid)
+	if len(usage.cpuByThread) == 0 {
+		return usage, fmt.Errorf("process %d has exited", pid)
 	}
 	return usage, err
 }
 
-// statFields are those of /proc/PID/stat from the state on: state, parent, ...
+// statFields returns the fields of /proc/PID/stat from the third on: state, parent, ...
 func statFields(stat string) []string {
 	return strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
 }
 
-// suspend stops the program and waits until none of its threads runs any more.
+// suspend stops the program by SIGSTOP and waits until all of its threads are stopped.
 func (bed *testbed) suspend() {
 	bed.t.Helper()
 	bed.signal(syscall.SIGSTOP)
-	threads := fmt.Sprintf("/proc/%d/task/*/stat", bed.cmd.Process.Pid)
+	statPattern := fmt.Sprintf("/proc/%d/task/*/stat", bed.cmd.Process.Pid)
 	bed.waitUntil("all threads of the program are stopped", func() bool {
-		paths, err := filepath.Glob(threads)
+		paths, err := filepath.Glob(statPattern)
 		if err != nil || len(paths) == 0 {
 			return false
 		}
@@ -75,33 +75,34 @@
 	})
 }
 
-// cpuShare gives the share of a core that a process used in a window.
+// cpuShare returns the share of one core that a process uses over a time window.
 func cpuShare(t *testing.T, pid int, window time.Duration) float64 {
 	t.Helper()
 	before, err := readProcessUsage(pid)
 	if err != nil {
 		t.Fatal(err)
 	}
-	began := time.Now()
+	start := time.Now()
 	time.Sleep(window)
 	after, err := readProcessUsage(pid)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return float64(after.total-before.total) / float64(time.Since(began))
+	return float64(after.totalCPU-before.totalCPU) / float64(time.Since(start))
 }
 
-// openDescriptors counts those of the program.
+// openDescriptors returns the number of descriptors that the program has open.
 func (bed *testbed) openDescriptors() int {
 	bed.t.Helper()
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", bed.cmd.Process.Pid))
 	if err != nil {
-		bed.t.Fatalf("the program's descriptors: %v", err)
+		bed.t.Fatalf("read the program's descriptors: %v", err)
 	}
 	return len(entries)
 }
 
-// socketPath gives a path for the operators' socket, which may have some hundred letters only.
+// socketPath returns a path for the operators' socket. It is short, as the path of a Unix socket can have only about a
+// hundred bytes.
 func socketPath(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "sq")
@@ -112,7 +113,7 @@
 	return filepath.Join(dir, "s")
 }
 
-// stateCounts asks the program by the operators' socket how much it holds of each kind.
+// stateCounts queries the program's state over the operators' socket, and returns the number of items of each kind.
 func (bed *testbed) stateCounts(socket string) map[string]int {
 	bed.t.Helper()
 	var out bytes.Buffer
@@ -124,13 +125,13 @@
 		kind, n, _ := strings.Cut(strings.TrimSpace(line), " ")
 		var err error
 		if state[kind], err = strconv.Atoi(n); err != nil {
-			bed.t.Fatalf("state: %q, want a kind and a number", line)
+			bed.t.Fatalf("state line: got %q, want a kind and a number", line)
 		}
 	}
 	return state
 }
 
-// writeFile writes a file that only its owner can read.
+// writeFile writes a file with mode 0600.
 func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -138,7 +139,7 @@
 	}
 }
 
-// readFile reads one that must be there.
+// readFile returns the content of a file, and fails the test if it cannot be read.
 func readFile(t *testing.T, path string) string {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -148,7 +149,7 @@
 	return string(text)
 }
 
-// replaceFile puts a copy of a file in another's place in one step, as operators do.
+// replaceFile atomically replaces the file to with a copy of the file from, as operators do.
 func replaceFile(t *testing.T, from, to string) {
 	t.Helper()
 	writeFile(t, to+".new", readFile(t, from))
--- a/test/harness_settings_test.go
+++ b/test/harness_settings_test.go
@@ -6,20 +6,20 @@
 	"testing"
 )
 
-// shippedSettings is the text of deploy/sloequay.conf.
+// shippedSettings returns the text of deploy/sloequay.conf.
 func shippedSettings(t *testing.T) string {
 	t.Helper()
 	return readFile(t, "../deploy/sloequay.conf")
 }
 
-// exampleSettings is the shipped settings with all examples in their comments turned on.
+// exampleSettings returns the shipped settings with all commented-out examples enabled.
 func exampleSettings(t *testing.T) string {
 	t.Helper()
 	text := regexp.MustCompile(`(?m)^#([^ \n])`).ReplaceAllString(shippedSettings(t), "$1")
 	return regexp.MustCompile(`(?m)^#(    +[a-z}])`).ReplaceAllString(text, "$1")
 }
 
-// makeSettingsDir makes a folder with all files that the examples in the shipped settings name.
+// makeSettingsDir creates a directory with all files that the examples in the shipped settings refer to.
 func makeSettingsDir(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -1,9 +1,9 @@
-// Package test starts the built program as a process, with emulators for all that it talks to, and holds it to what
-// its clients, its endpoints and its operators may expect of it.
+// Package test runs the built program as a process against emulators of its clients, endpoints and services, and checks
+// the behaviour that clients, endpoints and operators rely on.
 //
-// The helpers stand in the files harness_*_test.go. A test makes a testbed, changes what it needs in its
-// configuration, starts the program, and talks to it as clients, endpoints, list service and operators do. It waits
-// for conditions; where it sleeps, the time itself is what the test is about.
+// The shared helpers are in harness_test.go and harness_*_test.go. A test creates a testbed, adapts its configuration,
+// starts the program, and communicates with it as clients, endpoints, the list service and operators do. Tests wait for
+// conditions; they sleep only where the elapsed time itself is under test.
 package test
 
 import (
@@ -27,24 +27,24 @@
 	"sloequay/internal/emulator"
 )
 
-// testbed is the program under test with emulators for all that it talks to.
+// testbed is the program under test and the emulators that it communicates with.
 type testbed struct {
 	t *testing.T
 
 	// What the program is started with; a test may change it before start.
-	programPath     string           // path; empty: the build that is shipped
-	env             []string         // beside the test's own
-	flags           []string         // of the command serve
+	programPath     string           // empty: the shipped build
+	env             []string         // added to the environment of the test process
+	flags           []string         // of the serve command
 	config          map[string]any   // the platform's configuration
-	configPath      string           // of the file that it is written to
-	listedEndpoints []map[string]any // the endpoint list in config
-	settingsPath    string           // of our settings, which addSettings adds to; empty: none
-	ip              string           // loopback address of this testbed alone
-	address         string           // that clients connect to
-	dnsAddress      string           // empty: DNS is off
+	configPath      string           // path of the file that config is written to
+	listedEndpoints []map[string]any // the initial endpoint list in config
+	settingsPath    string           // path of the proxy's own settings, see addSettings; empty: none
+	ip              string           // loopback address that only this testbed uses
+	address         string           // address that clients connect to
+	dnsAddress      string           // address of the DNS frontend; empty: disabled
 
-	// The process.
-	cmd    *exec.Cmd // nil: none runs
+	// The running process.
+	cmd    *exec.Cmd // nil: not running
 	exited chan error
 	log    logBuffer
 
@@ -52,14 +52,14 @@
 	endpoints           *emulator.Endpoints
 	listeners           map[string]net.Listener // of the endpoints, by id
 	listService         *listService
-	listFeed            chan string // lines for the list service to send
-	listPolls           chan string // what the program has asked the list service for
+	listFeed            chan string // lines that the list service sends
+	listPolls           chan string // lines that the program sent to the list service
 	nameServer          *nameServer
 	fullBacklogListener net.Listener // see listenWithFullBacklog
 }
 
-// placement is where an endpoint stands, by the first letter of its id: the service that a catalogue has it in, its
-// class and its site.
+// placement returns the catalogue service, the class and the site of an endpoint, which follow from the first letter of
+// its id.
 func placement(id string) (service, class, site string) {
 	switch id[0] {
 	case 'p':
@@ -70,8 +70,8 @@
 	return "cache", "std", "edge"
 }
 
-// newTestbed has the caches c1 and c2, the parent p1 and the origin o1, all listed but for those in absent. They
-// answer by respond; nil: as emulator.NewEndpoints does.
+// newTestbed returns a testbed with the caches c1 and c2, the parent p1 and the origin o1. All but those in absent are
+// in the initial endpoint list. respond responds to their attempts; nil uses the default of emulator.NewEndpoints.
 func newTestbed(t *testing.T, respond func(*receivedRequest), absent ...string) *testbed {
 	t.Helper()
 	bed := &testbed{t: t, listedEndpoints: []map[string]any{}, listeners: map[string]net.Listener{},
@@ -102,17 +102,17 @@
 	t.Cleanup(func() {
 		bed.kill()
 		if t.Failed() {
-			t.Logf("log of the program:\n%s", bed.log.String())
+			t.Logf("program log:\n%s", bed.log.String())
 		}
 	})
 	return bed
 }
 
-// testbedCount numbers the testbeds, so that each has a loopback address of its own.
+// testbedCount numbers the testbeds, so that each gets its own loopback address.
 var testbedCount atomic.Int32
 
-// freeAddress gives an address that the program can listen on. It is on the testbed's own loopback address: on a
-// shared one an emulator of another test took the port before the program did.
+// freeAddress returns an address that the program can listen on. It uses the testbed's own loopback address: on a
+// shared one, an emulator of another test could take the port before the program does.
 func (bed *testbed) freeAddress() string {
 	if bed.ip == "" {
 		n := testbedCount.Add(1)
@@ -123,7 +123,7 @@
 	return listener.Addr().String()
 }
 
-// listenOn listens until the test ends.
+// listenOn listens on a TCP address. The listener is closed when the test ends.
 func (bed *testbed) listenOn(address string) net.Listener {
 	bed.t.Helper()
 	listener, err := net.Listen("tcp", address)
@@ -134,22 +134,22 @@
 	return listener
 }
 
-// platformSettings is the block `settings` of the configuration.
+// platformSettings returns the "settings" object of the platform configuration.
 func (bed *testbed) platformSettings() map[string]any { return bed.config["settings"].(map[string]any) }
 
-// platformLimits is the block `limits` of the platform's settings.
+// platformLimits returns the "limits" object of the platform settings.
 func (bed *testbed) platformLimits() map[string]any {
 	return bed.platformSettings()["limits"].(map[string]any)
 }
 
-// setDeadlines sets the deadline of all classes.
+// setDeadlines sets the deadline of every class.
 func (bed *testbed) setDeadlines(milliseconds int) {
 	for _, class := range bed.platformSettings()["classes"].([]any) {
 		class.(map[string]any)["deadline-ms"] = milliseconds
 	}
 }
 
-// addSettings adds lines to our settings, and has the program read them.
+// addSettings appends lines to the proxy's own settings file, and has the program read it by the flag --conf.
 func (bed *testbed) addSettings(lines ...string) {
 	bed.t.Helper()
 	if bed.settingsPath == "" {
@@ -166,7 +166,7 @@
 	}
 }
 
-// writeConfig writes the configuration, over that of an earlier call.
+// writeConfig writes the platform configuration, and overwrites that of an earlier call.
 func (bed *testbed) writeConfig() {
 	bed.t.Helper()
 	if bed.configPath == "" {
@@ -179,7 +179,7 @@
 	writeFile(bed.t, bed.configPath, string(text))
 }
 
-// start writes the configuration, starts the program and waits until it is ready.
+// start writes the platform configuration, starts the program and waits until it is ready.
 func (bed *testbed) start() {
 	bed.t.Helper()
 	bed.writeConfig()
@@ -191,7 +191,7 @@
 	bed.waitUntil("the program answers status", func() bool { return emulator.Ready(bed.address) })
 }
 
-// launch starts a process as the program, with its log going to a writer, and does not wait until it is ready.
+// launch starts cmd as the program, with its log written to log, without waiting until it is ready.
 func (bed *testbed) launch(cmd *exec.Cmd, log io.Writer) {
 	bed.t.Helper()
 	cmd.Stderr, cmd.Env = log, append(os.Environ(), bed.env...)
@@ -203,7 +203,7 @@
 	bed.cmd, bed.exited = cmd, exited
 }
 
-// startTestBinary starts the test binary as the program, with a variable in its environment by which TestMain knows.
+// startTestBinary starts the test binary as the program. The environment variable selects its role in TestMain.
 func (bed *testbed) startTestBinary(variable string) {
 	bed.t.Helper()
 	self, err := os.Executable()
@@ -214,7 +214,7 @@
 	bed.start()
 }
 
-// signal sends one to the program.
+// signal sends a signal to the program.
 func (bed *testbed) signal(s syscall.Signal) {
 	bed.t.Helper()
 	if err := bed.cmd.Process.Signal(s); err != nil {
@@ -222,40 +222,40 @@
 	}
 }
 
-// terminate sends SIGTERM, waits until the program drains, and gives when the signal was sent.
+// terminate sends SIGTERM, waits until the program drains, and returns the time at which the signal was sent.
 func (bed *testbed) terminate() time.Time {
 	bed.t.Helper()
-	at := time.Now()
+	sentAt := time.Now()
 	bed.signal(syscall.SIGTERM)
 	bed.waitLogged("event=draining")
-	return at
+	return sentAt
 }
 
-// waitExit waits until the program has ended by itself, and fails unless its exit status is 0.
+// waitExit waits until the program exits on its own, and fails the test unless its exit status is 0.
 func (bed *testbed) waitExit() {
 	bed.t.Helper()
 	select {
 	case err := <-bed.exited:
 		if bed.cmd = nil; err != nil {
-			bed.t.Errorf("the program ended with %v, want exit status 0", err)
+			bed.t.Errorf("the program exited with %v, want exit status 0", err)
 		}
 	case <-time.After(waitLimit):
-		bed.t.Errorf("the program still runs after %v, want it to end by itself", waitLimit)
+		bed.t.Errorf("the program is still running after %v, want it to exit on its own", waitLimit)
 	}
 }
 
-// expectRunning fails if the program has ended.
+// expectRunning fails the test if the program has exited.
 func (bed *testbed) expectRunning() {
 	bed.t.Helper()
 	select {
 	case err := <-bed.exited:
 		bed.cmd = nil
-		bed.t.Errorf("the program ended with %v, want it to run still", err)
+		bed.t.Errorf("the program exited with %v, want it still running", err)
 	default:
 	}
 }
 
-// kill ends the program at once, if it runs.
+// kill ends the program by SIGKILL if it is running.
 func (bed *testbed) kill() {
 	if bed.cmd != nil {
 		_ = bed.cmd.Process.Signal(syscall.SIGKILL)
@@ -264,40 +264,40 @@
 	}
 }
 
-// programPath is the path of the build under test, which TestMain makes.
+// programPath is the path of the program under test, which TestMain builds.
 var programPath string
 
-// runProgram runs a command of the program to its end, and gives what it prints on either stream.
+// runProgram runs a command of the program and returns its combined standard output and error.
 func runProgram(args ...string) (string, error) {
 	out, err := exec.Command(programPath, args...).CombinedOutput()
 	return string(out), err
 }
 
-// mustRunProgram is runProgram for a command that must succeed.
+// mustRunProgram is like runProgram but fails the test if the command fails.
 func mustRunProgram(t *testing.T, args ...string) string {
 	t.Helper()
 	out, err := runProgram(args...)
 	if err != nil {
-		t.Fatalf("sloequay %v: %v, want it to succeed; it printed\n%s", args, err, out)
+		t.Fatalf("sloequay %v: got error %v, want success; output:\n%s", args, err, out)
 	}
 	return out
 }
 
-// TestMain builds the program and runs the tests. In a process that a test has started it is the program itself,
-// under the condition that the environment names.
+// TestMain builds the program and runs the tests. In a process that a test started with one of the environment
+// variables below, it instead runs the program itself or the supervisor of injected faults.
 func TestMain(m *testing.M) {
 	if os.Getenv(filterVariable) == "1" {
 		serveUnderFilter()
 	}
 	if faults := os.Getenv(supervisorVariable); faults != "" {
-		superviseFaults(faults)
+		runSupervisor(faults)
 	}
 	if faults := os.Getenv(faultsVariable); faults != "" {
 		serveWithFaults(faults)
 	}
 	if os.Getenv(spinVariable) == "1" {
 		go func() {
-			//lint:ignore SA5002 it must spin: TestIdleProxyDoesNotSpin is to see that it would find one that does
+			//lint:ignore SA5002 spins on purpose: TestIdleProxyDoesNotSpin checks that it detects a spinning goroutine
 			for {
 			}
 		}()
@@ -317,7 +317,8 @@
 	os.Exit(code)
 }
 
-// buildClockstepProgram builds the program with a Unix clock that a test can set, once, and gives its path.
+// buildClockstepProgram builds the program with a Unix clock that a test can set, and returns its path. It builds it
+// only once.
 var buildClockstepProgram = sync.OnceValues(func() (string, error) {
 	path := programPath + "-clockstep"
 	build := exec.Command("go", "build", "-tags", "clockstep", "-o", path, "../cmd/sloequay")
--- a/test/harness_wait_test.go
+++ b/test/harness_wait_test.go
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// waitLimit is how long a test waits for what must happen; no test rests on anything taking long.
+// waitLimit is how long a test waits for an event that must happen. No test depends on an event taking that long.
 const waitLimit = 10 * time.Second
 
-// waitUntil waits for a condition, which what names.
-func (bed *testbed) waitUntil(what string, condition func() bool) {
+// waitUntil waits until a condition holds; description describes it in the failure message.
+func (bed *testbed) waitUntil(description string, condition func() bool) {
 	bed.t.Helper()
 	for deadline := time.Now().Add(waitLimit); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			bed.t.Fatalf("waited %v in vain until %s", waitLimit, what)
+			bed.t.Fatalf("timed out after %v waiting until %s", waitLimit, description)
 		}
 	}
 }
 
-// waitLogged waits until a text stands in the program's log.
+// waitLogged waits until the program's log contains a text.
 func (bed *testbed) waitLogged(text string) {
 	bed.t.Helper()
 	bed.waitUntil(fmt.Sprintf("%q is logged", text), func() bool { return bed.logged(text) })
 }
 
-// waitLoggedTimes waits until a text stands in the program's log just so often.
+// waitLoggedTimes waits until the program's log contains a text exactly the given number of times.
 func (bed *testbed) waitLoggedTimes(text string, times int) {
 	bed.t.Helper()
 	bed.waitUntil(fmt.Sprintf("%q is logged %d times", text, times), func() bool {
@@ -36,52 +36,53 @@
 	})
 }
 
-// waitLogMatches waits until an expression fits a place in the program's log.
+// waitLogMatches waits until a regular expression matches the program's log.
 func (bed *testbed) waitLogMatches(expression string) {
 	bed.t.Helper()
-	bed.waitUntil(fmt.Sprintf("%q fits the log", expression), func() bool {
+	bed.waitUntil(fmt.Sprintf("%q matches the log", expression), func() bool {
 		return matches(expression, bed.log.String())
 	})
 }
 
-// waitEndpointsKnown waits until the program has added so many endpoints from its sources.
+// waitEndpointsKnown waits until the program has added count endpoints from its sources.
 func (bed *testbed) waitEndpointsKnown(count int) {
 	bed.t.Helper()
 	bed.waitLoggedTimes("event=endpoint-added", count)
 }
 
-// logged says whether a text stands in the program's log.
+// logged reports whether the program's log contains a text.
 func (bed *testbed) logged(text string) bool { return strings.Contains(bed.log.String(), text) }
 
-// timesLogged is how often a text stands in the program's log.
+// timesLogged returns how many times the program's log contains a text.
 func (bed *testbed) timesLogged(text string) int { return strings.Count(bed.log.String(), text) }
 
-// logBuffer is what the program logs; it may be read while the program runs.
+// logBuffer holds the log of the program. It is safe for concurrent use, so that tests can read it while the program
+// runs.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-// Write takes what the program logs.
+// Write appends to the log.
 func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-// String is all that was logged since the last reset.
+// String returns all that was logged since the last reset.
 func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// reset drops what was logged so far.
+// reset discards what was logged so far.
 func (l *logBuffer) reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.text.Reset()
 }
 
-// matches says whether an expression fits anywhere in a text.
+// matches reports whether a regular expression matches anywhere in a text.
 func matches(expression, text string) bool { return regexp.MustCompile(expression).MatchString(text) }
