--- a/internal/proxy/admin_socket.go
+++ b/internal/proxy/admin_socket.go
@@ -82,7 +82,7 @@
 			{"spoken-to", attempts.Endpoints},
 			{"connections", attempts.Connections},
 			{"sent", attempts.Open},
-			{"given-up", attempts.Canceled},
+			{"given-up", attempts.RememberedIDs},
 		} {
 			fmt.Fprintf(out, "pool.%d.%s %d\n", i, line.kind, line.count)
 		}
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -61,7 +61,7 @@
 }
 
 // outstanding is the number of attempts and checks that were sent and not answered.
-func (c *connection) outstanding() int { return len(c.attempts) + c.liveness.Checks() }
+func (c *connection) outstanding() int { return len(c.attempts) + c.liveness.OutstandingChecks() }
 
 // load is the number of those, and of the attempts that wait.
 func (c *connection) load() int { return c.outstanding() + len(c.waiting) }
@@ -103,7 +103,7 @@
 func (c *connection) Opened(conn *eventloop.Conn) {
 	c.conn = conn
 	c.state = stateUp
-	c.liveness.Read(c.pool.Now())
+	c.liveness.BytesRead(c.pool.Now())
 	c.queueFlush()
 	c.closeIfDone()
 }
--- a/internal/upstream/liveness.go
+++ b/internal/upstream/liveness.go
@@ -40,8 +40,8 @@
 		c.retire()
 	case liveness.StalledPartial:
 		c.protocolError(fmt.Errorf("an answer under %.32q has not ended for %v, and its request is over",
-			c.partialResponseID, c.liveness.PartialFor(now)))
-	case liveness.Unresponsive, liveness.Unread:
+			c.partialResponseID, c.liveness.PartialAge(now)))
+	case liveness.Unresponsive, liveness.NotReading:
 		c.endUnresponsive()
 	}
 }
--- a/internal/upstream/liveness/bench_test.go
+++ b/internal/upstream/liveness/bench_test.go
@@ -9,7 +9,7 @@
 func BenchmarkStep(b *testing.B) {
 	const now = time.Minute
 	var monitor Monitor
-	monitor.Read(now)
+	monitor.BytesRead(now)
 	monitor.CheckSent(now, "p1")
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/upstream/liveness/monitor.go
+++ b/internal/upstream/liveness/monitor.go
@@ -48,7 +48,7 @@
 	SendCheck                     // ask the endpoint whether the connection lives, and report CheckSent
 	Retire                        // send nothing new by this connection
 	Unresponsive                  // a check was not answered
-	Unread                        // the endpoint does not read what is sent
+	NotReading                    // the endpoint does not read what is sent
 	StalledPartial                // a partial response that nobody waits for holds up another one
 )
 
@@ -98,8 +98,8 @@
 // BytesQueued reports that bytes were queued for the endpoint: end is how many there were by now in all.
 func (m *Monitor) BytesQueued(now time.Duration, end uint64) { m.unflushed.queued(now, end) }
 
-// Read reports that the connection came up, or that bytes were read.
-func (m *Monitor) Read(now time.Duration) {
+// BytesRead reports that the connection came up, or that bytes were read.
+func (m *Monitor) BytesRead(now time.Duration) {
 	m.lastReadAt = now
 	m.suspected = false
 }
@@ -134,8 +134,8 @@
 	return slices.IndexFunc(m.checks, func(c check) bool { return c.id == id })
 }
 
-// Checks is the number of checks that are out.
-func (m *Monitor) Checks() int { return len(m.checks) }
+// OutstandingChecks is the number of checks that are out.
+func (m *Monitor) OutstandingChecks() int { return len(m.checks) }
 
 // DropChecks forgets the checks that are out: the connection has ended.
 func (m *Monitor) DropChecks() { m.checks = nil }
@@ -143,8 +143,8 @@
 // IsSuspected says whether a check has been out for so long that new attempts are to go by another connection.
 func (m *Monitor) IsSuspected() bool { return m.suspected }
 
-// PartialFor is how long a response has been coming in part; 0: there is none.
-func (m *Monitor) PartialFor(now time.Duration) time.Duration {
+// PartialAge is how long a response has been coming in part; 0: there is none.
+func (m *Monitor) PartialAge(now time.Duration) time.Duration {
 	if m.partialSince == 0 {
 		return 0
 	}
@@ -152,13 +152,13 @@
 }
 
 // IsPartialSlow says whether a response has been on its way for so long that nothing new is to wait behind it.
-func (m *Monitor) IsPartialSlow(now time.Duration) bool { return m.PartialFor(now) > maxPartial }
+func (m *Monitor) IsPartialSlow(now time.Duration) bool { return m.PartialAge(now) > maxPartial }
 
 // Step decides what is to be done with the connection.
 func (m *Monitor) Step(now time.Duration, facts Facts) Verdict {
 	switch {
 	case m.unflushed.isStuck(now, facts.Flushed):
-		return Unread
+		return NotReading
 	case m.IsPartialSlow(now) && !facts.PartialAwaited && facts.PastDue.isOneAwaited:
 		return StalledPartial
 	case !facts.ChecksAllowed && m.quiet(now) > retireAfter:
--- a/internal/upstream/liveness/monitor_test.go
+++ b/internal/upstream/liveness/monitor_test.go
@@ -82,9 +82,9 @@
 	}
 	switch waits := m.now - m.queuedAt[m.flushed]; {
 	case waits > maxUnflushed:
-		return []Verdict{Unread}
+		return []Verdict{NotReading}
 	case waits+unflushedStep > maxUnflushed:
-		return []Verdict{Unread, rest}
+		return []Verdict{NotReading, rest}
 	}
 	return []Verdict{rest}
 }
@@ -129,7 +129,7 @@
 			checks:        map[string]*modelCheck{},
 			reads:         []time.Duration{start},
 		}}
-		player.monitor.Read(start)
+		player.monitor.BytesRead(start)
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			player.act()
 			player.advance()
@@ -196,7 +196,7 @@
 
 func (p *player) read() {
 	p.model.reads = append(p.model.reads, p.model.now)
-	p.monitor.Read(p.model.now)
+	p.monitor.BytesRead(p.model.now)
 }
 
 func (p *player) queue() {
@@ -249,7 +249,7 @@
 	if verdict != allowed[0] && verdict != allowed[len(allowed)-1] {
 		p.t.Fatalf("at %v the verdict is %d, want one of %v", m.now, verdict, allowed)
 	}
-	if verdict == Unread || verdict == StalledPartial {
+	if verdict == NotReading || verdict == StalledPartial {
 		return verdict
 	}
 	suspected := false
@@ -263,8 +263,8 @@
 	if p.monitor.IsSuspected() && m.now == m.lastRead() {
 		p.t.Fatalf("at %v bytes were just read and the connection is suspected", m.now)
 	}
-	if p.monitor.Checks() != len(m.checks) {
-		p.t.Fatalf("%d checks are out, want %d", p.monitor.Checks(), len(m.checks))
+	if p.monitor.OutstandingChecks() != len(m.checks) {
+		p.t.Fatalf("%d checks are out, want %d", p.monitor.OutstandingChecks(), len(m.checks))
 	}
 	if verdict == SendCheck {
 		p.sendCheck()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -188,10 +188,10 @@
 
 // Sizes is how much a pool has. All of it comes back to what it was once nothing is asked any more.
 type Sizes struct {
-	Endpoints   int // that were sent to, and are not gone
-	Connections int // up or being dialed
-	Open        int // attempts and checks that wait or are outstanding
-	Canceled    int // ids that are remembered, see idHistory
+	Endpoints     int // that were sent to, and are not gone
+	Connections   int // up or being dialed
+	Open          int // attempts and checks that wait or are outstanding
+	RememberedIDs int // ids that are remembered, see idHistory
 }
 
 // Sizes tells what the pool has, by a walk over all connections: for operators, and for tests that nothing grows.
@@ -200,7 +200,7 @@
 	for _, group := range p.endpoints {
 		for _, connection := range group.connections {
 			sizes.Open += connection.load()
-			sizes.Canceled += len(connection.history.entries)
+			sizes.RememberedIDs += len(connection.history.entries)
 		}
 	}
 	return sizes
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -11,7 +11,7 @@
 // Received takes the responses that have come completely.
 func (c *connection) Received(conn *eventloop.Conn) {
 	now := c.pool.Now()
-	c.liveness.Read(now)
+	c.liveness.BytesRead(now)
 	used, err := c.handleResponses(now, conn.In)
 	if err != nil {
 		c.protocolError(err)
