--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -8,7 +8,7 @@
 	"sloequay/internal/broker"
 )
 
-// benchmarkConnections is how many connections to an endpoint there are, each with benchmarkLoad attempts.
+// The benchmarked endpoint has benchmarkConnections connections, each with benchmarkLoad outstanding attempts.
 const (
 	benchmarkConnections = 8
 	benchmarkLoad        = 16
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -10,66 +10,66 @@
 	"sloequay/internal/upstream/liveness"
 )
 
-// idleCloseTenths is after how much of IdleTimeout an idle connection is closed: before its endpoint closes it, as an
-// attempt that crosses that close would be lost.
+// idleCloseTenths is the fraction of IdleTimeout, in tenths, after which an idle connection is closed. It is closed
+// before its endpoint does so because an attempt that crosses the endpoint's close would be lost.
 const idleCloseTenths = 7
 
-// connectionState is how far a connection is. It only goes up.
+// connectionState is the stage of a connection's life. It only increases.
 type connectionState int
 
 const (
 	stateDialing connectionState = iota
 	stateUp
-	stateClosed // it is in no list any more
+	stateClosed // removed from its endpointConnections
 )
 
 // connection is one connection to an endpoint, or the dial of one. It is the eventloop.Handler of its socket.
 //
-// Whether it is retired is apart from its state: one that is dialed may be retired before it is up, and one that is up
-// closes only once nothing is outstanding. Whether it is suspected is known to its liveness.Monitor.
+// Being retired is independent of its state: a connection may be retired while it is being dialed, and one that is up
+// closes only once nothing waits or is outstanding on it. Its liveness.Monitor knows whether it is suspected.
 type connection struct {
 	pool          *Pool
 	group         *endpointConnections
 	state         connectionState
-	isRetired     bool            // it takes nothing new
-	conn          *eventloop.Conn // nil while it is dialed
-	listedAddress string          // of the endpoint when it was dialed: an address, or a name
-	address       string          // the same resolved
+	isRetired     bool            // it takes no new attempts
+	conn          *eventloop.Conn // nil while it is being dialed
+	listedAddress string          // of the endpoint when it was first dialed; its host may be a name
+	address       string          // listedAddress, resolved if its host is a name
 	dial          dialProgress
-	lastUsedAt    time.Duration // when something was sent or answered
+	lastUsedAt    time.Duration // when an attempt or a check was last sent or answered
 
-	waiting       []*broker.Attempt // for the connection to come up, or to be written
-	isFlushQueued bool              // it is in the pool's flushQueue
-	isFlushing    bool              // Flush has asked for it to be written in this round
-	attempts      map[string]*outstandingAttempt
+	waiting       []*broker.Attempt              // to be written, once the connection is up
+	isFlushQueued bool                           // whether it is in the pool's flushQueue
+	isFlushing    bool                           // whether Flush requested its write in this round
+	attempts      map[string]*outstandingAttempt // by request id
 	history       idHistory
-	liveness      liveness.Monitor // knows the checks that are outstanding
-	// partialResponseID is the id of the last response of which a part came; it may have been completed since.
+	liveness      liveness.Monitor // also tracks the outstanding checks
+	// partialResponseID is the id of the last response that arrived in part; it may have been completed since.
 	partialResponseID string
 }
 
-// outstandingAttempt is an attempt that was put on a connection and has no response.
+// outstandingAttempt is an attempt that was queued on a connection for writing and has no response yet.
 type outstandingAttempt struct {
 	attempt     *broker.Attempt
-	dueAt       time.Duration // its response is past due then
-	startOffset uint64        // of its bytes on the connection
-	// cancelCheckID is the check sent behind the cancellation of the attempt. Once that is answered the attempt is in
-	// flight no more. Empty: it was not canceled.
+	dueAt       time.Duration // when its response is due, for the liveness checks
+	startOffset uint64        // of its first byte among all bytes queued on the connection
+	// cancelCheckID is the id of the check sent right after the attempt's cancellation: once the check is answered, the
+	// attempt is no longer in flight. Empty: no such check was sent.
 	cancelCheckID string
-	// endIfCanceled is how the attempt ends then; nil: as canceled.
-	endIfCanceled *broker.AttemptEnded
+	// pendingEnd is how the attempt ends then; nil: with broker.Canceled.
+	pendingEnd *broker.AttemptEnded
 }
 
-// outstanding is the number of attempts and checks that were sent and not answered.
+// outstanding returns the number of attempts and checks that were sent and not answered.
 func (c *connection) outstanding() int { return len(c.attempts) + c.liveness.OutstandingChecks() }
 
-// load is the number of those, and of the attempts that wait.
+// load returns the number of outstanding attempts and checks plus that of waiting attempts.
 func (c *connection) load() int { return c.outstanding() + len(c.waiting) }
 
-// isIdle reports whether the connection is up and in use by nothing.
+// isIdle reports whether the connection is up and has no load.
 func (c *connection) isIdle() bool { return c.state == stateUp && c.load() == 0 }
 
-// candidate is what the choice of a connection needs to know.
+// candidate returns the facts that the choice of a connection depends on.
 func (c *connection) candidate(now time.Duration) candidate {
 	load := c.load()
 	return candidate{
@@ -81,7 +81,7 @@
 	}
 }
 
-// isIDFree reports whether a response under an id would be that of a new attempt for certain.
+// isIDFree reports whether a response with the id would certainly be the response to a new attempt.
 func (c *connection) isIDFree(id string) bool {
 	canConfirm := c.pool.ChecksAllowed && c.pool.CancelAllowed
 	return c.attempts[id] == nil && !c.liveness.IsCheck(id) && !c.history.isAmbiguous(id, canConfirm)
@@ -93,13 +93,13 @@
 	return outstanding != nil && outstanding.attempt == attempt || slices.Contains(c.waiting, attempt)
 }
 
-// predates reports whether the connection is one to where an endpoint was before it started anew or moved.
+// predates reports whether the connection was dialed before the endpoint restarted or moved to another address.
 func (c *connection) predates(endpoint *broker.Endpoint) bool {
 	return c.dial.startedAt < endpoint.StartedAt || c.listedAddress != endpoint.Address
 }
 
-// Opened notes that the connection is up. What has waited for it is written at the end of the round: what comes beside
-// it, as that the client has left or the endpoint drains, counts first.
+// Opened records that the connection is up. Waiting attempts are written at the end of the round, so that other events
+// of the round apply first: the client may have left, or the endpoint may be draining.
 func (c *connection) Opened(conn *eventloop.Conn) {
 	c.conn = conn
 	c.state = stateUp
@@ -108,8 +108,8 @@
 	c.closeIfDone()
 }
 
-// Closed ends what was outstanding: what was not written for certain never ran, the rest may have. What waits is ended
-// by Flush.
+// Closed ends the outstanding attempts. Those of which nothing was written never ran; the others may have. Flush ends
+// the waiting attempts.
 func (c *connection) Closed(conn *eventloop.Conn, err error) {
 	if count := c.outstanding(); count > 0 {
 		name := c.group.endpoint.Name
@@ -124,7 +124,7 @@
 	}
 }
 
-// retire takes the connection out of use. It closes when nothing is outstanding on it.
+// retire takes the connection out of use. It closes once nothing waits or is outstanding on it.
 func (c *connection) retire() {
 	c.isRetired = true
 	c.closeIfDone()
@@ -137,7 +137,7 @@
 	}
 }
 
-// remove takes the connection out of the pool.
+// remove removes the connection from the pool.
 func (c *connection) remove() {
 	if c.state == stateClosed {
 		return
@@ -147,7 +147,7 @@
 	c.group.remove(c)
 }
 
-// endWaiting ends what waits for the connection.
+// endWaiting ends the attempts that wait for the connection.
 func (c *connection) endWaiting(end broker.End) {
 	for _, attempt := range c.waiting {
 		c.pool.Emit(broker.AttemptEnded{Attempt: attempt, End: end})
@@ -155,7 +155,7 @@
 	c.waiting = nil
 }
 
-// endUnwritten ends the attempts of which no byte was written: those that begin at or beyond an offset.
+// endUnwritten ends the attempts of which no byte was written: those that start at or after the offset written.
 func (c *connection) endUnwritten(written uint64) {
 	for id, outstanding := range c.attempts {
 		if outstanding.startOffset >= written {
@@ -166,7 +166,7 @@
 	}
 }
 
-// endOutstanding ends all attempts and checks that are outstanding.
+// endOutstanding ends the outstanding attempts and drops the outstanding checks.
 func (c *connection) endOutstanding(end broker.End) {
 	for id, outstanding := range c.attempts {
 		c.pool.Emit(broker.AttemptEnded{Attempt: outstanding.attempt, End: end})
@@ -175,15 +175,15 @@
 	c.liveness.DropChecks()
 }
 
-// cancelResult is whether a canceled attempt's end is still to come.
+// cancelResult says whether the connection will report the end of an attempt that it canceled.
 type cancelResult int
 
 const (
 	noEndFollows cancelResult = iota
-	endFollows                // an AttemptEnded, once the endpoint has read the cancellation
+	endFollows                // with an AttemptEnded, once the endpoint has read the cancellation
 )
 
-// cancel gives up an attempt that the connection holds.
+// cancel cancels an attempt that waits for the connection or is outstanding on it.
 func (c *connection) cancel(effect broker.CancelAttempt) cancelResult {
 	attempt := effect.Attempt
 	if i := slices.Index(c.waiting, attempt); i >= 0 {
@@ -192,7 +192,7 @@
 	}
 	now := c.pool.Now()
 	if !c.pool.CancelAllowed && now < attempt.Deadline {
-		return noEndFollows // housekeep drops it
+		return noEndFollows // housekeep drops the attempt at its deadline
 	}
 	id := attempt.Request.ID
 	if c.pool.CancelAllowed {
@@ -203,23 +203,23 @@
 		c.attempts[id].cancelCheckID = c.sendCheck(now)
 		return endFollows
 	}
-	c.forget(now, id)
+	c.dropCanceled(now, id)
 	return noEndFollows
 }
 
-// forget takes an attempt off the connection that was given up.
-func (c *connection) forget(now time.Duration, id string) {
+// dropCanceled removes a canceled attempt, and remembers its id because a late response may still arrive.
+func (c *connection) dropCanceled(now time.Duration, id string) {
 	delete(c.attempts, id)
-	c.history.canceled(now, id)
+	c.history.addCanceled(now, id)
 	c.closeIfDone()
 }
 
-// housekeep drops what has expired, and retires the connection if it has been idle for long.
+// housekeep drops what has expired, and retires the connection if it has been idle for too long.
 func (c *connection) housekeep(now time.Duration) {
 	c.history.expire(now)
 	for id, outstanding := range c.attempts {
 		if attempt := outstanding.attempt; !attempt.Open() && now >= attempt.Deadline {
-			c.forget(now, id) // it could not be canceled
+			c.dropCanceled(now, id) // its cancellation could not be sent
 		}
 	}
 	idleLimit := c.pool.IdleTimeout * idleCloseTenths / 10
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -9,8 +9,8 @@
 	"sloequay/internal/broker"
 )
 
-// dial makes a new connection to an endpoint. connection.Opened follows, or connection.dialFailed, or neither where the
-// list has retired it before it was dialed again.
+// dial starts a new connection to an endpoint. Either connection.Opened or connection.dialFailed follows, or neither if
+// the connection is retired or closed before a redial.
 func (p *Pool) dial(group *endpointConnections) *connection {
 	now := p.Now()
 	address := group.endpoint.Address
@@ -38,16 +38,16 @@
 	return dialed
 }
 
-// resolved dials the address that an endpoint's name stands for, unless it is that of an endpoint which takes nothing
-// new.
+// resolved dials the address that the endpoint's name resolved to, unless it belongs to an endpoint that takes no new
+// requests.
 func (c *connection) resolved(ip netip.Addr, port string, err error) {
 	address := net.JoinHostPort(ip.String(), port)
 	switch {
 	case c.state == stateClosed:
 	case err != nil:
-		c.dialFailed(fmt.Errorf("name server: %v", err)) // not wrapped: no error of a dial, however it came about
+		c.dialFailed(fmt.Errorf("resolve: %v", err)) // %v: classifyDial must not take its cause for a dial error
 	case c.pool.AddressBlocked(address):
-		c.dialFailed(fmt.Errorf("the name server gives %s, whose endpoint is draining or gone", address))
+		c.dialFailed(fmt.Errorf("name resolved to %s, whose endpoint is draining or gone", address))
 	default:
 		c.address = address
 		c.connect()
@@ -68,13 +68,13 @@
 	p.Loop.Dial("tcp", c.address, p.DialTimeout, c, c.dialFailed)
 }
 
-// dialFailed dials again, or ends what waits for the connection.
+// dialFailed dials again if the failure allows it, else it ends the attempts that wait for the connection.
 func (c *connection) dialFailed(err error) {
 	p := c.pool
 	now := p.Now()
 	failure := classifyDial(err, now-c.dial.lastStartedAt, p.DialTimeout)
 	if !c.isRetired && c.state != stateClosed {
-		if pause, redials := c.dial.next(now, failure.redial, p.DialTimeout); redials {
+		if pause, ok := c.dial.next(now, failure.redial, p.DialTimeout); ok {
 			c.redialAfter(pause)
 			return
 		}
@@ -96,7 +96,7 @@
 	time.AfterFunc(pause, func() { c.pool.Loop.Post(c.redial) })
 }
 
-// redial dials again, unless the list has changed meanwhile.
+// redial dials again, unless the connection was retired or closed meanwhile.
 func (c *connection) redial() {
 	if !c.isRetired && c.state != stateClosed {
 		c.connect()
--- a/internal/upstream/dial_failure.go
+++ b/internal/upstream/dial_failure.go
@@ -11,67 +11,69 @@
 )
 
 const (
-	// maxDialLateness is by how much a dial may be told to have timed out too late. Where it is later, this machine
-	// stood still while it dialed.
+	// maxDialLateness is how much later than its limit the time-out of a dial may be reported. If it is later still,
+	// this machine stood still during the dial.
 	maxDialLateness = 100 * time.Millisecond
-	// A dial that fails for want of something on this machine is tried again after these pauses, until DialTimeout.
+	// Pauses before redials while this machine lacks a resource or a route, until DialTimeout.
 	minRedialPause = 10 * time.Millisecond
 	maxRedialPause = 100 * time.Millisecond
 )
 
-// redialing is whether a dial that failed is tried again.
-type redialing int
+// redialPolicy says whether a failed dial is repeated.
+type redialPolicy int
 
 const (
-	neverRedial      redialing = iota
-	redialOnce                 // at once
-	redialUntilLimit           // after pauses, until DialTimeout
+	neverRedial      redialPolicy = iota
+	redialOnce                    // immediately
+	redialUntilLimit              // after pauses, until DialTimeout
 )
 
-// dialFailure is what a failed dial means: whether it is tried again, and how the attempts that wait for it end if
-// it is not, or not any more. broker.ConnectFailed counts against the endpoint, broker.NotSent does not.
+// dialFailure is the interpretation of a failed dial: whether it is repeated, and how the attempts that wait for it end
+// once it is not. broker.ConnectFailed counts against the endpoint, broker.NotSent does not.
 type dialFailure struct {
-	redial redialing
+	redial redialPolicy
 	end    broker.End
 }
 
-// classifyDial says what a dial means that failed after a time, of a limit.
-func classifyDial(err error, took, limit time.Duration) dialFailure {
-	var timeout net.Error
+// classifyDial interprets the error of a dial that failed after the elapsed time and was limited to limit.
+func classifyDial(err error, elapsed, limit time.Duration) dialFailure {
+	var netErr net.Error
 	switch {
-	case errors.Is(err, syscall.ECONNRESET): // while it came up, which says nothing of the endpoint
+	case errors.Is(err, syscall.ECONNRESET): // while connecting: says nothing about the endpoint
 		return dialFailure{redialOnce, broker.NotSent}
 	case socket.IsLocal(err):
 		return dialFailure{redialUntilLimit, broker.NotSent}
-	case errors.Is(err, syscall.ENETUNREACH): // for a moment, or the address is wrong
+	case errors.Is(err, syscall.ENETUNREACH): // temporary, or the address is wrong
 		return dialFailure{redialUntilLimit, broker.ConnectFailed}
-	case errors.As(err, &timeout) && timeout.Timeout() && took > limit+maxDialLateness:
+	case errors.As(err, &netErr) && netErr.Timeout() && elapsed > limit+maxDialLateness:
 		return dialFailure{redialOnce, broker.NotSent}
 	}
 	return dialFailure{neverRedial, broker.ConnectFailed}
 }
 
-// dialProgress is how far the dial of a connection is.
+// dialProgress tracks the dials of one connection.
 //
-// Invariants: a dial begins at the latest by the limit after the first one. The pauses before them double from
-// minRedialPause to maxRedialPause. A redialOnce is followed once in the whole dial.
+// Invariants: redials with a pause start within the limit after the first dial. Their pauses double from minRedialPause
+// to maxRedialPause. Only the first redialOnce is followed.
 type dialProgress struct {
-	startedAt     time.Duration // the first one
-	lastStartedAt time.Duration
-	isRedialed    bool          // for a redialOnce
-	pause         time.Duration // before the last redialUntilLimit
+	startedAt       time.Duration // of the first dial
+	lastStartedAt   time.Duration // of the latest dial
+	hasRedialedOnce bool          // whether a redialOnce was followed
+	pause           time.Duration // of the last redialUntilLimit
 }
 
-// next reports whether to dial again after a failure, and after what pause.
-func (d *dialProgress) next(now time.Duration, how redialing, limit time.Duration) (pause time.Duration, redials bool) {
-	switch how {
+// next reports whether to dial again after a failure, and returns the pause before that dial.
+func (d *dialProgress) next(
+	now time.Duration, redial redialPolicy, limit time.Duration,
+) (pause time.Duration, ok bool) {
+	switch redial {
 	case redialUntilLimit:
 		d.pause = min(max(minRedialPause, 2*d.pause), maxRedialPause)
 		return d.pause, now-d.startedAt+d.pause <= limit
 	case redialOnce:
-		redials = !d.isRedialed
-		d.isRedialed = true
-		return 0, redials
+		ok = !d.hasRedialedOnce
+		d.hasRedialedOnce = true
+		return 0, ok
 	default:
 		return 0, false
 	}
--- a/internal/upstream/endpoint_connections.go
+++ b/internal/upstream/endpoint_connections.go
@@ -6,15 +6,15 @@
 	"sloequay/internal/broker"
 )
 
-// endpointConnections is one endpoint with the connections to it that are not closed.
+// endpointConnections holds the connections to one endpoint that are not closed.
 type endpointConnections struct {
 	pool        *Pool
 	endpoint    *broker.Endpoint
 	connections []*connection
 }
 
-// choose gives the connection that suits a request with an id best, if there is one, and says whether another one is
-// to be opened.
+// choose returns the best connection for a request with the given id, or nil if none is usable, and reports whether
+// another connection is to be opened.
 func (g *endpointConnections) choose(id string) (best *connection, wantsAnother bool) {
 	now := g.pool.Now()
 	var choice selection
@@ -30,7 +30,7 @@
 	return best, choice.wantsAnother(g.pool.Streams)
 }
 
-// find gives the connection that an attempt waits for or is outstanding on; nil: there is none.
+// find returns the connection that an attempt waits for or is outstanding on, or nil if there is none.
 func (g *endpointConnections) find(attempt *broker.Attempt) *connection {
 	for _, connection := range g.connections {
 		if connection.holds(attempt) {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// remove takes a connection out that has closed.
+// remove removes a closed connection.
 func (g *endpointConnections) remove(closed *connection) {
 	g.connections = slices.DeleteFunc(g.connections, func(other *connection) bool { return other == closed })
 }
--- a/internal/upstream/id_history.go
+++ b/internal/upstream/id_history.go
@@ -3,17 +3,17 @@
 import "time"
 
 const (
-	// canceledIDLifetime is how long the id of a canceled attempt is remembered, to drop its late response.
+	// canceledIDLifetime is how long the id of a canceled attempt is remembered, so that its late response is dropped.
 	canceledIDLifetime = 10 * time.Second
-	// answeredIDLifetime is how long a response is remembered, to recognise its second copy. Copies come some
+	// answeredIDLifetime is how long a response is remembered, to recognise a duplicate. Duplicates arrive some
 	// milliseconds apart.
 	answeredIDLifetime = time.Second
 )
 
-// idHistory remembers ids under which a connection may still get a response that is not meant for the next attempt
-// under the same id.
+// idHistory remembers the ids under which a connection may still receive a response that does not belong to the next
+// attempt with the same id.
 //
-// Invariant: an id is remembered at least for its lifetime, and until expire is called after it.
+// Invariant: an id is remembered for at least its lifetime, until the first call of expire after that.
 // Bounds: one entry for each id that was canceled or answered within its lifetime.
 type idHistory struct {
 	entries map[string]idEntry
@@ -21,16 +21,16 @@
 
 type idEntry struct {
 	at     time.Duration
-	digest string // of the response; empty: the attempt was canceled
+	digest string // response.digest; empty: the attempt was canceled
 }
 
 func newIDHistory() idHistory { return idHistory{entries: map[string]idEntry{}} }
 
-// canceled notes that the attempt under an id was given up.
-func (h *idHistory) canceled(now time.Duration, id string) { h.entries[id] = idEntry{at: now} }
+// addCanceled records that the attempt with an id was canceled.
+func (h *idHistory) addCanceled(now time.Duration, id string) { h.entries[id] = idEntry{at: now} }
 
-// answered notes a response after which the id may be used again.
-func (h *idHistory) answered(now time.Duration, id, digest string) {
+// addAnswered records a response after which the id may be used again.
+func (h *idHistory) addAnswered(now time.Duration, id, digest string) {
 	h.entries[id] = idEntry{at: now, digest: digest}
 }
 
@@ -40,17 +40,17 @@
 	return ok
 }
 
-// isRepeated reports whether the last response under an id was the same.
+// isRepeated reports whether the remembered response under an id has the same digest.
 func (h *idHistory) isRepeated(id, digest string) bool { return h.entries[id].digest == digest }
 
-// isAmbiguous says whether a late response under an id could be taken for that of a new attempt. The second copy of a
-// response is recognised, and of use only where the endpoint can be asked about it.
+// isAmbiguous reports whether a late response under an id could be taken for the response to a new attempt. A duplicate
+// of a remembered response is recognised, which only helps if the endpoint can confirm the end of the attempt.
 func (h *idHistory) isAmbiguous(id string, canConfirm bool) bool {
 	entry, ok := h.entries[id]
 	return ok && (entry.digest == "" || !canConfirm)
 }
 
-// expire forgets what is older than its lifetime.
+// expire drops the entries that are older than their lifetimes.
 func (h *idHistory) expire(now time.Duration) {
 	for id, entry := range h.entries {
 		lifetime := canceledIDLifetime
--- a/internal/upstream/id_history_test.go
+++ b/internal/upstream/id_history_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestIDHistory compares with the plainest model, which remembers all that ever happened under an id: after expire an
-// id is remembered if the last of it is within its lifetime, and that alone counts.
+// TestIDHistory compares the history with a reference that keeps the last entry of each id forever: after expire, an id
+// is remembered exactly while its last entry is within its lifetime, and no earlier entry counts.
 func TestIDHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := newIDHistory()
@@ -19,12 +19,12 @@
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
 			id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
 			digest := fmt.Sprint("EIO - ", rapid.IntRange(0, 1).Draw(t, "digest"))
-			switch rapid.IntRange(0, 3).Draw(t, "act") {
+			switch rapid.IntRange(0, 3).Draw(t, "action") {
 			case 0:
-				history.canceled(now, id)
+				history.addCanceled(now, id)
 				last[id] = idEntry{at: now}
 			case 1:
-				history.answered(now, id, digest)
+				history.addAnswered(now, id, digest)
 				last[id] = idEntry{at: now, digest: digest}
 			}
 			history.expire(now)
@@ -33,16 +33,16 @@
 			wasCanceled := known && entry.digest == "" && age <= 10*time.Second
 			wasAnswered := known && entry.digest != "" && age <= time.Second
 			if got := history.contains(id); got != (wasCanceled || wasAnswered) {
-				t.Fatalf("contains is %v with %+v %v ago", got, entry, age)
+				t.Fatalf("got contains %v with %+v %v ago", got, entry, age)
 			}
 			if got := history.isAmbiguous(id, true); got != wasCanceled {
-				t.Fatalf("ambiguous is %v where it can be confirmed, with %+v %v ago", got, entry, age)
+				t.Fatalf("got ambiguous %v, with confirmation possible and %+v %v ago", got, entry, age)
 			}
 			if got := history.isAmbiguous(id, false); got != (wasCanceled || wasAnswered) {
-				t.Fatalf("ambiguous is %v where it can't be confirmed, with %+v %v ago", got, entry, age)
+				t.Fatalf("got ambiguous %v, without confirmation possible and with %+v %v ago", got, entry, age)
 			}
 			if got := history.isRepeated(id, digest); got != (wasAnswered && entry.digest == digest) {
-				t.Fatalf("repeated is %v with %+v %v ago", got, entry, age)
+				t.Fatalf("got repeated %v with %+v %v ago", got, entry, age)
 			}
 		}
 	})
--- a/internal/upstream/liveness.go
+++ b/internal/upstream/liveness.go
@@ -9,13 +9,13 @@
 	"sloequay/internal/upstream/liveness"
 )
 
-// CheckLiveness looks after connections on which something waits and nothing comes. It is called every round and looks
-// every liveness.StepInterval.
+// CheckLiveness checks, and if necessary closes, connections on which the endpoint has something to answer or to read.
+// It must be called every round, and acts once per liveness.StepInterval.
 func (p *Pool) CheckLiveness(now time.Duration) {
-	if now-p.livenessSteppedAt < liveness.StepInterval && now >= p.livenessSteppedAt {
+	if now-p.lastLivenessStepAt < liveness.StepInterval && now >= p.lastLivenessStepAt {
 		return
 	}
-	p.livenessSteppedAt = now
+	p.lastLivenessStepAt = now
 	for _, group := range p.endpoints {
 		for _, connection := range slices.Clone(group.connections) {
 			if connection.awaitsEndpoint() {
@@ -25,12 +25,12 @@
 	}
 }
 
-// awaitsEndpoint reports whether the endpoint is to answer or to read something.
+// awaitsEndpoint reports whether the endpoint has yet to answer or to read something.
 func (c *connection) awaitsEndpoint() bool {
 	return c.state == stateUp && (c.outstanding() > 0 || c.conn.Unsent() > 0)
 }
 
-// checkLiveness carries out what package liveness decides.
+// checkLiveness carries out the decision of package liveness.
 func (c *connection) checkLiveness(now time.Duration) {
 	switch c.liveness.Step(now, c.livenessFacts(now)) {
 	case liveness.Healthy:
@@ -39,7 +39,7 @@
 	case liveness.Retire:
 		c.retire()
 	case liveness.StalledPartial:
-		c.protocolError(fmt.Errorf("an answer under %.32q has not ended for %v, and its request is over",
+		c.protocolError(fmt.Errorf("response %.32q has been incomplete for %v after its request ended",
 			c.partialResponseID, c.liveness.PartialAge(now)))
 	case liveness.Unresponsive, liveness.NotReading:
 		c.endUnresponsive()
@@ -60,7 +60,7 @@
 	return facts
 }
 
-// awaitsPartialResponse reports whether something still waits for the response that has come in part.
+// awaitsPartialResponse reports whether an open attempt or a check still waits for the partial response.
 func (c *connection) awaitsPartialResponse() bool {
 	id := c.partialResponseID
 	if outstanding := c.attempts[id]; outstanding != nil {
@@ -69,8 +69,8 @@
 	return c.liveness.IsCheck(id)
 }
 
-// endUnresponsive ends a connection on which nothing comes any more. A cancellation would not arrive; the close gives
-// all up.
+// endUnresponsive closes a connection whose endpoint no longer responds or reads. Cancellations would not reach the
+// endpoint; the close cancels everything on the connection.
 func (c *connection) endUnresponsive() {
 	c.pool.Log("upstream-unresponsive", "endpoint", c.group.endpoint.Name, "open", c.outstanding())
 	c.pool.Stats.Unresponsive++
--- a/internal/upstream/liveness/bench_test.go
+++ b/internal/upstream/liveness/bench_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// BenchmarkStep steps a connection with a check out and nothing past due, as most are.
+// BenchmarkStep measures a step of a connection with an outstanding check and nothing past due, the most common case.
 func BenchmarkStep(b *testing.B) {
 	const now = time.Minute
 	var monitor Monitor
@@ -14,7 +14,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if monitor.Step(now, Facts{ChecksAllowed: true}) != Healthy {
-			b.Fatal("the connection is not healthy")
+			b.Fatal("got another verdict, want Healthy")
 		}
 	}
 }
--- a/internal/upstream/liveness/monitor.go
+++ b/internal/upstream/liveness/monitor.go
@@ -1,15 +1,16 @@
-// Package liveness decides whether a connection to an endpoint is alive. An endpoint that is cut off, or that stops
-// reading, leaves its connections open and silent: only what is past due on them shows it.
+// Package liveness decides whether a connection to an endpoint is alive. An endpoint that is cut off or stops reading
+// leaves its connections open and silent, and shows only by the attempts and bytes on them that are past due.
 //
-// The owner of a connection reports what happens on it, gathers Facts every StepInterval, calls Step and carries out
-// the Verdict. The package does no I/O and knows no clock; all times are of the owner's monotonic clock.
+// The owner of a connection reports its events, and every StepInterval gathers Facts, calls Step and carries out the
+// Verdict. The package does no I/O and reads no clock; all times are of the owner's monotonic clock.
 //
-// Invariants: a check is asked for only where an attempt is past due, none is out and nothing was read lately. A
-// connection is Unresponsive only if a check was out for checkTimeout without a byte being read, and that over more
-// than minStepsPerCheck steps, so that a process that stood still condemns nothing. Bytes stuck at an endpoint that
-// does not read are found within maxUnflushed.
+// Invariants: a check is requested only if an attempt is past due, no check is outstanding and nothing was read
+// recently. A connection is Unresponsive only if a check was outstanding for checkTimeout without a byte being read,
+// and for more than minStepsPerCheck steps, so that a standstill of this process ends no connection. Bytes that an
+// endpoint does not read are detected by the first step after maxUnflushed.
 //
-// Bounds: one entry for each check that is out, and one for each unflushedStep with bytes that were not flushed yet.
+// Bounds: one entry for each outstanding check, and one for each unflushedResolution in which bytes were queued that
+// are not flushed yet.
 package liveness
 
 import (
@@ -17,86 +18,86 @@
 	"time"
 )
 
-// StepInterval is how often Step is to be called for a connection on which something is outstanding.
+// StepInterval is how often Step must be called for a connection with something outstanding or unflushed.
 const StepInterval = 20 * time.Millisecond
 
 const (
-	// minQuiet is how long nothing must have been read until a connection with an attempt past due is checked. What is
-	// merely slow answers a check at once, beside its queue.
-	minQuiet = 100 * time.Millisecond
-	// recheckAfter is the same for attempts that were past due already when the endpoint last answered a check: they
-	// are slow, not cut off. Each check costs the endpoint: one slow response must not bring one after the other.
+	// minQuietTime is how long nothing must have been read before a connection with a past-due attempt is checked. An
+	// endpoint that is merely slow answers the check at once, ahead of its queued requests.
+	minQuietTime = 100 * time.Millisecond
+	// recheckAfter is the same if all past-due attempts were due before the endpoint last answered a check: they are
+	// slow, not cut off. Checks cost the endpoint work, so one slow response must not cause a series of them.
 	recheckAfter = time.Second
-	// suspectAfter is for how long a check may be out until new attempts go by another connection.
+	// suspectAfter is how long a check may be unanswered before new attempts use another connection.
 	suspectAfter = 30 * time.Millisecond
-	// checkTimeout is for how long a check may be out, and no byte be read, until the connection is Unresponsive.
+	// checkTimeout is how long a check may be unanswered, with no byte read, before the connection is Unresponsive.
 	checkTimeout     = 120 * time.Millisecond
-	minStepsPerCheck = 3 // more than these must pass: a process that stood still knows nothing of the endpoint
-	// retireAfter is how long nothing may be read on a connection that can't be checked.
+	minStepsPerCheck = 3 // more steps than this must pass: after a standstill nothing is known about the endpoint
+	// retireAfter is how long nothing may be read on a connection that can't be checked before it is retired.
 	retireAfter = 600 * time.Millisecond
-	// maxPartial is how long a response may be on its way until nothing new is to wait behind it. It is longer than
-	// the largest response takes at the pace of one transfer.
-	maxPartial = time.Second
+	// maxPartialAge is how long a response may be arriving before no new attempt may wait behind it. The largest
+	// response takes less at the transfer rate of one response.
+	maxPartialAge = time.Second
 )
 
-// Verdict is what a connection's owner is to do.
+// Verdict tells the owner of a connection what to do.
 type Verdict int
 
-// The verdicts. The last three end the connection with all that is outstanding on it.
+// The verdicts. The last three end the connection and everything outstanding on it.
 const (
-	Healthy        Verdict = iota // nothing
-	SendCheck                     // ask the endpoint whether the connection lives, and report CheckSent
-	Retire                        // send nothing new by this connection
+	Healthy        Verdict = iota // do nothing
+	SendCheck                     // send a check, and report it by CheckSent
+	Retire                        // use the connection for no new attempts
 	Unresponsive                  // a check was not answered
-	NotReading                    // the endpoint does not read what is sent
-	StalledPartial                // a partial response that nobody waits for holds up another one
+	NotReading                    // the endpoint does not read what was sent
+	StalledPartial                // a partial response that nothing waits for delays another one
 )
 
-// Facts is what the owner of a connection sees at the moment of a Step.
+// Facts holds what the owner of a connection observes at the time of a Step.
 type Facts struct {
-	ChecksAllowed  bool   // whether the endpoint may be asked
-	Flushed        uint64 // how many of the bytes reported by BytesQueued the system has taken
-	PartialAwaited bool   // something still waits for the response that has come in part
+	ChecksAllowed  bool   // whether the endpoint answers checks
+	Flushed        uint64 // how many of the bytes reported by BytesQueued the operating system has accepted
+	PartialAwaited bool   // whether something still waits for the partial response
 	PastDue        PastDueAttempts
 }
 
-// PastDueAttempts sums up the attempts on a connection that are past due. The zero value has none.
+// PastDueAttempts summarizes the past-due attempts on a connection. The zero value has none.
 type PastDueAttempts struct {
-	exist        bool
-	latestDueAt  time.Duration
-	isOneAwaited bool // by its request
+	hasAny      bool
+	latestDueAt time.Duration
+	anyAwaited  bool // whether the request of any of them still waits for it
 }
 
-// Add adds an attempt that was due at dueAt, which has passed. It is awaited if it has no end yet.
+// Add adds an attempt whose response was due at dueAt, which has passed. It is awaited if it has not ended.
 func (a *PastDueAttempts) Add(dueAt time.Duration, awaited bool) {
-	a.exist = true
+	a.hasAny = true
 	a.latestDueAt = max(a.latestDueAt, dueAt)
-	a.isOneAwaited = a.isOneAwaited || awaited
+	a.anyAwaited = a.anyAwaited || awaited
 }
 
-// Monitor is what is known of one connection. The zero value is a connection that has just come up at time 0.
+// Monitor tracks the liveness of one connection. The zero value is that of a connection that came up at time 0.
 type Monitor struct {
 	lastReadAt       time.Duration
-	outstandingSince time.Duration // since when something has been outstanding without a break
-	checkAnsweredAt  time.Duration // the last one
-	partialSince     time.Duration // when the response that has come in part began; 0: there is none
+	outstandingSince time.Duration // start of the current period with something outstanding
+	checkAnsweredAt  time.Duration // when the last check was answered
+	partialSince     time.Duration // when the partial response started to arrive; 0: there is none
 	suspected        bool
-	checks           []check // that are out
-	unflushed        unflushed
+	checks           []check // outstanding
+	unflushed        unflushedBytes
 }
 
-// check is a question to the endpoint that is out.
+// check is an outstanding liveness check.
 type check struct {
 	id     string
 	sentAt time.Duration
-	steps  int // since it was sent
+	steps  int // number of steps since it was sent
 }
 
-// OutstandingBegan reports that something is about to be sent and nothing else is outstanding.
+// OutstandingBegan reports that something is about to be sent while nothing else is outstanding.
 func (m *Monitor) OutstandingBegan(now time.Duration) { m.outstandingSince = now }
 
-// BytesQueued reports that bytes were queued for the endpoint: end is how many there were by now in all.
-func (m *Monitor) BytesQueued(now time.Duration, end uint64) { m.unflushed.queued(now, end) }
+// BytesQueued reports that bytes were queued for the endpoint. end is the total number of bytes queued so far.
+func (m *Monitor) BytesQueued(now time.Duration, end uint64) { m.unflushed.add(now, end) }
 
 // BytesRead reports that the connection came up, or that bytes were read.
 func (m *Monitor) BytesRead(now time.Duration) {
@@ -104,10 +105,10 @@
 	m.suspected = false
 }
 
-// ResponseCompleted reports that the bytes last read ended a response.
+// ResponseCompleted reports that the bytes last read completed a response.
 func (m *Monitor) ResponseCompleted() { m.partialSince = 0 }
 
-// ResponseIncomplete reports that the bytes last read are, or end with, a part of a response.
+// ResponseIncomplete reports that the bytes last read are, or end with, a partial response.
 func (m *Monitor) ResponseIncomplete() {
 	if m.partialSince == 0 {
 		m.partialSince = m.lastReadAt
@@ -119,31 +120,31 @@
 	m.checks = append(m.checks, check{id: id, sentAt: now})
 }
 
-// IsCheck reports whether a check is out under an id.
-func (m *Monitor) IsCheck(id string) bool { return len(m.checks) > 0 && m.indexOf(id) >= 0 }
+// IsCheck reports whether an outstanding check has the id.
+func (m *Monitor) IsCheck(id string) bool { return len(m.checks) > 0 && m.checkIndex(id) >= 0 }
 
-// CheckAnswered reports that the endpoint answered a check that was out.
+// CheckAnswered reports that the endpoint answered an outstanding check.
 func (m *Monitor) CheckAnswered(now time.Duration, id string) {
 	m.checkAnsweredAt = now
-	if i := m.indexOf(id); i >= 0 {
+	if i := m.checkIndex(id); i >= 0 {
 		m.checks = slices.Delete(m.checks, i, i+1)
 	}
 }
 
-func (m *Monitor) indexOf(id string) int {
+func (m *Monitor) checkIndex(id string) int {
 	return slices.IndexFunc(m.checks, func(c check) bool { return c.id == id })
 }
 
-// OutstandingChecks is the number of checks that are out.
+// OutstandingChecks returns the number of outstanding checks.
 func (m *Monitor) OutstandingChecks() int { return len(m.checks) }
 
-// DropChecks forgets the checks that are out: the connection has ended.
+// DropChecks drops the outstanding checks because the connection has ended.
 func (m *Monitor) DropChecks() { m.checks = nil }
 
-// IsSuspected says whether a check has been out for so long that new attempts are to go by another connection.
+// IsSuspected reports whether a check has been unanswered so long that new attempts must use another connection.
 func (m *Monitor) IsSuspected() bool { return m.suspected }
 
-// PartialAge is how long a response has been coming in part; 0: there is none.
+// PartialAge returns how long the partial response has been arriving, or 0 if there is none.
 func (m *Monitor) PartialAge(now time.Duration) time.Duration {
 	if m.partialSince == 0 {
 		return 0
@@ -151,17 +152,17 @@
 	return now - m.partialSince
 }
 
-// IsPartialSlow says whether a response has been on its way for so long that nothing new is to wait behind it.
-func (m *Monitor) IsPartialSlow(now time.Duration) bool { return m.PartialAge(now) > maxPartial }
+// IsPartialSlow reports whether a response has been arriving for so long that no new attempt may wait behind it.
+func (m *Monitor) IsPartialSlow(now time.Duration) bool { return m.PartialAge(now) > maxPartialAge }
 
-// Step decides what is to be done with the connection.
+// Step decides what the owner must do with the connection.
 func (m *Monitor) Step(now time.Duration, facts Facts) Verdict {
 	switch {
 	case m.unflushed.isStuck(now, facts.Flushed):
 		return NotReading
-	case m.IsPartialSlow(now) && !facts.PartialAwaited && facts.PastDue.isOneAwaited:
+	case m.IsPartialSlow(now) && !facts.PartialAwaited && facts.PastDue.anyAwaited:
 		return StalledPartial
-	case !facts.ChecksAllowed && m.quiet(now) > retireAfter:
+	case !facts.ChecksAllowed && m.quietTime(now) > retireAfter:
 		return Retire
 	case !facts.ChecksAllowed:
 		return Healthy
@@ -173,13 +174,13 @@
 	return Healthy
 }
 
-// quiet is for how long something has been outstanding and nothing was read.
-func (m *Monitor) quiet(now time.Duration) time.Duration {
+// quietTime returns how long something has been outstanding without anything being read.
+func (m *Monitor) quietTime(now time.Duration) time.Duration {
 	return now - max(m.lastReadAt, m.outstandingSince)
 }
 
-// checkTimedOut counts a step of each check that is out, and says whether one was not answered in time. Where bytes
-// are still read, the answer may be behind them.
+// checkTimedOut counts a step for each outstanding check, and reports whether one was not answered in time. While bytes
+// are read, the answer may still be behind them, so the time counts from the last read.
 func (m *Monitor) checkTimedOut(now time.Duration) bool {
 	timedOut := false
 	for i := range m.checks {
@@ -192,9 +193,9 @@
 	return timedOut
 }
 
-// needsCheck reports whether the endpoint is to be asked, none being asked yet.
+// needsCheck reports whether a check is to be sent, given that none is outstanding.
 func (m *Monitor) needsCheck(now time.Duration, pastDue PastDueAttempts) bool {
-	pastDueSinceAnswer := pastDue.exist && pastDue.latestDueAt > m.checkAnsweredAt
-	quiet := m.quiet(now)
-	return pastDueSinceAnswer && quiet > minQuiet || pastDue.exist && quiet > recheckAfter
+	pastDueSinceAnswer := pastDue.hasAny && pastDue.latestDueAt > m.checkAnsweredAt
+	quiet := m.quietTime(now)
+	return pastDueSinceAnswer && quiet > minQuietTime || pastDue.hasAny && quiet > recheckAfter
 }
--- a/internal/upstream/liveness/monitor_test.go
+++ b/internal/upstream/liveness/monitor_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestNeedsCheck: which quiet connection is asked whether it lives. Each check costs the endpoint, and every proxy of
-// a fleet sends its own.
+// TestNeedsCheck checks which quiet connections a check is sent on. Checks must be rare: each costs the endpoint work,
+// and every proxy of a fleet sends its own.
 func TestNeedsCheck(t *testing.T) {
 	const ms = time.Millisecond
 	const now = time.Minute
@@ -20,12 +20,12 @@
 		pastDue []time.Duration // when the attempts were due
 		want    Verdict
 	}{
-		{"nothing past due, however long the quiet", 10 * time.Second, nil, Healthy},
-		{"past due since the last answer, after 100 ms of quiet", 150 * ms, []time.Duration{now - ms}, SendCheck},
-		{"past due since then, but something came within 100 ms", 50 * ms, []time.Duration{now - ms}, Healthy},
-		{"past due from before the answer: slow, not cut off", 500 * ms, []time.Duration{answeredAt - ms}, Healthy},
-		{"past due from before, and a second of quiet since", 1100 * ms, []time.Duration{answeredAt - ms}, SendCheck},
-		{"past due from before and since", 150 * ms, []time.Duration{answeredAt - ms, now - ms}, SendCheck},
+		{"nothing past due, 10 s without a read", 10 * time.Second, nil, Healthy},
+		{"past due since the last answer, 150 ms without a read", 150 * ms, []time.Duration{now - ms}, SendCheck},
+		{"past due since the last answer, 50 ms without a read", 50 * ms, []time.Duration{now - ms}, Healthy},
+		{"past due before the last answer: slow, not cut off", 500 * ms, []time.Duration{answeredAt - ms}, Healthy},
+		{"past due before the last answer, 1.1 s without a read", 1100 * ms, []time.Duration{answeredAt - ms}, SendCheck},
+		{"past due both before and since the last answer", 150 * ms, []time.Duration{answeredAt - ms, now - ms}, SendCheck},
 	} {
 		m := &Monitor{lastReadAt: now - c.quiet, checkAnsweredAt: answeredAt}
 		facts := Facts{ChecksAllowed: true}
@@ -33,24 +33,24 @@
 			facts.PastDue.Add(dueAt, true)
 		}
 		if got := m.Step(now, facts); got != c.want {
-			t.Errorf("%s: verdict %d, want %d", c.name, got, c.want)
+			t.Errorf("%s: got verdict %d, want %d", c.name, got, c.want)
 		}
 	}
 }
 
-// model is the plainest model of a connection: all that ever happened on it.
+// model is a simple reference model of a connection, which keeps all events on it.
 type model struct {
-	now           time.Duration
-	checksAllowed bool
-	attempts      []*modelAttempt
-	checks        map[string]*modelCheck
-	reads         []time.Duration
-	idleUntil     time.Duration // the last time that something was sent with nothing outstanding
-	answeredAt    time.Duration
-	partialFrom   []time.Duration // empty: no response has come in part; the reads that brought the parts of one
-	partialOwner  *modelAttempt   // nil: nobody waits for it
-	queuedAt      []time.Duration // of each byte
-	flushed       int
+	now             time.Duration
+	checksAllowed   bool
+	attempts        []*modelAttempt
+	checks          map[string]*modelCheck
+	reads           []time.Duration
+	idleUntil       time.Duration // when something was last sent with nothing else outstanding
+	checkAnsweredAt time.Duration
+	partialReads    []time.Duration // times of the reads of the partial response; empty: there is none
+	partialOwner    *modelAttempt   // whose response is partial; nil: nothing waits for it
+	queuedAt        []time.Duration // time of each byte
+	flushed         int             // number of bytes
 }
 
 type modelAttempt struct {
@@ -74,28 +74,30 @@
 	return false
 }
 
-// expect gives the verdicts that the package's doc comment allows: two where the oldest byte's time is not exact.
+// expect returns the verdicts that the doc comment of the package allows. There are two if the inexact time of the oldest
+// byte may lead to either.
 func (m *model) expect() []Verdict {
-	rest := m.expectBesideUnread()
+	otherwise := m.expectWithoutStuckBytes()
 	if m.flushed == len(m.queuedAt) {
-		return []Verdict{rest}
+		return []Verdict{otherwise}
 	}
-	switch waits := m.now - m.queuedAt[m.flushed]; {
-	case waits > maxUnflushed:
+	switch waited := m.now - m.queuedAt[m.flushed]; {
+	case waited > maxUnflushed:
 		return []Verdict{NotReading}
-	case waits+unflushedStep > maxUnflushed:
-		return []Verdict{NotReading, rest}
+	case waited+unflushedResolution > maxUnflushed:
+		return []Verdict{NotReading, otherwise}
 	}
-	return []Verdict{rest}
+	return []Verdict{otherwise}
 }
 
-func (m *model) expectBesideUnread() Verdict {
+// expectWithoutStuckBytes returns the verdict for a connection whose bytes have not waited too long.
+func (m *model) expectWithoutStuckBytes() Verdict {
 	awaited := func(a *modelAttempt) bool { return a.open }
 	anyAttempt := func(*modelAttempt) bool { return true }
-	pastDueSinceAnswer := func(a *modelAttempt) bool { return a.dueAt > m.answeredAt }
+	pastDueSinceAnswer := func(a *modelAttempt) bool { return a.dueAt > m.checkAnsweredAt }
 	partialAwaited := m.partialOwner != nil && m.partialOwner.open
 	quiet := min(m.now-m.lastRead(), m.now-m.idleUntil)
-	if len(m.partialFrom) > 0 && m.now-m.partialFrom[0] > maxPartial && !partialAwaited && m.pastDue(awaited) {
+	if len(m.partialReads) > 0 && m.now-m.partialReads[0] > maxPartialAge && !partialAwaited && m.pastDue(awaited) {
 		return StalledPartial
 	}
 	if !m.checksAllowed {
@@ -112,79 +114,79 @@
 	if len(m.checks) > 0 {
 		return Healthy
 	}
-	if m.pastDue(pastDueSinceAnswer) && quiet > minQuiet || m.pastDue(anyAttempt) && quiet > recheckAfter {
+	if m.pastDue(pastDueSinceAnswer) && quiet > minQuietTime || m.pastDue(anyAttempt) && quiet > recheckAfter {
 		return SendCheck
 	}
 	return Healthy
 }
 
-// TestMonitorFollowsModel plays what may happen on a connection, and compares each verdict with that of a model that
-// remembers all of it.
-func TestMonitorFollowsModel(t *testing.T) {
+// TestMonitorMatchesModel applies random events to a connection, and compares each verdict with that of a model that
+// keeps all events.
+func TestMonitorMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Duration(rapid.IntRange(1, 5000).Draw(t, "start")) * time.Millisecond
-		player := &player{t: t, model: model{
+		test := &modelTest{t: t, model: model{
 			now:           start,
 			checksAllowed: rapid.Bool().Draw(t, "checks allowed"),
 			checks:        map[string]*modelCheck{},
 			reads:         []time.Duration{start},
 		}}
-		player.monitor.BytesRead(start)
+		test.monitor.BytesRead(start)
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
-			player.act()
-			player.advance()
-			if verdict := player.step(); verdict >= Unresponsive {
+			test.randomAction()
+			test.advance()
+			if verdict := test.step(); verdict >= Unresponsive {
 				return // the connection has ended
 			}
 		}
 	})
 }
 
-// player does the same to a monitor and to its model.
-type player struct {
-	t       *rapid.T
-	monitor Monitor
-	model   model
-	sent    int // checks
+// modelTest applies the same events to a monitor and to its model.
+type modelTest struct {
+	t          *rapid.T
+	monitor    Monitor
+	model      model
+	checksSent int
 }
 
-func (p *player) draw(what string, low, high int) int {
+func (p *modelTest) draw(what string, low, high int) int {
 	return rapid.IntRange(low, high).Draw(p.t, what)
 }
 
-// advance lets time pass: most often a step's interval, sometimes a standstill.
-func (p *player) advance() {
+// advance advances the time: most often by a step's interval, sometimes by a standstill.
+func (p *modelTest) advance() {
 	lengths := []int{1, 20, 20, 20, 20, 25, 60, 400, 1100}
 	p.model.now += time.Duration(rapid.SampledFrom(lengths).Draw(p.t, "ms")) * time.Millisecond
 }
 
-func (p *player) act() {
+func (p *modelTest) randomAction() {
 	m := &p.model
-	switch p.draw("act", 0, 9) {
+	switch p.draw("action", 0, 9) {
 	case 0:
 		p.beforeSending()
 		due := m.now + time.Duration(p.draw("due", 1, 300))*time.Millisecond
 		m.attempts = append(m.attempts, &modelAttempt{dueAt: due, open: true})
 		p.queue()
-	case 1: // a check behind a QUIT
+	case 1: // a check that follows a cancellation
 		p.sendCheck()
 	case 2:
 		p.read()
-		m.partialFrom = nil
+		m.partialReads = nil
 		p.monitor.ResponseCompleted()
 		if len(m.attempts) > 0 {
 			m.attempts = m.attempts[1:]
 		}
 	case 3:
 		p.read()
-		if m.partialFrom = append(m.partialFrom, m.now); len(m.partialFrom) == 1 && len(m.attempts) > 0 {
+		if m.partialReads = append(m.partialReads, m.now); len(m.partialReads) == 1 && len(m.attempts) > 0 {
 			m.partialOwner = m.attempts[p.draw("owner", 0, len(m.attempts)-1)]
 		}
 		p.monitor.ResponseIncomplete()
 	case 4:
 		p.answerCheck()
 	case 5:
-		if len(m.attempts) > 0 { // its client leaves
+		if len(m.attempts) > 0 { // the client leaves
 			m.attempts[p.draw("attempt", 0, len(m.attempts)-1)].open = false
 		}
 	case 6:
@@ -194,48 +196,48 @@
 	}
 }
 
-func (p *player) read() {
+func (p *modelTest) read() {
 	p.model.reads = append(p.model.reads, p.model.now)
 	p.monitor.BytesRead(p.model.now)
 }
 
-func (p *player) queue() {
+func (p *modelTest) queue() {
 	p.model.queuedAt = append(p.model.queuedAt, p.model.now)
 	p.monitor.BytesQueued(p.model.now, uint64(len(p.model.queuedAt)))
 }
 
-// beforeSending reports that something becomes outstanding.
-func (p *player) beforeSending() {
+// beforeSending reports that something is about to become outstanding, if nothing else is.
+func (p *modelTest) beforeSending() {
 	if len(p.model.attempts)+len(p.model.checks) == 0 {
 		p.model.idleUntil = p.model.now
 		p.monitor.OutstandingBegan(p.model.now)
 	}
 }
 
-func (p *player) sendCheck() {
+func (p *modelTest) sendCheck() {
 	p.beforeSending()
-	p.sent++
-	id := fmt.Sprint("p", p.sent)
+	p.checksSent++
+	id := fmt.Sprint("p", p.checksSent)
 	p.model.checks[id] = &modelCheck{sentAt: p.model.now}
 	p.monitor.CheckSent(p.model.now, id)
 	p.queue()
 }
 
-func (p *player) answerCheck() {
+func (p *modelTest) answerCheck() {
 	m := &p.model
 	p.read()
-	id := fmt.Sprint("p", p.draw("check", 0, p.sent))
-	if _, out := m.checks[id]; out != p.monitor.IsCheck(id) {
-		p.t.Fatalf("IsCheck(%s) is %v, want %v", id, !out, out)
-	} else if out {
+	id := fmt.Sprint("p", p.draw("check", 0, p.checksSent))
+	if _, outstanding := m.checks[id]; outstanding != p.monitor.IsCheck(id) {
+		p.t.Fatalf("IsCheck(%s): got %v, want %v", id, !outstanding, outstanding)
+	} else if outstanding {
 		delete(m.checks, id)
-		m.answeredAt = m.now
+		m.checkAnsweredAt = m.now
 		p.monitor.CheckAnswered(m.now, id)
 	}
 }
 
-// step steps the monitor, compares its verdict and its answers with the model's, and carries the verdict out.
-func (p *player) step() Verdict {
+// step calls Step, compares the verdict and the monitor's state with the model's, and carries out the verdict.
+func (p *modelTest) step() Verdict {
 	m := &p.model
 	facts := Facts{ChecksAllowed: m.checksAllowed, Flushed: uint64(m.flushed)}
 	facts.PartialAwaited = m.partialOwner != nil && m.partialOwner.open
@@ -247,7 +249,7 @@
 	allowed := m.expect()
 	verdict := p.monitor.Step(m.now, facts)
 	if verdict != allowed[0] && verdict != allowed[len(allowed)-1] {
-		p.t.Fatalf("at %v the verdict is %d, want one of %v", m.now, verdict, allowed)
+		p.t.Fatalf("at %v: got verdict %d, want one of %v", m.now, verdict, allowed)
 	}
 	if verdict == NotReading || verdict == StalledPartial {
 		return verdict
@@ -258,13 +260,13 @@
 		suspected = suspected || m.now-max(c.sentAt, m.lastRead()) > suspectAfter
 	}
 	if suspected && m.checksAllowed && !p.monitor.IsSuspected() {
-		p.t.Fatalf("at %v a check is out for long and the connection is not suspected", m.now)
+		p.t.Fatalf("at %v: got not suspected, want suspected for a check unanswered too long", m.now)
 	}
 	if p.monitor.IsSuspected() && m.now == m.lastRead() {
-		p.t.Fatalf("at %v bytes were just read and the connection is suspected", m.now)
+		p.t.Fatalf("at %v: got suspected, want not suspected right after a read", m.now)
 	}
 	if p.monitor.OutstandingChecks() != len(m.checks) {
-		p.t.Fatalf("%d checks are out, want %d", p.monitor.OutstandingChecks(), len(m.checks))
+		p.t.Fatalf("got %d outstanding checks, want %d", p.monitor.OutstandingChecks(), len(m.checks))
 	}
 	if verdict == SendCheck {
 		p.sendCheck()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,9 +1,9 @@
-// Package upstream sends attempts to caches, parents and the origin, and takes their responses: lines of words, many
-// requests on a connection, responses in any order.
+// Package upstream sends attempts to caches, parents and the origin, and receives their responses. The protocol is
+// line-based; many requests share a connection, and responses may arrive in any order.
 //
-// A Pool has the connections to each endpoint, by the endpoint's id and not by its address. What is to be done with a
-// connection is decided apart from its I/O: which one an attempt goes by in selection, whether it lives in package
-// liveness, what a failed dial means in classifyDial, and which ids may be used on it in idHistory.
+// A Pool keeps the connections to each endpoint by the endpoint's id, not by its address. Decisions about connections
+// are separate from their I/O: selection chooses the connection for an attempt, package liveness decides whether a
+// connection is alive, classifyDial interprets a failed dial, and idHistory tells which request ids are free.
 package upstream
 
 import (
@@ -17,44 +17,45 @@
 	"sloequay/internal/policy"
 )
 
-// Pool is all connections to endpoints. Its owner sets the exported fields, all but Stats, before the first call. All
-// methods run on the loop, and none blocks.
+// Pool holds the connections to all endpoints. Its owner must set the exported fields, except Stats, before the first
+// call. All methods must be called on the loop, and none blocks.
 type Pool struct {
 	Loop *eventloop.Loop
 	Now  func() time.Duration // the monotonic clock
 	Log  func(event string, fields ...any)
-	// Emit takes each AttemptEnded. It is called in the midst of the pool's work and must not call the pool.
+	// Emit receives each AttemptEnded. The pool calls it while its state is changing, so Emit must not call the pool.
 	Emit func(broker.Event)
-	// MaySend is asked just before an attempt is written, and says how old a copy may be.
+	// MaySend reports, just before an attempt is written, whether it may still be sent, and the maximum age of a cached
+	// copy that may serve it (0: the limit of its class).
 	MaySend func(*broker.Attempt, time.Duration) (maxAge time.Duration, ok bool)
-	// Resolve looks up a name and calls done on the loop, later.
+	// Resolve looks up the address of a host name. It calls done on the loop, after it has returned.
 	Resolve func(name string, done func(netip.Addr, error))
-	// DeferWrites is asked right before attempts are put on a connection, and says whether they wait for another round.
+	// DeferWrites reports, right before attempts are written to a connection, whether they must wait for another round.
 	DeferWrites    func() bool
-	AddressBlocked func(address string) bool // whether an address that a name server gave may not be used
-	// SecureDialer gives the function that dials an endpoint where that is not by plain TCP. The function runs beside
-	// the loop and ends in its own time. A nil SecureDialer, or a nil function, stands for plain TCP.
+	AddressBlocked func(address string) bool // whether an address from the name server must not be used
+	// SecureDialer returns the function that dials an endpoint if it is not dialed by plain TCP. That function runs on
+	// another goroutine and must apply its own timeout. A nil SecureDialer, or a nil function, means plain TCP.
 	SecureDialer func(*broker.Endpoint) func(address string) (net.Conn, error)
 
 	Classes        []policy.Class
 	DialTimeout    time.Duration
 	IdleTimeout    time.Duration // after which endpoints close an idle connection; 0: never
-	Streams        int           // attempts and checks at once on a connection
-	MaxConnections int           // descriptors
-	ChecksAllowed  bool          // whether endpoints may be asked if a connection lives
-	CancelAllowed  bool          // whether they may be told that an attempt is given up
-	FlowKBps       float64       // kilobytes a second of one response; 0: not known
-
-	Stats Stats // since TakeStats
-
-	endpoints         map[policy.EndpointID]*endpointConnections
-	flushQueue        []*connection // those that are up and have attempts to be written
-	connections       int           // up or being dialed
-	checksSent        int           // numbers their ids
-	livenessSteppedAt time.Duration // when CheckLiveness last looked
+	Streams        int           // attempts and checks on a connection at which it takes no further attempts
+	MaxConnections int           // in descriptors: a connection takes one, a dial two
+	ChecksAllowed  bool          // whether endpoints answer liveness checks
+	CancelAllowed  bool          // whether endpoints accept cancellations
+	FlowKBps       float64       // transfer rate of one response, in kilobytes per second; 0: unknown
+
+	Stats Stats // since the last TakeStats
+
+	endpoints          map[policy.EndpointID]*endpointConnections
+	flushQueue         []*connection // connections with waiting attempts to write, or to end if closed
+	connections        int           // up or being dialed
+	checksSent         int           // for the numbers in their ids
+	lastLivenessStepAt time.Duration // by CheckLiveness
 }
 
-// Send has an attempt written after the next Flush, or once a connection is up. Its end is an AttemptEnded.
+// Send queues an attempt to be written after the next Flush, or once a connection is up. Emit reports how it ends.
 func (p *Pool) Send(attempt *broker.Attempt) {
 	connection := p.connectionFor(attempt)
 	if connection == nil {
@@ -68,7 +69,8 @@
 	}
 }
 
-// connectionFor chooses the connection for an attempt, and dials one if need be; nil: there is no room for it.
+// connectionFor returns the connection for an attempt, and dials another one if needed. It returns nil if no usable
+// connection exists and the connection limit allows no further one.
 func (p *Pool) connectionFor(attempt *broker.Attempt) *connection {
 	group := p.connectionsOf(attempt.Endpoint)
 	best, wantsAnother := group.choose(attempt.Request.ID)
@@ -82,7 +84,7 @@
 	return best
 }
 
-// connectionsOf gives an endpoint's connections.
+// connectionsOf returns the connections to an endpoint.
 func (p *Pool) connectionsOf(endpoint *broker.Endpoint) *endpointConnections {
 	if p.endpoints == nil {
 		p.endpoints = map[policy.EndpointID]*endpointConnections{}
@@ -96,8 +98,8 @@
 	return group
 }
 
-// makeRoom says whether one more connection may be opened. The one that has been idle longest makes way for it. A dial
-// counts twice, as it holds two descriptors until its connection is up.
+// makeRoom reports whether one more connection may be opened. At the limit it retires the connection that has been
+// idle longest. A dial counts twice because it may hold two descriptors until its connection is up.
 func (p *Pool) makeRoom() bool {
 	if p.connections+p.Loop.PendingDials() < p.MaxConnections {
 		return true
@@ -117,16 +119,16 @@
 	return idle != nil
 }
 
-// Flush has the attempts written that wait for connections which are up. It is called once what the round brought is
-// known. They are composed right before the loop writes to the sockets, see connection.Compose: an attempt whose client
-// leaves, or whose endpoint drains, until then is not sent.
+// Flush requests the writes of attempts that wait on established connections. It must be called once the round's events
+// have been handled. The attempts are encoded only right before the loop writes to the sockets, in connection.Compose:
+// an attempt whose client leaves or whose endpoint drains before then is not sent.
 func (p *Pool) Flush() {
 	queue := p.flushQueue
 	p.flushQueue = nil
 	for _, connection := range queue {
 		connection.isFlushQueued = false
 		if connection.state == stateClosed {
-			connection.flush() // which ends what waits for it
+			connection.flush() // ends the waiting attempts
 			continue
 		}
 		connection.isFlushing = true
@@ -134,11 +136,12 @@
 	}
 }
 
-// Cancel gives up an attempt that may be in flight. With AwaitEnd its AttemptEnded comes when the endpoint is known to
-// have read that: it may read it later than another one reads the next attempt, or never.
+// Cancel cancels an attempt that may be in flight. With AwaitEnd an AttemptEnded follows. If endpoints answer checks,
+// it follows once the endpoint is known to have read the cancellation: that may be after another endpoint has read the
+// next attempt, or never.
 //
-// Where attempts can't be canceled, it stays on its connection until the time is up that the endpoint was told. What
-// comes for it ends nothing any more.
+// If endpoints accept no cancellations, the attempt stays on its connection until its deadline, which the endpoint was
+// told. A later response to it has no effect because the attempt has ended.
 func (p *Pool) Cancel(effect broker.CancelAttempt) {
 	if group := p.endpoints[effect.Attempt.Endpoint.ID]; group != nil {
 		connection := group.find(effect.Attempt)
@@ -151,9 +154,8 @@
 	}
 }
 
-// EndpointChanged follows the list. A process that has started anew, or an endpoint that is at another address, can't
-// answer what was sent before; nor can one that is gone. A new endpoint may be at its address: that one has its own
-// connections.
+// EndpointChanged applies a change of the endpoint list. An endpoint that restarted, moved to another address or is
+// gone can't respond to what was sent before. Another endpoint that takes over its address has its own connections.
 func (p *Pool) EndpointChanged(effect broker.EndpointChanged) {
 	endpoint := effect.Endpoint
 	group := p.endpoints[endpoint.ID]
@@ -161,20 +163,21 @@
 		return
 	}
 	for _, connection := range slices.Clone(group.connections) {
-		isVoid := effect.Restarted && connection.predates(endpoint)
+		isStale := effect.Restarted && connection.predates(endpoint)
 		switch {
-		case connection.state == stateUp && (isVoid || endpoint.State == policy.Gone):
+		case connection.state == stateUp && (isStale || endpoint.State == policy.Gone):
 			connection.endWaiting(broker.Blocked)
 			connection.endOutstanding(broker.ConnectionReset)
 			connection.retire()
-		case isVoid || endpoint.State != policy.Ready:
-			connection.endWaiting(broker.Blocked) // what waits for a dial goes elsewhere now
+		case isStale || endpoint.State != policy.Ready:
+			connection.endWaiting(broker.Blocked) // attempts that wait for a dial are placed elsewhere
 			connection.retire()
 		}
 	}
 }
 
-// Housekeep closes what is idle and forgets ids that were given up long ago. It is called some times a second.
+// Housekeep closes idle connections, and drops expired ids and endpoints that are gone. It must be called several
+// times a second.
 func (p *Pool) Housekeep(now time.Duration) {
 	for id, group := range p.endpoints {
 		for _, connection := range slices.Clone(group.connections) {
@@ -186,15 +189,15 @@
 	}
 }
 
-// Sizes is how much a pool has. All of it comes back to what it was once nothing is asked any more.
+// Sizes holds the numbers of entries that a pool keeps. They return to their idle values once requests stop.
 type Sizes struct {
-	Endpoints     int // that were sent to, and are not gone
+	Endpoints     int // that attempts were sent to, and that are not gone
 	Connections   int // up or being dialed
-	Open          int // attempts and checks that wait or are outstanding
-	RememberedIDs int // ids that are remembered, see idHistory
+	Open          int // attempts that wait, and attempts and checks that are outstanding
+	RememberedIDs int // see idHistory
 }
 
-// Sizes tells what the pool has, by a walk over all connections: for operators, and for tests that nothing grows.
+// Sizes counts the pool's entries by walking over all connections: for operators, and for tests that nothing leaks.
 func (p *Pool) Sizes() Sizes {
 	sizes := Sizes{Endpoints: len(p.endpoints), Connections: p.connections}
 	for _, group := range p.endpoints {
--- a/internal/upstream/protocol.go
+++ b/internal/upstream/protocol.go
@@ -5,16 +5,16 @@
 	"sloequay/internal/policy"
 )
 
-// The words of the protocol between proxies and endpoints stand in this file alone.
+// This file alone defines the words of the protocol between proxies and endpoints.
 
-// The commands.
+// Commands of the proxy.
 const (
 	commandRequest = "ASK"
 	commandCancel  = "QUIT"
 	commandCheck   = "NOOP" // a liveness check
 )
 
-// The fields of a request.
+// Fields of a request.
 const (
 	fieldClass          = "profile"
 	fieldObject         = "thing"
@@ -28,7 +28,7 @@
 	fieldETag           = "known"
 )
 
-// The options of a request, joined by optionSeparator.
+// Options of a request, joined by optionSeparator.
 const (
 	optionJoinFill     = "ride"
 	optionCachedOnly   = "have-only"
@@ -37,15 +37,15 @@
 	optionSeparator    = '+'
 )
 
-// The fields of a response.
+// Fields of a response.
 const (
 	fieldNote = "remark"
 )
 
-// noFields stands where a response has no fields.
+// noFields takes the place of the fields in a response that has none.
 const noFields = "-"
 
-// responseCode is what a response says.
+// responseCode is the result that a response reports.
 type responseCode int
 
 const (
@@ -56,17 +56,17 @@
 	codeFailed
 	codeAlreadyEnded
 	codeReady   // answers a check
-	codeFailing // answers a check too: the connection lives
+	codeFailing // also answers a check: the connection is alive
 	codeCount
 )
 
-// responseWords are the codes on the wire.
+// responseWords holds the words of the codes on the wire.
 var responseWords = [codeCount]string{
 	codeServed: "ACK", codeNotModified: "NOMOD", codeCacheMiss: "NOENT", codeRejected: "AGAIN",
 	codeFailed: "EIO", codeAlreadyEnded: "STALE", codeReady: "READY", codeFailing: "AILING",
 }
 
-// responseCodes are the codes by their words.
+// responseCodes maps the words on the wire to their codes.
 var responseCodes = func() map[string]responseCode {
 	codes := map[string]responseCode{}
 	for code, word := range responseWords {
@@ -75,19 +75,19 @@
 	return codes
 }()
 
-// attemptEnds is what the codes mean for an attempt.
+// attemptEnds holds the ends of attempts by the codes that answer attempts.
 var attemptEnds = [...]broker.End{
 	codeServed: broker.Served, codeNotModified: broker.NotModified, codeCacheMiss: broker.CacheMiss,
 	codeRejected: broker.Rejected, codeFailed: broker.Failed, codeAlreadyEnded: broker.AlreadyEnded,
 }
 
-// endsAttempt reports whether the code answers an attempt, and not a check.
+// endsAttempt reports whether the code answers an attempt rather than a check.
 func (c responseCode) endsAttempt() bool { return int(c) < len(attemptEnds) }
 
-// String gives the code's word on the wire.
+// String returns the code's word on the wire.
 func (c responseCode) String() string { return responseWords[c] }
 
-// notes are the values of fieldNote.
+// notes maps the values of fieldNote.
 var notes = map[string]policy.Note{
 	"hit": policy.NoteHit, "filled": policy.NoteFilled, "via_origin": policy.NoteFilledOrigin,
 	"joined": policy.NoteJoined, "stale": policy.NoteStale, "src_refused": policy.NoteSourceRejected,
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -8,7 +8,7 @@
 	"sloequay/internal/eventloop"
 )
 
-// Received takes the responses that have come completely.
+// Received handles the responses that have arrived completely.
 func (c *connection) Received(conn *eventloop.Conn) {
 	now := c.pool.Now()
 	c.liveness.BytesRead(now)
@@ -29,7 +29,7 @@
 	c.closeIfDone()
 }
 
-// handleResponses takes the responses off the front of data.
+// handleResponses handles the complete responses at the front of data, and returns their length.
 func (c *connection) handleResponses(now time.Duration, data []byte) (used int, err error) {
 	for {
 		response, length, err := parseResponse(data[used:])
@@ -43,7 +43,7 @@
 	}
 }
 
-// handleResponse takes one response: of a check, of an attempt, or of nothing that is outstanding.
+// handleResponse handles one response: to a check, to an attempt, or to nothing that is outstanding.
 func (c *connection) handleResponse(now time.Duration, response *response) error {
 	isCheck := c.liveness.IsCheck(response.id)
 	outstanding := c.attempts[response.id]
@@ -52,7 +52,7 @@
 			name := c.group.endpoint.Name
 			c.pool.Log("upstream-unsolicited-response", "endpoint", name, "id", fmt.Sprintf("%.32s", response.id))
 		}
-		return nil // a late response, or one too many; another may follow, so the id stays known
+		return nil // late or duplicate response; another may follow, so the id stays in the history
 	}
 	c.pool.Stats.countResponse(response.code, notes[response.field(fieldNote)])
 	if isCheck == response.code.endsAttempt() {
@@ -67,15 +67,15 @@
 	return c.handleAttemptResponse(now, outstanding, response)
 }
 
-// mismatchError is a response with a code that does not fit what was asked under its id.
+// mismatchError reports a response whose code does not fit what was sent under its id.
 type mismatchError struct{ code responseCode }
 
-// Error names the code by its word on the wire.
+// Error describes the mismatch, with the code as its word on the wire.
 func (e *mismatchError) Error() string {
-	return fmt.Sprintf("%s does not answer what was asked", e.code)
+	return fmt.Sprintf("response code %s does not fit what was sent under its id", e.code)
 }
 
-// handleAttemptResponse ends an attempt.
+// handleAttemptResponse ends an attempt, or first confirms that the response is not a duplicate.
 func (c *connection) handleAttemptResponse(
 	now time.Duration, outstanding *outstandingAttempt, response *response,
 ) error {
@@ -90,47 +90,47 @@
 			c.confirmRepeated(now, response.id, outstanding, ended)
 			return nil
 		}
-		c.history.answered(now, response.id, response.digest)
+		c.history.addAnswered(now, response.id, response.digest)
 	}
-	ended.Body = c.pool.Loop.CopyForRound(ended.Body) // until the round has passed it on
+	ended.Body = c.pool.Loop.CopyForRound(ended.Body) // valid until the end of the round
 	c.pool.Emit(ended)
 	delete(c.attempts, response.id)
 	c.lastUsedAt = now
 	return nil
 }
 
-// confirmRepeated meets a response with the digest of the one before under the same id. It may be that one's second
-// copy, with the attempt still in flight: so the attempt is canceled, and ends as answered once the endpoint has read
-// that.
+// confirmRepeated handles a response with the same digest as the previous one under its id. It may be a duplicate of
+// that one while the attempt is still in flight. So the attempt is canceled, and ends as this response says once the
+// endpoint has read the cancellation.
 func (c *connection) confirmRepeated(
 	now time.Duration, id string, outstanding *outstandingAttempt, ended broker.AttemptEnded,
 ) {
 	ended.Body = nil
 	ended.MayHaveRun = true
-	outstanding.endIfCanceled = &ended
+	outstanding.pendingEnd = &ended
 	c.send(now, appendCommand(nil, commandCancel, id))
 	c.pool.Stats.CancelConfirms++
 	outstanding.cancelCheckID = c.sendCheck(now)
 }
 
-// confirmCanceled ends the attempts that were canceled before a check that was answered: the endpoint has read that,
-// so that they are in flight no more and the next ones may be sent.
+// confirmCanceled ends the attempts whose cancellation the answered check confirms. The endpoint has read the
+// cancellations, so these attempts are no longer in flight and the next ones may be sent.
 func (c *connection) confirmCanceled(now time.Duration, checkID string) {
 	for id, outstanding := range c.attempts {
 		if outstanding.cancelCheckID != checkID {
 			continue
 		}
 		ended := broker.AttemptEnded{Attempt: outstanding.attempt, End: broker.Canceled}
-		if outstanding.endIfCanceled != nil {
-			ended = *outstanding.endIfCanceled
+		if outstanding.pendingEnd != nil {
+			ended = *outstanding.pendingEnd
 		}
 		c.pool.Emit(ended)
-		c.history.canceled(now, id)
+		c.history.addCanceled(now, id)
 		delete(c.attempts, id)
 	}
 }
 
-// protocolError ends a connection whose responses can't be read.
+// protocolError ends the outstanding attempts of a connection with an invalid or stalled response, and retires it.
 func (c *connection) protocolError(err error) {
 	c.pool.Log("upstream-protocol-error", "endpoint", c.group.endpoint.Name, "error", err)
 	c.endOutstanding(broker.ProtocolError)
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -10,7 +10,7 @@
 const lineEnd = "\r\n"
 
 // appendRequest appends the line and the body of an attempt. class is the name of the request's class, maxAge the
-// oldest copy that will do (0: the class's own limit), timeLeft how long the proxy will wait.
+// maximum age of a copy that may be served (0: the limit of the class), timeLeft how long the proxy will wait.
 func appendRequest(b []byte, attempt *broker.Attempt, class string, maxAge, timeLeft time.Duration) []byte {
 	request := attempt.Request
 	b = append(b, commandRequest+" "...)
@@ -38,7 +38,7 @@
 	return append(b, lineEnd...)
 }
 
-// appendField appends a field, if it has a value.
+// appendField appends a field unless its value is empty.
 func appendField(b []byte, separator byte, name, value string) []byte {
 	if value == "" {
 		return b
@@ -56,7 +56,7 @@
 	return strconv.AppendInt(b, value, 10)
 }
 
-// appendOptions appends the field of the options, if any is set.
+// appendOptions appends the options field if any option is set.
 func appendOptions(b []byte, attempt *broker.Attempt) []byte {
 	options := [...]struct {
 		isSet bool
@@ -83,7 +83,7 @@
 	return b
 }
 
-// appendCommand appends a command that has an id and nothing else.
+// appendCommand appends a command whose only argument is an id.
 func appendCommand(b []byte, command, id string) []byte {
 	b = append(b, command...)
 	b = append(b, ' ')
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -11,8 +11,8 @@
 	"sloequay/internal/broker"
 )
 
-// TestAppendRequest compares with the plainest writer of the line that the protocol asks for: the fields that have a
-// value, in their order, joined.
+// TestAppendRequest compares appendRequest with a simple reference that joins the fields that have a value, in the
+// order of the protocol.
 func TestAppendRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		word := rapid.StringMatching(`[a-z0-9]{0,4}`)
@@ -68,7 +68,7 @@
 		}
 		want := fmt.Sprintf("ASK r1 %s %d\r\n%s\r\n", strings.Join(fields, ","), len(request.Body), request.Body)
 		if got := string(appendRequest(nil, attempt, "web", maxAge, timeLeft)); got != want {
-			t.Fatalf("wrote %q, want %q", got, want)
+			t.Fatalf("got request %q, want %q", got, want)
 		}
 	})
 }
--- a/internal/upstream/resolver/resolver.go
+++ b/internal/upstream/resolver/resolver.go
@@ -1,5 +1,5 @@
-// Package resolver finds the addresses of endpoints that the list gives by name. It asks one name server over UDP, on
-// the event loop, and gives up at a deadline.
+// Package resolver resolves the names of endpoints that are listed by name. It queries one name server over UDP, on the
+// event loop, with a timeout.
 package resolver
 
 import (
@@ -15,36 +15,37 @@
 	"sloequay/internal/eventloop"
 )
 
-// maxLookups bounds the names that are looked up together.
+// maxLookups is the maximum number of names that are looked up at the same time.
 const maxLookups = 64
 
-// Resolver asks one server. All methods run on the loop, and none blocks.
+// Resolver queries one name server. All methods must be called on the loop, and none blocks.
 type Resolver struct {
 	Loop    *eventloop.Loop
 	Server  string        // ip:port; empty: no name can be resolved
-	Timeout time.Duration // for one name, with one retransmit half-way
+	Timeout time.Duration // for one name; the query is retransmitted once, after half of it
 	Now     func() time.Duration
 
-	lookups map[string]*lookup // under way, by name
+	lookups map[string]*lookup // in progress, by name
 }
 
-// lookup is one name that is being asked for, on a socket of its own.
+// lookup is the lookup of one name, on its own socket.
 type lookup struct {
 	resolver *Resolver
 	name     string
 	query    *dns.Msg
-	conn     *eventloop.Conn // nil: it is not up, or failed
-	// startedAt is on the clock of Resolver.Now.
+	conn     *eventloop.Conn // nil: not up yet, or failed
+	// startedAt is when the lookup started, by Resolver.Now.
 	startedAt       time.Duration
 	isRetransmitted bool
-	done            []func(netip.Addr, error) // nil: it has ended
+	callbacks       []func(netip.Addr, error) // nil: the lookup has ended
 }
 
-// Resolve calls done on the loop with an IPv4 address, later. Names that are asked for already join.
+// Resolve looks up the IPv4 address of a name. It calls done on the loop, after it has returned. Calls for a name that
+// is already being looked up share that lookup.
 func (r *Resolver) Resolve(name string, done func(netip.Addr, error)) {
 	name = dns.CanonicalName(name)
 	if l := r.lookups[name]; l != nil {
-		l.done = append(l.done, done)
+		l.callbacks = append(l.callbacks, done)
 		return
 	}
 	if r.Server == "" || len(r.lookups) >= maxLookups {
@@ -63,14 +64,14 @@
 		name:      name,
 		query:     new(dns.Msg).SetQuestion(name, dns.TypeA),
 		startedAt: r.Now(),
-		done:      []func(netip.Addr, error){done},
+		callbacks: []func(netip.Addr, error){done},
 	}
 	l.query.Id = uint16(rand.Uint32())
 	r.lookups[name] = l
 	r.Loop.Dial("udp", r.Server, r.Timeout, l, func(err error) { l.finish(netip.Addr{}, err) })
 }
 
-// Tick retransmits and gives up. It is called some times a second.
+// Tick retransmits queries and ends lookups that timed out. It must be called several times a second.
 func (r *Resolver) Tick(now time.Duration) {
 	for _, l := range r.lookups {
 		switch {
@@ -78,12 +79,12 @@
 			l.finish(netip.Addr{}, fmt.Errorf("%s: no answer within %v", l.name, r.Timeout))
 		case now-l.startedAt >= r.Timeout/2 && !l.isRetransmitted && l.conn != nil:
 			l.isRetransmitted = true
-			l.ask()
+			l.sendQuery()
 		}
 	}
 }
 
-func (l *lookup) ask() {
+func (l *lookup) sendQuery() {
 	if packet, err := l.query.Pack(); err == nil {
 		l.conn.Send(packet)
 	} else {
@@ -91,16 +92,16 @@
 	}
 }
 
-// Opened sends the question.
+// Opened sends the query.
 func (l *lookup) Opened(c *eventloop.Conn) {
-	if l.conn = c; l.done == nil { // given up meanwhile
+	if l.conn = c; l.callbacks == nil { // timed out meanwhile
 		c.Close()
 		return
 	}
-	l.ask()
+	l.sendQuery()
 }
 
-// Received takes an answer; what does not fit the question is passed over.
+// Received handles an answer. It ignores packets that do not answer the query.
 func (l *lookup) Received(c *eventloop.Conn) {
 	packet := c.In
 	defer func() { c.Consume(len(c.In)) }()
@@ -112,7 +113,7 @@
 		l.finish(netip.Addr{}, fmt.Errorf("%s: %s", l.name, dns.RcodeToString[answer.Rcode]))
 		return
 	}
-	for _, record := range answer.Answer { // behind any CNAME records the server gives the addresses too
+	for _, record := range answer.Answer { // after any CNAME records the server includes the addresses too
 		a, ok := record.(*dns.A)
 		if !ok {
 			continue
@@ -122,10 +123,10 @@
 			return
 		}
 	}
-	l.finish(netip.Addr{}, fmt.Errorf("%s: no address in the answer", l.name))
+	l.finish(netip.Addr{}, fmt.Errorf("%s: no IPv4 address in the answer", l.name))
 }
 
-// isAnswer reports whether a message answers the question.
+// isAnswer reports whether a message answers the query.
 func (l *lookup) isAnswer(message *dns.Msg) bool {
 	return message.Response && message.Id == l.query.Id && len(message.Question) == 1 &&
 		strings.EqualFold(message.Question[0].Name, l.name)
@@ -137,18 +138,18 @@
 	l.finish(netip.Addr{}, fmt.Errorf("%s: %v", l.name, err))
 }
 
-// finish ends a lookup for all who have asked for it. Only the first call counts.
+// finish ends a lookup and calls all its callbacks. Only the first call has an effect.
 func (l *lookup) finish(ip netip.Addr, err error) {
-	if l.done == nil {
+	if l.callbacks == nil {
 		return
 	}
-	done := l.done
-	l.done = nil
+	callbacks := l.callbacks
+	l.callbacks = nil
 	delete(l.resolver.lookups, l.name)
 	if l.conn != nil {
 		l.conn.Close()
 	}
-	for _, call := range done {
-		call(ip, err)
+	for _, callback := range callbacks {
+		callback(ip, err)
 	}
 }
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -10,37 +10,37 @@
 )
 
 const (
-	maxLine = 4096      // bytes of a response's line
-	maxBody = 256 << 10 // bytes; a part of an object has 240,000 at most
+	maxLine = 4096      // bytes of a response line
+	maxBody = 256 << 10 // bytes; a part of an object has at most 240,000
 )
 
-// response is one response of an endpoint.
+// response is a parsed response of an endpoint.
 type response struct {
 	id     string
 	code   responseCode
-	digest string // code, fields and length as they came: what tells one response from another
+	digest string // code, fields and length as received: identical in duplicates of a response
 	fields []broker.Field
-	body   []byte // lies in the bytes that were parsed
+	body   []byte // aliases the parsed bytes
 }
 
-// parseResponse takes one response off the front of data: "ID WORD FIELDS LENGTH CR LF", the body, CR LF. With used 0
-// and no error it is incomplete.
+// parseResponse parses the response at the front of data: "ID CODE FIELDS LENGTH CR LF", the body, CR LF. It returns
+// used 0 and no error if the response is incomplete.
 func parseResponse(data []byte) (parsed response, used int, err error) {
 	lineLength := bytes.Index(data[:min(len(data), maxLine)], []byte(lineEnd))
 	if lineLength < 0 {
 		if len(data) >= maxLine {
-			return parsed, 0, fmt.Errorf("a line of over %d bytes", maxLine)
+			return parsed, 0, fmt.Errorf("response line exceeds %d bytes", maxLine)
 		}
 		return parsed, 0, nil
 	}
 	line := string(data[:lineLength])
 	words := strings.Split(line, " ")
 	if len(words) != 4 {
-		return parsed, 0, fmt.Errorf("a line of %d words, expected 4", len(words))
+		return parsed, 0, fmt.Errorf("response line has %d words, want 4", len(words))
 	}
 	bodyLength, err := strconv.ParseUint(words[3], 10, 32)
 	if err != nil || bodyLength > maxBody {
-		return parsed, 0, fmt.Errorf("length %.32q, expected at most %d", words[3], maxBody)
+		return parsed, 0, fmt.Errorf("response has body length %.32q, want a number up to %d", words[3], maxBody)
 	}
 	bodyStart := lineLength + len(lineEnd)
 	bodyEnd := bodyStart + int(bodyLength)
@@ -48,11 +48,11 @@
 		return parsed, 0, nil
 	}
 	if string(data[bodyEnd:bodyEnd+len(lineEnd)]) != lineEnd {
-		return parsed, 0, fmt.Errorf("%d bytes are not followed by CR LF", bodyLength)
+		return parsed, 0, fmt.Errorf("response body of %d bytes is not followed by CR LF", bodyLength)
 	}
 	code, known := responseCodes[words[1]]
 	if !known {
-		return parsed, 0, fmt.Errorf("unknown word %.32q", words[1])
+		return parsed, 0, fmt.Errorf("unknown response code %.32q", words[1])
 	}
 	fields, err := parseFields(words[2])
 	if err != nil {
@@ -75,14 +75,14 @@
 	for _, field := range strings.Split(text, ",") {
 		name, value, ok := strings.Cut(field, "=")
 		if !ok || name == "" {
-			return nil, fmt.Errorf("field %.32q, expected name=value", field)
+			return nil, fmt.Errorf("response field %.32q, want name=value", field)
 		}
 		fields = append(fields, broker.Field{Name: name, Value: value})
 	}
 	return fields, nil
 }
 
-// partialResponseID gives the id of a response that has come in part; empty: not even that is complete.
+// partialResponseID returns the id of a partial response, or an empty string if not even the id is complete.
 func partialResponseID(data []byte) string {
 	id, _, _ := bytes.Cut(data[:min(len(data), maxLine)], []byte(" "))
 	if len(id) == len(data) {
@@ -100,7 +100,7 @@
 	return ""
 }
 
-// attemptEnded is what the response says of an attempt. Its code must be one that ends attempts.
+// attemptEnded converts the response to the end of an attempt. Its code must be one that ends attempts.
 func (r *response) attemptEnded(attempt *broker.Attempt) broker.AttemptEnded {
 	return broker.AttemptEnded{
 		Attempt: attempt,
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -8,7 +8,8 @@
 	"sloequay/internal/policy"
 )
 
-// TestParseResponse: each code and field means what the protocol says, and what can't be read is an error.
+// TestParseResponse checks the meaning of each code and field, and that partial responses are incomplete and invalid
+// ones are errors.
 func TestParseResponse(t *testing.T) {
 	for _, c := range []struct {
 		text   string
@@ -28,25 +29,25 @@
 	} {
 		r, used, err := parseResponse([]byte(c.text + "next"))
 		if err != nil || used != len(c.text) {
-			t.Errorf("%q: used %d, error %v", c.text, used, err)
+			t.Errorf("%q: got used %d, error %v, want the whole text and no error", c.text, used, err)
 			continue
 		}
 		ended := r.attemptEnded(nil)
 		if r.id != "r1" || r.code != c.code || r.digest != c.digest || !r.code.endsAttempt() {
-			t.Errorf("%q: %+v", c.text, r)
+			t.Errorf("%q: got response %+v", c.text, r)
 		}
 		if ended.End != c.end || ended.Note != c.note {
-			t.Errorf("%q: %+v", c.text, ended)
+			t.Errorf("%q: got attempt end %+v", c.text, ended)
 		}
 		for n := range len(c.text) {
 			if _, used, err := parseResponse([]byte(c.text[:n])); used != 0 || err != nil {
-				t.Errorf("%q: used %d, error %v", c.text[:n], used, err)
+				t.Errorf("%q: got used %d, error %v, want 0 and no error", c.text[:n], used, err)
 			}
 		}
 	}
 	for _, text := range []string{"p1 READY - 0\r\n\r\n", "p1 AILING - 0\r\n\r\n"} {
 		if r, used, err := parseResponse([]byte(text)); err != nil || used != len(text) || r.code.endsAttempt() {
-			t.Errorf("%q: used %d, error %v, %+v", text, used, err, r)
+			t.Errorf("%q: got used %d, error %v, response %+v, want that of a check", text, used, err, r)
 		}
 	}
 	for _, text := range []string{
@@ -54,16 +55,16 @@
 		"r1 OK - 0\r\n\r\n", "r1 ACK tag 0\r\n\r\n", "r1 ACK =a 0\r\n\r\n", strings.Repeat("r", maxLine),
 	} {
 		if _, _, err := parseResponse([]byte(text)); err == nil {
-			t.Errorf("%.40q is taken", text)
+			t.Errorf("%.40q: got no error, want one", text)
 		}
 	}
 }
 
-// TestPartialResponseID: the id of a response counts once it is complete.
+// TestPartialResponseID checks that the id of a partial response is returned once the id is complete.
 func TestPartialResponseID(t *testing.T) {
 	for text, want := range map[string]string{"": "", "r1": "", "r1 ": "r1", "r1 ACK - 3\r\na": "r1"} {
 		if got := partialResponseID([]byte(text)); got != want {
-			t.Errorf("%q: id %q, want %q", text, got, want)
+			t.Errorf("%q: got id %q, want %q", text, got, want)
 		}
 	}
 }
--- a/internal/upstream/selection_test.go
+++ b/internal/upstream/selection_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestSelection compares with the plainest model: the usable ones sorted, those that are up and then the least loaded
-// first.
+// TestSelection compares the selection with a simple reference that sorts the usable connections: those that are up
+// first, then the least loaded.
 func TestSelection(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maxLoad := rapid.IntRange(1, 8).Draw(t, "max load")
@@ -41,18 +41,18 @@
 		}
 		slices.SortStableFunc(usable, func(a, b int) int { return rank(a) - rank(b) })
 		if choice.isFound != (len(usable) > 0) {
-			t.Fatalf("found is %v with %d usable connections", choice.isFound, len(usable))
+			t.Fatalf("got found %v with %d usable connections", choice.isFound, len(usable))
 		}
 		wantsAnother := true
 		if choice.isFound {
 			if choice.bestIndex != usable[0] {
-				t.Fatalf("chose connection %d, want %d", choice.bestIndex, usable[0])
+				t.Fatalf("got connection %d, want %d", choice.bestIndex, usable[0])
 			}
 			isFilling := 2*candidates[usable[0]].load >= max(2, maxLoad-maxLoad%2)
 			wantsAnother = isFilling && !isDialing
 		}
 		if got := choice.wantsAnother(maxLoad); got != wantsAnother {
-			t.Fatalf("wants another connection: %v, want %v", got, wantsAnother)
+			t.Fatalf("got another connection wanted %v, want %v", got, wantsAnother)
 		}
 	})
 }
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// expectedHitTime and expectedFillTime are how long a response takes at most where nothing is slow, beside its
-	// sending time.
+	// expectedHitTime and expectedFillTime are the maximum response times while nothing is slow, excluding the transfer
+	// of the body.
 	expectedHitTime  = 25 * time.Millisecond
 	expectedFillTime = 100 * time.Millisecond
-	// dueFactor times the expected time is when a response is due.
+	// dueFactor times the expected time is the time after which a response is past due.
 	dueFactor = 2
-	// maxDraftTime is how long attempts of a connection may take to encode, unless the process stood still, and
-	// maxDrafts how often that is tried.
-	maxDraftTime = 10 * time.Millisecond
-	maxDrafts    = 3
+	// maxPrepareTime is the longest that preparing the attempts of a connection takes, unless the process stood still.
+	// They are prepared at most maxPrepareTries times.
+	maxPrepareTime  = 10 * time.Millisecond
+	maxPrepareTries = 3
 )
 
-// queueFlush has the next Pool.Flush see to what waits for the connection.
+// queueFlush makes the next Pool.Flush handle the attempts that wait for the connection.
 func (c *connection) queueFlush() {
 	if !c.isFlushQueued {
 		c.isFlushQueued = true
@@ -29,8 +29,8 @@
 	}
 }
 
-// Compose sends what waits for the connection, if Pool.Flush has asked for it. What an attempt says of times and
-// copies, and whether it may go out, is looked at here: the process may have stood still since Flush.
+// Compose sends the waiting attempts if Pool.Flush requested it. Whether an attempt may be sent, its remaining time and
+// the maximum age of a copy are determined only here, because the process may have stood still since Flush.
 func (c *connection) Compose(*eventloop.Conn) {
 	if !c.isFlushing {
 		return
@@ -43,67 +43,67 @@
 	c.flush()
 }
 
-// draft is an attempt that waits for its connection, as it would be sent now.
-type draft struct {
+// preparedAttempt is a waiting attempt, encoded to be sent now, or the reason why it can't be sent.
+type preparedAttempt struct {
 	attempt *broker.Attempt
 	data    []byte
-	end     broker.End // how the attempt ends unsent, where there is no data
+	end     broker.End // how the attempt ends if data is nil
 }
 
-// flush sends what waits for the connection, which has come up and may be closed again. What was drafted while the
-// process stood still is drafted anew.
+// flush sends the waiting attempts. The connection has come up, but may have closed since. Attempts are prepared again
+// if the process stood still meanwhile.
 func (c *connection) flush() {
 	waiting := c.waiting
 	c.waiting = nil
-	var drafts []draft
-	for range maxDrafts {
+	var prepared []preparedAttempt
+	for range maxPrepareTries {
 		began := c.pool.Now()
-		drafts = c.draftAll(waiting)
-		if c.pool.Now()-began <= maxDraftTime {
+		prepared = c.prepareAll(waiting)
+		if c.pool.Now()-began <= maxPrepareTime {
 			break
 		}
 	}
-	for i := range drafts {
-		c.sendDraft(&drafts[i])
+	for i := range prepared {
+		c.sendPrepared(&prepared[i])
 	}
 	c.closeIfDone()
 }
 
-// draftAll drafts attempts, and changes nothing but that the connection may be retired.
-func (c *connection) draftAll(waiting []*broker.Attempt) []draft {
-	drafts := make([]draft, 0, len(waiting))
+// prepareAll prepares attempts. Its only side effect is that it may retire the connection.
+func (c *connection) prepareAll(waiting []*broker.Attempt) []preparedAttempt {
+	all := make([]preparedAttempt, 0, len(waiting))
 	for _, attempt := range waiting {
-		drafts = append(drafts, c.draft(attempt))
+		all = append(all, c.prepare(attempt))
 	}
-	return drafts
+	return all
 }
 
-// draft encodes an attempt, if the list and the purges still allow it.
-func (c *connection) draft(attempt *broker.Attempt) draft {
-	if c.isRetired { // since the attempt was put there
-		return draft{attempt: attempt, end: broker.NotSent}
+// prepare encodes an attempt if the endpoint list and MaySend still allow it.
+func (c *connection) prepare(attempt *broker.Attempt) preparedAttempt {
+	if c.isRetired { // since the attempt was queued
+		return preparedAttempt{attempt: attempt, end: broker.NotSent}
 	}
 	now := c.pool.Now()
 	maxAge, maySend := c.pool.MaySend(attempt, now)
 	isResolved := c.address != c.group.endpoint.Address
 	if isResolved && c.pool.AddressBlocked(c.address) {
 		maySend = false
-		c.isRetired = true // the next connection asks the name server anew
+		c.isRetired = true // so that the next connection resolves the name again
 	}
 	if !maySend || c.state == stateClosed {
-		return draft{attempt: attempt, end: broker.Blocked}
+		return preparedAttempt{attempt: attempt, end: broker.Blocked}
 	}
 	class := c.pool.Classes[attempt.Request.Class].Name
-	timeLeft := attempt.Deadline - c.pool.Now() // the look at the list and the purges takes its time too
-	return draft{attempt: attempt, data: appendRequest(nil, attempt, class, maxAge, timeLeft)}
+	timeLeft := attempt.Deadline - c.pool.Now() // not now: MaySend and AddressBlocked take time too
+	return preparedAttempt{attempt: attempt, data: appendRequest(nil, attempt, class, maxAge, timeLeft)}
 }
 
-// sendDraft puts an attempt on the connection, or ends it. The round that decided it is over, so that another one has
-// to take its end.
-func (c *connection) sendDraft(drafted *draft) {
-	attempt := drafted.attempt
-	if drafted.data == nil {
-		c.pool.Emit(broker.AttemptEnded{Attempt: attempt, End: drafted.end})
+// sendPrepared queues a prepared attempt for writing, or ends it. The round that decided on the attempt is over, so its
+// end needs another round.
+func (c *connection) sendPrepared(prepared *preparedAttempt) {
+	attempt := prepared.attempt
+	if prepared.data == nil {
+		c.pool.Emit(broker.AttemptEnded{Attempt: attempt, End: prepared.end})
 		c.pool.Loop.RequestRound()
 		return
 	}
@@ -116,10 +116,10 @@
 		dueAt:       now + dueFactor*c.pool.expectedTime(attempt),
 		startOffset: c.conn.Queued(),
 	}
-	c.send(now, drafted.data)
+	c.send(now, prepared.data)
 }
 
-// expectedTime is how long the response to an attempt takes at most where nothing is slow.
+// expectedTime returns the maximum time of the response to an attempt while nothing is slow.
 func (p *Pool) expectedTime(attempt *broker.Attempt) time.Duration {
 	expected := expectedHitTime
 	if attempt.Source != attempt.Endpoint {
@@ -131,7 +131,7 @@
 	return expected
 }
 
-// beforeSending notes that an attempt or a check is about to be outstanding.
+// beforeSending records that an attempt or a check is about to become outstanding.
 func (c *connection) beforeSending(now time.Duration) {
 	if c.outstanding() == 0 {
 		c.liveness.OutstandingBegan(now)
@@ -139,14 +139,14 @@
 	c.lastUsedAt = now
 }
 
-// send leaves bytes to be written at the end of the round.
+// send queues bytes to be written at the end of the round.
 func (c *connection) send(now time.Duration, data []byte) {
 	c.conn.Send(data)
 	c.liveness.BytesQueued(now, c.conn.Queued())
 }
 
-// sendCheck asks the endpoint whether the connection lives, and gives the id of the response: all that was sent before
-// has been read once that comes.
+// sendCheck sends a liveness check and returns its id. Once the check is answered, the endpoint has read everything
+// that was sent before it.
 func (c *connection) sendCheck(now time.Duration) (id string) {
 	c.pool.Stats.LivenessChecks++
 	c.pool.checksSent++
--- a/internal/upstream/standstill_test.go
+++ b/internal/upstream/standstill_test.go
@@ -14,34 +14,34 @@
 )
 
 const (
-	// testStandstill is how long a process stands still, and timeLeftSlack by how much the time that an endpoint is
-	// given may be over what the client has left.
+	// testStandstill is how long the process stands still in a test.
 	testStandstill = 400 * time.Millisecond
-	timeLeftSlack  = 150 * time.Millisecond
-	testTimeLeft   = 2 * time.Second
-	testWait       = 10 * time.Second
+	// timeLeftSlack is how much the time left that an endpoint is told may exceed the client's.
+	timeLeftSlack = 150 * time.Millisecond
+	testTimeLeft  = 2 * time.Second
+	testWait      = 10 * time.Second
 )
 
-// written is an attempt as it came to an endpoint.
-type written struct {
+// receivedAttempt is an attempt as an endpoint received it.
+type receivedAttempt struct {
 	endpoint string
 	id       string
 	timeLeft time.Duration
 	at       time.Duration
 }
 
-// writeTest is a pool on a loop, with endpoints that say what comes to them.
-type writeTest struct {
-	pool     *Pool
-	loop     *eventloop.Loop
-	received chan written
-	began    time.Time
+// sendTest is a pool on a loop, with endpoints that report the attempts they receive.
+type sendTest struct {
+	pool      *Pool
+	loop      *eventloop.Loop
+	received  chan receivedAttempt
+	startedAt time.Time
 }
 
-func (w *writeTest) now() time.Duration { return time.Since(w.began) + time.Minute }
+func (w *sendTest) now() time.Duration { return time.Since(w.startedAt) + time.Minute }
 
-// on runs a task on the loop.
-func (w *writeTest) on(task func()) {
+// runOnLoop runs a task on the loop and waits for its end.
+func (w *sendTest) runOnLoop(task func()) {
 	done := make(chan struct{})
 	w.loop.Post(func() {
 		task()
@@ -51,10 +51,10 @@
 	<-done
 }
 
-// startWriteTest starts a loop whose rounds flush the pool.
-func startWriteTest(t *testing.T) *writeTest {
+// startSendTest starts a loop whose rounds flush the pool.
+func startSendTest(t *testing.T) *sendTest {
 	t.Helper()
-	test := &writeTest{received: make(chan written, 100), began: time.Now()}
+	test := &sendTest{received: make(chan receivedAttempt, 100), startedAt: time.Now()}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -98,8 +98,8 @@
 	return test
 }
 
-// endpoint listens for attempts.
-func (w *writeTest) endpoint(t *testing.T, name string, id policy.EndpointID) *broker.Endpoint {
+// startEndpoint starts an endpoint that reports the attempts it receives.
+func (w *sendTest) startEndpoint(t *testing.T, name string, id policy.EndpointID) *broker.Endpoint {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -112,7 +112,7 @@
 			if err != nil {
 				return
 			}
-			go w.read(name, conn)
+			go w.readAttempts(name, conn)
 		}
 	}()
 	endpoint := &broker.Endpoint{Name: name, Address: listener.Addr().String()}
@@ -120,8 +120,8 @@
 	return endpoint
 }
 
-// read reports the attempts that come on a connection to an endpoint.
-func (w *writeTest) read(name string, conn net.Conn) {
+// readAttempts reports the attempts that arrive on a connection to an endpoint.
+func (w *sendTest) readAttempts(name string, conn net.Conn) {
 	lines := bufio.NewScanner(conn)
 	for lines.Scan() {
 		words := strings.Fields(lines.Text())
@@ -130,46 +130,46 @@
 		}
 		for _, field := range strings.Split(words[2], ",") {
 			if value, ok := strings.CutPrefix(field, fieldTimeLeft+"="); ok {
-				millis, _ := strconv.Atoi(value)
-				w.received <- written{name, words[1], time.Duration(millis) * time.Millisecond, w.now()}
+				milliseconds, _ := strconv.Atoi(value)
+				w.received <- receivedAttempt{name, words[1], time.Duration(milliseconds) * time.Millisecond, w.now()}
 			}
 		}
 	}
 }
 
-// attempt is one for a request with some time left.
-func (w *writeTest) attempt(id string, endpoint *broker.Endpoint) *broker.Attempt {
+// newAttempt returns an attempt whose request has testTimeLeft left.
+func (w *sendTest) newAttempt(id string, endpoint *broker.Endpoint) *broker.Attempt {
 	request := &broker.Request{ID: id, ObjectName: "7f3a9c21e0b4d655"}
 	return &broker.Attempt{
 		Request: request, Endpoint: endpoint, Source: endpoint, Deadline: w.now() + testTimeLeft,
 	}
 }
 
-// next waits for what comes to an endpoint next.
-func (w *writeTest) next(t *testing.T) written {
+// nextReceived waits for the next attempt that an endpoint receives, and returns it.
+func (w *sendTest) nextReceived(t *testing.T) receivedAttempt {
 	t.Helper()
 	select {
 	case got := <-w.received:
 		return got
 	case <-time.After(testWait):
-		t.Fatal("no attempt came")
-		return written{}
+		t.Fatal("no endpoint received an attempt")
+		return receivedAttempt{}
 	}
 }
 
-// TestTimeLeftIsThatOfTheWrite guards against an attempt that is given more time than its client has left: the process
-// stands still while a round's attempts are composed, after the first of them and within the second.
-func TestTimeLeftIsThatOfTheWrite(t *testing.T) {
-	test := startWriteTest(t)
-	first, second := test.endpoint(t, "first", 1), test.endpoint(t, "second", 2)
-	test.on(func() { // so that both connections are up
-		test.pool.Send(test.attempt("a1", first))
-		test.pool.Send(test.attempt("a2", second))
+// TestTimeLeftIsComputedAtWrite guards against telling an endpoint more time than the client has left. The process
+// stands still while a round's attempts are prepared: after the first, and during the second.
+func TestTimeLeftIsComputedAtWrite(t *testing.T) {
+	test := startSendTest(t)
+	first, second := test.startEndpoint(t, "first", 1), test.startEndpoint(t, "second", 2)
+	test.runOnLoop(func() { // opens both connections
+		test.pool.Send(test.newAttempt("a1", first))
+		test.pool.Send(test.newAttempt("a2", second))
 	})
-	test.next(t)
-	test.next(t)
+	test.nextReceived(t)
+	test.nextReceived(t)
 	var deadline time.Duration
-	test.on(func() {
+	test.runOnLoop(func() {
 		hasStoodStill := false
 		test.pool.MaySend = func(attempt *broker.Attempt, _ time.Duration) (time.Duration, bool) {
 			if attempt.Request.ID == "b2" && !hasStoodStill {
@@ -178,28 +178,28 @@
 			}
 			return 0, true
 		}
-		one, two := test.attempt("b1", first), test.attempt("b2", second)
-		deadline = one.Deadline
-		test.pool.Send(one)
-		test.pool.Send(two)
+		firstAttempt, secondAttempt := test.newAttempt("b1", first), test.newAttempt("b2", second)
+		deadline = firstAttempt.Deadline
+		test.pool.Send(firstAttempt)
+		test.pool.Send(secondAttempt)
 	})
 	for range 2 {
-		got := test.next(t)
-		if over := got.at + got.timeLeft - deadline; over > timeLeftSlack {
-			t.Errorf("%s came with %v, which is %v more than its client had left", got.id, got.timeLeft, over)
+		got := test.nextReceived(t)
+		if excess := got.at + got.timeLeft - deadline; excess > timeLeftSlack {
+			t.Errorf("%s: got time left %v, which is %v more than its client had left", got.id, got.timeLeft, excess)
 		}
 	}
 }
 
-// TestDraftOfAStandstillIsMadeAnew guards against an attempt that goes out by a look at the list and the purges from
-// before the process stood still: after its own draft, while another one's on the same connection is made.
-func TestDraftOfAStandstillIsMadeAnew(t *testing.T) {
-	test := startWriteTest(t)
-	endpoint := test.endpoint(t, "first", 1)
-	test.on(func() { test.pool.Send(test.attempt("a1", endpoint)) })
-	test.next(t)
+// TestAttemptsArePreparedAgainAfterStandstill guards against sending an attempt that was allowed by the endpoint list
+// and the purges only before a standstill: one that happens while the next attempt on the connection is prepared.
+func TestAttemptsArePreparedAgainAfterStandstill(t *testing.T) {
+	test := startSendTest(t)
+	endpoint := test.startEndpoint(t, "first", 1)
+	test.runOnLoop(func() { test.pool.Send(test.newAttempt("a1", endpoint)) })
+	test.nextReceived(t)
 	ended := make(chan broker.AttemptEnded, 100)
-	test.on(func() {
+	test.runOnLoop(func() {
 		hasStoodStill := false
 		test.pool.Emit = func(event broker.Event) {
 			if end, isEnd := event.(broker.AttemptEnded); isEnd {
@@ -211,30 +211,30 @@
 				hasStoodStill = true
 				time.Sleep(testStandstill)
 			}
-			// The endpoint drains meanwhile for b1.
+			// During the standstill b1 becomes blocked, as if its endpoint drained.
 			return 0, attempt.Request.ID == "b2" || !hasStoodStill
 		}
-		test.pool.Send(test.attempt("b1", endpoint))
-		test.pool.Send(test.attempt("b2", endpoint))
+		test.pool.Send(test.newAttempt("b1", endpoint))
+		test.pool.Send(test.newAttempt("b2", endpoint))
 	})
-	if got := test.next(t); got.id != "b2" {
-		t.Errorf("%s was written, want b2 alone", got.id)
+	if got := test.nextReceived(t); got.id != "b2" {
+		t.Errorf("got attempt %s written, want only b2", got.id)
 	}
 	if end := <-ended; end.Attempt.Request.ID != "b1" || end.End != broker.Blocked {
-		t.Errorf("%s ended as %v, want b1 as blocked", end.Attempt.Request.ID, end.End)
+		t.Errorf("got attempt %s ended as %v, want b1 as blocked", end.Attempt.Request.ID, end.End)
 	}
 }
 
-// TestDeferredWritesWaitForAnotherRound: after a standstill an attempt that was about to be written goes out in a later
-// round, once; and not at all where it was canceled meanwhile.
-func TestDeferredWritesWaitForAnotherRound(t *testing.T) {
-	test := startWriteTest(t)
-	endpoint := test.endpoint(t, "first", 1)
-	test.on(func() { test.pool.Send(test.attempt("a1", endpoint)) })
-	test.next(t)
+// TestDeferredWritesGoOutInLaterRound checks that a deferred attempt is written in a later round, and only once, and
+// that one which was canceled meanwhile is not written at all. Writes are deferred after a standstill.
+func TestDeferredWritesGoOutInLaterRound(t *testing.T) {
+	test := startSendTest(t)
+	endpoint := test.startEndpoint(t, "first", 1)
+	test.runOnLoop(func() { test.pool.Send(test.newAttempt("a1", endpoint)) })
+	test.nextReceived(t)
 	var canceled *broker.Attempt
 	asked := make(chan struct{}, 1)
-	test.on(func() {
+	test.runOnLoop(func() {
 		test.pool.DeferWrites = func() bool {
 			select {
 			case asked <- struct{}{}:
@@ -242,20 +242,20 @@
 			}
 			return true
 		}
-		canceled = test.attempt("b1", endpoint)
+		canceled = test.newAttempt("b1", endpoint)
 		test.pool.Send(canceled)
-		test.pool.Send(test.attempt("b2", endpoint))
+		test.pool.Send(test.newAttempt("b2", endpoint))
 	})
 	<-asked
-	test.on(func() {
+	test.runOnLoop(func() {
 		test.pool.Cancel(broker.CancelAttempt{Attempt: canceled})
 		test.pool.DeferWrites = func() bool { return false }
 	})
-	if got := test.next(t); got.id != "b2" {
-		t.Errorf("%s was written, want b2 alone", got.id)
+	if got := test.nextReceived(t); got.id != "b2" {
+		t.Errorf("got attempt %s written, want only b2", got.id)
 	}
-	test.on(func() { test.pool.Send(test.attempt("c1", endpoint)) })
-	if got := test.next(t); got.id != "c1" {
-		t.Errorf("%s was written after b2, want c1", got.id)
+	test.runOnLoop(func() { test.pool.Send(test.newAttempt("c1", endpoint)) })
+	if got := test.nextReceived(t); got.id != "c1" {
+		t.Errorf("got attempt %s written after b2, want c1", got.id)
 	}
 }
--- a/internal/upstream/stats.go
+++ b/internal/upstream/stats.go
@@ -2,22 +2,21 @@
 
 import "sloequay/internal/policy"
 
-// Stats counts what a pool did on the wire and what the endpoints answered, since it was last taken. Each of these is
-// harmless in one proxy and is multiplied by every proxy of a fleet: an endpoint serves the checks and the new
-// connections of all of them.
+// Stats counts what a pool sent and the responses that it received since the last TakeStats. Counts that are harmless
+// in one proxy add up over a fleet: an endpoint serves the checks and the new connections of all proxies.
 type Stats struct {
 	Written        int // attempts written to a connection
 	LivenessChecks int
-	CancelConfirms int // of these, the ones behind a cancellation
-	Unresponsive   int // connections closed because a check was not answered, or nothing was read
-	Dials          int // connections begun
-	DialFailed     int
-	Resets         int // connections that ended under what was outstanding
+	CancelConfirms int // those of LivenessChecks that confirm a cancellation
+	Unresponsive   int // connections closed because a check was not answered or the endpoint did not read
+	Dials          int // connections started; redials of a connection do not count
+	DialFailed     int // connections whose last dial failed
+	Resets         int // connections that ended with attempts or checks outstanding
 	Responses      [codeCount]int
 	Faults         [len(faultNotes)]int
 }
 
-// faultNotes are the notes that tell of a fault behind an endpoint, each with its name in the log.
+// faultNotes holds the notes that report a fault behind an endpoint, each with its name in the log.
 var faultNotes = [...]struct {
 	note policy.Note
 	name string
@@ -29,7 +28,7 @@
 	{policy.NoteOriginFailed, "origin-failed"},
 }
 
-// countResponse counts a response.
+// countResponse counts a response by its code, and by its note if that reports a fault.
 func (s *Stats) countResponse(code responseCode, note policy.Note) {
 	s.Responses[code]++
 	for i, fault := range faultNotes {
@@ -39,7 +38,7 @@
 	}
 }
 
-// Fields gives the counts that are not zero, as name and value in turn, in a fixed order.
+// Fields returns the counts that are not zero, as alternating names and values in a fixed order.
 func (s *Stats) Fields() []any {
 	var fields []any
 	add := func(name string, count int) {
@@ -63,7 +62,7 @@
 	return fields
 }
 
-// TakeStats gives the counts and starts new ones.
+// TakeStats returns the counts and resets them.
 func (p *Pool) TakeStats() Stats {
 	stats := p.Stats
 	p.Stats = Stats{}
