--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -31,7 +31,7 @@
 	pool          *Pool
 	group         *endpointConnections
 	state         connectionState
-	isRetired     bool            // it takes no new attempts
+	isRetired     bool            // whether it takes no new attempts
 	conn          *eventloop.Conn // nil while it is being dialed
 	listedAddress string          // of the endpoint when it was first dialed; its host may be a name
 	address       string          // listedAddress, resolved if its host is a name
--- a/internal/upstream/dial_failure_test.go
+++ b/internal/upstream/dial_failure_test.go
@@ -33,7 +33,7 @@
 		{"no ports", sysErr("connect", syscall.EADDRNOTAVAIL), 0, dialFailure{redialUntilLimit, broker.NotSent}},
 		{"no route", sysErr("connect", syscall.ENETUNREACH), 0, dialFailure{redialUntilLimit, broker.ConnectFailed}},
 		{"no host", sysErr("connect", syscall.EHOSTUNREACH), 0, dialFailure{neverRedial, broker.ConnectFailed}},
-		{"system time-out", sysErr("connect", syscall.ETIMEDOUT), limit, dialFailure{neverRedial, broker.ConnectFailed}},
+		{"system timeout", sysErr("connect", syscall.ETIMEDOUT), limit, dialFailure{neverRedial, broker.ConnectFailed}},
 		{"timed out", timeout, limit + time.Millisecond, dialFailure{neverRedial, broker.ConnectFailed}},
 		{"timed out during a standstill", timeout, limit + time.Second, dialFailure{redialOnce, broker.NotSent}},
 	} {
@@ -61,7 +61,7 @@
 			case redial == redialOnce && (pause != 0 || ok == redialedOnce):
 				t.Fatalf("redialOnce: got redial %v, pause %v; followed before: %v", ok, pause, redialedOnce)
 			case redial == redialUntilLimit && (pause != wantPause || ok != (now+pause <= start+limit)):
-				t.Fatalf("redialUntilLimit: got redial %v, %v after the start, with a pause of %v, want a pause of %v within %v",
+				t.Fatalf("redialUntilLimit: got redial %v after %v, pause %v, want pause %v within %v",
 					ok, now-start, pause, wantPause, limit)
 			case redial == neverRedial && ok:
 				t.Fatal("neverRedial: got a redial, want none")
--- a/internal/upstream/id_history.go
+++ b/internal/upstream/id_history.go
@@ -5,7 +5,7 @@
 const (
 	// canceledIDLifetime is how long the id of a canceled attempt is remembered, so that its late response is dropped.
 	canceledIDLifetime = 10 * time.Second
-	// answeredIDLifetime is how long a response is remembered, to recognise a duplicate. Duplicates arrive some
+	// answeredIDLifetime is how long a response is remembered, to recognize a duplicate. Duplicates arrive some
 	// milliseconds apart.
 	answeredIDLifetime = time.Second
 )
@@ -44,7 +44,7 @@
 func (h *idHistory) isRepeated(id, digest string) bool { return h.entries[id].digest == digest }
 
 // isAmbiguous reports whether a late response under an id could be taken for the response to a new attempt. A duplicate
-// of a remembered response is recognised, which only helps if the endpoint can confirm the end of the attempt.
+// of a remembered response is recognized, which only helps if the endpoint can confirm the end of the attempt.
 func (h *idHistory) isAmbiguous(id string, canConfirm bool) bool {
 	entry, ok := h.entries[id]
 	return ok && (entry.digest == "" || !canConfirm)
--- a/internal/upstream/liveness.go
+++ b/internal/upstream/liveness.go
@@ -39,7 +39,7 @@
 	case liveness.Retire:
 		c.retire()
 	case liveness.StalledPartial:
-		c.protocolError(fmt.Errorf("response %.32q has been incomplete for %v after its request ended",
+		c.protocolError(fmt.Errorf("response %.32q has been incomplete for %v, and its request has ended",
 			c.partialResponseID, c.liveness.PartialAge(now)))
 	case liveness.Unresponsive, liveness.NotReading:
 		c.endUnresponsive()
--- a/internal/upstream/liveness/monitor_test.go
+++ b/internal/upstream/liveness/monitor_test.go
@@ -13,19 +13,19 @@
 func TestNeedsCheck(t *testing.T) {
 	const ms = time.Millisecond
 	const now = time.Minute
-	const answeredAt = now - 2*time.Second
+	const answeredAt = now - 2*time.Second // when the last check was answered
 	for _, c := range []struct {
 		name    string
-		quiet   time.Duration
+		quiet   time.Duration   // without a read
 		pastDue []time.Duration // when the attempts were due
 		want    Verdict
 	}{
-		{"nothing past due, 10 s without a read", 10 * time.Second, nil, Healthy},
-		{"past due since the last answer, 150 ms without a read", 150 * ms, []time.Duration{now - ms}, SendCheck},
-		{"past due since the last answer, 50 ms without a read", 50 * ms, []time.Duration{now - ms}, Healthy},
+		{"nothing past due, 10 s quiet", 10 * time.Second, nil, Healthy},
+		{"past due since the last answer, 150 ms quiet", 150 * ms, []time.Duration{now - ms}, SendCheck},
+		{"past due since the last answer, 50 ms quiet", 50 * ms, []time.Duration{now - ms}, Healthy},
 		{"past due before the last answer: slow, not cut off", 500 * ms, []time.Duration{answeredAt - ms}, Healthy},
-		{"past due before the last answer, 1.1 s without a read", 1100 * ms, []time.Duration{answeredAt - ms}, SendCheck},
-		{"past due both before and since the last answer", 150 * ms, []time.Duration{answeredAt - ms, now - ms}, SendCheck},
+		{"past due before the last answer, 1.1 s quiet", 1100 * ms, []time.Duration{answeredAt - ms}, SendCheck},
+		{"past due before and since the last answer", 150 * ms, []time.Duration{answeredAt - ms, now - ms}, SendCheck},
 	} {
 		m := &Monitor{lastReadAt: now - c.quiet, checkAnsweredAt: answeredAt}
 		facts := Facts{ChecksAllowed: true}
@@ -74,8 +74,8 @@
 	return false
 }
 
-// expect returns the verdicts that the doc comment of the package allows. There are two if the inexact time of the oldest
-// byte may lead to either.
+// expect returns the verdicts that the doc comment of the package allows. There are two if the inexact time of the
+// oldest byte may lead to either.
 func (m *model) expect() []Verdict {
 	otherwise := m.expectWithoutStuckBytes()
 	if m.flushed == len(m.queuedAt) {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -40,8 +40,8 @@
 	Classes        []policy.Class
 	DialTimeout    time.Duration
 	IdleTimeout    time.Duration // after which endpoints close an idle connection; 0: never
-	Streams        int           // attempts and checks on a connection at which it takes no further attempts
-	MaxConnections int           // in descriptors: a connection takes one, a dial two
+	Streams        int           // attempts and checks on a connection from which it takes no more attempts
+	MaxConnections int           // limit on descriptors: a connection takes one, a dial two
 	ChecksAllowed  bool          // whether endpoints answer liveness checks
 	CancelAllowed  bool          // whether endpoints accept cancellations
 	FlowKBps       float64       // transfer rate of one response, in kilobytes per second; 0: unknown
@@ -52,7 +52,7 @@
 	flushQueue         []*connection // connections with waiting attempts to write, or to end if closed
 	connections        int           // up or being dialed
 	checksSent         int           // for the numbers in their ids
-	lastLivenessStepAt time.Duration // by CheckLiveness
+	lastLivenessStepAt time.Duration // when CheckLiveness last checked the connections
 }
 
 // Send queues an attempt to be written after the next Flush, or once a connection is up. Emit reports how it ends.
@@ -137,8 +137,8 @@
 }
 
 // Cancel cancels an attempt that may be in flight. With AwaitEnd an AttemptEnded follows. If endpoints answer checks,
-// it follows once the endpoint is known to have read the cancellation: that may be after another endpoint has read the
-// next attempt, or never.
+// it follows only once the endpoint is known to have read the cancellation: otherwise the endpoint could read it after
+// another one reads the next attempt, or never.
 //
 // If endpoints accept no cancellations, the attempt stays on its connection until its deadline, which the endpoint was
 // told. A later response to it has no effect because the attempt has ended.
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -75,7 +75,7 @@
 	return fmt.Sprintf("response code %s does not fit what was sent under its id", e.code)
 }
 
-// handleAttemptResponse ends an attempt, or first confirms that the response is not a duplicate.
+// handleAttemptResponse ends an attempt, or has confirmRepeated end it later if the response may be a duplicate.
 func (c *connection) handleAttemptResponse(
 	now time.Duration, outstanding *outstandingAttempt, response *response,
 ) error {
--- a/internal/upstream/resolver/resolver.go
+++ b/internal/upstream/resolver/resolver.go
@@ -94,7 +94,7 @@
 
 // Opened sends the query.
 func (l *lookup) Opened(c *eventloop.Conn) {
-	if l.conn = c; l.callbacks == nil { // timed out meanwhile
+	if l.conn = c; l.callbacks == nil { // ended meanwhile
 		c.Close()
 		return
 	}
--- a/internal/upstream/selection.go
+++ b/internal/upstream/selection.go
@@ -1,6 +1,6 @@
 package upstream
 
-// earlyOpenDivisor divides the maximum load of a connection: from that load on, another connection is opened early.
+// earlyOpenDivisor sets the load from which another connection is opened early: the maximum load divided by it.
 const earlyOpenDivisor = 2
 
 // candidate holds the facts about a connection that its choice depends on.
