--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -58,8 +58,8 @@
 	return err
 }
 
-// Clean removes temporary files that a crash in Replace has left beside a file.
-func Clean(path string) {
+// RemoveTemporary removes temporary files that a crash in Replace has left beside a file.
+func RemoveTemporary(path string) {
 	files, _ := filepath.Glob(path + temporaryPattern)
 	for _, file := range files {
 		_ = os.Remove(file)
--- a/internal/atomicfile/atomicfile_test.go
+++ b/internal/atomicfile/atomicfile_test.go
@@ -44,7 +44,7 @@
 			t.Fatal(err)
 		}
 	}
-	Clean(path)
+	RemoveTemporary(path)
 	entries, err := os.ReadDir(folder)
 	if err != nil || len(entries) != 2 || entries[0].Name() != "file" || entries[1].Name() != "other.new-1" {
 		t.Errorf("%v, %v, want file and other.new-1", entries, err)
--- a/internal/bootstrap/simulation_test.go
+++ b/internal/bootstrap/simulation_test.go
@@ -18,7 +18,7 @@
 	t               testing.TB
 	random          *rand.Rand
 	now             time.Duration
-	agenda          digesttest.Agenda[func()]
+	agenda          digesttest.EventQueue[func()]
 	nodes           []*node
 	endpoints       []membership.Endpoint // the service's present list
 	version         uint64
@@ -75,11 +75,11 @@
 }
 
 func (sim *simulation) schedule(after time.Duration, run func()) {
-	sim.agenda.Plan(sim.now+after, run)
+	sim.agenda.Schedule(sim.now+after, run)
 }
 
 func (sim *simulation) runUntil(until time.Duration) {
-	for at, run := range sim.agenda.Due(until) {
+	for at, run := range sim.agenda.PopDue(until) {
 		sim.now = at
 		run()
 	}
--- a/internal/broker/simulation_test.go
+++ b/internal/broker/simulation_test.go
@@ -45,7 +45,7 @@
 	broker    *broker.Broker
 	config    policy.Config
 	now       time.Duration
-	agenda    digesttest.Agenda[func()]
+	agenda    digesttest.EventQueue[func()]
 	events    []broker.Event // of the next round
 	endpoints []membership.Endpoint
 	modes     map[string]behaviour
@@ -212,7 +212,7 @@
 
 // schedule calls run after a time.
 func (s *simulation) schedule(after time.Duration, run func()) {
-	s.agenda.Plan(s.now+after, run)
+	s.agenda.Schedule(s.now+after, run)
 }
 
 // randomMilliseconds draws a duration of less than limit milliseconds.
@@ -285,7 +285,7 @@
 		span += 70 * time.Second
 	}
 	s.now += span
-	for _, run := range s.agenda.Due(s.now) {
+	for _, run := range s.agenda.PopDue(s.now) {
 		run()
 	}
 }
--- a/internal/digesttest/agenda.go
+++ b/internal/digesttest/agenda.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Agenda has the events of a simulation in the order of their times, and of their planning where times are equal.
-type Agenda[E any] struct {
+// EventQueue has the events of a simulation in the order of their times, and of their planning where times are equal.
+type EventQueue[E any] struct {
 	entries entries[E]
 	planned int
 }
 
-// Plan adds an event that is due at a time.
-func (a *Agenda[E]) Plan(at time.Duration, event E) {
+// Schedule adds an event that is due at a time.
+func (a *EventQueue[E]) Schedule(at time.Duration, event E) {
 	a.planned++
 	heap.Push(&a.entries, entry[E]{at, a.planned, event})
 }
 
-// Planned is how many events were planned so far, with those that are over.
-func (a *Agenda[E]) Planned() int { return a.planned }
+// Scheduled is how many events were planned so far, with those that are over.
+func (a *EventQueue[E]) Scheduled() int { return a.planned }
 
-// Due takes out all events that are due until a time, with their times, also those that are planned meanwhile.
-func (a *Agenda[E]) Due(until time.Duration) iter.Seq2[time.Duration, E] {
+// PopDue takes out all events that are due until a time, with their times, also those that are planned meanwhile.
+func (a *EventQueue[E]) PopDue(until time.Duration) iter.Seq2[time.Duration, E] {
 	return func(yield func(time.Duration, E) bool) {
 		for len(a.entries) > 0 && a.entries[0].at <= until {
 			next := heap.Pop(&a.entries).(entry[E])
--- a/internal/digesttest/digesttest.go
+++ b/internal/digesttest/digesttest.go
@@ -5,7 +5,7 @@
 // Invariants: a file has one line for each seed, with the seed, the number of written results and their digest; a
 // Format leaves the number out. The file is written only where the test's flag -update is given.
 //
-// Bounds: memory does not grow with the number of results. An Agenda holds no more than what is still due.
+// Bounds: memory does not grow with the number of results. An EventQueue holds no more than what is still due.
 package digesttest
 
 import (
@@ -29,8 +29,8 @@
 
 // Format describes a file. Of the usual one, which Check compares with, the first seed is 1 and results are counted.
 type Format struct {
-	FirstSeed uint64
-	NoResults bool // a line has the seed and the digest only, not the number of results
+	FirstSeed       uint64
+	OmitResultCount bool // a line has the seed and the digest only, not the number of results
 }
 
 // Recorder digests the results of one seed.
@@ -54,7 +54,7 @@
 // line returns the seed's line of the file.
 func (r *Recorder) line(format Format, seed uint64) string {
 	digest := r.digest.Sum(nil)[:digestBytes]
-	if format.NoResults {
+	if format.OmitResultCount {
 		return fmt.Sprintf("%d %x", seed, digest)
 	}
 	return fmt.Sprintf("%d %d %x", seed, r.results, digest)
--- a/internal/digesttest/digesttest_test.go
+++ b/internal/digesttest/digesttest_test.go
@@ -8,29 +8,29 @@
 )
 
 func TestAgendaKeepsTheOrderOfTimesAndOfPlanning(t *testing.T) {
-	var agenda Agenda[string]
+	var agenda EventQueue[string]
 	for _, event := range []string{"3 a", "1 a", "2 a", "1 b", "3 b", "1 c", "9 a"} {
-		agenda.Plan(time.Duration(event[0]-'0'), event)
+		agenda.Schedule(time.Duration(event[0]-'0'), event)
 	}
 	var got []string
-	for at, event := range agenda.Due(3) {
+	for at, event := range agenda.PopDue(3) {
 		if at != time.Duration(event[0]-'0') {
 			t.Errorf("%s is due at %d", event, at)
 		}
 		got = append(got, event)
 		if event == "1 b" {
-			agenda.Plan(1, "1 d") // in the past or now: after what was planned for the same time
-			agenda.Plan(4, "4 a")
+			agenda.Schedule(1, "1 d") // in the past or now: after what was planned for the same time
+			agenda.Schedule(4, "4 a")
 		}
 	}
 	if want := []string{"1 a", "1 b", "1 c", "1 d", "2 a", "3 a", "3 b"}; !slices.Equal(got, want) {
 		t.Errorf("got %q, want %q", got, want)
 	}
-	for _, event := range agenda.Due(4) {
+	for _, event := range agenda.PopDue(4) {
 		got = append(got, event)
 	}
-	if last := got[len(got)-1]; len(got) != 8 || last != "4 a" || agenda.Planned() != 9 {
-		t.Errorf("got %q after %d were planned", got, agenda.Planned())
+	if last := got[len(got)-1]; len(got) != 8 || last != "4 a" || agenda.Scheduled() != 9 {
+		t.Errorf("got %q after %d were planned", got, agenda.Scheduled())
 	}
 }
 
@@ -57,7 +57,7 @@
 	if line := recorder.line(Format{}, 7); line != "7 1 "+digest {
 		t.Errorf("line %q", line)
 	}
-	if line := recorder.line(Format{NoResults: true}, 7); line != "7 "+digest {
+	if line := recorder.line(Format{OmitResultCount: true}, 7); line != "7 "+digest {
 		t.Errorf("line %q without the number of results", line)
 	}
 }
--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -41,7 +41,7 @@
 		places: make(chan struct{}, maxPendingAccepts),
 		closed: make(chan struct{}),
 	}
-	err := socket.RetryLocal(func() (err error) {
+	err := socket.RetryLocalErrors(func() (err error) {
 		a.listener, err = socket.Listen(listener.Address)
 		return err
 	})
@@ -132,8 +132,8 @@
 
 // acceptFailed reports a connection that could not be accepted. It may be called beside the loop.
 func (l *Loop) acceptFailed(err error) {
-	if l.AcceptFailed != nil {
-		l.Post(func() { l.AcceptFailed(err) })
+	if l.OnAcceptError != nil {
+		l.Post(func() { l.OnAcceptError(err) })
 	}
 }
 
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -14,11 +14,11 @@
 	if l.Bind != nil {
 		dialer.LocalAddr = l.Bind
 	}
-	l.DialBy(func() (net.Conn, error) { return dialer.Dial(network, address) }, handler, failed)
+	l.DialWith(func() (net.Conn, error) { return dialer.Dial(network, address) }, handler, failed)
 }
 
-// DialBy is Dial by a function that runs beside the loop, may block, and must end in its own time.
-func (l *Loop) DialBy(dial func() (net.Conn, error), handler Handler, failed func(error)) {
+// DialWith is Dial by a function that runs beside the loop, may block, and must end in its own time.
+func (l *Loop) DialWith(dial func() (net.Conn, error), handler Handler, failed func(error)) {
 	l.pendingDials++
 	go func() {
 		err := l.connect(dial, &Conn{handler: handler, loop: l, origin: dialedConn})
--- a/internal/eventloop/enroll.go
+++ b/internal/eventloop/enroll.go
@@ -36,7 +36,7 @@
 		return errors.Join(errNotDuplicable, conn.Close())
 	}
 	var file *os.File
-	err := socket.RetryLocal(func() (err error) {
+	err := socket.RetryLocalErrors(func() (err error) {
 		file, err = duplicable.File()
 		return err
 	})
@@ -60,7 +60,7 @@
 		if err == nil {
 			err = l.enroll(c, conn, stop)
 		}
-		if err == nil || !socket.IsLocal(err) {
+		if err == nil || !socket.IsLocalError(err) {
 			return err
 		}
 		l.acceptFailed(fmt.Errorf("tried again in %v: %w", pause, err))
--- a/internal/eventloop/enroll_test.go
+++ b/internal/eventloop/enroll_test.go
@@ -33,7 +33,7 @@
 	if err == nil {
 		conn.Close()
 	}
-	if !errors.Is(err, socket.ErrPeerLeft) {
-		t.Errorf("error %v, want %v", err, socket.ErrPeerLeft)
+	if !errors.Is(err, socket.ErrPeerReset) {
+		t.Errorf("error %v, want %v", err, socket.ErrPeerReset)
 	}
 }
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -45,7 +45,7 @@
 	loops, ended := make(chan *Loop, 1), make(chan error, 1)
 	go func() {
 		ended <- Run([]Listener{{Network: "tcp", Address: address, Accept: func(net.Addr) Handler { return h }}},
-			func(l *Loop) { l.Memory = 64 << 20; loops <- l }, round)
+			func(l *Loop) { l.MemoryLimit = 64 << 20; loops <- l }, round)
 	}()
 	select {
 	case l = <-loops:
@@ -112,7 +112,7 @@
 }
 
 // TestInbound: what a handler leaves is counted as it is, in however many parts it came, and no more once it was taken;
-// and ReadAgain gives it once more.
+// and Redeliver gives it once more.
 func TestInbound(t *testing.T) {
 	k := &partialReader{lengths: make(chan int, 100)}
 	l, address, on := start(t, k)
@@ -151,7 +151,7 @@
 	counted(600)
 	on(func() {
 		k.takes = true
-		k.conn.ReadAgain()
+		k.conn.Redeliver()
 	})
 	if n := <-k.lengths; n != 600 {
 		t.Errorf("once more it sees %d bytes, want 600", n)
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -24,11 +24,11 @@
 // for; that of the start; and that of Stop. Timers post to the loop.
 type Loop struct {
 	gnet.BuiltinEventEngine
-	Memory int // bytes that the program may use, of which the bounds below are parts; set by Run's start
+	MemoryLimit int // bytes that the program may use, of which the bounds below are parts; set by Run's start
 	// Bind is the address that dials come from; nil: the system's choice.
 	Bind *net.TCPAddr
-	// AcceptFailed is told of connections that could not be accepted, on the loop; nil: nobody is.
-	AcceptFailed func(error)
+	// OnAcceptError is told of connections that could not be accepted, on the loop; nil: nobody is.
+	OnAcceptError func(error)
 
 	engine         atomic.Pointer[gnet.Engine]
 	gnetLoop       gnet.EventLoop // set before start runs
@@ -74,7 +74,7 @@
 			continue
 		}
 		// SO_REUSEPORT, which gnet sets, would let a second program share the address unnoticed.
-		if err := socket.RetryLocal(func() error { return checkVacant(listener.Address) }); err != nil {
+		if err := socket.RetryLocalErrors(func() error { return checkVacant(listener.Address) }); err != nil {
 			return err
 		}
 		loop.packetHandlers[listener.Address] = listener.Packet
@@ -89,7 +89,7 @@
 	if len(addresses) == 0 { // gnet gives no handle to an engine without a listener
 		addresses = append(addresses, "udp://"+unusedAddress(loop.handleAddress))
 	}
-	err := socket.RetryLocal(func() error {
+	err := socket.RetryLocalErrors(func() error {
 		return gnet.Rotate(loop, addresses, gnet.WithReusePort(true), gnet.WithReuseAddr(true),
 			gnet.WithNumEventLoop(1), gnet.WithLogger(newErrorLogger()))
 	})
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -60,7 +60,7 @@
 		data = conn.partial
 	}
 	conn.deliver(data) // often gnet's own buffer, so that what comes whole is not copied
-	if l.partialBytes > l.Memory/partialPart && len(conn.partial) > maxIdleBuffer {
+	if l.partialBytes > l.MemoryLimit/partialPart && len(conn.partial) > maxIdleBuffer {
 		conn.beginClose()
 		return gnet.Close // Closed follows: what was open here ends with the connection
 	}
@@ -126,13 +126,13 @@
 // Consume takes n bytes off the front of In. Handlers call it in Received.
 func (c *Conn) Consume(n int) { c.In = c.In[n:] }
 
-// DeferRead says, while Received runs, that nothing was done and no round is needed: the handler calls ReadAgain when
+// DeferRead says, while Received runs, that nothing was done and no round is needed: the handler calls Redeliver when
 // it will go on.
 func (c *Conn) DeferRead() { c.isReadDeferred = true }
 
-// ReadAgain has the handler look once more at what it left, before it returns. It must not be called while a handler
+// Redeliver has the handler look once more at what it left, before it returns. It must not be called while a handler
 // of this connection runs.
-func (c *Conn) ReadAgain() {
+func (c *Conn) Redeliver() {
 	if c.state == connOpen && len(c.partial) > 0 {
 		c.deliver(c.partial)
 	}
--- a/internal/eventloop/socket/local.go
+++ b/internal/eventloop/socket/local.go
@@ -20,19 +20,19 @@
 	unix.ENETDOWN, unix.ECONNABORTED,
 }
 
-// IsLocal says whether a system call on a socket failed for want of something on this machine: descriptors, memory,
-// watches, ports. Such errors pass, and say nothing of the peer.
-func IsLocal(err error) bool {
+// IsLocalError reports whether a system call on a socket failed because this machine lacks a resource, such as
+// descriptors, memory, epoll watches or ports. Such errors are temporary and say nothing about the peer.
+func IsLocalError(err error) bool {
 	return slices.ContainsFunc(localErrors, func(local error) bool { return errors.Is(err, local) })
 }
 
-// RetryLocal blocks and calls try until it succeeds, fails for another reason than one that IsLocal or a route that is
-// missing, or localRetryLimit is over.
-func RetryLocal(try func() error) error {
+// RetryLocalErrors calls try until it succeeds, fails with an error that is neither an IsLocalError nor a missing
+// route, or localRetryLimit has passed. It blocks.
+func RetryLocalErrors(try func() error) error {
 	began := time.Now()
 	for {
 		err := try()
-		if err == nil || !IsLocal(err) && !errors.Is(err, unix.ENETUNREACH) || time.Since(began) > localRetryLimit {
+		if err == nil || !IsLocalError(err) && !errors.Is(err, unix.ENETUNREACH) || time.Since(began) > localRetryLimit {
 			return err
 		}
 		time.Sleep(localRetryPause)
--- a/internal/eventloop/socket/socket.go
+++ b/internal/eventloop/socket/socket.go
@@ -26,8 +26,8 @@
 // errWatchesRemain says that the system has refused to end more watches of a socket than it may take descriptors for.
 var errWatchesRemain = errors.New("too many watches of the connection could not be ended")
 
-// ErrPeerLeft says that the peer has reset the connection before anybody took it.
-var ErrPeerLeft = errors.New("the peer has left")
+// ErrPeerReset says that the peer has reset the connection before anybody took it.
+var ErrPeerReset = errors.New("the peer has left")
 
 // Listener is a TCP address on which connections are accepted.
 type Listener struct {
@@ -106,7 +106,7 @@
 }
 
 // Conn makes a connection of a duplicate of the socket, which Go's poller watches. Where that fails, the socket can be
-// tried again, for an error that IsLocal. Others are ErrPeerLeft, and that too many watches remain.
+// tried again, for an error that IsLocalError. Others are ErrPeerReset, and that too many watches remain.
 func (s *Socket) Conn() (net.Conn, error) {
 	conn, err := net.FileConn(s.file)
 	for errors.Is(err, unix.EEXIST) {
@@ -120,7 +120,7 @@
 		return nil, err
 	}
 	if conn.RemoteAddr() == nil {
-		return nil, errors.Join(ErrPeerLeft, conn.Close())
+		return nil, errors.Join(ErrPeerReset, conn.Close())
 	}
 	if tcp, isTCP := conn.(*net.TCPConn); isTCP {
 		_ = tcp.SetKeepAlive(false) // who says nothing is closed long before
--- a/internal/eventloop/startup.go
+++ b/internal/eventloop/startup.go
@@ -19,7 +19,7 @@
 	l.engine.Store(&engine)
 	l.onceBooted.Do(func() { // a start that failed for a moment is tried again, by another engine
 		go func() {
-			if err := socket.RetryLocal(l.learnGnetLoop); err != nil {
+			if err := socket.RetryLocalErrors(l.learnGnetLoop); err != nil {
 				fmt.Fprintln(os.Stderr, "event loop:", err)
 				os.Exit(1)
 			}
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -54,7 +54,7 @@
 // writeTo writes once to a socket. That the system takes no more now, or lacks something, is no error.
 func (b *unsentBuffer) writeTo(descriptor int) error {
 	n, err := unix.Write(descriptor, b.data[b.taken:])
-	if socket.IsLocal(err) {
+	if socket.IsLocalError(err) {
 		return nil
 	}
 	if err != nil {
@@ -94,7 +94,7 @@
 		c.loop.slowReaders = append(c.loop.slowReaders, c)
 		c.loop.retryWritesAfter(minWritePause)
 	}
-	if c.countedUnsent > min(c.loop.Memory/unsentPerPeerPart, maxUnsentPerPeer) {
+	if c.countedUnsent > min(c.loop.MemoryLimit/unsentPerPeerPart, maxUnsentPerPeer) {
 		c.beginClose()
 	}
 	if c.state == connClosing {
--- a/internal/frontend/rpc/rpc.go
+++ b/internal/frontend/rpc/rpc.go
@@ -106,7 +106,7 @@
 	s.closeTimedOut(now)
 	s.paced.StartRound()
 	for turn := s.paced.Next(); turn != nil; turn = s.paced.Next() {
-		turn.Owner.conn.ReadAgain()
+		turn.Owner.conn.Redeliver()
 	}
 }
 
@@ -120,7 +120,7 @@
 		c := timedOut.Owner
 		s.Log("client-rate-limited", "from", c.caller.Remote, "waited", waited)
 		c.rejectAll = true
-		c.conn.ReadAgain()
+		c.conn.Redeliver()
 		c.failAndClose()
 	}
 }
--- a/internal/identity/tlslistener/tlslistener.go
+++ b/internal/identity/tlslistener/tlslistener.go
@@ -85,7 +85,7 @@
 	if err := listener.Reload(); err != nil {
 		return nil, err
 	}
-	err := socket.RetryLocal(func() (err error) {
+	err := socket.RetryLocalErrors(func() (err error) {
 		listener.socket, err = socket.Listen(config.Listen)
 		return err
 	})
@@ -175,7 +175,7 @@
 	defer accepted.Close()
 	for {
 		conn, err := accepted.Conn()
-		if !socket.IsLocal(err) || l.isClosed() {
+		if !socket.IsLocalError(err) || l.isClosed() {
 			return conn, err
 		}
 		time.Sleep(acceptPause)
@@ -241,7 +241,7 @@
 func (l *Listener) pair() (ours, theirs net.Conn, err error) {
 	for began := time.Now(); ; time.Sleep(acceptPause) {
 		ours, theirs, err = bridge.Pair()
-		if !socket.IsLocal(err) || time.Since(began) > l.config.HandshakeTimeout {
+		if !socket.IsLocalError(err) || time.Since(began) > l.config.HandshakeTimeout {
 			return ours, theirs, err
 		}
 	}
--- a/internal/peer/decisions_test.go
+++ b/internal/peer/decisions_test.go
@@ -82,7 +82,7 @@
 // recorded for each seed. A change of names or shape must leave every line as it is.
 func TestDecisionsStayAsTheyWere(t *testing.T) {
 	counts := map[string]int{}
-	digesttest.Format{NoResults: true}.Check(t, decisionSeeds, func(seed uint64, recorder *digesttest.Recorder) {
+	digesttest.Format{OmitResultCount: true}.Check(t, decisionSeeds, func(seed uint64, recorder *digesttest.Recorder) {
 		playView(seed, recorder, counts)
 	})
 	digesttest.CheckCounts(t, counts, map[string]int{
--- a/internal/peer/transport/transport.go
+++ b/internal/peer/transport/transport.go
@@ -125,7 +125,7 @@
 		return nil, err
 	}
 	if config.MembersFile != "" {
-		atomicfile.Clean(config.MembersFile)
+		atomicfile.RemoveTemporary(config.MembersFile)
 	}
 	t := &Transport{
 		config:       config,
--- a/internal/policy/simulation_test.go
+++ b/internal/policy/simulation_test.go
@@ -41,7 +41,7 @@
 	engine    *policy.Engine
 	config    policy.Config
 	now       time.Duration
-	agenda    digesttest.Agenda[policy.Event]
+	agenda    digesttest.EventQueue[policy.Event]
 	endpoints []policy.Endpoint
 	modes     map[policy.EndpointID]behaviour
 	ejected   map[policy.EndpointID]bool
@@ -92,7 +92,7 @@
 
 // plan adds an event to the agenda, due after a delay.
 func (s *simulation) plan(delay time.Duration, event policy.Event) {
-	s.agenda.Plan(s.now+delay, event)
+	s.agenda.Schedule(s.now+delay, event)
 }
 
 // milliseconds draws a duration below a number of milliseconds.
@@ -374,7 +374,7 @@
 			s.now = until + s.milliseconds(1500) // a standstill: events due meanwhile come late
 			until = s.now
 		}
-		for at, event := range s.agenda.Due(until) {
+		for at, event := range s.agenda.PopDue(until) {
 			s.now = max(s.now, at)
 			s.deliver(event)
 			if until-s.now > time.Minute { // deliver events of a quiet time at its end, as it would have too many ticks
--- a/internal/proxy/admin/admin.go
+++ b/internal/proxy/admin/admin.go
@@ -42,7 +42,7 @@
 // connections that could not be accepted.
 func Listen(path string, handler Handler, acceptFailed func(error)) error {
 	var listener net.Listener
-	err := socket.RetryLocal(func() (err error) {
+	err := socket.RetryLocalErrors(func() (err error) {
 		listener, err = openSocket(path)
 		return err
 	})
@@ -70,7 +70,7 @@
 		_ = conn.Close()
 		return ErrInUse
 	}
-	if socket.IsLocal(dialErr) {
+	if socket.IsLocalError(dialErr) {
 		return dialErr
 	}
 	info, err := os.Lstat(path)
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -163,9 +163,9 @@
 func (s *server) start(loop *eventloop.Loop) {
 	settings := s.plan.settings
 	s.loop = loop
-	loop.Memory = int(s.plan.platform.Memory)
+	loop.MemoryLimit = int(s.plan.platform.Memory)
 	loop.Bind = settings.bindAddress()
-	loop.AcceptFailed = func(err error) { s.log.Event("accept-failed", "error", err) }
+	loop.OnAcceptError = func(err error) { s.log.Event("accept-failed", "error", err) }
 	s.resolver = s.newResolver()
 	for _, pool := range s.pools {
 		pool.connect(s)
--- a/internal/shutdown/decisions_test.go
+++ b/internal/shutdown/decisions_test.go
@@ -65,7 +65,7 @@
 // recorded for each seed. A change of names or shape must leave every line as it is.
 func TestDecisionsStayAsTheyWere(t *testing.T) {
 	counts := map[string]int{}
-	digesttest.Format{NoResults: true}.Check(t, decisionSeeds, func(seed uint64, recorder *digesttest.Recorder) {
+	digesttest.Format{OmitResultCount: true}.Check(t, decisionSeeds, func(seed uint64, recorder *digesttest.Recorder) {
 		stepSequence(seed, recorder, counts)
 	})
 	digesttest.CheckCounts(t, counts, map[string]int{
--- a/internal/snapshot/disk/disk.go
+++ b/internal/snapshot/disk/disk.go
@@ -26,7 +26,7 @@
 }
 
 // Clean removes temporary files that a crash in Write has left beside the snapshot.
-func Clean(path string) { atomicfile.Clean(path) }
+func Clean(path string) { atomicfile.RemoveTemporary(path) }
 
 // Read reads the snapshot at a path and gives its age; see snapshot.Decode and snapshot.Check for what they refuse.
 func Read(
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -61,7 +61,7 @@
 	if p.SecureDialer != nil {
 		if dial := p.SecureDialer(c.group.endpoint); dial != nil {
 			address := c.address
-			p.Loop.DialBy(func() (net.Conn, error) { return dial(address) }, c, c.dialFailed)
+			p.Loop.DialWith(func() (net.Conn, error) { return dial(address) }, c, c.dialFailed)
 			return
 		}
 	}
--- a/internal/upstream/dial_failure.go
+++ b/internal/upstream/dial_failure.go
@@ -41,7 +41,7 @@
 	switch {
 	case errors.Is(err, syscall.ECONNRESET): // while it came up, which says nothing of the endpoint
 		return dialFailure{redialOnce, broker.NotSent}
-	case socket.IsLocal(err):
+	case socket.IsLocalError(err):
 		return dialFailure{redialUntilLimit, broker.NotSent}
 	case errors.Is(err, syscall.ENETUNREACH): // for a moment, or the address is wrong
 		return dialFailure{redialUntilLimit, broker.ConnectFailed}
--- a/internal/upstream/standstill_test.go
+++ b/internal/upstream/standstill_test.go
@@ -66,7 +66,7 @@
 	go func() {
 		ended <- eventloop.Run([]eventloop.Listener{{Network: "tcp", Address: address, Accept: refuse}},
 			func(loop *eventloop.Loop) {
-				loop.Memory = 64 << 20
+				loop.MemoryLimit = 64 << 20
 				test.loop = loop
 				test.pool = &Pool{
 					Loop:           loop,
