--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -1,10 +1,10 @@
-// Package atomicfile replaces files so that whoever reads one finds the old content or the new one complete, whenever
-// the process or the machine stops.
+// Package atomicfile replaces files atomically: a reader finds either the complete old content or the complete new
+// content, even if the process or the machine stops during the replacement.
 //
-// Invariants: Replace returns nil only after the new file and the folder that names it are synced; the old file stays
-// until the new one is synced and takes its name; a Replace that fails leaves no temporary file that it can remove.
+// Invariants: Replace returns nil only after the new file and its directory are synced; the old file stays until the
+// new one is synced and renamed over it; a Replace that fails removes its temporary file if it can.
 //
-// Bounds: a crash in Replace leaves one temporary file, which Clean removes.
+// Bounds: a crash in Replace leaves one temporary file, which RemoveTemporary removes.
 package atomicfile
 
 import (
@@ -13,13 +13,13 @@
 	"path/filepath"
 )
 
-// temporaryPattern stands behind a file's name in the name of a temporary one.
+// temporaryPattern, appended to the name of a file, is the pattern of its temporary files (see os.CreateTemp).
 const temporaryPattern = ".new-*"
 
-// Replace writes a temporary file in the folder of path, syncs it, renames it to path and syncs the folder.
+// Replace writes a temporary file in the directory of path, syncs it, renames it to path and syncs the directory.
 func Replace(path string, data []byte, mode os.FileMode) error {
-	folder := filepath.Dir(path)
-	temporary, err := writeTemporary(folder, filepath.Base(path)+temporaryPattern, data, mode)
+	directory := filepath.Dir(path)
+	temporary, err := writeTemporary(directory, filepath.Base(path)+temporaryPattern, data, mode)
 	if err != nil {
 		return err
 	}
@@ -27,12 +27,12 @@
 		_ = os.Remove(temporary)
 		return err
 	}
-	return syncFolder(folder)
+	return syncDirectory(directory)
 }
 
-// writeTemporary gives the name of a new file whose data is synced.
-func writeTemporary(folder, pattern string, data []byte, mode os.FileMode) (string, error) {
-	file, err := os.CreateTemp(folder, pattern)
+// writeTemporary creates a temporary file with the data, syncs it and returns its path.
+func writeTemporary(directory, pattern string, data []byte, mode os.FileMode) (string, error) {
+	file, err := os.CreateTemp(directory, pattern)
 	if err != nil {
 		return "", err
 	}
@@ -47,18 +47,18 @@
 	return file.Name(), nil
 }
 
-func syncFolder(path string) error {
-	folder, err := os.Open(path)
+func syncDirectory(path string) error {
+	directory, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	err = folder.Sync()
-	// The folder is only read, so that closing it can lose nothing.
-	_ = folder.Close()
+	err = directory.Sync()
+	// The directory is open for reading only, so an error of Close loses no data.
+	_ = directory.Close()
 	return err
 }
 
-// RemoveTemporary removes temporary files that a crash in Replace has left beside a file.
+// RemoveTemporary removes the temporary files of path that a crash in Replace left behind.
 func RemoveTemporary(path string) {
 	files, _ := filepath.Glob(path + temporaryPattern)
 	for _, file := range files {
--- a/internal/atomicfile/atomicfile_test.go
+++ b/internal/atomicfile/atomicfile_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// TestReplaceKeepsTheOldFileOnFailure: a file is replaced with its mode; where that fails the old one stays, and
-// nothing else is left in the folder.
-func TestReplaceKeepsTheOldFileOnFailure(t *testing.T) {
-	folder := t.TempDir()
-	path := filepath.Join(folder, "file")
+// TestReplaceKeepsOldFileOnFailure checks that Replace sets content and mode, and that a failed Replace changes nothing
+// and leaves no other file in the directory.
+func TestReplaceKeepsOldFileOnFailure(t *testing.T) {
+	directory := t.TempDir()
+	path := filepath.Join(directory, "file")
 	for _, text := range []string{"old", "new"} {
 		if err := Replace(path, []byte(text), 0o640); err != nil {
 			t.Fatal(err)
@@ -18,35 +18,35 @@
 	}
 	info, err := os.Stat(path)
 	if err != nil || info.Mode().Perm() != 0o640 {
-		t.Errorf("mode %v, %v, want 0640", info.Mode(), err)
+		t.Errorf("got mode %v, error %v, want 0640", info.Mode(), err)
 	}
-	occupied := filepath.Join(folder, "occupied")
-	if err := os.MkdirAll(filepath.Join(occupied, "by a folder"), 0o700); err != nil {
+	occupied := filepath.Join(directory, "occupied")
+	if err := os.MkdirAll(filepath.Join(occupied, "by a child"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if err := Replace(occupied, []byte("x"), 0o600); err == nil {
-		t.Error("a folder was replaced by a file")
+		t.Error("Replace of a directory that is not empty: got no error, want one")
 	}
 	if text, err := os.ReadFile(path); err != nil || string(text) != "new" {
-		t.Errorf("the file has %q, %v, want the new text", text, err)
+		t.Errorf("got content %q, error %v, want \"new\"", text, err)
 	}
-	if entries, err := os.ReadDir(folder); err != nil || len(entries) != 2 {
-		t.Errorf("%d entries in the folder, %v, want 2", len(entries), err)
+	if entries, err := os.ReadDir(directory); err != nil || len(entries) != 2 {
+		t.Errorf("got %d entries in the directory, error %v, want 2", len(entries), err)
 	}
 }
 
-// TestCleanRemovesWhatACrashLeft: and nothing else.
-func TestCleanRemovesWhatACrashLeft(t *testing.T) {
-	folder := t.TempDir()
-	path := filepath.Join(folder, "file")
+// TestRemoveTemporaryRemovesOnlyItsOwn checks that temporary files of the path are removed, and no other files.
+func TestRemoveTemporaryRemovesOnlyItsOwn(t *testing.T) {
+	directory := t.TempDir()
+	path := filepath.Join(directory, "file")
 	for _, name := range []string{"file", "file.new-1", "file.new-22", "other.new-1"} {
-		if err := os.WriteFile(filepath.Join(folder, name), nil, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(directory, name), nil, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	RemoveTemporary(path)
-	entries, err := os.ReadDir(folder)
+	entries, err := os.ReadDir(directory)
 	if err != nil || len(entries) != 2 || entries[0].Name() != "file" || entries[1].Name() != "other.new-1" {
-		t.Errorf("%v, %v, want file and other.new-1", entries, err)
+		t.Errorf("got entries %v, error %v, want file and other.new-1", entries, err)
 	}
 }
--- a/internal/digesttest/agenda.go
+++ b/internal/digesttest/agenda.go
@@ -6,26 +6,28 @@
 	"time"
 )
 
-// EventQueue has the events of a simulation in the order of their times, and of their planning where times are equal.
+// EventQueue holds the events of a simulation, ordered by their times. Events of equal times keep the order in which
+// they were scheduled.
 type EventQueue[E any] struct {
-	entries entries[E]
-	planned int
+	entries   entries[E]
+	scheduled int
 }
 
-// Schedule adds an event that is due at a time.
-func (a *EventQueue[E]) Schedule(at time.Duration, event E) {
-	a.planned++
-	heap.Push(&a.entries, entry[E]{at, a.planned, event})
+// Schedule adds an event that is due at the given time.
+func (q *EventQueue[E]) Schedule(at time.Duration, event E) {
+	q.scheduled++
+	heap.Push(&q.entries, entry[E]{at, q.scheduled, event})
 }
 
-// Scheduled is how many events were planned so far, with those that are over.
-func (a *EventQueue[E]) Scheduled() int { return a.planned }
+// Scheduled returns how many events were scheduled so far, including those already popped.
+func (q *EventQueue[E]) Scheduled() int { return q.scheduled }
 
-// PopDue takes out all events that are due until a time, with their times, also those that are planned meanwhile.
-func (a *EventQueue[E]) PopDue(until time.Duration) iter.Seq2[time.Duration, E] {
+// PopDue iterates over the events that are due by the given time, with their times, and removes them. Events that are
+// scheduled during the iteration are included if they are due.
+func (q *EventQueue[E]) PopDue(until time.Duration) iter.Seq2[time.Duration, E] {
 	return func(yield func(time.Duration, E) bool) {
-		for len(a.entries) > 0 && a.entries[0].at <= until {
-			next := heap.Pop(&a.entries).(entry[E])
+		for len(q.entries) > 0 && q.entries[0].at <= until {
+			next := heap.Pop(&q.entries).(entry[E])
 			if !yield(next.at, next.event) {
 				return
 			}
@@ -33,14 +35,14 @@
 	}
 }
 
-// entry is an event that is due at a time. The serial makes the order of equal times definite.
+// entry is a scheduled event. The serial orders entries of equal times.
 type entry[E any] struct {
 	at     time.Duration
 	serial int
 	event  E
 }
 
-// entries is a heap.
+// entries implements heap.Interface.
 type entries[E any] []entry[E]
 
 func (e entries[E]) Len() int { return len(e) }
--- a/internal/digesttest/digesttest.go
+++ b/internal/digesttest/digesttest.go
@@ -1,11 +1,11 @@
-// Package digesttest pins the behaviour of pure modules for their tests: a test plays seeded random events against a
-// module, writes everything that the module returns as plain words and numbers, and compares a digest for each seed
-// with those on file. Refactoring leaves the digests equal; a change of behaviour does not.
+// Package digesttest detects changes in the behaviour of pure modules: a test applies seeded random events to a module,
+// records everything that the module returns as plain words and numbers, and compares a digest per seed with the
+// digests in a file. Refactoring leaves the digests equal; a change of behaviour does not.
 //
-// Invariants: a file has one line for each seed, with the seed, the number of written results and their digest; a
-// Format leaves the number out. The file is written only where the test's flag -update is given.
+// Invariants: a file has one line per seed, with the seed, the number of recorded results and their digest; a Format
+// may omit the number. The file is written only if the test's flag -update is given.
 //
-// Bounds: memory does not grow with the number of results. An EventQueue holds no more than what is still due.
+// Bounds: memory does not grow with the number of results. An EventQueue holds only events that are still due.
 package digesttest
 
 import (
@@ -19,39 +19,38 @@
 	"testing"
 )
 
-// File is where the digests of a package are, below the package's directory.
+// File is the path of a package's digests, relative to the package's directory.
 const File = "testdata/decisions.txt"
 
-// digestBytes is the length of a printed digest: enough to tell any two recordings apart.
+// digestBytes is the length of a printed digest, long enough to make collisions practically impossible.
 const digestBytes = 16
 
-var update = flag.Bool("update", false, "write "+File+" anew")
+var update = flag.Bool("update", false, "write the digests of this run to "+File+", replacing those there")
 
-// Format describes a file. Of the usual one, which Check compares with, the first seed is 1 and results are counted.
+// Format describes the lines of a file. The function Check uses the default: seeds from 1 on, with result counts.
 type Format struct {
 	FirstSeed       uint64
-	OmitResultCount bool // a line has the seed and the digest only, not the number of results
+	OmitResultCount bool // lines have only the seed and the digest, not the number of results
 }
 
-// Recorder digests the results of one seed.
+// Recorder computes the digest of one seed's results.
 type Recorder struct {
 	digest  hash.Hash
 	results int
 }
 
-// Add writes one result. Its format and operands must not depend on the names in the code.
+// Add records one result. Its text must not depend on identifiers in the code, so that renames keep the digest.
 func (r *Recorder) Add(format string, operands ...any) {
 	r.results++
 	r.AddUncounted(format, operands...)
 }
 
-// AddUncounted writes what is in the digest as a result is, and not in the number of results: say, the state between
-// two results.
+// AddUncounted adds text to the digest without counting it as a result, for example the state between two results.
 func (r *Recorder) AddUncounted(format string, operands ...any) {
 	fmt.Fprintf(r.digest, format+"\n", operands...)
 }
 
-// line returns the seed's line of the file.
+// line returns the line of the file for a seed.
 func (r *Recorder) line(format Format, seed uint64) string {
 	digest := r.digest.Sum(nil)[:digestBytes]
 	if format.OmitResultCount {
@@ -60,13 +59,13 @@
 	return fmt.Sprintf("%d %d %x", seed, r.results, digest)
 }
 
-// Check plays each seed from 1 on and compares the digests with those on file.
+// Check calls play for each seed from 1 on and compares the digests with those in File.
 func Check(t *testing.T, seeds int, play func(seed uint64, recorder *Recorder)) {
 	t.Helper()
 	Format{FirstSeed: 1}.Check(t, seeds, play)
 }
 
-// Check plays each seed from the format's first one on and compares the digests with those on file.
+// Check calls play for each seed from f.FirstSeed on and compares the digests with those in File.
 func (f Format) Check(t *testing.T, seeds int, play func(seed uint64, recorder *Recorder)) {
 	t.Helper()
 	lines := make([]string, seeds)
@@ -83,12 +82,12 @@
 	compare(t, lines)
 }
 
-// CheckCounts fails a test in which something happened less often than the digests need to pin it.
+// CheckCounts fails the test if something happened less often than its minimum: then the digests hardly cover it.
 func CheckCounts(t *testing.T, counts, minimums map[string]int) {
 	t.Helper()
 	for name, minimum := range minimums {
 		if counts[name] < minimum {
-			t.Errorf("%s: %d over all seeds, at least %d wanted: the sequences have too little variety",
+			t.Errorf("%s: got %d over all seeds, want at least %d: the random events have too little variety",
 				name, counts[name], minimum)
 		}
 	}
@@ -109,41 +108,41 @@
 	t.Helper()
 	text, err := os.ReadFile(File)
 	if err != nil {
-		t.Fatalf("%v; this writes it: %s", err, updateCommand(t))
+		t.Fatalf("%v; create the file with: %s", err, updateCommand(t))
 	}
-	faults := differences(string(text), lines)
-	for _, fault := range faults {
-		t.Error(fault)
+	found := differences(string(text), lines)
+	for _, difference := range found {
+		t.Error(difference)
 	}
-	if len(faults) > 0 {
-		t.Errorf("the package behaves otherwise. Only where that is meant: %s", updateCommand(t))
+	if len(found) > 0 {
+		t.Errorf("the behaviour of the package has changed; if that is intended, update the digests: %s", updateCommand(t))
 	}
 }
 
-// differences says in what a file's text is not exactly these lines.
-func differences(text string, lines []string) (faults []string) {
+// differences describes how the text of a file differs from the expected text, which consists of lines.
+func differences(text string, lines []string) (found []string) {
 	body, complete := strings.CutSuffix(text, "\n")
 	if !complete {
-		faults = append(faults, File+" does not end with the end of a line")
+		found = append(found, File+" does not end with a newline")
 	}
 	want := strings.Split(body, "\n")
 	if len(want) != len(lines) {
-		return append(faults, fmt.Sprintf("%s has %d seeds, %d were played", File, len(want), len(lines)))
+		return append(found, fmt.Sprintf("%s has %d lines, want one for each of %d seeds", File, len(want), len(lines)))
 	}
-	differ := 0
+	differing := 0
 	for i, line := range lines {
 		if line != want[i] {
-			differ++
-			faults = append(faults, fmt.Sprintf("the seed's line is %q, want %q", line, want[i]))
+			differing++
+			found = append(found, fmt.Sprintf("got line %q, want %q", line, want[i]))
 		}
 	}
-	if differ > 0 {
-		faults = append(faults, fmt.Sprintf("%d of %d seeds differ", differ, len(lines)))
+	if differing > 0 {
+		found = append(found, fmt.Sprintf("%d of %d seeds differ", differing, len(lines)))
 	}
-	return faults
+	return found
 }
 
-// updateCommand is how to write the file anew from the root of the module.
+// updateCommand returns the command that rewrites File, to be run from the root of the module.
 func updateCommand(t *testing.T) string {
 	t.Helper()
 	directory, err := os.Getwd()
