--- a/internal/digesttest/digesttest.go
+++ b/internal/digesttest/digesttest.go
@@ -115,7 +115,7 @@
 		t.Error(difference)
 	}
 	if len(found) > 0 {
-		t.Errorf("the behaviour of the package has changed; if that is intended, update the digests: %s", updateCommand(t))
+		t.Errorf("the behaviour of the package has changed; if intended, update the digests: %s", updateCommand(t))
 	}
 }
 
