--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -9,36 +9,35 @@
 )
 
 const (
-	// maxPendingAccepts is how many accepted connections an address may have that the loop has not taken yet. Each has
-	// up to three descriptors: its own, that of Go's poller and that of gnet (see also socket.Socket).
+	// maxPendingAccepts is how many accepted connections per listener may wait to be taken over by the loop. Each
+	// uses up to three descriptors: its own, a duplicate for Go's poller and one for gnet (see also socket.Socket).
 	maxPendingAccepts = 4
-	minAcceptPause    = 5 * time.Millisecond // after an accept that failed
+	minAcceptPause    = 5 * time.Millisecond // after a failed accept
 	maxAcceptPause    = 100 * time.Millisecond
-	// minAcceptWait is how long an accept takes at the least that found no connection waiting.
+	// minAcceptWait: an accept that takes at least this long found the accept queue empty.
 	minAcceptWait = time.Millisecond
 )
 
-// acceptor accepts the connections of one address on a goroutine beside the loop and hands them to it. gnet's own
-// listener ends the loop, and with it all connections, when accept fails with ENFILE, ENOBUFS or another error that
-// passes.
+// acceptor accepts the connections of one listener on its own goroutine and hands them to the loop. gnet's own listener
+// would end the loop, and with it all connections, when accept fails with ENFILE, ENOBUFS or another temporary error.
 //
-// Invariant: a connection that was accepted counts as pending until its handler knows of it or it was closed.
+// Invariant: an accepted connection counts as pending until it has a handler or is closed.
 type acceptor struct {
-	loop       *Loop
-	accept     func(remote net.Addr) Handler
-	listener   *socket.Listener
-	places     chan struct{} // taken by each connection that the loop has not taken yet
-	emptySince time.Time     // when no connection waited to be accepted, as far as is known
-	closed     chan struct{}
-	goroutines sync.WaitGroup
+	loop         *Loop
+	accept       func(remote net.Addr) Handler
+	listener     *socket.Listener
+	slots        chan struct{} // each connection that the loop has not taken over yet holds one
+	queueEmptyAt time.Time     // the last time at which the accept queue was known to be empty
+	closed       chan struct{}
+	goroutines   sync.WaitGroup
 }
 
-// newAcceptor opens an address. Errors that pass are waited out.
+// newAcceptor opens the address of a listener. It retries after temporary errors.
 func newAcceptor(l *Loop, listener Listener) (*acceptor, error) {
 	a := &acceptor{
 		loop:   l,
 		accept: listener.Accept,
-		places: make(chan struct{}, maxPendingAccepts),
+		slots:  make(chan struct{}, maxPendingAccepts),
 		closed: make(chan struct{}),
 	}
 	err := socket.RetryLocalErrors(func() (err error) {
@@ -48,53 +47,53 @@
 	return a, err
 }
 
-// start begins to accept. It must be called on the loop, once.
+// start starts accepting. It must be called once, on the loop.
 func (a *acceptor) start() { a.goroutines.Go(a.run) }
 
-// close ends the goroutines, and waits for them. What was accepted and not taken by the loop is dropped with it.
+// close stops the goroutines and waits for them. Accepted connections that the loop has not taken over are dropped.
 func (a *acceptor) close() {
 	close(a.closed)
 	_ = a.listener.Close()
 	a.goroutines.Wait()
 }
 
-// run accepts until the acceptor is closed.
+// run accepts connections until the acceptor is closed.
 func (a *acceptor) run() {
 	pause := time.Duration(0)
-	a.emptySince = time.Now()
-	for a.takePlace() {
+	a.queueEmptyAt = time.Now()
+	for a.acquireSlot() {
 		called := time.Now()
 		accepted, err := a.listener.Accept()
 		returned := time.Now()
-		if pause == 0 && returned.Sub(called) >= minAcceptWait { // after an error a connection waits all along
-			a.emptySince = returned
+		if pause == 0 && returned.Sub(called) >= minAcceptWait { // after an error a connection may have waited
+			a.queueEmptyAt = returned
 		}
 		switch {
 		case err != nil && a.isClosed():
 			return
-		case err != nil: // whatever it is: there is no other way to get clients
-			<-a.places
+		case err != nil: // retry after any error, as clients have no other way in
+			<-a.slots
 			pause = min(max(minAcceptPause, 2*pause), maxAcceptPause)
-			a.loop.acceptFailed(err)
+			a.loop.reportAcceptError(err)
 			a.sleep(pause)
 		default:
 			pause = 0
-			a.hand(accepted)
+			a.startHandOver(accepted)
 		}
 	}
 }
 
-// takePlace waits until one more connection may be accepted; false: the acceptor was closed.
-func (a *acceptor) takePlace() bool {
+// acquireSlot waits until another connection may be accepted. It returns false if the acceptor was closed.
+func (a *acceptor) acquireSlot() bool {
 	select {
-	case a.places <- struct{}{}:
+	case a.slots <- struct{}{}:
 		return true
 	case <-a.closed:
 		return false
 	}
 }
 
-// sleep waits, unless the acceptor is closed.
+// sleep waits for the pause, or until the acceptor is closed.
 func (a *acceptor) sleep(pause time.Duration) {
 	select {
 	case <-time.After(pause):
@@ -112,30 +111,30 @@
 	}
 }
 
-// hand gives a connection to the loop, beside the acceptor.
-func (a *acceptor) hand(accepted *socket.Socket) {
-	conn := &Conn{loop: a.loop, origin: acceptedConn, accept: a.accept, acceptableSince: a.emptySince}
+// startHandOver hands a connection over to the loop on another goroutine.
+func (a *acceptor) startHandOver(accepted *socket.Socket) {
+	conn := &Conn{loop: a.loop, origin: acceptedConn, accept: a.accept, waitingSince: a.queueEmptyAt}
 	a.loop.pendingAccepts.Add(1)
-	a.goroutines.Go(func() { a.awaitTaken(conn, accepted) })
+	a.goroutines.Go(func() { a.finishHandOver(conn, accepted) })
 }
 
-// awaitTaken frees the place of a connection once the loop has taken it, or has ended.
-func (a *acceptor) awaitTaken(conn *Conn, accepted *socket.Socket) {
+// finishHandOver waits until the loop has taken over the connection, refused it or ended, and releases the slot.
+func (a *acceptor) finishHandOver(conn *Conn, accepted *socket.Socket) {
 	err := a.loop.enrollSocket(conn, accepted, a.closed)
 	_ = accepted.Close()
-	<-a.places
+	<-a.slots
 	if err != nil {
 		a.loop.pendingAccepts.Add(-1)
-		a.loop.acceptFailed(err)
+		a.loop.reportAcceptError(err)
 	}
 }
 
-// acceptFailed reports a connection that could not be accepted. It may be called beside the loop.
-func (l *Loop) acceptFailed(err error) {
+// reportAcceptError calls OnAcceptError on the loop. It may be called from any goroutine.
+func (l *Loop) reportAcceptError(err error) {
 	if l.OnAcceptError != nil {
 		l.Post(func() { l.OnAcceptError(err) })
 	}
 }
 
-// PendingAccepts is the number of connections that were accepted and that no handler knows of yet.
+// PendingAccepts returns the number of accepted connections that have no handler yet.
 func (l *Loop) PendingAccepts() int { return int(l.pendingAccepts.Load()) }
--- a/internal/eventloop/bridge/bridge.go
+++ b/internal/eventloop/bridge/bridge.go
@@ -1,6 +1,6 @@
-// Package bridge joins a connection that can only be used by blocking, such as one by TLS, to the event loop: a pair of
-// sockets, of which the loop serves one like any connection, and two goroutines that copy. Each side that is slow
-// holds up the other by the kernel's own buffers, so nothing grows here.
+// Package bridge connects a connection that supports only blocking calls, such as a TLS connection, to the event loop.
+// It uses a socket pair, one end of which the loop serves like any connection, and two goroutines that copy. Copying
+// stops while the kernel's socket buffers to a slow side are full, so no memory grows here.
 package bridge
 
 import (
@@ -11,8 +11,8 @@
 	"syscall"
 )
 
-// Pair makes two connected sockets: ours for Copy, theirs for the loop. It takes two descriptors.
-func Pair() (ours, theirs net.Conn, err error) {
+// Pair returns two connected sockets: copyEnd for Copy, loopEnd for the loop. It uses two descriptors.
+func Pair() (copyEnd, loopEnd net.Conn, err error) {
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, nil, err
@@ -35,16 +35,16 @@
 	return conns[0], conns[1], nil
 }
 
-// Copy moves bytes both ways between far and our end of a pair until either ends, and closes both. It blocks until
-// its goroutine has ended too.
-func Copy(far, ours net.Conn) {
+// Copy copies bytes in both directions between remote and copyEnd of a pair until either ends, and closes both. It
+// blocks until its goroutine has ended too.
+func Copy(remote, copyEnd net.Conn) {
 	done := make(chan struct{})
 	go func() {
-		_, _ = io.Copy(far, ours) // what the loop sends
-		_ = far.Close()
+		_, _ = io.Copy(remote, copyEnd) // from the loop
+		_ = remote.Close()
 		close(done)
 	}()
-	_, _ = io.Copy(ours, far)
-	_ = ours.Close()
+	_, _ = io.Copy(copyEnd, remote)
+	_ = copyEnd.Close()
 	<-done
 }
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -8,16 +8,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// connState is how far the end of a connection is. It only goes up.
+// connState is the state of a connection. It never decreases.
 type connState uint8
 
 const (
 	connOpen    connState = iota
-	connClosing           // nothing more is read or sent; it closes at the end of the round
-	connClosed            // its handler was told
+	connClosing           // nothing more is read or sent; closes at the end of the round
+	connClosed            // reported to the handler by Closed
 )
 
-// connOrigin is where a connection comes from.
+// connOrigin tells how a connection was made.
 type connOrigin uint8
 
 const (
@@ -26,36 +26,36 @@
 	adoptedConn
 )
 
-// Conn is a connection on the loop. Its methods must be called on the loop, and none blocks.
+// Conn is a connection on the loop. Its methods must be called on the loop and do not block.
 type Conn struct {
-	In []byte // received and not consumed yet; valid while Handler.Received runs
+	In []byte // bytes received and not consumed yet; valid while Handler.Received runs
 
 	loop     *Loop
 	sock     gnet.Conn
 	handler  Handler
 	state    connState
 	origin   connOrigin
-	isOpened bool // OnOpen has seen it
-	// acceptableSince is since when an accepted connection may have waited to be accepted.
-	acceptableSince time.Time
-	accept          func(remote net.Addr) Handler // gives an accepted connection its handler
+	isOpened bool // OnOpen was called
+	// waitingSince is the earliest time from which an accepted connection may have waited in the accept queue.
+	waitingSince time.Time
+	accept       func(remote net.Addr) Handler // returns the handler of an accepted connection
 
-	partial        []byte // what Handler.Received left
+	unconsumed     []byte // bytes that Handler.Received did not consume
 	isReadDeferred bool
-	wasRead        bool // the handler was given something
+	hasReceived    bool // Handler.Received was called
 
-	outbound      []byte // for the end of the round
-	queued        uint64 // bytes that were left for it, ever
+	outbound      []byte // bytes to be written at the end of the round
+	queued        uint64 // bytes passed to Send since the connection was opened
 	unsent        unsentBuffer
-	writeErr      error // of a write that failed
-	countedUnsent int   // its part of Loop.unsentBytes
-	isToBeWritten bool  // it is in Loop.toWrite
-	isSlowReader  bool  // it is in Loop.slowReaders
+	writeErr      error // of a failed write
+	countedUnsent int   // this connection's part of Loop.unsentBytes
+	isToBeWritten bool  // is in Loop.toWrite
+	isSlowReader  bool  // is in Loop.slowReaders
 	retryPause    time.Duration
-	retryAt       time.Time // when a slow reader's connection is written again
+	retryAt       time.Time // when to write to a slow reader again
 }
 
-// Send leaves bytes to be written at the end of the round. It copies them.
+// Send queues a copy of parts, to be written at the end of the round.
 func (c *Conn) Send(parts ...[]byte) {
 	if c.state != connOpen {
 		return
@@ -73,22 +73,22 @@
 	c.writeAtRoundEnd()
 }
 
-// RequestWrite has the connection written at the end of the round, though nothing may have been sent yet: its handler
-// is a Composer.
+// RequestWrite requests a write at the end of the round, even if nothing was sent yet. It is for a handler that is a
+// Composer.
 func (c *Conn) RequestWrite() {
 	if c.state == connOpen {
 		c.writeAtRoundEnd()
 	}
 }
 
-// compose has a handler that waited for the write send what it has left.
+// compose calls Compose of a handler that is a Composer.
 func (c *Conn) compose() {
 	if composer, ok := c.handler.(Composer); ok && c.state == connOpen {
 		composer.Compose(c)
 	}
 }
 
-// writeAtRoundEnd has Loop.writeAll write or close the connection.
+// writeAtRoundEnd schedules the connection for Loop.writeAll, which writes to it or closes it.
 func (c *Conn) writeAtRoundEnd() {
 	if !c.isToBeWritten {
 		c.isToBeWritten = true
@@ -97,7 +97,7 @@
 	}
 }
 
-// Close closes the connection at the end of the round, once what is left for it was written as far as it takes it.
+// Close closes the connection at the end of the round, after writing as much queued output as the system accepts.
 func (c *Conn) Close() {
 	if c.state == connOpen {
 		c.state = connClosing
@@ -105,15 +105,15 @@
 	}
 }
 
-// CloseNow closes the connection at once and not at the end of the round: what is read on it until then would have no
-// answer. It must not be called while a handler of this connection runs.
+// CloseNow closes the connection at once instead of at the end of the round, because input that is read until then
+// would not be answered. It must not be called while a handler of this connection runs.
 func (c *Conn) CloseNow() {
 	c.beginClose()
 	c.write()
 }
 
-// Abort is Close for a peer that does not read: what the system holds for it is dropped, or it would be read whenever
-// the peer goes on, long after it was given up.
+// Abort is Close for a peer that does not read. It drops the unsent bytes, including those that the system holds, which
+// the peer could otherwise still read long after it was given up.
 func (c *Conn) Abort() {
 	if c.state != connClosed {
 		_ = c.sock.SetLinger(0)
@@ -125,18 +125,18 @@
 
 func (c *Conn) beginClose() { c.state = max(c.state, connClosing) }
 
-// Queued is how many bytes were left for the connection so far.
+// Queued returns how many bytes were passed to Send so far.
 func (c *Conn) Queued() uint64 { return c.queued }
 
-// Written is how many of them may have gone out, also after the end of the connection: what the system has not taken is
-// tried once more then, and a peer that has closed its own side alone reads that. It is right up to the handler's
-// Closed. What lies beyond it was never written.
+// Written returns how many of the queued bytes may have been sent to the peer; later ones were never written. It
+// includes bytes that the system has not accepted: these are written once more when the connection closes, and a peer
+// that has closed only its own side reads them. It is valid until the handler's Closed returns.
 func (c *Conn) Written() uint64 { return c.queued - uint64(len(c.outbound)) }
 
-// Flushed is how many of them the system has taken.
+// Flushed returns how many of the queued bytes the system has accepted.
 func (c *Conn) Flushed() uint64 { return c.queued - uint64(c.Unsent()) }
 
-// Unsent is the number of bytes that the peer has not taken yet.
+// Unsent returns the number of queued bytes that the system has not accepted yet.
 func (c *Conn) Unsent() int {
 	if c.state == connClosed {
 		return 0
@@ -144,16 +144,16 @@
 	return len(c.outbound) + c.unsent.len()
 }
 
-// Undelivered is the number of bytes that the system has not sent to the peer yet, for want of room there, Unsent among
-// them. They are lost if the connection is closed and something comes on it: the system answers that by a reset and
-// drops them. What was sent and not confirmed is left out, as confirmations may be late by 40 ms.
+// Undelivered returns the number of bytes that were not sent to the peer yet, for lack of room there, including Unsent.
+// These bytes are lost if the connection is closed and more input arrives on it: the system answers with a reset and
+// drops them. Bytes that were sent and not acknowledged are not counted, as acknowledgments may be 40 ms late.
 func (c *Conn) Undelivered() int {
 	if c.state == connClosed {
 		return 0
 	}
 	waiting, err := unix.IoctlGetInt(c.sock.Fd(), unix.SIOCOUTQNSD)
 	if err != nil {
-		waiting = 0 // no TCP socket
+		waiting = 0 // not a TCP socket
 	}
 	return c.Unsent() + waiting
 }
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -5,37 +5,38 @@
 	"time"
 )
 
-// PendingDials is the number of dials under way, each of which may hold two descriptors.
+// PendingDials returns the number of dials in progress. Each may hold two descriptors.
 func (l *Loop) PendingDials() int { return l.pendingDials }
 
-// Dial connects beside the loop. Either handler.Opened follows or failed, both on the loop.
-func (l *Loop) Dial(network, address string, timeout time.Duration, handler Handler, failed func(error)) {
+// Dial connects on its own goroutine. Then either handler.Opened or onError is called on the loop.
+func (l *Loop) Dial(network, address string, timeout time.Duration, handler Handler, onError func(error)) {
 	dialer := net.Dialer{Timeout: timeout}
 	if l.Bind != nil {
 		dialer.LocalAddr = l.Bind
 	}
-	l.DialWith(func() (net.Conn, error) { return dialer.Dial(network, address) }, handler, failed)
+	l.DialWith(func() (net.Conn, error) { return dialer.Dial(network, address) }, handler, onError)
 }
 
-// DialWith is Dial by a function that runs beside the loop, may block, and must end in its own time.
-func (l *Loop) DialWith(dial func() (net.Conn, error), handler Handler, failed func(error)) {
+// DialWith is like Dial, with a function that makes the connection on its own goroutine. dial may block, and must
+// enforce its own timeout.
+func (l *Loop) DialWith(dial func() (net.Conn, error), handler Handler, onError func(error)) {
 	l.pendingDials++
 	go func() {
-		err := l.connect(dial, &Conn{handler: handler, loop: l, origin: dialedConn})
+		err := l.dialAndEnroll(dial, &Conn{handler: handler, loop: l, origin: dialedConn})
 		if err == nil {
 			return
 		}
 		l.Post(func() {
 			l.pendingDials--
-			failed(err)
+			onError(err)
 			l.RequestRound()
 		})
 	}()
 }
 
-// connect dials and hands the connection to the loop. It blocks. A connection that can't be watched is a failed dial:
-// nothing has been sent on it.
-func (l *Loop) connect(dial func() (net.Conn, error), dialed *Conn) error {
+// dialAndEnroll dials and enrolls the connection on the loop. It blocks. If epoll refuses the connection the dial has
+// failed, as nothing has been sent on it.
+func (l *Loop) dialAndEnroll(dial func() (net.Conn, error), dialed *Conn) error {
 	conn, err := dial()
 	if err != nil {
 		return err
--- a/internal/eventloop/enroll.go
+++ b/internal/eventloop/enroll.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	minWatchPause = 5 * time.Millisecond // after a watch that was refused
+	minWatchPause = 5 * time.Millisecond // after epoll refused a connection
 	maxWatchPause = 100 * time.Millisecond
 )
 
-// errNotOpened is how a connection ends that epoll refused, for want of memory or of watches.
+// errNotOpened is the error of a connection that epoll refused for lack of memory or watches.
 var errNotOpened = fmt.Errorf("the event loop could not watch the connection: %w", unix.ENOMEM)
 
-// errLoopEnded is how a connection ends that the loop no longer takes.
+// errLoopEnded is the error of a connection that was not taken over before the loop ended.
 var errLoopEnded = errors.New("the event loop has ended")
 
 // errNotDuplicable is the error of Adopt for a connection that has no descriptor to duplicate.
-var errNotDuplicable = errors.New("the connection has no descriptor of its own")
+var errNotDuplicable = errors.New("the connection does not expose its file descriptor")
 
-// Adopt takes over a connection that was made elsewhere. It blocks and must not be called on the loop. With an error
-// the handler is told nothing.
+// Adopt takes over a connection that was made elsewhere. It blocks and must not be called on the loop. If it returns an
+// error, the handler is not called.
 func (l *Loop) Adopt(conn net.Conn, handler Handler) error {
 	duplicable, ok := conn.(interface{ File() (*os.File, error) })
 	if !ok {
@@ -49,10 +49,10 @@
 	return l.enrollSocket(&Conn{handler: handler, loop: l, origin: adoptedConn}, unwatched, nil)
 }
 
-// enrollSocket has the loop take over a socket, and waits until that is done. Both Go's poller and gnet close the
-// duplicate that they can't watch, so the socket itself is held by the caller until then, and is tried again after a
-// pause that grows: nothing that its peer has sent is lost. It gives up when stop is closed or the loop has ended, and
-// for an error that does not pass.
+// enrollSocket hands a socket to the loop, and waits until the loop has taken it over. Go's poller and gnet both close
+// a duplicate that epoll refuses. So the caller keeps the socket itself open meanwhile, and enrollSocket retries with
+// growing pauses: no bytes from the peer are lost. It gives up when stop is closed, when the loop has ended, or after
+// an error that is not temporary.
 func (l *Loop) enrollSocket(c *Conn, unwatched *socket.Socket, stop <-chan struct{}) error {
 	pause := minWatchPause
 	for {
@@ -63,7 +63,7 @@
 		if err == nil || !socket.IsLocalError(err) {
 			return err
 		}
-		l.acceptFailed(fmt.Errorf("tried again in %v: %w", pause, err))
+		l.reportAcceptError(fmt.Errorf("retrying in %v: %w", pause, err))
 		select {
 		case <-time.After(pause):
 		case <-stop:
@@ -73,8 +73,8 @@
 	}
 }
 
-// enroll has the loop take over a connection, and waits until that is done or stop is closed. With an error the
-// connection is closed, or dropped with the loop.
+// enroll hands a connection to the loop, and waits until the loop has taken it over or stop is closed. If it returns an
+// error the connection is closed, or dropped with the loop.
 func (l *Loop) enroll(c *Conn, conn net.Conn, stop <-chan struct{}) error {
 	result, err := l.gnetLoop.Enroll(gnet.NewContext(context.Background(), c), conn)
 	if err != nil { // the loop has ended
@@ -89,7 +89,7 @@
 	case <-stop:
 		return errLoopEnded
 	}
-	if !c.isOpened { // OnOpen came before the result, if it came
+	if !c.isOpened { // gnet calls OnOpen, if at all, before it sends the result
 		return errNotOpened
 	}
 	return nil
--- a/internal/eventloop/enroll_test.go
+++ b/internal/eventloop/enroll_test.go
@@ -8,9 +8,9 @@
 	"sloequay/internal/eventloop/socket"
 )
 
-// TestResetBeforeItIsTaken guards against a client that has left already when its connection is taken, and whose watch
-// would be asked for without end.
-func TestResetBeforeItIsTaken(t *testing.T) {
+// TestPeerResetBeforeTakeOver guards against endless retries to watch a connection whose client has reset it before it
+// was taken over.
+func TestPeerResetBeforeTakeOver(t *testing.T) {
 	listener, err := socket.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -34,6 +34,6 @@
 		conn.Close()
 	}
 	if !errors.Is(err, socket.ErrPeerReset) {
-		t.Errorf("error %v, want %v", err, socket.ErrPeerReset)
+		t.Errorf("got error %v, want %v", err, socket.ErrPeerReset)
 	}
 }
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -7,34 +7,37 @@
 	"time"
 )
 
-// partialReader leaves all that comes until it is told to take it.
-type partialReader struct {
-	lengths chan int
-	defers  bool
-	takes   bool
-	conn    *Conn
+// retainingHandler consumes nothing until consumes is set. It reports the length of each delivery.
+type retainingHandler struct {
+	lengths     chan int
+	defersReads bool
+	consumes    bool
+	conn        *Conn
 }
 
-func (k *partialReader) Opened(c *Conn) { k.conn = c }
-func (k *partialReader) Received(c *Conn) {
+func (h *retainingHandler) Opened(c *Conn) { h.conn = c }
+func (h *retainingHandler) Received(c *Conn) {
 	n := len(c.In)
-	if k.takes {
+	if h.consumes {
 		c.Consume(n)
-	} else if k.defers {
+	} else if h.defersReads {
 		c.DeferRead()
 	}
-	k.lengths <- n
+	h.lengths <- n
 }
-func (k *partialReader) Closed(*Conn, error) {}
+func (h *retainingHandler) Closed(*Conn, error) {}
 
-// start runs a loop with one handler for all clients, and gives it with a function that runs tasks on it.
-func start(t *testing.T, h Handler) (l *Loop, address string, on func(task func())) {
+// startLoop runs a loop with one handler for all clients, and returns it with a function that runs a task on the loop
+// and waits for it.
+func startLoop(t *testing.T, h Handler) (l *Loop, address string, runOnLoop func(task func())) {
 	t.Helper()
-	return startWith(t, h, func() {})
+	return startLoopWithRounds(t, h, func() {})
 }
 
-// startWith is start with a function for the end of each round.
-func startWith(t *testing.T, h Handler, round func()) (l *Loop, address string, on func(task func())) {
+// startLoopWithRounds is like startLoop, with a function that is called at the end of each round.
+func startLoopWithRounds(
+	t *testing.T, h Handler, endRound func(),
+) (l *Loop, address string, runOnLoop func(task func())) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -45,7 +48,7 @@
 	loops, ended := make(chan *Loop, 1), make(chan error, 1)
 	go func() {
 		ended <- Run([]Listener{{Network: "tcp", Address: address, Accept: func(net.Addr) Handler { return h }}},
-			func(l *Loop) { l.MemoryLimit = 64 << 20; loops <- l }, round)
+			func(l *Loop) { l.MemoryLimit = 64 << 20; loops <- l }, endRound)
 	}()
 	select {
 	case l = <-loops:
@@ -65,11 +68,11 @@
 	}
 }
 
-// TestOutbound: what is left for a peer counts from Send on, before the round has written anything of it, until the
-// peer has taken it, also where nothing is sent to it any more.
-func TestOutbound(t *testing.T) {
-	k := &partialReader{lengths: make(chan int, 100), takes: true}
-	l, address, on := start(t, k)
+// TestUnsentBytesCountUntilPeerReads checks that bytes count as unsent from Send on, before the round writes any of
+// them, until the peer has read them, even if nothing more is sent to it.
+func TestUnsentBytesCountUntilPeerReads(t *testing.T) {
+	handler := &retainingHandler{lengths: make(chan int, 100), consumes: true}
+	l, address, runOnLoop := startLoop(t, handler)
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -78,54 +81,56 @@
 	if _, err := conn.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	<-k.lengths
-	const much = 5 << 20 // beyond what the sockets hold
-	on(func() {
-		if k.conn.Send(make([]byte, much)); l.UnsentBytes() != much {
-			t.Errorf("%d bytes are on their way before they are written, want %d", l.UnsentBytes(), much)
+	<-handler.lengths
+	const size = 5 << 20 // more than the socket buffers hold
+	runOnLoop(func() {
+		if handler.conn.Send(make([]byte, size)); l.UnsentBytes() != size {
+			t.Errorf("UnsentBytes before the write: got %d, want %d", l.UnsentBytes(), size)
 		}
-		if k.conn.Written() != 0 || k.conn.Flushed() != 0 {
-			t.Errorf("written %d, flushed %d before the write, want none", k.conn.Written(), k.conn.Flushed())
+		if handler.conn.Written() != 0 || handler.conn.Flushed() != 0 {
+			t.Errorf("before the write: got written %d, flushed %d, want 0 and 0",
+				handler.conn.Written(), handler.conn.Flushed())
 		}
 	})
-	left := 0
-	for end := time.Now().Add(10 * time.Second); left == 0 || left == much; {
+	unsent := 0
+	for end := time.Now().Add(10 * time.Second); unsent == 0 || unsent == size; {
 		if time.Sleep(time.Millisecond); time.Now().After(end) {
-			t.Fatalf("%d bytes are left of %d after the write, want some", left, much)
+			t.Fatalf("UnsentBytes after the write: got %d of %d, want only a part", unsent, size)
 		}
-		on(func() { left = l.UnsentBytes() })
+		runOnLoop(func() { unsent = l.UnsentBytes() })
 	}
-	on(func() { // what waits may go out as the connection ends
-		written, flushed := k.conn.Written(), k.conn.Flushed()
-		if written != much || flushed > uint64(much-left) && l.UnsentBytes() == left {
-			t.Errorf("written %d, flushed %d of %d with %d left, want all written", written, flushed, much, left)
+	runOnLoop(func() { // Written includes unsent bytes, which may be sent when the connection closes
+		written, flushed := handler.conn.Written(), handler.conn.Flushed()
+		if written != size || flushed > uint64(size-unsent) && l.UnsentBytes() == unsent {
+			t.Errorf("got written %d, flushed %d of %d bytes with %d unsent, want all written, all others flushed",
+				written, flushed, size, unsent)
 		}
 	})
-	if _, err := io.ReadFull(conn, make([]byte, much)); err != nil {
+	if _, err := io.ReadFull(conn, make([]byte, size)); err != nil {
 		t.Fatal(err)
 	}
-	on(func() {
+	runOnLoop(func() {
 		if l.UnsentBytes() != 0 {
-			t.Errorf("%d bytes are on their way after the peer has read all", l.UnsentBytes())
+			t.Errorf("UnsentBytes after the peer has read all: got %d, want 0", l.UnsentBytes())
 		}
 	})
 }
 
-// TestInbound: what a handler leaves is counted as it is, in however many parts it came, and no more once it was taken;
-// and Redeliver gives it once more.
-func TestInbound(t *testing.T) {
-	k := &partialReader{lengths: make(chan int, 100)}
-	l, address, on := start(t, k)
+// TestUnconsumedBytesAreCountedAndRedelivered checks that bytes that a handler does not consume are counted, in however
+// many parts they arrived, until they are consumed, and that Redeliver delivers them again.
+func TestUnconsumedBytesAreCountedAndRedelivered(t *testing.T) {
+	handler := &retainingHandler{lengths: make(chan int, 100)}
+	l, address, runOnLoop := startLoop(t, handler)
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	counted := func(want int) {
+	checkUnconsumed := func(want int) {
 		t.Helper()
-		on(func() {
-			if l.partialBytes != want {
-				t.Errorf("%d bytes are counted as left, want %d", l.partialBytes, want)
+		runOnLoop(func() {
+			if l.unconsumedBytes != want {
+				t.Errorf("got %d unconsumed bytes, want %d", l.unconsumedBytes, want)
 			}
 		})
 	}
@@ -136,62 +141,63 @@
 		}
 		for got := 0; got < want; {
 			select {
-			case got = <-k.lengths:
+			case got = <-handler.lengths:
 			case <-time.After(10 * time.Second):
-				t.Fatalf("the handler has seen %d bytes of %d", got, want)
+				t.Fatalf("got %d bytes delivered, want %d", got, want)
 			}
 		}
 	}
 	for i := 1; i <= 5; i++ {
 		send(100, 100*i)
-		counted(100 * i)
+		checkUnconsumed(100 * i)
 	}
-	on(func() { k.defers = true })
+	runOnLoop(func() { handler.defersReads = true })
 	send(100, 600)
-	counted(600)
-	on(func() {
-		k.takes = true
-		k.conn.Redeliver()
+	checkUnconsumed(600)
+	runOnLoop(func() {
+		handler.consumes = true
+		handler.conn.Redeliver()
 	})
-	if n := <-k.lengths; n != 600 {
-		t.Errorf("once more it sees %d bytes, want 600", n)
+	if n := <-handler.lengths; n != 600 {
+		t.Errorf("got %d bytes redelivered, want 600", n)
 	}
-	counted(0)
+	checkUnconsumed(0)
 }
 
-// counter counts what comes of all clients. Its fields are the loop's alone.
-type counter struct{ opened, bytes, closed int }
+// eventCounter counts the events of all clients. Its fields are accessed only on the loop.
+type eventCounter struct{ opened, bytes, closed int }
 
-func (k *counter) Opened(*Conn) { k.opened++ }
-func (k *counter) Received(c *Conn) {
-	k.bytes += len(c.In)
+func (h *eventCounter) Opened(*Conn) { h.opened++ }
+func (h *eventCounter) Received(c *Conn) {
+	h.bytes += len(c.In)
 	c.Consume(len(c.In))
 }
-func (k *counter) Closed(*Conn, error) { k.closed++ }
+func (h *eventCounter) Closed(*Conn, error) { h.closed++ }
 
-// TestStandstill: the loop stands still while clients come, say something and go. The first round afterwards has all
-// of it, though epoll tells of it in parts, and of each end only once the bytes before it were read.
-func TestStandstill(t *testing.T) {
-	const many = 150
-	k := &counter{}
-	rounds := make(chan counter, 1000)
+// TestFirstRoundAfterStandstillHasAllEvents blocks the loop while its clients send a byte and disconnect. The next
+// round must have all of these events, although epoll reports them in batches, and each close only after the bytes
+// before it were read.
+func TestFirstRoundAfterStandstillHasAllEvents(t *testing.T) {
+	const clients = 150
+	handler := &eventCounter{}
+	rounds := make(chan eventCounter, 1000)
 	var l *Loop
-	l, address, on := startWith(t, k, func() {
+	l, address, runOnLoop := startLoopWithRounds(t, handler, func() {
 		l.WakeAfter(10 * time.Millisecond)
-		rounds <- *k
+		rounds <- *handler
 	})
 	var conns []net.Conn
-	for range many {
+	for range clients {
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		conns = append(conns, conn)
 	}
-	for opened := 0; opened < many; opened = (<-rounds).opened {
+	for opened := 0; opened < clients; opened = (<-rounds).opened {
 	}
 	blocked, release := make(chan struct{}), make(chan struct{})
-	go on(func() {
+	go runOnLoop(func() {
 		close(blocked)
 		<-release
 	})
@@ -199,7 +205,7 @@
 	for len(rounds) > 0 {
 		<-rounds
 	}
-	time.Sleep(200 * time.Millisecond) // beyond what a busy loop may be late
+	time.Sleep(200 * time.Millisecond) // longer than standstill.Tolerance
 	for _, conn := range conns {
 		if _, err := conn.Write([]byte("x")); err != nil {
 			t.Fatal(err)
@@ -207,7 +213,7 @@
 		_ = conn.Close()
 	}
 	close(release)
-	if got := <-rounds; got.bytes != many || got.closed != many {
-		t.Errorf("the first round has %d bytes and %d ends of %d", got.bytes, got.closed, many)
+	if got := <-rounds; got.bytes != clients || got.closed != clients {
+		t.Errorf("first round: got %d bytes and %d closed connections, want %d each", got.bytes, got.closed, clients)
 	}
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -17,50 +17,50 @@
 	"sloequay/internal/eventloop/standstill"
 )
 
-// Loop is the one event loop. All methods but Post, Adopt and Stop must be called on it; none but Adopt blocks.
+// Loop is the event loop. All methods except Post, Adopt and Stop must be called on the loop; only Adopt blocks.
 //
-// Beside it run: the goroutines of each acceptor, one that accepts and one for each connection that the loop has not
-// taken yet, which Run ends and waits for; that of each dial, which ends by the dial's own time-out and is not waited
-// for; that of the start; and that of Stop. Timers post to the loop.
+// These goroutines run outside the loop: for each acceptor, one that accepts and one per connection that the loop has
+// not taken over yet, which Run ends and waits for; one per dial, which ends by the timeout of the dial and which Run
+// does not wait for; one at the start; and one for Stop. Timers post to the loop.
 type Loop struct {
 	gnet.BuiltinEventEngine
-	MemoryLimit int // bytes that the program may use, of which the bounds below are parts; set by Run's start
-	// Bind is the address that dials come from; nil: the system's choice.
+	MemoryLimit int // bytes that the program may use; buffer limits are fractions of it; set by Run's start
+	// Bind is the local address of dials; nil: the system chooses.
 	Bind *net.TCPAddr
-	// OnAcceptError is told of connections that could not be accepted, on the loop; nil: nobody is.
+	// OnAcceptError is called on the loop for each connection that could not be accepted; nil: errors are ignored.
 	OnAcceptError func(error)
 
 	engine         atomic.Pointer[gnet.Engine]
 	gnetLoop       gnet.EventLoop // set before start runs
-	onceBooted     sync.Once
-	handleAddress  string // see learnGnetLoop
+	bootOnce       sync.Once
+	startupAddress string // see obtainGnetLoop
 	start          func()
 	packetHandlers map[string]PacketHandler // by local address
-	pendingAccepts atomic.Int64             // connections accepted that no handler knows of
+	pendingAccepts atomic.Int64             // accepted connections that have no handler yet
 	pendingDials   int
 
 	endRound         func()
-	isRoundRequested bool // its end is posted
+	isRoundRequested bool // finishRound is posted or postponed
 	wakeTimer        *time.Timer
 	standstill       standstill.Detector
 	pacer            roundPacer
 
-	toWrite      []*Conn // what the round left something for, or closes
-	slowReaders  []*Conn // whose peers had not taken all by their last write
-	unsentBytes  int     // see UnsentBytes
-	partialBytes int     // received, and not consumed by handlers
-	roundBuffer  []byte  // see CopyForRound
-	spareBuffers [][]byte
+	toWrite         []*Conn // connections to be written or closed at the end of the round
+	slowReaders     []*Conn // connections with bytes that the system did not accept yet
+	unsentBytes     int     // see UnsentBytes
+	unconsumedBytes int     // received and not consumed by handlers, of all connections
+	roundBuffer     []byte  // see CopyForRound
+	spareBuffers    [][]byte
 
 	writeRetryTimer *time.Timer
-	writeRetryAt    time.Time // when it ends; zero: it does not run
+	writeRetryAt    time.Time // when the timer fires; zero: it is not running
 }
 
-// Run opens the listeners and runs the loop until Stop. start runs on the loop before anything is read; endRound at
-// the end of every round. Run blocks; once it returns, nothing is accepted any more.
+// Run opens the listeners and runs the loop until Stop is called. It calls start on the loop before anything is read,
+// and endRound at the end of each round. Run blocks; after it has returned, nothing is accepted.
 func Run(listeners []Listener, start func(*Loop), endRound func()) error {
 	loop := &Loop{packetHandlers: map[string]PacketHandler{}, endRound: endRound}
-	loop.handleAddress = addressForHandle(listeners)
+	loop.startupAddress = startupConnAddress(listeners)
 	var addresses []string
 	var acceptors []*acceptor
 	for _, listener := range listeners {
@@ -73,8 +73,8 @@
 			acceptors = append(acceptors, acceptor)
 			continue
 		}
-		// SO_REUSEPORT, which gnet sets, would let a second program share the address unnoticed.
-		if err := socket.RetryLocalErrors(func() error { return checkVacant(listener.Address) }); err != nil {
+		// gnet sets SO_REUSEPORT, with which a second program could share the address unnoticed.
+		if err := socket.RetryLocalErrors(func() error { return checkAddressFree(listener.Address) }); err != nil {
 			return err
 		}
 		loop.packetHandlers[listener.Address] = listener.Packet
@@ -86,8 +86,8 @@
 			acceptor.start()
 		}
 	}
-	if len(addresses) == 0 { // gnet gives no handle to an engine without a listener
-		addresses = append(addresses, "udp://"+unusedAddress(loop.handleAddress))
+	if len(addresses) == 0 { // gnet provides no event loop for an engine without listeners
+		addresses = append(addresses, "udp://"+ephemeralAddress(loop.startupAddress))
 	}
 	err := socket.RetryLocalErrors(func() error {
 		return gnet.Rotate(loop, addresses, gnet.WithReusePort(true), gnet.WithReuseAddr(true),
@@ -99,19 +99,19 @@
 	return nil
 }
 
-// newErrorLogger is for what gnet says of errors.
+// newErrorLogger returns a logger for gnet that writes errors to stderr.
 func newErrorLogger() *zap.SugaredLogger {
 	encoder := zapcore.NewConsoleEncoder(zap.NewProductionEncoderConfig())
 	return zap.New(zapcore.NewCore(encoder, zapcore.Lock(os.Stderr), zapcore.ErrorLevel)).Sugar()
 }
 
-// Stop ends Run. It may be called from any goroutine once Run's start has run, and does not wait.
+// Stop makes Run return. It may be called from any goroutine once Run has called start, and does not wait.
 func (l *Loop) Stop() {
 	go func() { _ = l.engine.Load().Stop(context.Background()) }()
 }
 
-// Post runs a task on the loop, at the end of what is ready. It may be called from any goroutine once Run's start has
-// run, and does not wait. The task must not block, and asks for a round itself if it needs one.
+// Post queues a task that the loop runs after the events that are ready. It may be called from any goroutine once Run
+// has called start, and does not wait. The task must not block, and must call RequestRound if it needs a round.
 func (l *Loop) Post(task func()) {
 	_ = l.gnetLoop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		task()
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// partialPart is the part of Memory that may be taken by what has come and is not consumed, of all peers together.
-	// Beyond it, connections with more than maxIdleBuffer of that are closed.
-	partialPart   = 6
-	maxIdleBuffer = 64 << 10 // larger buffers are not kept when empty
+	// The received and unconsumed bytes of all connections may take MemoryLimit/unconsumedDivisor. Beyond that, a
+	// connection that receives more and holds more than maxIdleBuffer of them is closed.
+	unconsumedDivisor = 6
+	maxIdleBuffer     = 64 << 10 // bytes; larger buffers are released when empty
 )
 
-// OnOpen gives a new connection its handler. gnet calls it.
+// OnOpen is called by gnet for each new connection. It sets the handler of an accepted one and calls Opened.
 func (l *Loop) OnOpen(sock gnet.Conn) ([]byte, gnet.Action) {
-	if _, isHandle := sock.Context().(handleMark); isHandle {
-		return nil, gnet.None // learnGnetLoop closes it
+	if _, isStartupConn := sock.Context().(startupMarker); isStartupConn {
+		return nil, gnet.None // obtainGnetLoop closes it
 	}
 	l.standstill.EventSeen()
 	conn, ok := sock.Context().(*Conn)
@@ -41,10 +41,10 @@
 	return nil, gnet.None
 }
 
-// OnTraffic collects what has come. gnet calls it.
+// OnTraffic is called by gnet when a socket is readable. It passes the data to the handler.
 func (l *Loop) OnTraffic(sock gnet.Conn) gnet.Action {
 	conn, ok := sock.Context().(*Conn)
-	if _, isHandle := sock.Context().(handleMark); isHandle {
+	if _, isStartupConn := sock.Context().(startupMarker); isStartupConn {
 		return gnet.None
 	} else if !ok {
 		return l.receivePacket(sock)
@@ -54,20 +54,20 @@
 	if err != nil || conn.state != connOpen {
 		return gnet.None
 	}
-	if len(conn.partial) > 0 {
-		l.partialBytes += len(data)
-		conn.partial = append(conn.partial, data...)
-		data = conn.partial
+	if len(conn.unconsumed) > 0 {
+		l.unconsumedBytes += len(data)
+		conn.unconsumed = append(conn.unconsumed, data...)
+		data = conn.unconsumed
 	}
-	conn.deliver(data) // often gnet's own buffer, so that what comes whole is not copied
-	if l.partialBytes > l.MemoryLimit/partialPart && len(conn.partial) > maxIdleBuffer {
+	conn.deliver(data) // often gnet's own buffer: complete messages are not copied
+	if l.unconsumedBytes > l.MemoryLimit/unconsumedDivisor && len(conn.unconsumed) > maxIdleBuffer {
 		conn.beginClose()
-		return gnet.Close // Closed follows: what was open here ends with the connection
+		return gnet.Close // OnClose follows and calls the handler's Closed
 	}
 	return gnet.None
 }
 
-// OnClose tells the handler of the end. gnet calls it.
+// OnClose is called by gnet when a connection ends. It calls the handler's Closed.
 func (l *Loop) OnClose(sock gnet.Conn, err error) gnet.Action {
 	conn, ok := sock.Context().(*Conn)
 	if !ok {
@@ -77,21 +77,21 @@
 	if err == nil {
 		err = conn.writeErr
 	}
-	conn.flushAtEnd()
+	conn.flushBeforeClose()
 	conn.state = connClosed
 	l.unsentBytes -= conn.countedUnsent
-	l.partialBytes -= len(conn.partial)
+	l.unconsumedBytes -= len(conn.unconsumed)
 	conn.countedUnsent = 0
-	conn.partial = nil
+	conn.unconsumed = nil
 	conn.unsent = unsentBuffer{}
 	conn.handler.Closed(conn, err)
 	l.RequestRound()
 	return gnet.None
 }
 
-// receivePacket takes a datagram.
+// receivePacket passes a datagram to its handler.
 func (l *Loop) receivePacket(sock gnet.Conn) gnet.Action {
-	handle, ok := l.packetHandlers[sock.LocalAddr().String()]
+	handlePacket, ok := l.packetHandlers[sock.LocalAddr().String()]
 	if !ok || l.gnetLoop == nil {
 		return gnet.None
 	}
@@ -99,54 +99,54 @@
 	if err != nil {
 		return gnet.None
 	}
-	// gnet sends datagrams from AsyncWrite at once, also after the event that brought sock.
-	handle(data, sock.RemoteAddr(), func(answer []byte) { _ = sock.AsyncWrite(answer, nil) })
+	// For datagrams gnet's AsyncWrite sends at once, and also works after this event.
+	handlePacket(data, sock.RemoteAddr(), func(answer []byte) { _ = sock.AsyncWrite(answer, nil) })
 	l.RequestRound()
 	return gnet.None
 }
 
-// deliver gives the handler what has come, and keeps what it leaves.
+// deliver passes received bytes to the handler, and keeps those that it does not consume.
 func (c *Conn) deliver(data []byte) {
 	c.In = data
 	c.isReadDeferred = false
 	c.handler.Received(c)
-	c.wasRead = true
-	c.loop.partialBytes -= len(c.partial)
-	c.partial = append(c.partial[:0], c.In...)
-	c.loop.partialBytes += len(c.partial)
+	c.hasReceived = true
+	c.loop.unconsumedBytes -= len(c.unconsumed)
+	c.unconsumed = append(c.unconsumed[:0], c.In...)
+	c.loop.unconsumedBytes += len(c.unconsumed)
 	c.In = nil
-	if len(c.partial) == 0 && cap(c.partial) > maxIdleBuffer {
-		c.partial = nil
+	if len(c.unconsumed) == 0 && cap(c.unconsumed) > maxIdleBuffer {
+		c.unconsumed = nil
 	}
 	if !c.isReadDeferred {
 		c.loop.RequestRound()
 	}
 }
 
-// Consume takes n bytes off the front of In. Handlers call it in Received.
+// Consume removes the first n bytes of In. Handlers call it in Received.
 func (c *Conn) Consume(n int) { c.In = c.In[n:] }
 
-// DeferRead says, while Received runs, that nothing was done and no round is needed: the handler calls Redeliver when
-// it will go on.
+// DeferRead is called by a handler in Received that has done nothing and needs no round. The handler calls Redeliver
+// when it can continue.
 func (c *Conn) DeferRead() { c.isReadDeferred = true }
 
-// Redeliver has the handler look once more at what it left, before it returns. It must not be called while a handler
-// of this connection runs.
+// Redeliver calls the handler's Received again with the bytes that it did not consume. It must not be called while a
+// handler of this connection runs.
 func (c *Conn) Redeliver() {
-	if c.state == connOpen && len(c.partial) > 0 {
-		c.deliver(c.partial)
+	if c.state == connOpen && len(c.unconsumed) > 0 {
+		c.deliver(c.unconsumed)
 	}
 }
 
-// ReadLag is how much earlier than now bytes may have come that are read now: next to nothing while the loop reads as
-// it should, and the time since the last round where it stood still meanwhile. What comes first on an accepted
-// connection may be as old as the connection. Handlers call it in Received, for what has a deadline from when it came.
+// ReadLag returns how long bytes that are read now may have waited: 0 in normal operation, and the time since the last
+// round if the loop stood still meanwhile. The first bytes on an accepted connection may be as old as the connection.
+// Handlers call ReadLag in Received to compute deadlines that count from the arrival.
 func (c *Conn) ReadLag() time.Duration {
 	if c.loop == nil {
 		return 0
 	}
-	if c.origin != acceptedConn || c.wasRead {
+	if c.origin != acceptedConn || c.hasReceived {
 		return c.loop.standstill.ReadLag(time.Now())
 	}
-	return c.loop.standstill.FirstReadLag(time.Now(), c.acceptableSince)
+	return c.loop.standstill.FirstReadLag(time.Now(), c.waitingSince)
 }
--- a/internal/eventloop/round.go
+++ b/internal/eventloop/round.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// A loop with more than busyRounds in a busyWindow is busy, and sleeps for busyPause after each round. With these
-	// pauses it can make some 130.
+	// A loop with more than busyRounds rounds in a busyWindow is busy, and sleeps for busyPause after each round. With
+	// these pauses about 130 rounds fit into a window, so a busy loop still exceeds busyRounds.
 	busyWindow = 50 * time.Millisecond
 	busyRounds = 80
 	busyPause  = 300 * time.Microsecond
-	// maxRoundBuffer is the largest buffer of CopyForRound that is used again.
+	// maxRoundBuffer is the size in bytes of the largest buffer of CopyForRound that is reused.
 	maxRoundBuffer = 4 << 20
 )
 
-// RequestRound asks for a round: its end comes once all that is ready now has been read, or later where the loop stood
-// still. Handlers need not call it; tasks of Post do if what they did is to have a consequence.
+// RequestRound requests a round. It ends once everything that is ready now has been read, or later if the loop stood
+// still. Handlers need not call RequestRound; a task of Post must if its changes need a round to take effect.
 func (l *Loop) RequestRound() {
 	if l.isRoundRequested {
 		return
 	}
 	l.isRoundRequested = true
-	l.Post(l.roundDue)
+	l.Post(l.finishRound)
 }
 
-// WakeAfter asks for a round after a time. A later call takes the place of an earlier one. It is called at the end of
-// a round: a round that comes much later than that shows that the loop stood still.
+// WakeAfter requests a round after d, and replaces an earlier request. It is called at the end of a round: if the next
+// round comes much later than d, the loop stood still.
 func (l *Loop) WakeAfter(d time.Duration) {
 	l.standstill.WakeRequested(d)
 	if l.wakeTimer == nil {
@@ -39,23 +39,23 @@
 	l.wakeTimer.Reset(d)
 }
 
-// Lag is how much earlier than now something may have come to this program that the loop learns of now: 0 unless the
-// program stands or has just stood still.
+// Lag returns how long an event that the loop learns of now may have waited. It is 0 unless the program is in a
+// standstill or a standstill has just ended.
 func (l *Loop) Lag() time.Duration {
 	now := time.Now()
 	return l.standstill.FirstReadLag(now, now)
 }
 
-// PacketLag is Conn.ReadLag for datagrams: how much earlier than now one may have come that is read now.
+// PacketLag returns how long a datagram that is read now may have waited. It is Conn.ReadLag for datagrams.
 func (l *Loop) PacketLag() time.Duration { return l.standstill.ReadLag(time.Now()) }
 
-// roundDue ends the round, or puts that off. After a standstill what came meanwhile must be read first: it may say
-// that clients have left, or that the list has changed.
-func (l *Loop) roundDue() {
+// finishRound ends the round, or postpones that after a standstill: everything that arrived meanwhile must be read
+// first, as it may tell that clients have left or that the endpoint list has changed.
+func (l *Loop) finishRound() {
 	now := time.Now()
 	if l.standstill.Step(now) == standstill.CatchUp {
-		// By a timer beside the loop: a task posted here would run before anything more is read.
-		time.AfterFunc(standstill.StepInterval, func() { l.Post(l.roundDue) })
+		// Use a timer, as a task posted here would run before anything more is read.
+		time.AfterFunc(standstill.StepInterval, func() { l.Post(l.finishRound) })
 		return
 	}
 	l.standstill.RoundBegan(now)
@@ -70,9 +70,9 @@
 	}
 }
 
-// writeAll writes to each connection once what the round left for it.
+// writeAll writes the output of the round, once to each connection.
 func (l *Loop) writeAll() {
-	for i := 0; i < len(l.toWrite); i++ { // closing one may leave something for another
+	for i := 0; i < len(l.toWrite); i++ { // closing a connection may add output for another one
 		conn := l.toWrite[i]
 		conn.compose()
 		conn.isToBeWritten = false
@@ -81,16 +81,16 @@
 	l.toWrite = l.toWrite[:0]
 }
 
-// CopyForRound copies bytes that are needed until the end of this round and no longer, into a buffer that is used
-// again in the next one: copies of their own would keep the collector busy.
+// CopyForRound copies bytes that are needed only until the end of this round. It uses a buffer that the next round
+// reuses, as separate allocations would burden the garbage collector.
 func (l *Loop) CopyForRound(data []byte) []byte {
 	start := len(l.roundBuffer)
-	l.roundBuffer = append(l.roundBuffer, data...) // what was handed out before stays where it is when this grows
+	l.roundBuffer = append(l.roundBuffer, data...) // earlier copies stay valid if append reallocates
 	return l.roundBuffer[start:len(l.roundBuffer):len(l.roundBuffer)]
 }
 
-// roundPacer knows whether a loop is busy: a short sleep then has its next round take in more. Rounds of an event or
-// two each would fill the core, and what comes would wait in the sockets.
+// roundPacer decides whether the loop is busy and must sleep briefly after a round, so that the next round handles more
+// events. Without that, rounds of one or two events each would use up the CPU while input waits in the sockets.
 type roundPacer struct {
 	windowStart time.Time
 	rounds      int // in this window
@@ -108,7 +108,7 @@
 	return p.isBusy
 }
 
-// sleepBriefly sleeps for busyPause. Go's own sleep lasts a millisecond at least, so this is the system's.
+// sleepBriefly sleeps for busyPause by nanosleep, as time.Sleep takes at least a millisecond.
 func sleepBriefly() {
 	pause := unix.NsecToTimespec(int64(busyPause))
 	_ = unix.Nanosleep(&pause, nil)
--- a/internal/eventloop/round_test.go
+++ b/internal/eventloop/round_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// TestRoundPacer: a loop is busy while its last window had more than busyRounds.
+// TestRoundPacer checks that a loop is busy if its last window had more than busyRounds rounds.
 func TestRoundPacer(t *testing.T) {
 	var pacer roundPacer
 	now := time.Unix(1000, 0)
-	play := func(rounds int) (isBusy bool) {
+	runWindow := func(rounds int) (isBusy bool) {
 		for range rounds {
 			now = now.Add(busyWindow / time.Duration(rounds))
 			isBusy = pacer.roundEnded(now)
@@ -20,9 +20,9 @@
 		rounds int // in a window
 		want   bool
 	}{{10, false}, {10, false}, {200, true}, {200, true}, {busyRounds / 2, false}, {10, false}} {
-		play(c.rounds)
-		if got := play(c.rounds); got != c.want {
-			t.Errorf("%d rounds a window: busy is %v, want %v", c.rounds, got, c.want)
+		runWindow(c.rounds)
+		if got := runWindow(c.rounds); got != c.want {
+			t.Errorf("%d rounds per window: got busy %v, want %v", c.rounds, got, c.want)
 		}
 	}
 }
--- a/internal/eventloop/socket/local.go
+++ b/internal/eventloop/socket/local.go
@@ -10,11 +10,11 @@
 
 const (
 	localRetryPause = 20 * time.Millisecond
-	localRetryLimit = 5 * time.Second // after which what should pass is taken to stay
+	localRetryLimit = 5 * time.Second // afterwards the error counts as permanent
 )
 
-// localErrors are how system calls on sockets fail for want of something on this machine. None says anything of the
-// peer.
+// localErrors are the errors of system calls on sockets for which IsLocalError returns true. None says anything about
+// the peer.
 var localErrors = []error{
 	unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EAGAIN, unix.EINTR, unix.EADDRNOTAVAIL,
 	unix.ENETDOWN, unix.ECONNABORTED,
@@ -32,7 +32,8 @@
 	began := time.Now()
 	for {
 		err := try()
-		if err == nil || !IsLocalError(err) && !errors.Is(err, unix.ENETUNREACH) || time.Since(began) > localRetryLimit {
+		if err == nil || !IsLocalError(err) && !errors.Is(err, unix.ENETUNREACH) ||
+			time.Since(began) > localRetryLimit {
 			return err
 		}
 		time.Sleep(localRetryPause)
--- a/internal/eventloop/socket/socket.go
+++ b/internal/eventloop/socket/socket.go
@@ -1,8 +1,9 @@
-// Package socket accepts TCP connections without losing one that the system has no memory to watch for a moment.
+// Package socket accepts TCP connections without losing one if the system temporarily lacks the memory to watch
+// it with epoll.
 //
-// net.Listener registers what it accepts with Go's poller, and closes the connection where epoll refuses that. Here a
-// connection comes as a socket that nothing watches yet; whoever takes it may ask for a watch as often as it takes,
-// each time by a duplicate of its own.
+// net.Listener registers each accepted connection with Go's poller, and closes it if epoll refuses. Here Accept returns
+// a socket that is not registered. The caller may retry the registration as often as necessary, each time with a new
+// duplicate of the socket.
 package socket
 
 import (
@@ -17,39 +18,40 @@
 	"golang.org/x/sys/unix"
 )
 
-// errNotWatched says that Go's poller could not watch the listening socket.
+// errNotWatched is the error of Listen if Go's poller could not watch the listening socket.
 var errNotWatched = fmt.Errorf("the listening socket could not be watched: %w", unix.ENOMEM)
 
-// maxOccupied is how many further descriptors a socket may take while the system refuses to end watches.
-const maxOccupied = 4
+// maxReserved is how many additional descriptors a socket may use while epoll refuses to remove watches.
+const maxReserved = 4
 
-// errWatchesRemain says that the system has refused to end more watches of a socket than it may take descriptors for.
-var errWatchesRemain = errors.New("too many watches of the connection could not be ended")
+// errStaleWatches is the error of a socket that would need more than maxReserved additional descriptors, because epoll
+// refused to remove the watches of its duplicates.
+var errStaleWatches = errors.New("too many watches of the connection could not be ended")
 
-// ErrPeerReset says that the peer has reset the connection before anybody took it.
-var ErrPeerReset = errors.New("the peer has left")
+// ErrPeerReset is returned by Socket.Conn if the peer reset the connection before it was taken over.
+var ErrPeerReset = errors.New("the peer has reset the connection")
 
-// Listener is a TCP address on which connections are accepted.
+// Listener accepts connections on a TCP address.
 type Listener struct {
 	address net.Addr
 	file    *os.File // the listening socket
 	raw     syscall.RawConn
 }
 
-// Listen opens an address, ip:port. Its errors are those of the system calls, and one that wraps ENOMEM where the
+// Listen listens on an address, ip:port. It returns the errors of the system calls, or one that wraps ENOMEM if the
 // listening socket could not be watched.
 func Listen(address string) (*Listener, error) {
 	var config net.ListenConfig
-	listening, err := config.Listen(context.Background(), "tcp", address)
+	tcpListener, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	defer listening.Close() // file is a duplicate, which goes on listening
-	file, err := listening.(*net.TCPListener).File()
+	defer tcpListener.Close() // file is a duplicate, which keeps listening
+	file, err := tcpListener.(*net.TCPListener).File()
 	if err != nil {
 		return nil, err
 	}
-	if errors.Is(file.SetDeadline(time.Time{}), os.ErrNoDeadline) { // so says a file that the poller does not know
+	if errors.Is(file.SetDeadline(time.Time{}), os.ErrNoDeadline) { // the file is not registered with the poller
 		_ = file.Close()
 		return nil, errNotWatched
 	}
@@ -58,20 +60,20 @@
 		_ = file.Close()
 		return nil, err
 	}
-	return &Listener{address: listening.Addr(), file: file, raw: raw}, nil
+	return &Listener{address: tcpListener.Addr(), file: file, raw: raw}, nil
 }
 
-// Address is where it listens, with the port that the system has picked where none was named.
+// Address returns the address of the listener, with the port that the system picked if none was given.
 func (l *Listener) Address() net.Addr { return l.address }
 
-// Accept waits for the next connection, and gives its socket, which is the caller's to close. Its errors are those of
-// accept(2), or that the listener was closed.
+// Accept waits for the next connection and returns its socket, which the caller must close. Its errors are those of
+// accept(2), or an error that the listener was closed.
 func (l *Listener) Accept() (*Socket, error) {
-	var descriptor int
+	var acceptedFD int
 	var acceptErr error
-	waitErr := l.raw.Read(func(listening uintptr) (isDone bool) {
-		// Not SOCK_NONBLOCK, or os.NewFile would ask Go's poller for a watch. Conn sets it.
-		descriptor, _, acceptErr = unix.Accept4(int(listening), unix.SOCK_CLOEXEC)
+	waitErr := l.raw.Read(func(listenerFD uintptr) (isDone bool) {
+		// SOCK_NONBLOCK is not set, or os.NewFile would register the socket with Go's poller. Conn sets it.
+		acceptedFD, _, acceptErr = unix.Accept4(int(listenerFD), unix.SOCK_CLOEXEC)
 		return acceptErr != unix.EAGAIN
 	})
 	if waitErr != nil {
@@ -80,39 +82,39 @@
 	if acceptErr != nil {
 		return nil, os.NewSyscallError("accept4", acceptErr)
 	}
-	return New(os.NewFile(uintptr(descriptor), "accepted")), nil
+	return New(os.NewFile(uintptr(acceptedFD), "accepted")), nil
 }
 
-// Close ends the listener, and an Accept that waits.
+// Close closes the listener, and unblocks a waiting Accept.
 func (l *Listener) Close() error { return l.file.Close() }
 
-// Socket is an open connection of which duplicates are watched and the socket itself need not be. It is not safe for
+// Socket is an open connection whose duplicates are watched, while the socket itself need not be. It is not safe for
 // concurrent use.
 type Socket struct {
 	file     *os.File
-	occupied []*os.File // duplicates that keep their numbers from others: see Conn
+	reserved []*os.File // duplicates that keep their descriptor numbers from being reused: see Conn
 }
 
-// New makes a Socket of a file, which is its own from then on.
+// New returns a Socket that takes ownership of file.
 func New(file *os.File) *Socket { return &Socket{file: file} }
 
-// Close closes the socket. Connections that were made of it stay.
+// Close closes the socket. Connections returned by Conn stay open.
 func (s *Socket) Close() error {
 	errs := []error{s.file.Close()}
-	for _, file := range s.occupied {
+	for _, file := range s.reserved {
 		errs = append(errs, file.Close())
 	}
 	return errors.Join(errs...)
 }
 
-// Conn makes a connection of a duplicate of the socket, which Go's poller watches. Where that fails, the socket can be
-// tried again, for an error that IsLocalError. Others are ErrPeerReset, and that too many watches remain.
+// Conn returns a connection made from a duplicate of the socket and watched by Go's poller. After an error for which
+// IsLocalError returns true the caller may call Conn again. ErrPeerReset and errStaleWatches are permanent.
 func (s *Socket) Conn() (net.Conn, error) {
 	conn, err := net.FileConn(s.file)
 	for errors.Is(err, unix.EEXIST) {
-		// An earlier duplicate had the same number, and epoll has refused to end its watch, which lasts as long as the
-		// socket. A further duplicate keeps that number from being given again.
-		if err = s.occupyNumber(); err == nil {
+		// An earlier duplicate had the same descriptor number, and epoll refused to remove its watch, which lasts as
+		// long as the socket. Another duplicate keeps that number from being reused.
+		if err = s.reserveDescriptor(); err == nil {
 			conn, err = net.FileConn(s.file)
 		}
 	}
@@ -123,20 +125,20 @@
 		return nil, errors.Join(ErrPeerReset, conn.Close())
 	}
 	if tcp, isTCP := conn.(*net.TCPConn); isTCP {
-		_ = tcp.SetKeepAlive(false) // who says nothing is closed long before
+		_ = tcp.SetKeepAlive(false) // idle connections are closed long before a keepalive
 	}
 	return conn, nil
 }
 
-// occupyNumber duplicates the socket into the lowest number that is free.
-func (s *Socket) occupyNumber() error {
-	if len(s.occupied) == maxOccupied {
-		return errWatchesRemain
+// reserveDescriptor duplicates the socket to the lowest free descriptor number.
+func (s *Socket) reserveDescriptor() error {
+	if len(s.reserved) == maxReserved {
+		return errStaleWatches
 	}
 	duplicate, err := unix.FcntlInt(s.file.Fd(), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
 		return os.NewSyscallError("fcntl", err)
 	}
-	s.occupied = append(s.occupied, os.NewFile(uintptr(duplicate), "occupied"))
+	s.reserved = append(s.reserved, os.NewFile(uintptr(duplicate), "occupied"))
 	return nil
 }
--- a/internal/eventloop/startup.go
+++ b/internal/eventloop/startup.go
@@ -14,12 +14,12 @@
 	"sloequay/internal/eventloop/socket"
 )
 
-// OnBoot runs before the loop does; the first connection enrolled brings its handle. gnet calls it.
+// OnBoot obtains the event loop in the background, as gnet calls OnBoot before the loop runs.
 func (l *Loop) OnBoot(engine gnet.Engine) gnet.Action {
 	l.engine.Store(&engine)
-	l.onceBooted.Do(func() { // a start that failed for a moment is tried again, by another engine
+	l.bootOnce.Do(func() { // Run retries a start that failed temporarily, with another engine
 		go func() {
-			if err := socket.RetryLocalErrors(l.learnGnetLoop); err != nil {
+			if err := socket.RetryLocalErrors(l.obtainGnetLoop); err != nil {
 				fmt.Fprintln(os.Stderr, "event loop:", err)
 				os.Exit(1)
 			}
@@ -28,27 +28,27 @@
 	return gnet.None
 }
 
-// learnGnetLoop learns the EventLoop, which gnet gives out only with a connection, and starts the work on it. The
-// connection is a UDP socket connected to an address of the program's own, over which nothing is sent: the platform
-// allows TCP and UDP over IPv4 alone (a socket pair of the Unix family is refused there, and getsockname on it fails),
-// and a connected UDP socket needs no peer to come up. It is closed on the loop once the loop is known; OnOpen and
-// OnTraffic leave it alone, as gnet opens it on some systems and not on others.
-func (l *Loop) learnGnetLoop() error {
-	conn, err := net.Dial("udp4", l.handleAddress)
+// obtainGnetLoop obtains gnet's EventLoop, which is available only from a connection, and calls start on it. The
+// connection is a UDP socket connected to an address of this program, over which nothing is sent: the platform allows
+// only TCP and UDP over IPv4 (it refuses a Unix socket pair, and getsockname on it fails), and a UDP socket connects
+// without a peer. It is closed on the loop once the loop is known. OnOpen and OnTraffic ignore it, as gnet calls OnOpen
+// for it on some systems only.
+func (l *Loop) obtainGnetLoop() error {
+	conn, err := net.Dial("udp4", l.startupAddress)
 	if err != nil {
-		return fmt.Errorf("handle: %w", err)
+		return fmt.Errorf("startup connection: %w", err)
 	}
-	ctx := gnet.NewNetConnContext(gnet.NewContext(context.Background(), handleMark{}), conn)
+	ctx := gnet.NewNetConnContext(gnet.NewContext(context.Background(), startupMarker{}), conn)
 	for {
 		result, err := l.engine.Load().Register(ctx)
-		if err != nil { // the loop is not there yet
+		if err != nil { // the loop does not run yet
 			time.Sleep(time.Millisecond)
 			continue
 		}
 		registered := <-result
 		_ = conn.Close() // gnet holds a duplicate
 		if registered.Err != nil {
-			return fmt.Errorf("handle: %w", registered.Err)
+			return fmt.Errorf("startup connection: %w", registered.Err)
 		}
 		gnetLoop, sock := registered.Conn.EventLoop(), registered.Conn
 		return gnetLoop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
@@ -60,12 +60,12 @@
 	}
 }
 
-// handleMark is the context of the handle's connection, which gnet may or may not open.
-type handleMark struct{}
+// startupMarker is the context of the connection that obtainGnetLoop uses.
+type startupMarker struct{}
 
-// addressForHandle is an IPv4 address of the program's own to point the handle's socket at: the first listener's, with
-// an unspecified host taken as loopback.
-func addressForHandle(listeners []Listener) string {
+// startupConnAddress returns the IPv4 address that obtainGnetLoop connects to: the first one of a listener, with
+// loopback in place of an unspecified host. Without one it is the discard port of loopback.
+func startupConnAddress(listeners []Listener) string {
 	for _, listener := range listeners {
 		address, err := netip.ParseAddrPort(listener.Address)
 		if err != nil || !address.Addr().Unmap().Is4() {
@@ -80,31 +80,31 @@
 	return "127.0.0.1:9"
 }
 
-// unusedAddress is an address for datagrams on the same host, at a port that the system picks. What comes there is
-// dropped.
-func unusedAddress(address string) string {
+// ephemeralAddress returns a UDP address on the same host, at a port that the system picks. Datagrams that arrive there
+// are dropped.
+func ephemeralAddress(address string) string {
 	host, _, _ := net.SplitHostPort(address)
 	return net.JoinHostPort(host, "0")
 }
 
-// checkVacant fails if somebody else has an address for datagrams. It binds to it for a moment.
-func checkVacant(listenAddress string) error {
+// checkAddressFree fails if a UDP address is already in use. It binds a socket to the address and closes it.
+func checkAddressFree(listenAddress string) error {
 	address, err := netip.ParseAddrPort(listenAddress)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
 	family := unix.AF_INET6
-	var to unix.Sockaddr = &unix.SockaddrInet6{Port: int(address.Port()), Addr: address.Addr().As16()}
+	var sockaddr unix.Sockaddr = &unix.SockaddrInet6{Port: int(address.Port()), Addr: address.Addr().As16()}
 	if ip := address.Addr().Unmap(); ip.Is4() {
 		family = unix.AF_INET
-		to = &unix.SockaddrInet4{Port: int(address.Port()), Addr: ip.As4()}
+		sockaddr = &unix.SockaddrInet4{Port: int(address.Port()), Addr: ip.As4()}
 	}
 	fd, err := unix.Socket(family, unix.SOCK_DGRAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
 	defer unix.Close(fd)
-	if err = unix.Bind(fd, to); err != nil {
+	if err = unix.Bind(fd, sockaddr); err != nil {
 		return fmt.Errorf("listen: udp %s: %w", listenAddress, err)
 	}
 	return nil
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -11,68 +11,67 @@
 )
 
 const (
-	// What waits for one peer that does not read: beyond this part of Memory, and beyond maxUnsentPerPeer, its
-	// connection is closed.
-	unsentPerPeerPart = 10
-	maxUnsentPerPeer  = 6 << 20
-	// Buffers for writing that are used again: how many, and how large each may be.
+	// The connection of a peer that does not read is closed if its unsent bytes exceed MemoryLimit/unsentPerPeerDivisor
+	// or maxUnsentPerPeer.
+	unsentPerPeerDivisor = 10
+	maxUnsentPerPeer     = 6 << 20
+	// Limits on the write buffers that are kept for reuse: their number, and the size of each in bytes.
 	maxSpareBuffers    = 32
 	maxSpareBufferSize = 1 << 20
-	// trimDivisor is the part of a buffer below which what is left of it moves to a smaller one.
+	// If less than 1/trimDivisor of a large buffer remains to be written, the rest moves to a smaller buffer.
 	trimDivisor = 4
-	// The pauses after which the connection of a peer that is slow to read is written again. They double while the
-	// system takes nothing.
+	// Pauses before writing again to a peer that is slow to read. They double while the system accepts nothing.
 	minWritePause = time.Millisecond
 	maxWritePause = 32 * time.Millisecond
 )
 
-// unsentBuffer is what was to be written to a connection and the system has not taken. It stays here and not in gnet,
-// which has epoll tell when the system takes more, and closes the connection where epoll refuses.
+// unsentBuffer holds the bytes of a connection that the system has not accepted yet. They are not left to gnet, which
+// would register for writability with epoll and close the connection if epoll refuses.
 type unsentBuffer struct {
-	data  []byte
-	taken int // of data, by the system
+	data    []byte
+	written int // bytes of data that the system has accepted
 }
 
-// len is the number of bytes that are left.
-func (b *unsentBuffer) len() int { return len(b.data) - b.taken }
+// len returns the number of bytes left to write.
+func (b *unsentBuffer) len() int { return len(b.data) - b.written }
 
-// add leaves more bytes, and reports whether it takes over their buffer.
-func (b *unsentBuffer) add(data []byte) (isTakenOver bool) {
+// add appends data, and reports whether the unsentBuffer now owns the slice itself instead of a copy.
+func (b *unsentBuffer) add(data []byte) (ownsBuffer bool) {
 	if b.len() == 0 {
 		b.data = data
-		b.taken = 0
+		b.written = 0
 		return true
 	}
-	if b.taken > len(b.data)/2 {
-		b.data = b.data[:copy(b.data, b.data[b.taken:])]
-		b.taken = 0
+	if b.written > len(b.data)/2 {
+		b.data = b.data[:copy(b.data, b.data[b.written:])]
+		b.written = 0
 	}
 	b.data = append(b.data, data...)
 	return false
 }
 
-// writeTo writes once to a socket. That the system takes no more now, or lacks something, is no error.
+// writeTo writes once to a socket. It returns no error if the system accepts nothing now or lacks a resource.
 func (b *unsentBuffer) writeTo(descriptor int) error {
-	n, err := unix.Write(descriptor, b.data[b.taken:])
+	n, err := unix.Write(descriptor, b.data[b.written:])
 	if socket.IsLocalError(err) {
 		return nil
 	}
 	if err != nil {
 		return os.NewSyscallError("write", err)
 	}
-	b.taken += n
+	b.written += n
 	return nil
 }
 
-// trim moves what is left of a large buffer to a smaller one, so that the memory held is in proportion to it.
+// trim moves the few remaining bytes of a large buffer to a smaller one, to hold no more memory than they need.
 func (b *unsentBuffer) trim() {
 	if size := cap(b.data); size > maxIdleBuffer && b.len() < size/trimDivisor {
-		b.data = slices.Clone(b.data[b.taken:])
-		b.taken = 0
+		b.data = slices.Clone(b.data[b.written:])
+		b.written = 0
 	}
 }
 
-// write writes what is left for the connection, and closes it if that is to be.
+// write writes the queued bytes of the connection, and closes the connection if its state is connClosing.
 func (c *Conn) write() {
 	if c.state == connClosed {
 		return
@@ -84,7 +83,7 @@
 		c.outbound = nil
 	}
 	if c.isSlowReader && c.state == connOpen {
-		c.countUnsent() // retryWrites goes on with it
+		c.countUnsent() // retryWrites continues with it
 	} else {
 		c.flush()
 	}
@@ -92,9 +91,9 @@
 		c.isSlowReader = true
 		c.delayRetry(minWritePause)
 		c.loop.slowReaders = append(c.loop.slowReaders, c)
-		c.loop.retryWritesAfter(minWritePause)
+		c.loop.scheduleWriteRetry(minWritePause)
 	}
-	if c.countedUnsent > min(c.loop.MemoryLimit/unsentPerPeerPart, maxUnsentPerPeer) {
+	if c.countedUnsent > min(c.loop.MemoryLimit/unsentPerPeerDivisor, maxUnsentPerPeer) {
 		c.beginClose()
 	}
 	if c.state == connClosing {
@@ -102,7 +101,7 @@
 	}
 }
 
-// flush offers the system what it has not taken. A write that fails ends the connection.
+// flush writes the unsent bytes. If the write fails the connection is closed.
 func (c *Conn) flush() {
 	if c.unsent.len() > 0 {
 		if c.writeErr = c.unsent.writeTo(c.sock.Fd()); c.writeErr != nil {
@@ -118,32 +117,32 @@
 	c.countUnsent()
 }
 
-// flushAtEnd offers the system a last time what it has not taken, before the socket is closed.
-func (c *Conn) flushAtEnd() {
+// flushBeforeClose writes the unsent bytes one last time before the socket is closed.
+func (c *Conn) flushBeforeClose() {
 	if c.unsent.len() > 0 && c.writeErr == nil {
 		_ = c.unsent.writeTo(c.sock.Fd())
 	}
 }
 
-// delayRetry has the connection written again after a pause.
+// delayRetry sets when to write to the connection again.
 func (c *Conn) delayRetry(pause time.Duration) {
 	c.retryPause = pause
 	c.retryAt = time.Now().Add(pause)
 }
 
-// countUnsent takes over into Loop.unsentBytes how much the connection's peer has not taken.
+// countUnsent updates Loop.unsentBytes with the connection's unsent bytes.
 func (c *Conn) countUnsent() {
 	unsent := c.Unsent()
 	c.loop.unsentBytes += unsent - c.countedUnsent
 	c.countedUnsent = unsent
 }
 
-// UnsentBytes is the number of bytes that wait for peers to read, those of this round that are not written yet among
-// them.
+// UnsentBytes returns the number of bytes that the system has not accepted yet, of all connections. It includes those
+// of this round that are not written yet.
 func (l *Loop) UnsentBytes() int { return l.unsentBytes }
 
-// retryWritesAfter has the connections of slow readers looked at after a pause, or sooner where that was asked for.
-func (l *Loop) retryWritesAfter(pause time.Duration) {
+// scheduleWriteRetry schedules retryWrites after a pause, unless it is already due earlier.
+func (l *Loop) scheduleWriteRetry(pause time.Duration) {
 	dueAt := time.Now().Add(pause)
 	if !l.writeRetryAt.IsZero() && l.writeRetryAt.Before(dueAt) {
 		return
@@ -156,12 +155,12 @@
 	l.writeRetryTimer.Reset(pause)
 }
 
-// retryWrites writes again to the slow readers that are due, and forgets those that have taken all or are gone.
+// retryWrites writes again to the slow readers that are due, and drops those that are closed or done.
 func (l *Loop) retryWrites() {
 	l.writeRetryAt = time.Time{}
 	now := time.Now()
 	remaining := 0
-	for i := 0; i < len(l.slowReaders); i++ { // closing one may make another slow
+	for i := 0; i < len(l.slowReaders); i++ { // closing a connection may make another a slow reader
 		conn := l.slowReaders[i]
 		if !conn.retryAt.After(now) {
 			conn.retryWrite()
@@ -172,14 +171,14 @@
 		}
 		l.slowReaders[remaining] = conn
 		remaining++
-		l.retryWritesAfter(max(minWritePause, conn.retryAt.Sub(now)))
+		l.scheduleWriteRetry(max(minWritePause, conn.retryAt.Sub(now)))
 	}
 	clear(l.slowReaders[remaining:])
 	l.slowReaders = l.slowReaders[:remaining]
 }
 
-// retryWrite writes again to a slow reader, and says when it is due next. What this round has left for it waits for the
-// round's end.
+// retryWrite writes again to a slow reader, and sets when it is due next. Bytes that are queued in this round wait for
+// its end.
 func (c *Conn) retryWrite() {
 	if c.state == connClosed {
 		return
@@ -197,7 +196,7 @@
 	}
 }
 
-// reuseBuffer keeps a buffer that was written, for Conn.Send.
+// reuseBuffer keeps a written buffer for reuse by Conn.Send.
 func (l *Loop) reuseBuffer(written []byte) {
 	if len(l.spareBuffers) < maxSpareBuffers && cap(written) <= maxSpareBufferSize {
 		l.spareBuffers = append(l.spareBuffers, written[:0])
--- a/internal/eventloop/write_test.go
+++ b/internal/eventloop/write_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// echoHandler answers each byte of its client with that byte, and takes whatever comes.
+// echoHandler echoes input of a single byte, and consumes all input.
 type echoHandler struct{}
 
 func (echoHandler) Opened(*Conn) {}
@@ -22,21 +22,21 @@
 }
 func (echoHandler) Closed(*Conn, error) {}
 
-// TestFloodLeavesOthersTheirTurn guards against peers that always have more to read and so keep the loop from all
-// others, as they do where gnet watches by edges.
-func TestFloodLeavesOthersTheirTurn(t *testing.T) {
-	_, address, _ := start(t, echoHandler{})
+// TestFloodDoesNotStarveOtherConnections guards against peers that send without end and so keep the loop from serving
+// other connections, as happens if gnet uses edge-triggered epoll.
+func TestFloodDoesNotStarveOtherConnections(t *testing.T) {
+	_, address, _ := startLoop(t, echoHandler{})
 	for range 3 {
 		flooder, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		flooded := make(chan struct{})
+		flooderDone := make(chan struct{})
 		go func() {
-			defer close(flooded)
-			_, _ = io.Copy(flooder, endless{})
+			defer close(flooderDone)
+			_, _ = io.Copy(flooder, zeroReader{})
 		}()
-		defer func() { <-flooded }()
+		defer func() { <-flooderDone }()
 		defer flooder.Close()
 	}
 	client, err := net.Dial("tcp", address)
@@ -50,27 +50,27 @@
 			t.Fatal(err)
 		}
 		if _, err := io.ReadFull(client, make([]byte, 1)); err != nil {
-			t.Fatalf("answer %d of 100 beside the flood: %v", i+1, err)
+			t.Fatalf("echo %d of 100 during the flood: got error %v, want none", i+1, err)
 		}
 	}
 }
 
-// endless is a stream of zeros without an end.
-type endless struct{}
+// zeroReader is an endless stream of zeros.
+type zeroReader struct{}
 
-func (endless) Read(p []byte) (int, error) { return len(p), nil }
+func (zeroReader) Read(p []byte) (int, error) { return len(p), nil }
 
-// bulk sends its clients much at once, more than the sockets hold.
-type bulk struct{ body []byte }
+// bulkHandler sends each client a body at once that is larger than the socket buffers.
+type bulkHandler struct{ body []byte }
 
-func (b bulk) Opened(c *Conn)      { c.Send(b.body) }
-func (b bulk) Received(c *Conn)    { c.Consume(len(c.In)) }
-func (b bulk) Closed(*Conn, error) {}
+func (b bulkHandler) Opened(c *Conn)      { c.Send(b.body) }
+func (b bulkHandler) Received(c *Conn)    { c.Consume(len(c.In)) }
+func (b bulkHandler) Closed(*Conn, error) {}
 
-// TestSlowReaderHasAll guards against bytes that wait for a peer to read and that no event has written later.
-func TestSlowReaderHasAll(t *testing.T) {
+// TestSlowReaderReceivesAllBytes guards against unsent bytes that are never written once a slow peer reads again.
+func TestSlowReaderReceivesAllBytes(t *testing.T) {
 	body := bytes.Repeat([]byte("0123456789abcdef"), 5<<16)
-	_, address, _ := start(t, bulk{body})
+	_, address, _ := startLoop(t, bulkHandler{body})
 	client, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -81,18 +81,18 @@
 	for buffer := make([]byte, 256<<10); len(got) < len(body); {
 		n, err := client.Read(buffer)
 		if err != nil {
-			t.Fatalf("%d of %d bytes, then %v", len(got), len(body), err)
+			t.Fatalf("got %d of %d bytes, then error %v", len(got), len(body), err)
 		}
 		got = append(got, buffer[:n]...)
 		time.Sleep(time.Millisecond)
 	}
 	if !bytes.Equal(got, body) {
-		t.Error("the bytes are not those that were sent")
+		t.Error("got other bytes than were sent")
 	}
 }
 
-// TestUnsentBufferKeepsOrderAndBounds: whatever is added and taken in whatever parts, what is left is the rest of what
-// was added, in its order, and a large buffer holds no more than a few times that.
+// TestUnsentBufferKeepsOrderAndBounds checks that the remaining bytes are always the rest of those added, in order, and
+// that after trim a large buffer is at most a few times as large as they are.
 func TestUnsentBufferKeepsOrderAndBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var buffer unsentBuffer
@@ -108,16 +108,16 @@
 				model = append(model, data...)
 				buffer.add(data)
 			} else {
-				taken := rapid.IntRange(0, buffer.len()).Draw(t, "taken")
-				buffer.taken += taken
-				model = model[taken:]
+				written := rapid.IntRange(0, buffer.len()).Draw(t, "written")
+				buffer.written += written
+				model = model[written:]
 				buffer.trim()
 				if size := cap(buffer.data); size > maxIdleBuffer && size > 2*trimDivisor*buffer.len() {
-					t.Fatalf("it holds %d bytes for %d", size, buffer.len())
+					t.Fatalf("got a buffer of %d bytes for %d remaining ones, want a smaller one", size, buffer.len())
 				}
 			}
-			if !bytes.Equal(buffer.data[buffer.taken:], model) {
-				t.Fatalf("%d bytes are left, want the last %d of those added", buffer.len(), len(model))
+			if !bytes.Equal(buffer.data[buffer.written:], model) {
+				t.Fatalf("got %d remaining bytes, want the last %d of those added", buffer.len(), len(model))
 			}
 		}
 	})
