--- a/internal/digesttest/digesttest.go
+++ b/internal/digesttest/digesttest.go
@@ -119,10 +119,10 @@
 	}
 }
 
-// differences describes how the text of a file differs from the expected text, which consists of lines.
+// differences describes how lines differ from the text of a file, which is the expected one.
 func differences(text string, lines []string) (found []string) {
-	body, complete := strings.CutSuffix(text, "\n")
-	if !complete {
+	body, endsWithNewline := strings.CutSuffix(text, "\n")
+	if !endsWithNewline {
 		found = append(found, File+" does not end with a newline")
 	}
 	want := strings.Split(body, "\n")
@@ -156,9 +156,9 @@
 		}
 		root = filepath.Dir(root)
 	}
-	below, err := filepath.Rel(root, directory)
+	relative, err := filepath.Rel(root, directory)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return fmt.Sprintf("go test ./%s -run '^%s$' -update", filepath.ToSlash(below), t.Name())
+	return fmt.Sprintf("go test ./%s -run '^%s$' -update", filepath.ToSlash(relative), t.Name())
 }
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -41,8 +41,8 @@
 	accept       func(remote net.Addr) Handler // returns the handler of an accepted connection
 
 	unconsumed     []byte // bytes that Handler.Received did not consume
-	isReadDeferred bool
-	hasReceived    bool // Handler.Received was called
+	isReadDeferred bool   // DeferRead was called in this call of Handler.Received
+	hasReceived    bool   // Handler.Received was called
 
 	outbound      []byte // bytes to be written at the end of the round
 	queued        uint64 // bytes passed to Send since the connection was opened
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -130,8 +130,8 @@
 // when it can continue.
 func (c *Conn) DeferRead() { c.isReadDeferred = true }
 
-// Redeliver calls the handler's Received again with the bytes that it did not consume. It must not be called while a
-// handler of this connection runs.
+// Redeliver calls the handler's Received again, before it returns, with the bytes that were not consumed. It must not
+// be called while a handler of this connection runs.
 func (c *Conn) Redeliver() {
 	if c.state == connOpen && len(c.unconsumed) > 0 {
 		c.deliver(c.unconsumed)
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -12,7 +12,7 @@
 
 const (
 	// The connection of a peer that does not read is closed if its unsent bytes exceed MemoryLimit/unsentPerPeerDivisor
-	// or maxUnsentPerPeer.
+	// or maxUnsentPerPeer bytes.
 	unsentPerPeerDivisor = 10
 	maxUnsentPerPeer     = 6 << 20
 	// Limits on the write buffers that are kept for reuse: their number, and the size of each in bytes.
@@ -20,7 +20,7 @@
 	maxSpareBufferSize = 1 << 20
 	// If less than 1/trimDivisor of a large buffer remains to be written, the rest moves to a smaller buffer.
 	trimDivisor = 4
-	// Pauses before writing again to a peer that is slow to read. They double while the system accepts nothing.
+	// Pauses before writing again to a peer that is slow to read. The pause doubles while the system accepts nothing.
 	minWritePause = time.Millisecond
 	maxWritePause = 32 * time.Millisecond
 )
@@ -63,7 +63,8 @@
 	return nil
 }
 
-// trim moves the few remaining bytes of a large buffer to a smaller one, to hold no more memory than they need.
+// trim moves the few remaining bytes of a large buffer to a smaller one, so that the memory used is in proportion to
+// them.
 func (b *unsentBuffer) trim() {
 	if size := cap(b.data); size > maxIdleBuffer && b.len() < size/trimDivisor {
 		b.data = slices.Clone(b.data[b.written:])
