--- a/internal/shutdown/decisions_test.go
+++ b/internal/shutdown/decisions_test.go
@@ -65,7 +65,7 @@
 // each seed. Renaming or restructuring code must not change any digest.
 func TestDecisions(t *testing.T) {
 	counts := map[string]int{}
-	digesttest.Format{NoResults: true}.Check(t, decisionSeeds, func(seed uint64, recorder *digesttest.Recorder) {
+	digesttest.Format{OmitResultCount: true}.Check(t, decisionSeeds, func(seed uint64, recorder *digesttest.Recorder) {
 		stepSequence(seed, recorder, counts)
 	})
 	digesttest.CheckCounts(t, counts, map[string]int{
--- a/internal/upstream/dial_failure.go
+++ b/internal/upstream/dial_failure.go
@@ -41,7 +41,7 @@
 	switch {
 	case errors.Is(err, syscall.ECONNRESET): // while connecting: says nothing about the endpoint
 		return dialFailure{redialOnce, broker.NotSent}
-	case socket.IsLocal(err):
+	case socket.IsLocalError(err):
 		return dialFailure{redialUntilLimit, broker.NotSent}
 	case errors.Is(err, syscall.ENETUNREACH): // temporary, or the address is wrong
 		return dialFailure{redialUntilLimit, broker.ConnectFailed}
