--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -49,26 +49,26 @@
 
 // Cancellation is the notice that nobody waits for the answer to a message any more.
 func Cancellation(id uint64) []byte {
-	frame := msgpack.AppendArray(nil, 3)
+	frame := msgpack.AppendArrayHeader(nil, 3)
 	frame = msgpack.AppendUint(frame, messageNotice)
 	frame = msgpack.AppendText(frame, "withdraw")
-	frame = msgpack.AppendArray(frame, 1)
+	frame = msgpack.AppendArrayHeader(frame, 1)
 	return msgpack.AppendUint(frame, id)
 }
 
 // Request builds a frame; fields override those of a sound request for object 7f3a9c21e0b4d655.
 func Request(id uint64, method string, fields map[string]string, body string) []byte {
-	frame := msgpack.AppendArray(nil, 4)
+	frame := msgpack.AppendArrayHeader(nil, 4)
 	frame = msgpack.AppendUint(frame, messageRequest)
 	frame = msgpack.AppendUint(frame, id)
 	frame = msgpack.AppendText(frame, method)
 	if method == statusMethod {
-		return msgpack.AppendMap(msgpack.AppendArray(frame, 1), 0)
+		return msgpack.AppendMapHeader(msgpack.AppendArrayHeader(frame, 1), 0)
 	}
 	all := map[string]string{"txn": fmt.Sprintf("%016x", id), "limit": "2000", "item": "7f3a9c21e0b4d655", "nth": "0",
 		"batch": "3", "ram": "40"}
 	maps.Copy(all, fields)
-	frame = msgpack.AppendMap(msgpack.AppendArray(frame, 2), len(all))
+	frame = msgpack.AppendMapHeader(msgpack.AppendArrayHeader(frame, 2), len(all))
 	for name, value := range all {
 		frame = msgpack.AppendText(frame, name)
 		frame = msgpack.AppendText(frame, value)
@@ -115,7 +115,7 @@
 // parseReply reads an answer; not ok: it is not complete.
 func parseReply(data []byte) (reply Reply, ok bool) {
 	reader := msgpack.Reader{Data: data}
-	reader.Array()
+	reader.ArrayHeader()
 	reader.Uint()
 	reply = Reply{ID: reader.Uint(), Fields: map[string]string{}}
 	if reader.Err != nil || reader.Pos >= len(data) {
@@ -125,7 +125,7 @@
 	if !failed {
 		reader.Skip()
 	}
-	reader.Array()
+	reader.ArrayHeader()
 	switch {
 	case failed:
 		reply.Error = string(reader.Text(maxErrorText))
@@ -135,7 +135,7 @@
 	default:
 		reply.Body = string(reader.Binary(maxReplyBody))
 	}
-	for n := reader.Map(); n > 0 && reader.Err == nil; n-- {
+	for n := reader.MapHeader(); n > 0 && reader.Err == nil; n-- {
 		reply.Fields[string(reader.Text(maxFieldText))] = string(reader.Text(maxFieldText))
 	}
 	if failed {
--- a/internal/frontend/dns/dns.go
+++ b/internal/frontend/dns/dns.go
@@ -35,13 +35,13 @@
 	Emit           func(broker.Event)
 	Now            func() time.Duration // the monotonic clock
 	PacketLag      func() time.Duration // how much earlier than now a datagram may have come that is read now
-	Unix           func() time.Duration // the Unix clock, which signatures go by
+	UnixTime       func() time.Duration // the Unix clock, which signatures go by
 	Log            func(event string, fields ...any)
 	EndpointByName func(host string) *broker.Endpoint // of the endpoint list; nil: unknown
 	MaxConnections int                                // by TCP
 	Seed           uint64                             // of the ids of requests
 	Keys           func() *tsig.Keys                  // by which queries are signed; nil: none
-	Skew           time.Duration                      // of the callers' clocks
+	MaxClockSkew   time.Duration                      // of the callers' clocks
 
 	// RetryAfter says how long rejected clients are asked to stay away, and whether they may be told at all.
 	RetryAfter retryafter.Advisor
--- a/internal/frontend/dns/flight.go
+++ b/internal/frontend/dns/flight.go
@@ -144,7 +144,7 @@
 	lifetime := s.Classes[ended.class].DedupWindow
 	if ended.caller.Subject != "" {
 		// A signed query may be sent again by whoever saw it, as long as its time will do: it must find this result.
-		lifetime = max(lifetime, 2*(s.Skew+signedTimeMargin))
+		lifetime = max(lifetime, 2*(s.MaxClockSkew+signedTimeMargin))
 	}
 	return lifetime
 }
--- a/internal/frontend/dns/query.go
+++ b/internal/frontend/dns/query.go
@@ -38,8 +38,8 @@
 	text  string // for the client; empty: none
 }
 
-// Packet handles a query that came by UDP. reply sends the answer, during the call or later.
-func (s *Server) Packet(packet []byte, from net.Addr, reply func([]byte)) {
+// HandlePacket handles a query that came by UDP. reply sends the answer, during the call or later.
+func (s *Server) HandlePacket(packet []byte, from net.Addr, reply func([]byte)) {
 	receivedAt := s.Now() - s.PacketLag()
 	s.handle(packet, &pendingQuery{
 		from: from.String(), receivedAt: receivedAt, reply: reply, maxBytes: minUDPBytes,
@@ -113,7 +113,7 @@
 		keys = s.Keys()
 	}
 	var err error
-	query.signed, err = keys.Check(packet, query.message, s.Unix(), s.Skew)
+	query.signed, err = keys.Check(packet, query.message, s.UnixTime(), s.MaxClockSkew)
 	if err != nil {
 		return status{rcode: dns.RcodeFormatError, text: err.Error()}, false
 	}
--- a/internal/frontend/dns/response.go
+++ b/internal/frontend/dns/response.go
@@ -189,7 +189,7 @@
 		packet, err = message.Pack()
 	}
 	if err == nil && query.signed != nil {
-		return query.signed.Sign(message, s.Unix())
+		return query.signed.Sign(message, s.UnixTime())
 	}
 	return packet, err
 }
--- a/internal/frontend/rpc/connection.go
+++ b/internal/frontend/rpc/connection.go
@@ -61,9 +61,9 @@
 	c.receivedAt = c.pace.EarliestArrival(now - conn.ReadLag())
 	used, mustWait := c.handleMessages(conn.In, now)
 	if mustWait {
-		c.pace.Unread(c.receivedAt)
+		c.pace.MarkUnread(c.receivedAt)
 	} else {
-		c.pace.AllRead()
+		c.pace.MarkAllRead()
 	}
 	if unread := len(conn.In) - used; mustWait && c.server.paced.TooMuchUnread(unread) {
 		c.server.Log("client-rate-limited", "from", c.caller.Remote, "bytes", unread)
@@ -91,7 +91,7 @@
 			return used, true
 		}
 		size, err := c.handleMessage(data[used:])
-		if errors.Is(err, msgpack.ErrShort) {
+		if errors.Is(err, msgpack.ErrIncomplete) {
 			break
 		}
 		if err != nil {
--- a/internal/frontend/rpc/frame.go
+++ b/internal/frontend/rpc/frame.go
@@ -49,11 +49,11 @@
 	return fmt.Sprintf("%d requests beyond the %d that may be open", e.excess, maxOpenRequests)
 }
 
-// readFrame reads one frame from the front of data. It returns msgpack.ErrShort for a frame that has not arrived
+// readFrame reads one frame from the front of data. It returns msgpack.ErrIncomplete for a frame that has not arrived
 // completely; after any other error the connection must be closed.
 func readFrame(data []byte) (frame, error) {
 	reader := msgpack.Reader{Data: data, MaxBytes: maxFrameBytes, ValuesLeft: maxFrameValues}
-	elements := reader.Array()
+	elements := reader.ArrayHeader()
 	kind := reader.Uint()
 	switch {
 	case reader.Err != nil:
@@ -77,7 +77,7 @@
 	}
 	messageID := uint32(id)
 	request, err := readBody(reader, frame{kind: kindRequest, messageID: messageID})
-	if err != nil && !errors.Is(err, msgpack.ErrShort) {
+	if err != nil && !errors.Is(err, msgpack.ErrIncomplete) {
 		err = &brokenRequestError{messageID: messageID, err: err}
 	}
 	return request, err
@@ -96,11 +96,12 @@
 	return head, nil
 }
 
-// handleMessage handles one message from the front of data and returns its size in bytes. It returns msgpack.ErrShort
-// for a message that has not arrived completely; after any other error the connection must be closed.
+// handleMessage handles one message from the front of data and returns its size in bytes. It returns
+// msgpack.ErrIncomplete for a message that has not arrived completely; after any other error the connection must be
+// closed.
 func (c *connection) handleMessage(data []byte) (size int, err error) {
 	message, err := readFrame(data)
-	if errors.Is(err, msgpack.ErrShort) {
+	if errors.Is(err, msgpack.ErrIncomplete) {
 		return 0, err
 	}
 	if err != nil {
@@ -158,7 +159,7 @@
 // handleNotice cancels the open request that a notice names. Notices get no answer, and unknown ones are ignored.
 func (c *connection) handleNotice(body *msgpack.Reader) {
 	method := string(body.Text(maxTextBytes))
-	parameters := body.Array()
+	parameters := body.ArrayHeader()
 	if body.Err != nil || method != methodCancel || parameters != 1 {
 		return
 	}
--- a/internal/frontend/rpc/msgpack/append.go
+++ b/internal/frontend/rpc/msgpack/append.go
@@ -40,16 +40,16 @@
 	return binary.BigEndian.AppendUint64(append(b, codeUint64), value)
 }
 
-// AppendArray writes the head of an array of fewer than 65,536 elements.
-func AppendArray(b []byte, elements int) []byte {
+// AppendArrayHeader writes the head of an array of fewer than 65,536 elements.
+func AppendArrayHeader(b []byte, elements int) []byte {
 	if elements <= maxFixLength {
 		return append(b, fixArray|byte(elements))
 	}
 	return binary.BigEndian.AppendUint16(append(b, codeArray16), uint16(elements))
 }
 
-// AppendMap writes the head of a map of fewer than 65,536 pairs.
-func AppendMap(b []byte, pairs int) []byte {
+// AppendMapHeader writes the head of a map of fewer than 65,536 pairs.
+func AppendMapHeader(b []byte, pairs int) []byte {
 	if pairs <= maxFixLength {
 		return append(b, fixMap|byte(pairs))
 	}
@@ -72,10 +72,10 @@
 }
 
 // AppendBinary writes a binary.
-func AppendBinary(b, data []byte) []byte { return append(AppendBinaryHead(b, len(data)), data...) }
+func AppendBinary(b, data []byte) []byte { return append(AppendBinaryHeader(b, len(data)), data...) }
 
-// AppendBinaryHead writes what stands before the bytes of a binary.
-func AppendBinaryHead(b []byte, length int) []byte {
+// AppendBinaryHeader writes what stands before the bytes of a binary.
+func AppendBinaryHeader(b []byte, length int) []byte {
 	switch {
 	case length <= math.MaxUint8:
 		return append(b, codeBin8, byte(length))
--- a/internal/frontend/rpc/msgpack/reader.go
+++ b/internal/frontend/rpc/msgpack/reader.go
@@ -6,8 +6,8 @@
 	"fmt"
 )
 
-// ErrShort is returned for a value that goes on beyond the bytes at hand.
-var ErrShort = errors.New("msgpack: the value is not whole yet")
+// ErrIncomplete is returned for a value that goes on beyond the bytes at hand.
+var ErrIncomplete = errors.New("msgpack: the value is not whole yet")
 
 // maxDepth is how far Skip follows nested values.
 const maxDepth = 8
@@ -35,8 +35,8 @@
 	return 0
 }
 
-// Array reads the head of an array and returns the number of its elements.
-func (r *Reader) Array() int {
+// ArrayHeader reads the head of an array and returns the number of its elements.
+func (r *Reader) ArrayHeader() int {
 	code := r.code()
 	switch {
 	case isFixArray(code):
@@ -48,8 +48,8 @@
 	return 0
 }
 
-// Map reads the head of a map and returns the number of its pairs.
-func (r *Reader) Map() int {
+// MapHeader reads the head of a map and returns the number of its pairs.
+func (r *Reader) MapHeader() int {
 	code := r.code()
 	switch {
 	case isFixMap(code):
@@ -198,7 +198,7 @@
 		if r.MaxBytes > 0 && uint64(r.Pos)+uint64(length) > uint64(r.MaxBytes) {
 			r.fail("%d bytes are announced, at most %d expected in all", length, r.MaxBytes)
 		} else {
-			r.Err = ErrShort
+			r.Err = ErrIncomplete
 		}
 		return nil
 	}
--- a/internal/frontend/rpc/pacing/pacing.go
+++ b/internal/frontend/rpc/pacing/pacing.go
@@ -146,12 +146,12 @@
 	return readAt
 }
 
-// Unread records that messages are left unread, the first of which may have arrived at arrival.
-func (c *Connection[Owner]) Unread(arrival time.Duration) {
+// MarkUnread records that messages are left unread, the first of which may have arrived at arrival.
+func (c *Connection[Owner]) MarkUnread(arrival time.Duration) {
 	if c.unreadSince == 0 {
 		c.unreadSince = arrival
 	}
 }
 
-// AllRead records that no complete message is left unread.
-func (c *Connection[Owner]) AllRead() { c.unreadSince = 0 }
+// MarkAllRead records that no complete message is left unread.
+func (c *Connection[Owner]) MarkAllRead() { c.unreadSince = 0 }
--- a/internal/frontend/rpc/pacing/pacing_test.go
+++ b/internal/frontend/rpc/pacing/pacing_test.go
@@ -137,9 +137,9 @@
 			t.Errorf("step %d: %v, want %v", i, got, step.want)
 		}
 		if step.unread {
-			connection.Unread(got)
+			connection.MarkUnread(got)
 		} else {
-			connection.AllRead()
+			connection.MarkAllRead()
 		}
 	}
 }
--- a/internal/frontend/rpc/request.go
+++ b/internal/frontend/rpc/request.go
@@ -26,7 +26,7 @@
 	if body.Err == nil && !known {
 		return nil, fmt.Errorf("unknown method %q", method)
 	}
-	if parameters := body.Array(); body.Err == nil && parameters != requestParameters {
+	if parameters := body.ArrayHeader(); body.Err == nil && parameters != requestParameters {
 		return nil, fmt.Errorf("%d parameters, expected %d", parameters, requestParameters)
 	}
 	fields, err := readFields(body)
@@ -62,7 +62,7 @@
 
 // readFields reads the map of a request's fields.
 func readFields(body *msgpack.Reader) (map[string]string, error) {
-	pairs := body.Map()
+	pairs := body.MapHeader()
 	if body.Err == nil && pairs > maxFields {
 		return nil, fmt.Errorf("%d fields, at most %d expected", pairs, maxFields)
 	}
--- a/internal/frontend/rpc/response.go
+++ b/internal/frontend/rpc/response.go
@@ -48,17 +48,17 @@
 // sendResult sends [1, ID, nil, [BODY, FIELDS]]. The body is not copied.
 func (c *connection) sendResult(messageID uint32, body []byte, fields []broker.Field) {
 	head := msgpack.AppendNil(appendAnswerHead(nil, messageID))
-	head = msgpack.AppendArray(head, 2)
-	head = msgpack.AppendBinaryHead(head, len(body))
+	head = msgpack.AppendArrayHeader(head, 2)
+	head = msgpack.AppendBinaryHeader(head, len(body))
 	c.conn.Send(head, body, appendFields(nil, fields))
 }
 
 // sendStatus sends [1, ID, nil, [READY, {}]]: whether new clients are wanted.
 func (c *connection) sendStatus(messageID uint32) {
 	answer := msgpack.AppendNil(appendAnswerHead(nil, messageID))
-	answer = msgpack.AppendArray(answer, 2)
+	answer = msgpack.AppendArrayHeader(answer, 2)
 	answer = msgpack.AppendBool(answer, c.server.Ready())
-	c.conn.Send(msgpack.AppendMap(answer, 0))
+	c.conn.Send(msgpack.AppendMapHeader(answer, 0))
 }
 
 // sendRejection sends the error for which a retry is harmless, with the Retry-After and the budget that was used up,
@@ -77,7 +77,7 @@
 
 // sendError sends [1, ID, [WORD, FIELDS], nil].
 func (c *connection) sendError(messageID uint32, word string, fields []broker.Field) {
-	answer := msgpack.AppendArray(appendAnswerHead(nil, messageID), 2)
+	answer := msgpack.AppendArrayHeader(appendAnswerHead(nil, messageID), 2)
 	answer = msgpack.AppendText(answer, word)
 	answer = appendFields(answer, fields)
 	c.conn.Send(msgpack.AppendNil(answer))
@@ -85,13 +85,13 @@
 
 // appendAnswerHead writes an answer up to its error.
 func appendAnswerHead(b []byte, messageID uint32) []byte {
-	b = msgpack.AppendArray(b, answerElements)
+	b = msgpack.AppendArrayHeader(b, answerElements)
 	b = msgpack.AppendUint(b, kindAnswer)
 	return msgpack.AppendUint(b, uint64(messageID))
 }
 
 func appendFields(b []byte, fields []broker.Field) []byte {
-	b = msgpack.AppendMap(b, len(fields))
+	b = msgpack.AppendMapHeader(b, len(fields))
 	for _, field := range fields {
 		b = msgpack.AppendText(b, field.Name)
 		b = msgpack.AppendText(b, field.Value)
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -131,7 +131,7 @@
 		Emit:           s.admit,
 		Now:            s.clock.Monotonic,
 		PacketLag:      func() time.Duration { return s.loop.PacketLag() }, // the loop does not run yet
-		Unix:           s.clock.Unix,
+		UnixTime:       s.clock.Unix,
 		Log:            s.log.Event,
 		EndpointByName: s.endpointByName,
 		MaxConnections: s.descriptors.DNS,
@@ -139,7 +139,7 @@
 		RetryAfter:     s.retryAfter(),
 	}
 	if identity := s.plan.settings.Identity; identity != nil {
-		options.Skew = identity.authenticator.Policy.Skew
+		options.MaxClockSkew = identity.authenticator.Policy.Skew
 		options.Keys = func() *tsig.Keys { return s.authenticator.tsigKeys }
 	}
 	return dns.New(options)
@@ -151,7 +151,7 @@
 	if s.dns != nil {
 		address := s.plan.settings.DNS.Listen
 		listeners = append(listeners,
-			eventloop.Listener{Network: "udp", Address: address, Packet: s.dns.Packet},
+			eventloop.Listener{Network: "udp", Address: address, Packet: s.dns.HandlePacket},
 			eventloop.Listener{Network: "tcp", Address: address, Accept: s.dns.Accept})
 	}
 	return append(listeners,
--- a/test/clients_test.go
+++ b/test/clients_test.go
@@ -59,7 +59,7 @@
 	with := func(field, value string) []byte { return request(1, "footage", map[string]string{field: value}, "") }
 	head := func(rest ...byte) []byte { return append(requestHead(1), rest...) }
 	plain := request(1, "footage", nil, "")
-	hugeText := append(msgpack.AppendMap(requestHead(1), 1), 0xdb, 0xff, 0xff, 0xff, 0xff)
+	hugeText := append(msgpack.AppendMapHeader(requestHead(1), 1), 0xdb, 0xff, 0xff, 0xff, 0xff)
 	return map[string][]byte{
 		"says nothing":                          {},
 		"half a request":                        request(1, "footage", nil, "body")[:40],
--- a/test/harness_clients_test.go
+++ b/test/harness_clients_test.go
@@ -98,8 +98,8 @@
 
 // requestHead is a request up to the place of its fields.
 func requestHead(id uint64) []byte {
-	b := msgpack.AppendUint(msgpack.AppendUint(msgpack.AppendArray(nil, 4), 0), id)
-	return msgpack.AppendArray(msgpack.AppendText(b, "footage"), 2)
+	b := msgpack.AppendUint(msgpack.AppendUint(msgpack.AppendArrayHeader(nil, 4), 0), id)
+	return msgpack.AppendArrayHeader(msgpack.AppendText(b, "footage"), 2)
 }
 
 // requestFlood is that many requests in one piece.
