--- a/internal/frontend/connlimit/client.go
+++ b/internal/frontend/connlimit/client.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// Client is one connection of a Limiter.
+// Client is one connection that a Limiter has admitted.
 type Client struct {
 	limiter *Limiter
 	evict   func()
 	unsent  func() int
 
-	since        time.Duration // when it got into its state, or a flushing one last took something
-	partialSince time.Duration // when it began the message that is not complete
-	lastUnsent   int           // what unsent returned when it was last called, in bytes
-	sentMessage  bool          // it has sent a complete message
+	since        time.Duration // when it entered its state; if flushing, when the unsent bytes last decreased
+	partialSince time.Duration // when its incomplete message began
+	lastUnsent   int           // the last result of unsent, in bytes
+	sentMessage  bool          // it has sent at least one complete message
 	busy         bool
 	removed      bool
 
-	queue   *list.List // that it waits in: fresh or idle; nil: it is busy, flushing or removed
-	element *list.Element
+	queue   *list.List    // Limiter.fresh or Limiter.idle; nil: it is busy, flushing or removed
+	element *list.Element // its place in queue
 }
 
-// Input describes what one read of a connection contained.
+// Input describes the data that one read of a connection returned.
 type Input struct {
-	Complete bool // at least one message was completed
-	Partial  bool // an incomplete message is left at the end
+	Complete bool // it completed at least one message
+	Partial  bool // it ends with an incomplete message
 }
 
-// Received records what was read from the client.
+// Received records that data was read from the client.
 func (c *Client) Received(now time.Duration, input Input) {
 	if c.removed {
 		return
@@ -46,24 +46,25 @@
 	}
 }
 
-// SetOpen records how many requests of the client are open. When the last one ends, its response may still be unsent.
+// SetOpen records how many requests of the client are open. When the last one ends, the client is flushing until its
+// responses are sent.
 func (c *Client) SetOpen(now time.Duration, requests int) {
 	if c.removed {
 		return
 	}
 	c.busy = requests > 0
 	if c.busy {
-		delete(c.limiter.unflushed, c)
+		delete(c.limiter.flushing, c)
 	} else {
 		c.lastUnsent = c.unsent()
 		if c.lastUnsent > 0 {
-			c.limiter.unflushed[c] = true
+			c.limiter.flushing[c] = true
 		}
 	}
 	c.requeue(now)
 }
 
-// Remove unregisters the client, which frees its place. Further calls have no effect.
+// Remove unregisters the client, so that another one can be admitted. Further calls have no effect.
 func (c *Client) Remove() {
 	if c.removed {
 		return
@@ -71,7 +72,7 @@
 	c.removed = true
 	c.limiter.count--
 	delete(c.limiter.partialMessages, c)
-	delete(c.limiter.unflushed, c)
+	delete(c.limiter.flushing, c)
 	c.requeue(0)
 }
 
@@ -81,16 +82,16 @@
 		c.queue.Remove(c.element)
 	}
 	c.since = now
-	c.queue = c.nextQueue()
+	c.queue = c.stateQueue()
 	if c.queue != nil {
 		c.element = c.queue.PushBack(c)
 	}
 }
 
-// nextQueue returns the queue of the client's current state, or nil if that state has none.
-func (c *Client) nextQueue() *list.List {
+// stateQueue returns the queue for the client's current state, or nil if there is none for that state.
+func (c *Client) stateQueue() *list.List {
 	switch {
-	case c.removed || c.busy || c.limiter.unflushed[c]:
+	case c.removed || c.busy || c.limiter.flushing[c]:
 		return nil
 	case !c.sentMessage:
 		return c.limiter.fresh
--- a/internal/frontend/connlimit/connlimit.go
+++ b/internal/frontend/connlimit/connlimit.go
@@ -1,28 +1,30 @@
-// Package connlimit bounds the client connections of one frontend. It decides which of them is evicted, and when.
+// Package connlimit limits the number of client connections of one frontend. It decides which client is evicted, and
+// when.
 //
 // A client is in one of four states:
 //
 //   - new: it has not sent a complete message yet;
-//   - busy: a request of it is open;
-//   - flushing: no request is open, and the system has not taken all of its responses;
-//   - idle: neither.
+//   - busy: it has an open request;
+//   - flushing: it has no open request, but the operating system has not accepted all of its responses;
+//   - idle: none of these.
 //
-// Clients are evicted for these reasons alone:
+// A client is evicted only for these reasons:
 //
 //   - The limit is reached and another client connects. The oldest new client is evicted if it has been connected for
-//     firstMessageGrace; otherwise the client that has been idle longest; otherwise the oldest new client. If there
-//     are neither new nor idle clients, the other client is not admitted.
-//   - A new client that has not sent a complete message within MessageTimeout.
-//   - A client that has begun a message and not completed it within MessageTimeout, unless it is busy or flushing.
-//   - A client that has been idle for the limiter's idle time-out.
-//   - A flushing client of whose responses the system has taken nothing for the idle time-out.
-//   - With CloseIdle, each idle client that has not begun a message.
+//     firstMessageGrace; otherwise the client that has been idle longest; otherwise the oldest new client. If no
+//     client is new or idle, none is evicted and the connecting client is not admitted.
+//   - It is new and has not sent a complete message within MessageTimeout.
+//   - It has not completed a message within MessageTimeout of beginning it, and is neither busy nor flushing.
+//   - It has been idle for longer than the limiter's idle timeout.
+//   - It is flushing, and the operating system has not accepted any more of its responses for longer than the idle
+//     timeout.
+//   - CloseIdle is called, and it is idle and has not begun a message.
 //
-// Invariants: a busy client is never evicted, and a flushing one only in the case named above; there are never more
-// clients than the configured maximum; each client is in at most one queue.
+// Invariants: a busy client is never evicted, and a flushing one only for the reason given above; there are never
+// more clients than the configured maximum; each client is in at most one queue.
 //
-// A limiter does no I/O and asks no clock: the frontend tells it the time and what was read, and closes a connection
-// when its evict function is called. It is not safe for concurrent use.
+// A limiter does no I/O and reads no clock: the frontend passes in the time, reports what it has read, and closes a
+// connection when the client's evict function is called. A limiter is not safe for concurrent use.
 package connlimit
 
 import (
@@ -31,26 +33,28 @@
 )
 
 const (
-	// MessageTimeout is how long a client may take for its first message, and for the rest of one that it has begun.
-	// The protocol gives 3 s for the rejection, error or close that a bad client is due.
+	// MessageTimeout is how long a client may take to send its first message, and to complete one that it has begun.
+	// It is below the 3 s within which the protocol requires that a misbehaving client is rejected, gets an error or is
+	// disconnected.
 	MessageTimeout = 2 * time.Second
-	// firstMessageGrace is how long a new client stays for certain while there are idle ones.
+	// firstMessageGrace is how long after connecting a new client is not evicted while there are idle ones to evict.
 	firstMessageGrace = 250 * time.Millisecond
 )
 
-// Limiter is all client connections of one frontend.
+// Limiter limits the client connections of one frontend.
 type Limiter struct {
 	maxClients  int
 	idleTimeout time.Duration
 	count       int
-	fresh       *list.List // of *Client: the new ones, the longest connected first
-	idle        *list.List // of *Client: the idle ones, the longest idle first
+	fresh       *list.List // of *Client in state new, the longest connected first
+	idle        *list.List // of *Client in state idle, the longest idle first
 
-	partialMessages map[*Client]bool // clients that have begun a message and not completed it
-	unflushed       map[*Client]bool // the flushing clients
+	partialMessages map[*Client]bool // clients with an incomplete message
+	flushing        map[*Client]bool // clients in state flushing
 }
 
-// New returns a limiter for at most maxClients connections, which evicts clients that have been idle for idleTimeout.
+// New returns a limiter that admits at most maxClients connections and evicts those that are idle for longer than
+// idleTimeout.
 func New(maxClients int, idleTimeout time.Duration) *Limiter {
 	return &Limiter{
 		maxClients:      maxClients,
@@ -58,15 +62,15 @@
 		fresh:           list.New(),
 		idle:            list.New(),
 		partialMessages: map[*Client]bool{},
-		unflushed:       map[*Client]bool{},
+		flushing:        map[*Client]bool{},
 	}
 }
 
-// Admit registers a new connection. If the limit is reached it evicts another one first, and returns nil if none may
+// Admit registers a new connection. If the limit is reached, it evicts another one first, or returns nil if none may
 // be evicted.
 //
-// The limiter calls evict to evict the client: it must close the connection and call Remove. unsent returns how many
-// bytes of the client's responses the operating system has not accepted yet. Neither may block.
+// To evict the client, the limiter calls evict, which must close the connection and call Remove. unsent must return
+// how many bytes of the client's responses the operating system has not accepted yet. Neither may block.
 func (l *Limiter) Admit(now time.Duration, evict func(), unsent func() int) *Client {
 	if l.count >= l.maxClients && !l.evictOne(now) {
 		return nil
@@ -80,10 +84,10 @@
 // Len returns the number of connections.
 func (l *Limiter) Len() int { return l.count }
 
-// evictOne evicts one client for a new one, and reports whether there was one to evict.
+// evictOne evicts a client to make room for a connecting one, and reports whether there was one to evict.
 func (l *Limiter) evictOne(now time.Duration) bool {
 	if l.idle.Len() == 0 {
-		l.checkUnflushed(now)
+		l.updateFlushing(now)
 	}
 	victim := first(l.fresh)
 	if victim == nil || now-victim.since < firstMessageGrace {
@@ -98,7 +102,7 @@
 	return true
 }
 
-// Tick evicts the clients whose time-out has passed. It returns how many of them had an incomplete message
+// Tick evicts the clients whose timeout has expired. It returns how many of them it evicted for an incomplete message
 // that was not their first. The frontend calls it periodically.
 func (l *Limiter) Tick(now time.Duration) (unfinished int) {
 	for client := first(l.fresh); client != nil && now-client.since > MessageTimeout; client = first(l.fresh) {
@@ -108,22 +112,23 @@
 		client.evict()
 	}
 	for client := range l.partialMessages {
-		// What a busy or flushing client sent before this message was complete: its responses come first.
-		if now-client.partialSince > MessageTimeout && !client.busy && !l.unflushed[client] {
+		// A busy or flushing client is not evicted: it must get the responses to its earlier messages first.
+		if now-client.partialSince > MessageTimeout && !client.busy && !l.flushing[client] {
 			unfinished++
 			client.evict()
 		}
 	}
-	l.checkUnflushed(now)
+	l.updateFlushing(now)
 	return unfinished
 }
 
-// checkUnflushed updates the flushing clients by how much of their responses has been sent since the last look.
-func (l *Limiter) checkUnflushed(now time.Duration) {
-	for client := range l.unflushed {
+// updateFlushing checks how much flushing clients still have unsent: those with nothing unsent become idle, and those
+// without progress for longer than the idle timeout are evicted.
+func (l *Limiter) updateFlushing(now time.Duration) {
+	for client := range l.flushing {
 		switch unsent := client.unsent(); {
 		case unsent == 0:
-			delete(l.unflushed, client)
+			delete(l.flushing, client)
 			client.requeue(now)
 		case unsent < client.lastUnsent:
 			client.lastUnsent = unsent
@@ -134,10 +139,10 @@
 	}
 }
 
-// CloseIdle evicts all idle clients that have not begun a message: nothing is lost with them. It looks first which
-// flushing ones have become idle since the last Tick.
+// CloseIdle evicts all idle clients that have not begun a message: they lose nothing. It first updates the flushing
+// clients, because some may have become idle since the last Tick.
 func (l *Limiter) CloseIdle(now time.Duration) {
-	l.checkUnflushed(now)
+	l.updateFlushing(now)
 	for element := l.idle.Front(); element != nil; {
 		client := element.Value.(*Client)
 		element = element.Next()
@@ -147,7 +152,7 @@
 	}
 }
 
-// first returns the first client of a queue; nil: it is empty.
+// first returns the first client of a queue, or nil if the queue is empty.
 func first(queue *list.List) *Client {
 	element := queue.Front()
 	if element == nil {
--- a/internal/frontend/connlimit/connlimit_test.go
+++ b/internal/frontend/connlimit/connlimit_test.go
@@ -9,20 +9,22 @@
 
 const testIdleTimeout = 6 * time.Second
 
-// TestUnflushed: a client that has not taken its responses is not idle. It is neither evicted by CloseIdle nor for
-// another client, its idle time counts from when it has taken them, and it is evicted only when it takes nothing.
-func TestUnflushed(t *testing.T) {
+// TestFlushingClients checks that a client with unsent responses does not count as idle. It is evicted neither by
+// CloseIdle nor in favour of another client, but only when it takes no more of its responses for the idle timeout. Its
+// idle time starts when it has taken all of them.
+func TestFlushingClients(t *testing.T) {
 	const tick = 100 * time.Millisecond
 	for _, c := range []struct {
 		name   string
-		unsent func(after time.Duration) int // bytes of its response that are not taken, by the time since it was sent
-		want   time.Duration                 // when it is evicted, a tick more or less
+		unsent func(after time.Duration) int // bytes of its response that are unsent, by the time since it was sent
+		want   time.Duration                 // when it is evicted, or up to 3 ticks later
 	}{
-		{"it takes all at once", func(time.Duration) int { return 0 }, testIdleTimeout},
-		{"it takes all in the end", func(after time.Duration) int { return max(0, 100-int(after/tick)) },
+		{"takes everything at once", func(time.Duration) int { return 0 }, testIdleTimeout},
+		{"takes everything within 10 s", func(after time.Duration) int { return max(0, 100-int(after/tick)) },
 			16 * time.Second},
-		{"it takes nothing", func(time.Duration) int { return 100 }, testIdleTimeout},
-		{"it takes a part", func(after time.Duration) int { return max(50, 100-int(after/tick)) }, 11 * time.Second},
+		{"takes nothing", func(time.Duration) int { return 100 }, testIdleTimeout},
+		{"takes half within 5 s", func(after time.Duration) int { return max(50, 100-int(after/tick)) },
+			11 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			start := 100 * time.Second
@@ -43,22 +45,24 @@
 					continue
 				}
 				if limiter.CloseIdle(now); evictedAfter != 0 || limiter.Admit(now, nil, nil) != nil {
-					t.Fatalf("evicted after %v, with %d bytes of its response unsent", now-start, c.unsent(now-start))
+					t.Fatalf("client evicted or replaced after %v with %d bytes of its response unsent, want neither",
+						now-start, c.unsent(now-start))
 				}
 			}
 			if evictedAfter < c.want || evictedAfter > c.want+3*tick {
-				t.Errorf("evicted after %v, want %v", evictedAfter, c.want)
+				t.Errorf("client evicted after %v, want %v", evictedAfter, c.want)
 			}
-			if limiter.Len() != 0 || len(limiter.unflushed) != 0 {
-				t.Errorf("%d clients and %d unflushed ones are left", limiter.Len(), len(limiter.unflushed))
+			if limiter.Len() != 0 || len(limiter.flushing) != 0 {
+				t.Errorf("after the eviction: got %d clients and %d flushing ones, want none",
+					limiter.Len(), len(limiter.flushing))
 			}
 		})
 	}
 }
 
-// TestCloseIdleSeesWhatIsFlushed guards against a connection that stays open while its proxy drains, as its last
-// response counted as unsent until the next Tick: the next request came before that.
-func TestCloseIdleSeesWhatIsFlushed(t *testing.T) {
+// TestCloseIdleAfterFlush guards against a connection that stays open while its proxy drains: its last response counted
+// as unsent until the next Tick, and the client's next request came before that.
+func TestCloseIdleAfterFlush(t *testing.T) {
 	limiter := New(4, time.Second)
 	unsent, evicted := 100, false
 	var client *Client
@@ -71,15 +75,15 @@
 	client.SetOpen(1, 1)
 	client.SetOpen(2, 0)
 	if limiter.CloseIdle(3); evicted {
-		t.Fatal("evicted with a response unsent")
+		t.Fatal("CloseIdle evicted a client with an unsent response, want it to stay")
 	}
 	unsent = 0
 	if limiter.CloseIdle(4); !evicted {
-		t.Error("not evicted, though its response was taken")
+		t.Error("CloseIdle did not evict a client whose response has been sent, want it evicted")
 	}
 }
 
-// TestCloseIdle: an idle client is evicted; one that is busy, new, or has begun a message is not.
+// TestCloseIdle checks that CloseIdle evicts an idle client, but not one that is busy, is new or has begun a message.
 func TestCloseIdle(t *testing.T) {
 	limiter := New(10, testIdleTimeout)
 	evicted := map[string]bool{}
@@ -100,66 +104,67 @@
 		prepare(client)
 	}
 	if limiter.CloseIdle(time.Second); len(evicted) != 1 || !evicted["idle"] {
-		t.Errorf("%v were evicted, want the idle one", evicted)
+		t.Errorf("CloseIdle evicted %v, want only the idle client", evicted)
 	}
 }
 
-// plainClient is a client as the plain model of TestEvictions knows it.
-type plainClient struct {
+// modelClient is a client in the reference model of TestEvictions.
+type modelClient struct {
 	client       *Client
 	unsent       int
 	open         int
 	sentMessage  bool
 	partial      bool
-	stateSince   time.Duration // when it became new or idle, or last took something
+	stateSince   time.Duration // when it connected, last got a response, or last took bytes of one
 	partialSince time.Duration
 	evicted      bool
 }
 
-// flushing reports whether the client has nothing open and has not taken all of its responses.
-func (p *plainClient) flushing() bool { return p.open == 0 && p.unsent > 0 }
+// flushing reports whether the client has no open request and has not taken all of its responses.
+func (m *modelClient) flushing() bool { return m.open == 0 && m.unsent > 0 }
 
-// TestEvictions: over random clients, who is evicted, when, and who is not admitted is what the package's comment
-// says.
+// TestEvictions runs random clients and checks that evictions and refused admissions follow the rules in the package's
+// doc comment.
 func TestEvictions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const maxClients = 4
 		limiter := New(maxClients, testIdleTimeout)
 		now := time.Second
-		var clients []*plainClient // that are connected
+		var clients []*modelClient // the connected ones
 		connect := func() {
 			wasFull := len(clients) == maxClients
-			mayMakeWay := false
+			evictable := false
 			for _, other := range clients {
-				mayMakeWay = mayMakeWay || other.open == 0 && other.unsent == 0
+				evictable = evictable || other.open == 0 && other.unsent == 0
 			}
-			plain := &plainClient{stateSince: now}
-			plain.client = limiter.Admit(now, func() {
-				plain.evicted = true
-				plain.client.Remove()
-			}, func() int { return plain.unsent })
+			model := &modelClient{stateSince: now}
+			model.client = limiter.Admit(now, func() {
+				model.evicted = true
+				model.client.Remove()
+			}, func() int { return model.unsent })
 			switch {
-			case plain.client != nil:
-				clients = append(clients, plain)
-			case !wasFull || mayMakeWay:
-				t.Fatalf("not admitted: %d clients, one may make way: %v", len(clients), mayMakeWay)
+			case model.client != nil:
+				clients = append(clients, model)
+			case !wasFull || evictable:
+				t.Fatalf("not admitted with %d clients connected, one of them evictable: %v", len(clients), evictable)
 			}
 		}
 		removeEvicted := func() {
-			left := clients[:0]
-			for _, plain := range clients {
-				if !plain.evicted {
-					left = append(left, plain)
+			connected := clients[:0]
+			for _, model := range clients {
+				if !model.evicted {
+					connected = append(connected, model)
 					continue
 				}
-				if plain.open > 0 {
-					t.Fatalf("evicted with %d requests open", plain.open)
+				if model.open > 0 {
+					t.Fatalf("client evicted with %d open requests, want none", model.open)
 				}
-				if plain.flushing() && now-plain.stateSince <= testIdleTimeout {
-					t.Fatalf("evicted with %d bytes unsent, after %v", plain.unsent, now-plain.stateSince)
+				if model.flushing() && now-model.stateSince <= testIdleTimeout {
+					t.Fatalf("client evicted with %d bytes unsent, %v after its last progress, want a longer wait",
+						model.unsent, now-model.stateSince)
 				}
 			}
-			clients = left
+			clients = connected
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(1, 1500).Draw(t, "milliseconds")) * time.Millisecond
@@ -167,97 +172,101 @@
 				connect()
 				removeEvicted()
 			}
-			plain := rapid.SampledFrom(clients).Draw(t, "client")
+			model := rapid.SampledFrom(clients).Draw(t, "client")
 			switch rapid.SampledFrom([]string{"read", "respond", "flush", "part"}).Draw(t, "what") {
 			case "read":
-				plain.sentMessage = true
-				plain.partial = false
-				plain.client.Received(now, Input{Complete: true})
-				plain.open++
-				plain.client.SetOpen(now, plain.open)
+				model.sentMessage = true
+				model.partial = false
+				model.client.Received(now, Input{Complete: true})
+				model.open++
+				model.client.SetOpen(now, model.open)
 			case "respond":
-				if plain.open > 0 {
-					plain.open--
-					plain.unsent += rapid.IntRange(0, 10).Draw(t, "bytes")
-					plain.stateSince = now
-					plain.client.SetOpen(now, plain.open)
+				if model.open > 0 {
+					model.open--
+					model.unsent += rapid.IntRange(0, 10).Draw(t, "bytes")
+					model.stateSince = now
+					model.client.SetOpen(now, model.open)
 				}
 			case "flush":
-				if plain.unsent > 0 {
-					plain.unsent -= rapid.IntRange(1, plain.unsent).Draw(t, "taken")
-					plain.stateSince = now
+				if model.unsent > 0 {
+					model.unsent -= rapid.IntRange(1, model.unsent).Draw(t, "taken")
+					model.stateSince = now
 				}
 			case "part":
-				if !plain.partial {
-					plain.partial = true
-					plain.partialSince = now
+				if !model.partial {
+					model.partial = true
+					model.partialSince = now
 				}
-				plain.client.Received(now, Input{Partial: true})
+				model.client.Received(now, Input{Partial: true})
 			}
 			limiter.Tick(now)
 			removeEvicted()
-			for _, plain := range clients {
-				age := now - plain.stateSince
+			for _, model := range clients {
+				age := now - model.stateSince
 				switch {
-				case plain.open > 0 || plain.unsent > 0:
-				case !plain.sentMessage && age > MessageTimeout:
-					t.Fatalf("connected for %v without a message", age)
-				case plain.sentMessage && age > testIdleTimeout:
-					t.Fatalf("idle for %v", age)
-				case plain.partial && min(age, now-plain.partialSince) > MessageTimeout:
-					t.Fatalf("an incomplete message for %v, responses taken for %v", now-plain.partialSince, age)
+				case model.open > 0 || model.unsent > 0:
+				case !model.sentMessage && age > MessageTimeout:
+					t.Fatalf("new client not evicted: connected for %v without a complete message", age)
+				case model.sentMessage && age > testIdleTimeout:
+					t.Fatalf("idle client not evicted: idle for %v", age)
+				case model.partial && min(age, now-model.partialSince) > MessageTimeout:
+					t.Fatalf("client not evicted: message incomplete for %v, all responses taken for %v",
+						now-model.partialSince, age)
 				}
 			}
 			if limiter.Len() != len(clients) || len(clients) > maxClients {
-				t.Fatalf("%d clients, want %d, at most %d", limiter.Len(), len(clients), maxClients)
+				t.Fatalf("got %d clients, want %d, at most %d", limiter.Len(), len(clients), maxClients)
 			}
 		}
 	})
 }
 
-// TestAdmitEvicts: at the limit the oldest new client is evicted if it had its grace, else the client that has been
-// idle longest, else the oldest new one; busy ones never are.
+// TestAdmitEvicts checks which client Admit evicts at the limit: the oldest new one if firstMessageGrace has passed,
+// otherwise the one that has been idle longest, otherwise the oldest new one, and never a busy one.
 func TestAdmitEvicts(t *testing.T) {
-	const late = 10 * time.Second // when one more client connects
+	const admitAt = 10 * time.Second // when another client connects
 	idle := func(client *Client, at time.Duration) { client.Received(at, Input{Complete: true}) }
 	busy := func(client *Client, at time.Duration) { client.SetOpen(at, 1) }
 	fresh := func(*Client, time.Duration) {}
-	type member struct {
+	type testClient struct {
 		name    string
-		at      time.Duration // when it connects
+		at      time.Duration // when it connected
 		prepare func(client *Client, at time.Duration)
 	}
 	for name, c := range map[string]struct {
-		members []member
-		want    string // who is evicted; empty: nobody, and the client is not admitted
+		clients []testClient
+		want    string // the evicted client; empty: none, and the connecting client is not admitted
 	}{
-		"a new one after its grace": {
-			[]member{{"idle", 0, idle}, {"new", late - firstMessageGrace, fresh}, {"newer", late, fresh}}, "new",
+		"new client after its grace period": {
+			[]testClient{{"idle", 0, idle}, {"new", admitAt - firstMessageGrace, fresh}, {"newer", admitAt, fresh}},
+			"new",
 		},
-		"the longest idle one before that": {
-			[]member{{"idle", 0, idle}, {"idle later", time.Second, idle}, {"new", late - firstMessageGrace/2, fresh}},
+		"longest idle client within the grace period": {
+			[]testClient{
+				{"idle", 0, idle}, {"idle later", time.Second, idle}, {"new", admitAt - firstMessageGrace/2, fresh},
+			},
 			"idle",
 		},
-		"a new one where none is idle": {
-			[]member{{"busy", 0, busy}, {"new", late, fresh}, {"newer", late, fresh}}, "new",
+		"new client if none is idle": {
+			[]testClient{{"busy", 0, busy}, {"new", admitAt, fresh}, {"newer", admitAt, fresh}}, "new",
 		},
-		"nobody": {
-			[]member{{"busy", 0, busy}, {"busy too", 0, busy}, {"busy as well", 0, busy}}, "",
+		"only busy clients": {
+			[]testClient{{"busy", 0, busy}, {"busy second", 0, busy}, {"busy third", 0, busy}}, "",
 		},
 	} {
-		limiter := New(len(c.members), testIdleTimeout)
+		limiter := New(len(c.clients), testIdleTimeout)
 		evicted := ""
-		for _, member := range c.members {
+		for _, existing := range c.clients {
 			var client *Client
-			client = limiter.Admit(member.at, func() {
-				evicted += member.name
+			client = limiter.Admit(existing.at, func() {
+				evicted += existing.name
 				client.Remove()
 			}, func() int { return 0 })
-			member.prepare(client, member.at)
+			existing.prepare(client, existing.at)
 		}
-		admitted := limiter.Admit(late, nil, nil)
+		admitted := limiter.Admit(admitAt, nil, nil)
 		if evicted != c.want || (admitted != nil) != (c.want != "") {
-			t.Errorf("%s: %q is evicted, admitted %v", name, evicted, admitted != nil)
+			t.Errorf("%s: got client %q evicted and admission %v, want another result", name, evicted, admitted != nil)
 		}
 	}
 }
