--- a/internal/frontend/dns/config.go
+++ b/internal/frontend/dns/config.go
@@ -18,25 +18,25 @@
 	maxTimeout            = time.Minute
 )
 
-// Config is the block `dns` of the settings, which turns the frontend on.
+// Config holds the settings of the block `dns`. The frontend is enabled if the block is present.
 type Config struct {
-	Listen         string        // ip:port, UDP and TCP
-	Zone           string        // lower case, with the last dot
-	Timeout        time.Duration // that a query waits at most; 2 s by default
-	Resolver       string        // ip:port of the server that knows endpoints listed by name; empty: none
-	ResolveTimeout time.Duration // for the address of one name; 300 ms by default
+	Listen         string        // ip:port for both UDP and TCP
+	Zone           string        // in lower case, with the trailing dot
+	Timeout        time.Duration // the longest time that a query waits for its answer; 2 s by default
+	Resolver       string        // ip:port of the name server that resolves endpoints listed by name; empty: none
+	ResolveTimeout time.Duration // for resolving one name; 300 ms by default
 }
 
-// Section returns the directives of the block, and sets the defaults.
+// Section sets the defaults and returns the directives of the block.
 func (c *Config) Section() *config.Section {
 	c.Timeout = defaultTimeout
 	c.ResolveTimeout = defaultResolveTimeout
 	section := &config.Section{}
-	section.Text("listen", &c.Listen, checkAddress, "where queries come, by UDP and TCP")
-	section.Text("zone", &c.Zone, checkZone, "the zone whose names are requests")
-	section.Duration("limit", &c.Timeout, minTimeout, maxTimeout, "that a query waits at most")
-	section.Text("resolver", &c.Resolver, checkAddress, "name server that knows the endpoints listed by name")
-	section.Duration("resolve-limit", &c.ResolveTimeout, minTimeout, maxTimeout, "for the address of one name")
+	section.Text("listen", &c.Listen, checkAddress, "ip:port to listen on, for UDP and TCP")
+	section.Text("zone", &c.Zone, checkZone, "zone whose names stand for requests")
+	section.Duration("limit", &c.Timeout, minTimeout, maxTimeout, "longest time that a query waits for its answer")
+	section.Text("resolver", &c.Resolver, checkAddress, "name server that resolves the endpoints listed by name")
+	section.Duration("resolve-limit", &c.ResolveTimeout, minTimeout, maxTimeout, "timeout for resolving one name")
 	section.Check(func() error {
 		if c.Listen == "" || c.Zone == "" {
 			return errors.New("listen and zone are needed")
--- a/internal/frontend/dns/dns.go
+++ b/internal/frontend/dns/dns.go
@@ -1,8 +1,8 @@
-// Package dns is the frontend for clients that can only ask a name server where to go. A query is a request like any
+// Package dns is the frontend for clients that can only use DNS to find an endpoint. A query is a request like any
 // other: it goes through quotas, broker and policy, and its answer names the endpoint that served it.
 //
-// query.go reads queries, name.go their names; flight.go joins queries for the same result; response.go writes
-// answers; stream.go is DNS over TCP.
+// query.go parses queries and name.go their names, flight.go coalesces queries for the same result, response.go writes
+// answers, and stream.go handles DNS over TCP.
 package dns
 
 import (
@@ -19,11 +19,11 @@
 )
 
 const (
-	maxFlights = 4096 // requests that are open or remembered
-	maxJoined  = 256  // queries that wait for one request, or that are open on one TCP connection
+	maxFlights        = 4096 // open requests plus keyed ones that are open or whose results are kept
+	maxWaitingQueries = 256  // per request and per TCP connection
 
-	minUDPBytes = dns.MinMsgSize // of an answer that any client takes
-	maxUDPBytes = 1232           // of an answer: what passes unfragmented nearly everywhere
+	minUDPBytes = dns.MinMsgSize // size of an answer that every client accepts
+	maxUDPBytes = 1232           // size of an answer that nearly all networks carry without fragmentation
 
 	tcpIdleTimeout = 10 * time.Second
 )
@@ -34,16 +34,16 @@
 	Classes        []policy.Class
 	Emit           func(broker.Event)
 	Now            func() time.Duration // the monotonic clock
-	PacketLag      func() time.Duration // how much earlier than now a datagram may have come that is read now
-	UnixTime       func() time.Duration // the Unix clock, which signatures go by
+	PacketLag      func() time.Duration // how long ago a datagram that is read now may have arrived
+	UnixTime       func() time.Duration // for the times of signatures
 	Log            func(event string, fields ...any)
-	EndpointByName func(host string) *broker.Endpoint // of the endpoint list; nil: unknown
-	MaxConnections int                                // by TCP
-	Seed           uint64                             // of the ids of requests
-	Keys           func() *tsig.Keys                  // by which queries are signed; nil: none
-	MaxClockSkew   time.Duration                      // of the callers' clocks
+	EndpointByName func(host string) *broker.Endpoint // looks up the endpoint list; nil: unknown
+	MaxConnections int                                // over TCP
+	Seed           uint64                             // for request ids
+	Keys           func() *tsig.Keys                  // that queries may be signed with; nil: none
+	MaxClockSkew   time.Duration                      // of clients' clocks, either way
 
-	// RetryAfter says how long rejected clients are asked to stay away, and whether they may be told at all.
+	// RetryAfter computes the Retry-After advice for rejected clients, and decides whether any may be sent.
 	RetryAfter retryafter.Advisor
 }
 
@@ -51,37 +51,37 @@
 type Server struct {
 	Options
 
-	byKey     map[string]*flight          // keyed ones, open or finished within their window
-	byRequest map[*broker.Request]*flight // open ones
-	pending   map[string]*pendingQuery    // by pendingQuery.transaction: a retransmitted query is answered once
-	clients   *connlimit.Limiter          // of TCP connections
-	requests  uint64                      // that were made so far
-	unsigned  identity.Caller             // of queries without a signature
+	byKey          map[string]*flight          // keyed ones, while open or until their keepUntil
+	byRequest      map[*broker.Request]*flight // all open ones
+	pending        map[string]*pendingQuery    // by transaction, so that a retransmitted query is answered once
+	clients        *connlimit.Limiter          // limits the TCP connections
+	requestCount   uint64                      // requests submitted so far
+	unsignedCaller identity.Caller             // the caller of queries without a signature
 }
 
-// New returns a server with no queries.
+// New returns a server with no open queries.
 func New(options Options) *Server {
 	return &Server{
-		Options:   options,
-		byKey:     map[string]*flight{},
-		byRequest: map[*broker.Request]*flight{},
-		pending:   map[string]*pendingQuery{},
-		clients:   connlimit.New(options.MaxConnections, tcpIdleTimeout),
-		unsigned:  identity.Caller{Front: "dns"},
+		Options:        options,
+		byKey:          map[string]*flight{},
+		byRequest:      map[*broker.Request]*flight{},
+		pending:        map[string]*pendingQuery{},
+		clients:        connlimit.New(options.MaxConnections, tcpIdleTimeout),
+		unsignedCaller: identity.Caller{Front: "dns"},
 	}
 }
 
 // Clients returns the number of TCP connections.
 func (s *Server) Clients() int { return s.clients.Len() }
 
-// CloseIdle closes the idle TCP connections: no query is open, no answer is unsent and no message is incomplete.
+// CloseIdle closes the idle TCP connections: those with no open query, no unsent answer and no incomplete message.
 func (s *Server) CloseIdle() { s.clients.CloseIdle(s.Now()) }
 
-// Tick drops expired results and closes the TCP connections whose time-out has passed. It must be called
+// Tick removes expired results and closes the TCP connections whose timeout has expired. It must be called
 // periodically.
 func (s *Server) Tick(now time.Duration) {
-	for key, joined := range s.byKey {
-		if joined.final != nil && now >= joined.keepUntil {
+	for key, keyed := range s.byKey {
+		if keyed.final != nil && now >= keyed.keepUntil {
 			delete(s.byKey, key)
 		}
 	}
@@ -90,7 +90,7 @@
 	}
 }
 
-// classIndex returns the place of a class in Classes; -1: there is none.
+// classIndex returns the index of a class in Classes, or -1 if there is no class of that name.
 func (s *Server) classIndex(name string) int {
 	for i := range s.Classes {
 		if s.Classes[i].Name == name {
--- a/internal/frontend/dns/flight.go
+++ b/internal/frontend/dns/flight.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// minResubmitTime is what must be left of a query's time for its request to be made again.
+	// minResubmitTime is the least time that must be left until a flight's deadline for its request to be resubmitted.
 	minResubmitTime = 50 * time.Millisecond
-	// signedTimeMargin is what the time of a signed query may be off beside the skew of clocks.
+	// signedTimeMargin is how far the time of a signed query may be off, in addition to the skew of clocks.
 	signedTimeMargin = time.Second
 )
 
@@ -23,29 +23,29 @@
 	target    target
 	caller    *identity.Caller
 	class     int
-	key       string // in Server.byKey; empty: it is not keyed
+	key       string // in Server.byKey; empty: the request is not keyed
 	request   *broker.Request
-	deadline  time.Duration // when the first query's time is over
+	deadline  time.Duration // of the first query
 	waiting   []*pendingQuery
-	final     *broker.Response // nil: it is open
-	keepUntil time.Duration    // until when the final response is given again
+	final     *broker.Response // nil: the request is open
+	keepUntil time.Duration    // until when the final response is returned for further queries
 }
 
-// join adds a query to the request with the same key, or makes a new request for it.
+// join adds a query to the flight with the same key, or opens a new flight for it.
 func (s *Server) join(query *pendingQuery, requested target, class int) {
 	now := s.Now()
-	caller := &s.unsigned
+	caller := &s.unsignedCaller
 	if query.signed != nil {
 		caller = query.signed.Caller()
 	}
 	key := ""
 	if s.Classes[class].Idempotency != policy.Idempotent {
-		// The key and not the address of the client says what is the same request: retries come from other ports.
-		// Two subjects never share one: the second is to be rejected, and not told what came of the first.
+		// The key, not the client's address, identifies the same request, because retries come from other ports.
+		// Subjects never share a flight: the second one must be rejected, and must not learn the result of the first.
 		key = caller.Subject + " " + requested.team + " " + requested.class + " " + requested.key
-		known := s.byKey[key]
-		if known != nil && (known.final == nil || now < known.keepUntil) {
-			s.joinKnown(query, known, requested)
+		existing := s.byKey[key]
+		if existing != nil && (existing.final == nil || now < existing.keepUntil) {
+			s.joinExisting(query, existing, requested)
 			return
 		}
 	}
@@ -54,55 +54,55 @@
 		return
 	}
 	deadline := query.receivedAt + s.timeout(class)
-	opened := &flight{target: requested, class: class, key: key, caller: caller, deadline: deadline}
+	newFlight := &flight{target: requested, class: class, key: key, caller: caller, deadline: deadline}
 	if key != "" {
-		s.byKey[key] = opened
+		s.byKey[key] = newFlight
 	}
-	s.wait(query, opened)
-	s.submit(opened, query.receivedAt)
+	s.addWaiting(query, newFlight)
+	s.submit(newFlight, query.receivedAt)
 }
 
-// joinKnown answers a query by the result of a request with the same key, or adds it to those that wait for the
-// result.
-func (s *Server) joinKnown(query *pendingQuery, known *flight, requested target) {
+// joinExisting answers a query with the result of the flight with the same key, or adds it to the queries that wait for
+// that result.
+func (s *Server) joinExisting(query *pendingQuery, existing *flight, requested target) {
 	switch {
-	case known.target.object != requested.object || known.target.part != requested.part:
+	case existing.target.object != requested.object || existing.target.part != requested.part:
 		s.sendStatus(query, status{rcode: dns.RcodeFormatError, text: "this key was used for another object"})
-	case known.final != nil:
-		s.answer(query, known.final)
-	case len(known.waiting) < maxJoined:
-		s.wait(query, known)
+	case existing.final != nil:
+		s.answer(query, existing.final)
+	case len(existing.waiting) < maxWaitingQueries:
+		s.addWaiting(query, existing)
 	default:
 		s.sendOverloaded(query)
 	}
 }
 
-func (s *Server) wait(query *pendingQuery, joined *flight) {
-	joined.waiting = append(joined.waiting, query)
+func (s *Server) addWaiting(query *pendingQuery, inFlight *flight) {
+	inFlight.waiting = append(inFlight.waiting, query)
 	s.pending[query.transaction] = query
 }
 
-// submit makes the broker's request for a flight, which counts from receivedAt, and emits it.
-func (s *Server) submit(opened *flight, receivedAt time.Duration) {
-	s.requests++
-	requested := &opened.target
-	opened.request = &broker.Request{
+// submit creates the broker's request for a flight and emits it. The request's timeout starts at receivedAt.
+func (s *Server) submit(inFlight *flight, receivedAt time.Duration) {
+	s.requestCount++
+	requested := &inFlight.target
+	inFlight.request = &broker.Request{
 		Frontend:   s,
-		ID:         fmt.Sprintf("%016x", s.Seed+s.requests),
-		Class:      opened.class,
+		ID:         fmt.Sprintf("%016x", s.Seed+s.requestCount),
+		Class:      inFlight.class,
 		Team:       requested.team,
 		Object:     requested.object,
 		ObjectName: requested.objectName,
 		Part:       requested.part,
 		Group:      requested.group,
 		Key:        requested.key,
-		Caller:     opened.caller,
+		Caller:     inFlight.caller,
 		Zone:       s.Config.Zone,
 		ReceivedAt: receivedAt,
-		Timeout:    opened.deadline - receivedAt,
+		Timeout:    inFlight.deadline - receivedAt,
 	}
-	s.byRequest[opened.request] = opened
-	s.Emit(broker.RequestReceived{Request: opened.request})
+	s.byRequest[inFlight.request] = inFlight
+	s.Emit(broker.RequestReceived{Request: inFlight.request})
 }
 
 // Respond answers all queries that wait for a request. The broker calls it once for each request that was not
@@ -116,7 +116,7 @@
 	now := s.Now()
 	served := response.Kind == broker.ResponseServed || response.Kind == broker.ResponseNotModified
 	if served && response.Endpoint.State != policy.Ready && ended.key == "" && ended.deadline-now > minResubmitTime {
-		// The endpoint that served it began to drain meanwhile. The request is idempotent: it is made again.
+		// The endpoint that served the request is no longer ready. The request is idempotent, so it is resubmitted.
 		s.submit(ended, now)
 		return
 	}
@@ -132,24 +132,25 @@
 	ended.waiting = nil
 }
 
-// resultLifetime returns how long the final response of a keyed request is given again.
+// resultLifetime returns how long the final response to a keyed request is returned for further queries.
 func (s *Server) resultLifetime(ended *flight) time.Duration {
 	switch ended.final.Kind {
 	case broker.ResponseRejected:
-		// A rejection promises that a retry is harmless, so it is repeated until its Retry-After only.
+		// A rejection promises that a retry is harmless, so it is repeated only until its Retry-After has passed.
 		return ended.final.RetryAfter
 	case broker.ResponseDenied:
-		return 0 // nothing was attempted by this key
+		return 0 // nothing was attempted for this key
 	}
 	lifetime := s.Classes[ended.class].DedupWindow
 	if ended.caller.Subject != "" {
-		// A signed query may be sent again by whoever saw it, as long as its time will do: it must find this result.
+		// Whoever has seen a signed query can replay it while its signed time is accepted. The replay must get this
+		// result instead of causing another request.
 		lifetime = max(lifetime, 2*(s.MaxClockSkew+signedTimeMargin))
 	}
 	return lifetime
 }
 
-// cancel withdraws a request that no query waits for.
+// cancel cancels a request that no query waits for.
 func (s *Server) cancel(request *broker.Request) {
 	delete(s.byRequest, request)
 	request.Canceled = true
--- a/internal/frontend/dns/name.go
+++ b/internal/frontend/dns/name.go
@@ -11,7 +11,7 @@
 	"sloequay/internal/broker"
 )
 
-// target is what a name under the zone asks for: a request, or the address of an endpoint.
+// target is what a name in the zone stands for: a request, or the address of an endpoint.
 //
 //	name     = [key "."] [group "."] part "." object "." class "." team "." zone
 //	key      = "k-" and up to 60 letters, digits and hyphens
@@ -21,16 +21,16 @@
 //	endpoint = host ".box." zone
 type target struct {
 	key        string
-	objectName string // object as the client wrote it, in lower case
+	objectName string // object in hex digits, in lower case
 	class      string
 	team       string
 	object     uint64
 	part       int
-	group      int    // anyGroup: not told
-	endpoint   string // its host; empty: the name is a request
+	group      int    // anyGroup: not given
+	endpoint   string // its host name; empty: the name stands for a request
 }
 
-// The words of names.
+// The syntax of names.
 const (
 	endpointLabel = "box"
 	keyPrefix     = "k-"
@@ -53,8 +53,7 @@
 	errApex      = errors.New("the zone itself")
 )
 
-// parseName reads a name. Names are compared without regard to case, as DNS has it. With an error what it read so far
-// is returned too.
+// parseName parses a name, ignoring case as DNS requires. With an error it also returns what it has parsed so far.
 func parseName(name, zone string) (target, error) {
 	parsed := target{group: anyGroup}
 	name = strings.ToLower(name)
@@ -74,7 +73,7 @@
 	return parsed, err
 }
 
-// parseRequest reads the labels of a request.
+// parseRequest parses the labels of a request.
 func (t *target) parseRequest(labels []string) error {
 	if len(labels) > requestLabels && strings.HasPrefix(labels[0], keyPrefix) {
 		t.key = strings.TrimPrefix(labels[0], keyPrefix)
@@ -111,7 +110,7 @@
 	return nil
 }
 
-// parseNumber reads a prefix with a number of plain digits behind it.
+// parseNumber parses a label that consists of a prefix and a decimal number without sign, of at most maximum.
 func parseNumber(label, prefix string, maximum uint64) (int, error) {
 	digits, ok := strings.CutPrefix(label, prefix)
 	number, err := strconv.ParseUint(digits, 10, 31)
--- a/internal/frontend/dns/query.go
+++ b/internal/frontend/dns/query.go
@@ -15,30 +15,30 @@
 )
 
 const (
-	headerBytes = 12 // of a message (RFC 1035, section 4.1.1)
-	flagsByte   = 2  // of the header: its first byte of flags
-	flagAnswer  = 0x80
+	headerBytes = 12   // size of a message's header (RFC 1035, section 4.1.1)
+	flagsByte   = 2    // offset of the first byte of flags in the header
+	flagAnswer  = 0x80 // the QR bit: the message is an answer
 )
 
 // pendingQuery is a query that must get exactly one answer.
 type pendingQuery struct {
 	message     *dns.Msg
-	from        string        // its client's address
-	transaction string        // its client, id and question: a retransmitted query has the same
-	receivedAt  time.Duration // when it may have come at the earliest
+	from        string        // the client's address
+	transaction string        // the client's address, id and question, which a retransmitted query repeats
+	receivedAt  time.Duration // the earliest time at which it may have arrived
 	reply       func([]byte)
-	maxBytes    int          // of its answer
-	stream      *stream      // nil: it came by UDP
-	signed      *tsig.Signed // nil: it is not
+	maxBytes    int          // limit on the size of its answer
+	stream      *stream      // nil: it arrived over UDP
+	signed      *tsig.Signed // nil: the query is not signed
 }
 
-// status is an answer without a record.
+// status is an answer without records.
 type status struct {
 	rcode int
-	text  string // for the client; empty: none
+	text  string // explanation for the client; empty: none
 }
 
-// HandlePacket handles a query that came by UDP. reply sends the answer, during the call or later.
+// HandlePacket handles a query that arrived over UDP. It calls reply with the answer, before it returns or later.
 func (s *Server) HandlePacket(packet []byte, from net.Addr, reply func([]byte)) {
 	receivedAt := s.Now() - s.PacketLag()
 	s.handle(packet, &pendingQuery{
@@ -46,13 +46,13 @@
 	})
 }
 
-// handle parses a packet into a query whose sender and transport are set. It answers the query at once, or when the
-// response to its request is there.
+// handle parses a packet into query, whose sender and transport the caller has set. It answers the query at once, or
+// when the response to its request arrives.
 func (s *Server) handle(packet []byte, query *pendingQuery) {
 	query.message = &dns.Msg{}
 	err := query.message.Unpack(packet)
 	if len(packet) < headerBytes || packet[flagsByte]&flagAnswer != 0 {
-		return // no id to answer under, or an answer: answering those would make loops
+		return // no id to answer with, or an answer itself: answering it could cause a loop
 	}
 	if err != nil {
 		s.Log("dns-bad-query", "from", query.from, "error", err)
@@ -73,7 +73,7 @@
 	question := &query.message.Question[0]
 	name := strings.ToLower(question.Name)
 	query.transaction = fmt.Sprintf("%s %d %d %s", query.from, query.message.Id, question.Qtype, name)
-	if s.pending[query.transaction] != nil { // a retransmitted query: its answer is under way
+	if s.pending[query.transaction] != nil { // a retransmitted query: the first one will be answered
 		if query.stream != nil {
 			query.stream.answered()
 		}
@@ -82,7 +82,7 @@
 	s.dispatch(query)
 }
 
-// maxAnswerBytes returns how long the answer to a query may be.
+// maxAnswerBytes returns the largest size that the answer to a query may have.
 func maxAnswerBytes(query *pendingQuery) int {
 	if query.stream != nil {
 		return dns.MaxMsgSize
@@ -93,7 +93,7 @@
 	return minUDPBytes
 }
 
-// checkHeader reports whether a message is a query that can be answered, and its answer if not.
+// checkHeader reports whether a message is a query of a supported kind, and returns the answer if it is not.
 func checkHeader(message *dns.Msg) (rejection status, ok bool) {
 	switch {
 	case message.Opcode != dns.OpcodeQuery:
@@ -106,7 +106,8 @@
 	return status{}, true
 }
 
-// checkSignature reads the signature of a query, and reports whether it is sound or there is none.
+// checkSignature checks the signature of a query. It reports whether the signature is valid or absent, and returns the
+// answer if it is not.
 func (s *Server) checkSignature(packet []byte, query *pendingQuery) (rejection status, ok bool) {
 	var keys *tsig.Keys
 	if s.Keys != nil {
@@ -124,7 +125,7 @@
 	return status{}, true
 }
 
-// dispatch answers a query whose name needs no request, and passes on the others.
+// dispatch answers a query at once if its name is invalid or needs no request, and otherwise joins it to a flight.
 func (s *Server) dispatch(query *pendingQuery) {
 	question := &query.message.Question[0]
 	target, err := parseName(question.Name, s.Config.Zone)
@@ -143,7 +144,7 @@
 	case s.Classes[class].Idempotency != policy.Idempotent && target.key == "":
 		s.sendStatus(query, status{rcode: dns.RcodeFormatError, text: "this class needs a key"})
 	case question.Qtype != dns.TypeA && question.Qtype != dns.TypeSRV && question.Qtype != dns.TypeTXT:
-		s.sendStatus(query, status{rcode: dns.RcodeSuccess}) // the name is there, a record of that type is not
+		s.sendStatus(query, status{rcode: dns.RcodeSuccess}) // the name exists, but has no records of this type
 	default:
 		s.join(query, target, class)
 	}
--- a/internal/frontend/dns/response.go
+++ b/internal/frontend/dns/response.go
@@ -14,19 +14,19 @@
 	"sloequay/internal/retryafter"
 )
 
-// Words of the texts in answers.
+// Parts of the texts in answers.
 const (
 	textServed       = "outcome=served"
-	textEndpointGone = "outcome=served-by-a-box-that-left" // the endpoint can't be named any more
+	textEndpointGone = "outcome=served-by-a-box-that-left" // the endpoint is no longer ready, or has no IPv4 address
 	textRetryAfter   = "later="                            // in milliseconds
 	textBudget       = "budget="                           // in quotes
 )
 
-// maxTextBytes is what one string of a TXT record holds.
+// maxTextBytes is the longest string in a TXT record.
 const maxTextBytes = 255
 
-// answer sends the answer to a query by the final response of its request. Whether the endpoint may be named is
-// decided now: it may have begun to drain since it served.
+// answer answers a query with the final response to its request. Whether the answer names the endpoint depends on the
+// endpoint's present state, because it may have begun to drain since it served the request.
 func (s *Server) answer(query *pendingQuery, final *broker.Response) {
 	switch final.Kind {
 	case broker.ResponseRejected:
@@ -40,7 +40,7 @@
 	}
 }
 
-// sendServed answers with the records of the endpoint that served.
+// sendServed answers with the records of the endpoint that served the request.
 func (s *Server) sendServed(query *pendingQuery, final *broker.Response) {
 	message := newAnswer(query, dns.RcodeSuccess)
 	question := &query.message.Question[0]
@@ -62,14 +62,14 @@
 		message.Answer = append(message.Answer, address)
 	default:
 		message.Answer = append(message.Answer, service)
-		ofTarget := *address
-		ofTarget.Hdr.Name = service.Target
-		message.Extra = append(message.Extra, &ofTarget)
+		targetAddress := *address
+		targetAddress.Hdr.Name = service.Target
+		message.Extra = append(message.Extra, &targetAddress)
 	}
 	s.send(query, message)
 }
 
-// answerEndpoint answers for the target of an earlier SRV record.
+// answerEndpoint answers a query for an endpoint's own name, the target of an earlier SRV record.
 func (s *Server) answerEndpoint(query *pendingQuery, host string) {
 	endpoint := s.EndpointByName(host)
 	if endpoint == nil || endpoint.State != policy.Ready {
@@ -85,27 +85,27 @@
 	s.send(query, message)
 }
 
-// records returns the records that name an endpoint, or nil if it may not be named or has no IPv4 address.
+// records returns the A and SRV records of an endpoint, or nil if it is unknown, is not ready or has no IPv4 address.
 func (s *Server) records(name string, endpoint *broker.Endpoint, address string) (*dns.A, *dns.SRV) {
-	at, err := netip.ParseAddrPort(address)
-	if err != nil || endpoint == nil || endpoint.State != policy.Ready || !at.Addr().Unmap().Is4() {
+	addressPort, err := netip.ParseAddrPort(address)
+	if err != nil || endpoint == nil || endpoint.State != policy.Ready || !addressPort.Addr().Unmap().Is4() {
 		return nil, nil
 	}
-	host := &dns.A{Hdr: recordHeader(name, dns.TypeA), A: net.IP(at.Addr().Unmap().AsSlice())}
+	host := &dns.A{Hdr: recordHeader(name, dns.TypeA), A: net.IP(addressPort.Addr().Unmap().AsSlice())}
 	service := &dns.SRV{
 		Hdr:    recordHeader(name, dns.TypeSRV),
-		Port:   at.Port(),
+		Port:   addressPort.Port(),
 		Target: strings.ToLower(endpoint.Name) + "." + endpointLabel + "." + s.Config.Zone,
 	}
 	return host, service
 }
 
-// recordHeader returns the head of a record with a TTL of 0: the endpoint list may change any time.
+// recordHeader returns the header of a record. Its TTL is 0 because the endpoint list may change at any time.
 func recordHeader(name string, recordType uint16) dns.RR_Header {
 	return dns.RR_Header{Name: name, Rrtype: recordType, Class: dns.ClassINET}
 }
 
-// clip cuts a text to what one string of a TXT record holds.
+// clip shortens a text to the longest string that a TXT record can hold.
 func clip(text string) string { return text[:min(len(text), maxTextBytes)] }
 
 // sendOverloaded rejects a query because too many are open.
@@ -113,8 +113,7 @@
 	s.sendRejection(query, s.RetryAfter.QueriesFull(), "")
 }
 
-// sendRejection answers REFUSED with the Retry-After, where one may be sent, and the budget that was used up, if it
-// was one.
+// sendRejection answers REFUSED with the Retry-After, if one may be sent, and the exhausted budget, if there is one.
 func (s *Server) sendRejection(query *pendingQuery, retryAfter time.Duration, budget string) {
 	var words []string
 	if s.RetryAfter.MayAdvise() {
@@ -126,14 +125,14 @@
 	s.sendStatus(query, status{rcode: dns.RcodeRefused, text: clip(strings.Join(words, " "))})
 }
 
-// extendedErrors has the extended error that goes with a code (RFC 8914).
+// extendedErrors maps response codes to extended DNS errors (RFC 8914).
 var extendedErrors = map[int]uint16{
 	dns.RcodeRefused:       dns.ExtendedErrorCodeProhibited,
 	dns.RcodeServerFailure: dns.ExtendedErrorCodeNoReachableAuthority,
 }
 
-// sendStatus answers without a record. The text goes into an extended error, or into a TXT record where the client
-// knows no EDNS.
+// sendStatus answers without records. The text goes into an extended error, or into an additional TXT record if the
+// client does not use EDNS.
 func (s *Server) sendStatus(query *pendingQuery, answer status) {
 	message := newAnswer(query, answer.rcode)
 	if opt := message.IsEdns0(); opt != nil && answer.text != "" {
@@ -146,7 +145,7 @@
 	s.send(query, message)
 }
 
-// newAnswer returns an answer to a query, with no records yet.
+// newAnswer returns an answer to a query without records.
 func newAnswer(query *pendingQuery, rcode int) *dns.Msg {
 	message := &dns.Msg{}
 	message.SetRcode(query.message, rcode)
@@ -157,7 +156,7 @@
 	return message
 }
 
-// send sends an answer. One that is too long for UDP is truncated, and the client repeats its query by TCP.
+// send sends an answer. If it is too long for UDP, it is truncated, so that the client repeats its query over TCP.
 func (s *Server) send(query *pendingQuery, message *dns.Msg) {
 	if len(message.Answer) == 0 && (message.Rcode == dns.RcodeSuccess || message.Rcode == dns.RcodeNameError) {
 		message.Ns = append(message.Ns, s.zoneAuthority())
@@ -176,7 +175,7 @@
 	}
 }
 
-// pack encodes and signs an answer, without its records if they make it too long.
+// pack encodes an answer, and signs it if its query was signed. It truncates an answer that is too long.
 func (s *Server) pack(query *pendingQuery, message *dns.Msg) ([]byte, error) {
 	message.Compress = true
 	maxBytes := query.maxBytes
@@ -194,7 +193,7 @@
 	return packet, err
 }
 
-// truncate removes all records but EDNS's own from an answer, and sets its truncated flag.
+// truncate removes all records except EDNS's OPT record from an answer, and sets its truncated flag.
 func truncate(message *dns.Msg) {
 	opt := message.IsEdns0()
 	message.Answer = nil
@@ -206,7 +205,7 @@
 	message.Truncated = true
 }
 
-// zoneAuthority returns the record that goes with an answer without others.
+// zoneAuthority returns the zone's SOA record, for the authority section of answers without records.
 func (s *Server) zoneAuthority() *dns.SOA {
 	return &dns.SOA{
 		Hdr:     recordHeader(s.Config.Zone, dns.TypeSOA),
--- a/internal/frontend/dns/stream.go
+++ b/internal/frontend/dns/stream.go
@@ -9,16 +9,16 @@
 	"sloequay/internal/frontend/connlimit"
 )
 
-// lengthBytes is the size of the length in front of each message on TCP.
+// lengthBytes is the size of the length prefix of each message over TCP.
 const lengthBytes = 2
 
-// stream is one TCP connection and its eventloop.Handler.
+// stream is one TCP connection. It is the connection's eventloop.Handler.
 type stream struct {
 	server *Server
 	client *connlimit.Client
 	conn   *eventloop.Conn
 	from   string
-	open   int // queries without an answer
+	open   int // queries that are not answered yet
 	closed bool
 }
 
@@ -33,10 +33,10 @@
 	return accepted
 }
 
-// Opened records the event loop's connection.
+// Opened stores the event loop's connection.
 func (c *stream) Opened(conn *eventloop.Conn) { c.conn = conn }
 
-// Closed cancels what only this client waited for.
+// Closed cancels requests that only this client waited for.
 func (c *stream) Closed(*eventloop.Conn, error) { c.close() }
 
 // Received handles the messages that have arrived completely.
@@ -50,12 +50,13 @@
 	c.updateOpen()
 }
 
-// handleMessages handles complete messages from the front of data, which may have come at receivedAt, and returns how
-// many bytes they took. It closes the connection at one that can't be answered under an id.
+// handleMessages handles the complete messages at the front of data, which may have arrived as early as receivedAt, and
+// returns their size in bytes. It closes the connection at a message that is too short for a header, at one that is an
+// answer, and when too many queries are open.
 func (c *stream) handleMessages(data []byte, receivedAt time.Duration) (used int) {
 	for len(data)-used >= lengthBytes && !c.closed {
 		length := int(binary.BigEndian.Uint16(data[used:]))
-		if length < headerBytes || c.open >= maxJoined {
+		if length < headerBytes || c.open >= maxWaitingQueries {
 			c.close()
 			break
 		}
@@ -82,13 +83,13 @@
 	}
 }
 
-// answered records that one query has its answer.
+// answered records that one query has been answered.
 func (c *stream) answered() {
 	c.open--
 	c.updateOpen()
 }
 
-// updateOpen tells the limiter how much is open: a connection with an open query is not evicted.
+// updateOpen tells the limiter how many queries are open: a connection with open queries is not evicted.
 func (c *stream) updateOpen() { c.client.SetOpen(c.server.Now(), c.open) }
 
 // unsent returns how many bytes of answers the operating system has not accepted yet.
@@ -99,8 +100,8 @@
 	return c.conn.Unsent()
 }
 
-// close closes the connection once all that was sent is written, and cancels requests that only this client waited
-// for. A keyed request goes on: its result may be requested again.
+// close closes the connection after pending writes, and cancels requests that only this client waited for. A keyed
+// request continues, because its result may be requested again.
 func (c *stream) close() {
 	if c.closed {
 		return
@@ -108,23 +109,23 @@
 	c.closed = true
 	c.client.Remove()
 	c.conn.Close()
-	for request, joined := range c.server.byRequest {
-		c.removeFrom(joined)
-		if len(joined.waiting) == 0 && joined.key == "" {
+	for request, inFlight := range c.server.byRequest {
+		c.removeQueries(inFlight)
+		if len(inFlight.waiting) == 0 && inFlight.key == "" {
 			c.server.cancel(request)
 		}
 	}
 }
 
-// removeFrom removes the connection's queries from those that wait for a request.
-func (c *stream) removeFrom(joined *flight) {
-	others := joined.waiting[:0]
-	for _, query := range joined.waiting {
+// removeQueries removes the connection's queries from those that wait for a flight's result.
+func (c *stream) removeQueries(inFlight *flight) {
+	remaining := inFlight.waiting[:0]
+	for _, query := range inFlight.waiting {
 		if query.stream == c {
 			delete(c.server.pending, query.transaction)
 		} else {
-			others = append(others, query)
+			remaining = append(remaining, query)
 		}
 	}
-	joined.waiting = others
+	inFlight.waiting = remaining
 }
