--- a/internal/frontend/rpc/connection.go
+++ b/internal/frontend/rpc/connection.go
@@ -15,19 +15,19 @@
 	"sloequay/internal/invariant"
 )
 
-// connection is one client's connection and what is open on it. It is the connection's eventloop.Handler and its
-// requests' broker.Frontend.
+// connection is a client's connection with its open requests. It is the connection's eventloop.Handler and the
+// broker.Frontend of its requests.
 type connection struct {
 	server     *Server
 	client     *connlimit.Client
 	conn       *eventloop.Conn // nil: not opened yet
 	caller     identity.Caller
 	open       map[uint32]*broker.Request // by message id
-	messageIDs map[*broker.Request]uint32 // of open
+	messageIDs map[*broker.Request]uint32 // inverse of open
 	openLimit  pacing.OpenLimit
 	pace       pacing.Connection[*connection]
-	receivedAt time.Duration // when the messages that are handled now may have come at the earliest
-	rejectAll  bool          // requests are rejected unread, as the connection is about to be closed
+	receivedAt time.Duration // the earliest time at which the messages being handled may have arrived
+	rejectAll  bool          // reject requests without parsing them, as the connection is about to be closed
 	closed     bool
 }
 
@@ -43,7 +43,7 @@
 	return c
 }
 
-// Opened records the event loop's connection. Its client may have been given up by now, where it was long in coming.
+// Opened stores the event loop's connection. The limiter may have evicted the client already, if opening took long.
 func (c *connection) Opened(conn *eventloop.Conn) {
 	c.conn = conn
 	if c.closed {
@@ -51,7 +51,7 @@
 	}
 }
 
-// Closed cancels all that is open.
+// Closed cancels all open requests.
 func (c *connection) Closed(*eventloop.Conn, error) { c.close() }
 
 // Received handles the messages that have arrived completely.
@@ -65,7 +65,7 @@
 	} else {
 		c.pace.MarkAllRead()
 	}
-	if unread := len(conn.In) - used; mustWait && c.server.paced.TooMuchUnread(unread) {
+	if unread := len(conn.In) - used; mustWait && c.server.pacedQueue.TooMuchUnread(unread) {
 		c.server.Log("client-rate-limited", "from", c.caller.Remote, "bytes", unread)
 		c.rejectUnread(conn.In[used:])
 		c.failAndClose()
@@ -78,13 +78,13 @@
 		conn.DeferRead()
 		return
 	}
-	// What is left over on a connection that must wait may be complete messages: it is not counted as a partial one.
+	// The rest of the data on a connection that must wait may be complete messages, so it does not count as partial.
 	c.client.Received(now, connlimit.Input{Complete: used > 0, Partial: len(conn.In) > 0 && !mustWait})
 	c.updateOpen()
 }
 
-// handleMessages handles complete messages from the front of data. It returns how many bytes they took, and whether
-// the rest has to wait for the connection's turn.
+// handleMessages handles complete messages at the front of data. It returns their size in bytes, and whether the rest
+// has to wait for the connection's turn.
 func (c *connection) handleMessages(data []byte, now time.Duration) (used int, mustWait bool) {
 	for used < len(data) && !c.closed {
 		if c.mustWait(now) {
@@ -108,10 +108,10 @@
 	if c.rejectAll || c.server.Source == nil || !c.caller.Paced(now) {
 		return false
 	}
-	return !c.server.paced.Admit(now, &c.pace)
+	return !c.server.pacedQueue.Admit(now, &c.pace)
 }
 
-// rejectUnread rejects the complete requests in data: they were read, so each must get a response.
+// rejectUnread rejects the complete requests in data: each request that was received must get a response.
 func (c *connection) rejectUnread(data []byte) {
 	c.rejectAll = true
 	for len(data) > 0 {
@@ -123,10 +123,10 @@
 	}
 }
 
-// updateOpen tells the limiter how much is open: a connection with an open request is not evicted.
+// updateOpen tells the limiter how many requests are open: a connection with open requests is not evicted.
 func (c *connection) updateOpen() { c.client.SetOpen(c.server.Now(), len(c.open)) }
 
-// unsent returns how many bytes of responses the client's system has had no room for yet.
+// unsent returns how many bytes of responses the operating system has not sent yet for lack of room at the client.
 func (c *connection) unsent() int {
 	if c.conn == nil {
 		return 0
@@ -134,13 +134,13 @@
 	return c.conn.Undelivered()
 }
 
-// close closes the connection once all that was sent is written, and cancels the requests that are open on it.
+// close closes the connection after pending writes, and cancels its open requests.
 func (c *connection) close() {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	c.server.paced.Remove(&c.pace)
+	c.server.pacedQueue.Remove(&c.pace)
 	c.client.Remove()
 	for _, request := range c.open {
 		c.cancel(request)
@@ -152,13 +152,13 @@
 	}
 }
 
-// cancel withdraws a request that the client no longer waits for.
+// cancel cancels a request that the client no longer waits for.
 func (c *connection) cancel(request *broker.Request) {
 	request.Canceled = true
 	c.server.Emit(broker.RequestCanceled{Request: request})
 }
 
-// evict closes the connection at the limiter's request. Nothing is open on it.
+// evict closes the connection for the limiter, which never evicts one with open requests.
 func (c *connection) evict() {
 	if len(c.open) > 0 {
 		c.server.Monitor.Violated(invariant.NothingOpenAtClose, c.caller.Remote)
@@ -169,8 +169,8 @@
 	}
 }
 
-// failAndClose ends the connection of a client that violates the protocol. Its open requests were well-formed and
-// must get a response, but are not served: such a client may match responses to the wrong requests.
+// failAndClose closes the connection of a client that violates the protocol or sends too much. Its open requests are
+// well-formed and must get a response, but fail: such a client may match responses to the wrong requests.
 func (c *connection) failAndClose() {
 	for _, messageID := range slices.Sorted(maps.Keys(c.open)) {
 		c.sendError(messageID, errorFailed, nil)
--- a/internal/frontend/rpc/frame.go
+++ b/internal/frontend/rpc/frame.go
@@ -9,47 +9,47 @@
 	"sloequay/internal/frontend/rpc/pacing"
 )
 
-// frame is one complete message of a client: a request or a notice.
+// frame is one complete message of a client: a request or a notification.
 type frame struct {
 	kind      uint64
 	messageID uint32         // of a request
-	body      msgpack.Reader // of method and parameters, not read yet
+	body      msgpack.Reader // the method and parameters, not parsed yet
 	size      int            // of the whole frame, in bytes
 }
 
-// brokenRequestError is returned for a malformed request whose message id could be read.
-type brokenRequestError struct {
+// malformedRequestError is returned for a malformed request whose message id could be read.
+type malformedRequestError struct {
 	messageID uint32
 	err       error
 }
 
-// Error returns what is wrong with the request.
-func (e *brokenRequestError) Error() string { return e.err.Error() }
+// Error describes what is wrong with the request.
+func (e *malformedRequestError) Error() string { return e.err.Error() }
 
-// Unwrap returns what is wrong with the request.
-func (e *brokenRequestError) Unwrap() error { return e.err }
+// Unwrap returns the underlying error.
+func (e *malformedRequestError) Unwrap() error { return e.err }
 
-// duplicateIDError is returned for a request with the message id of an open one.
+// duplicateIDError is returned for a request that has the message id of an open one.
 type duplicateIDError struct {
 	messageID uint32
 }
 
-// Error names the message id.
+// Error describes the error with the message id.
 func (e *duplicateIDError) Error() string {
-	return fmt.Sprintf("message id %d used twice", e.messageID)
+	return fmt.Sprintf("message id %d is in use by an open request", e.messageID)
 }
 
-// floodError is returned when a client sends too many requests beyond those that may be open.
+// floodError is returned when too many requests in one read have to be rejected.
 type floodError struct {
-	excess int
+	excess int // requests rejected in one read
 }
 
-// Error names the limit.
+// Error describes the error with the number of requests and the limit.
 func (e *floodError) Error() string {
-	return fmt.Sprintf("%d requests beyond the %d that may be open", e.excess, maxOpenRequests)
+	return fmt.Sprintf("%d requests rejected in one read, at most %d may be open", e.excess, maxOpenRequests)
 }
 
-// readFrame reads one frame from the front of data. It returns msgpack.ErrIncomplete for a frame that has not arrived
+// readFrame parses one frame at the front of data. It returns msgpack.ErrIncomplete for a frame that has not arrived
 // completely; after any other error the connection must be closed.
 func readFrame(data []byte) (frame, error) {
 	reader := msgpack.Reader{Data: data, MaxBytes: maxFrameBytes, ValuesLeft: maxFrameValues}
@@ -60,43 +60,44 @@
 		return frame{}, reader.Err
 	case kind == kindRequest && elements == requestElements:
 		return readRequestFrame(&reader)
-	case kind == kindNotice && elements == noticeElements:
-		return readBody(&reader, frame{kind: kindNotice})
+	case kind == kindNotification && elements == notificationElements:
+		return readBody(&reader, frame{kind: kindNotification})
 	}
-	return frame{}, fmt.Errorf("message of kind %d with %d elements", kind, elements)
+	return frame{}, fmt.Errorf("unexpected message of kind %d with %d elements", kind, elements)
 }
 
-// readRequestFrame reads the rest of a request after its kind.
+// readRequestFrame parses the rest of a request after its kind.
 func readRequestFrame(reader *msgpack.Reader) (frame, error) {
 	id := reader.Uint()
 	if reader.Err != nil {
 		return frame{}, reader.Err
 	}
 	if id > maxMessageID {
-		return frame{}, fmt.Errorf("message id %d", id)
+		return frame{}, fmt.Errorf("message id %d is out of range", id)
 	}
 	messageID := uint32(id)
 	request, err := readBody(reader, frame{kind: kindRequest, messageID: messageID})
 	if err != nil && !errors.Is(err, msgpack.ErrIncomplete) {
-		err = &brokenRequestError{messageID: messageID, err: err}
+		err = &malformedRequestError{messageID: messageID, err: err}
 	}
 	return request, err
 }
 
-// readBody skips method and parameters, the last elements of a message, and records where they are.
-func readBody(reader *msgpack.Reader, head frame) (frame, error) {
+// readBody skips the method and the parameters, the last elements of a message, and returns header with their position
+// and the frame's size added.
+func readBody(reader *msgpack.Reader, header frame) (frame, error) {
 	start := reader.Pos
 	reader.Skip() // the method
 	reader.Skip() // the parameters
 	if reader.Err != nil {
 		return frame{}, reader.Err
 	}
-	head.size = reader.Pos
-	head.body = msgpack.Reader{Data: reader.Data[:reader.Pos], Pos: start}
-	return head, nil
+	header.size = reader.Pos
+	header.body = msgpack.Reader{Data: reader.Data[:reader.Pos], Pos: start}
+	return header, nil
 }
 
-// handleMessage handles one message from the front of data and returns its size in bytes. It returns
+// handleMessage handles one message at the front of data and returns its size in bytes. It returns
 // msgpack.ErrIncomplete for a message that has not arrived completely; after any other error the connection must be
 // closed.
 func (c *connection) handleMessage(data []byte) (size int, err error) {
@@ -105,21 +106,21 @@
 		return 0, err
 	}
 	if err != nil {
-		var broken *brokenRequestError
-		if errors.As(err, &broken) {
-			c.sendError(broken.messageID, errorMalformed, nil)
+		var malformed *malformedRequestError
+		if errors.As(err, &malformed) {
+			c.sendError(malformed.messageID, errorMalformed, nil)
 		}
 		return 0, err
 	}
 	if message.kind == kindRequest {
 		err = c.handleRequest(&message)
 	} else {
-		c.handleNotice(&message.body)
+		c.handleNotification(&message.body)
 	}
 	return message.size, err
 }
 
-// handleRequest answers a request or passes it to the broker. After an error the connection must be closed.
+// handleRequest responds to a request or passes it to the broker. After an error the connection must be closed.
 func (c *connection) handleRequest(message *frame) error {
 	messageID := message.messageID
 	if c.rejectAll {
@@ -156,8 +157,9 @@
 	return nil
 }
 
-// handleNotice cancels the open request that a notice names. Notices get no answer, and unknown ones are ignored.
-func (c *connection) handleNotice(body *msgpack.Reader) {
+// handleNotification cancels the open request that a notification names. Notifications get no response, and unknown
+// ones are ignored.
+func (c *connection) handleNotification(body *msgpack.Reader) {
 	method := string(body.Text(maxTextBytes))
 	parameters := body.ArrayHeader()
 	if body.Err != nil || method != methodCancel || parameters != 1 {
--- a/internal/frontend/rpc/msgpack/append.go
+++ b/internal/frontend/rpc/msgpack/append.go
@@ -5,16 +5,17 @@
 	"math"
 )
 
-// maxFixLength is the longest array or map with its length in its code; maxFixStrLength is the longest such string.
+// The longest values with the length in their code: maxFixLength for an array or a map, in elements or pairs, and
+// maxFixStrLength for a string, in bytes.
 const (
 	maxFixLength    = fixLengthMask
 	maxFixStrLength = fixStrLengthMask
 )
 
-// AppendNil writes nil.
+// AppendNil appends nil.
 func AppendNil(b []byte) []byte { return append(b, codeNil) }
 
-// AppendBool writes true or false.
+// AppendBool appends a boolean.
 //
 //revive:disable-next-line:flag-parameter // the parameter is the value that is written
 func AppendBool(b []byte, value bool) []byte {
@@ -25,7 +26,7 @@
 	return append(b, code)
 }
 
-// AppendUint writes an integer in as few bytes as it needs.
+// AppendUint appends an integer in its shortest encoding.
 func AppendUint(b []byte, value uint64) []byte {
 	switch {
 	case value < positiveFixIntEnd:
@@ -40,7 +41,7 @@
 	return binary.BigEndian.AppendUint64(append(b, codeUint64), value)
 }
 
-// AppendArrayHeader writes the head of an array of fewer than 65,536 elements.
+// AppendArrayHeader appends the header of an array of fewer than 65,536 elements.
 func AppendArrayHeader(b []byte, elements int) []byte {
 	if elements <= maxFixLength {
 		return append(b, fixArray|byte(elements))
@@ -48,7 +49,7 @@
 	return binary.BigEndian.AppendUint16(append(b, codeArray16), uint16(elements))
 }
 
-// AppendMapHeader writes the head of a map of fewer than 65,536 pairs.
+// AppendMapHeader appends the header of a map of fewer than 65,536 pairs.
 func AppendMapHeader(b []byte, pairs int) []byte {
 	if pairs <= maxFixLength {
 		return append(b, fixMap|byte(pairs))
@@ -56,7 +57,7 @@
 	return binary.BigEndian.AppendUint16(append(b, codeMap16), uint16(pairs))
 }
 
-// AppendText writes a string.
+// AppendText appends a string.
 func AppendText(b []byte, text string) []byte {
 	switch length := len(text); {
 	case length <= maxFixStrLength:
@@ -71,10 +72,10 @@
 	return append(b, text...)
 }
 
-// AppendBinary writes a binary.
+// AppendBinary appends a binary.
 func AppendBinary(b, data []byte) []byte { return append(AppendBinaryHeader(b, len(data)), data...) }
 
-// AppendBinaryHeader writes what stands before the bytes of a binary.
+// AppendBinaryHeader appends the header of a binary of length bytes; its data must follow.
 func AppendBinaryHeader(b []byte, length int) []byte {
 	switch {
 	case length <= math.MaxUint8:
--- a/internal/frontend/rpc/msgpack/msgpack.go
+++ b/internal/frontend/rpc/msgpack/msgpack.go
@@ -1,11 +1,12 @@
-// Package msgpack reads and writes the part of MessagePack that the platform's frontend speaks: nil, booleans,
-// integers, strings, binaries, arrays and maps. It is strict and bounded: nothing that a peer writes makes it
-// allocate more than the bytes that came, nest deeply, or panic.
+// Package msgpack reads and writes the part of MessagePack that the platform's protocol uses: nil, booleans, integers,
+// strings, binaries, arrays and maps. It is strict and bounded: no input makes it panic, recurse deeply, or allocate
+// more than the bytes that were received.
 //
-// The format is that of https://github.com/msgpack/msgpack/blob/master/spec.md.
+// The format is specified at https://github.com/msgpack/msgpack/blob/master/spec.md.
 package msgpack
 
-// Codes of the format. Where several sizes of a type stand in a row, each has twice as many bytes as the one before.
+// Codes (first bytes) of the format's types. A type with several sizes has consecutive codes, each for twice the size
+// of the one before.
 const (
 	codeNil      = 0xc0
 	codeUnused   = 0xc1 // never a value
@@ -34,23 +35,23 @@
 	codeMap32    = 0xdf
 )
 
-// Codes that hold a small number or length themselves.
+// Codes that contain a small number or length.
 const (
-	positiveFixIntEnd   = 0x80 // below it: the integer itself
+	positiveFixIntEnd   = 0x80 // codes below it are the integer itself
 	fixMap              = 0x80
 	fixArray            = 0x90
 	fixStr              = 0xa0
-	negativeFixIntStart = 0xe0 // from it on: the integer itself
+	negativeFixIntStart = 0xe0 // codes from here on are the integer itself
 
 	fixLengthMask    = 0x0f // of a fixMap or fixArray
 	fixStrLengthMask = 0x1f
 )
 
-// isFixMap reports whether a code is of a map with its length in the code.
+// isFixMap reports whether a code is that of a map with its length in the code.
 func isFixMap(code byte) bool { return code&^fixLengthMask == fixMap }
 
-// isFixArray reports whether a code is of an array with its length in the code.
+// isFixArray reports whether a code is that of an array with its length in the code.
 func isFixArray(code byte) bool { return code&^fixLengthMask == fixArray }
 
-// isFixStr reports whether a code is of a string with its length in the code.
+// isFixStr reports whether a code is that of a string with its length in the code.
 func isFixStr(code byte) bool { return code&^fixStrLengthMask == fixStr }
--- a/internal/frontend/rpc/msgpack/reader.go
+++ b/internal/frontend/rpc/msgpack/reader.go
@@ -6,19 +6,19 @@
 	"fmt"
 )
 
-// ErrIncomplete is returned for a value that goes on beyond the bytes at hand.
-var ErrIncomplete = errors.New("msgpack: the value is not whole yet")
+// ErrIncomplete is the error for a value that continues beyond the end of Reader.Data.
+var ErrIncomplete = errors.New("msgpack: incomplete value")
 
-// maxDepth is how far Skip follows nested values.
+// maxDepth is how many levels of nested values Skip accepts.
 const maxDepth = 8
 
-// Reader takes values off the front of Data. The first error stays, and all later reads return zero values. What is
-// announced to go beyond MaxBytes or ValuesLeft is an error at once, before any of it has come.
+// Reader reads values from Data. After the first error, Err does not change and all reads return zero values. A value
+// whose header announces more than MaxBytes or ValuesLeft allow is an error at once, even if its data is incomplete.
 type Reader struct {
 	Data       []byte
-	Pos        int // of the next value in Data, in bytes
-	MaxBytes   int // of Data that may be read; 0: no limit
-	ValuesLeft int // nested values that Skip may still pass over, and one more; 0: no limit
+	Pos        int // offset of the next value in Data
+	MaxBytes   int // size limit of all values together, checked when one is incomplete; 0: no limit
+	ValuesLeft int // one more than the nested values that Skip may still read, so it stays above 0; 0: no limit
 	Err        error
 }
 
@@ -31,11 +31,11 @@
 	case code >= codeUint8 && code <= codeUint64:
 		return r.number(1 << (code - codeUint8))
 	}
-	r.wrongType(code, "an integer of 0 or more")
+	r.wrongType(code, "a non-negative integer")
 	return 0
 }
 
-// ArrayHeader reads the head of an array and returns the number of its elements.
+// ArrayHeader reads the header of an array and returns its number of elements.
 func (r *Reader) ArrayHeader() int {
 	code := r.code()
 	switch {
@@ -48,7 +48,7 @@
 	return 0
 }
 
-// MapHeader reads the head of a map and returns the number of its pairs.
+// MapHeader reads the header of a map and returns its number of pairs.
 func (r *Reader) MapHeader() int {
 	code := r.code()
 	switch {
@@ -61,35 +61,35 @@
 	return 0
 }
 
-// Text reads a string of at most maxBytes. The bytes stay part of Data.
+// Text reads a string of at most maxBytes. The result shares memory with Data.
 func (r *Reader) Text(maxBytes uint32) []byte {
 	code := r.code()
 	switch {
 	case isFixStr(code):
-		return r.bounded(uint32(code&fixStrLengthMask), maxBytes)
+		return r.takeAtMost(uint32(code&fixStrLengthMask), maxBytes)
 	case code >= codeStr8 && code <= codeStr32:
-		return r.bounded(uint32(r.number(1<<(code-codeStr8))), maxBytes)
+		return r.takeAtMost(uint32(r.number(1<<(code-codeStr8))), maxBytes)
 	}
 	r.wrongType(code, "a string")
 	return nil
 }
 
-// Binary reads a binary of at most maxBytes. The bytes stay part of Data.
+// Binary reads a binary of at most maxBytes. The result shares memory with Data.
 func (r *Reader) Binary(maxBytes uint32) []byte {
 	code := r.code()
 	if code < codeBin8 || code > codeBin32 {
 		r.wrongType(code, "a binary")
 		return nil
 	}
-	return r.bounded(uint32(r.number(1<<(code-codeBin8))), maxBytes)
+	return r.takeAtMost(uint32(r.number(1<<(code-codeBin8))), maxBytes)
 }
 
-// Skip passes over one value of any type.
+// Skip skips one value of any type.
 func (r *Reader) Skip() { r.skip(maxDepth) }
 
 func (r *Reader) skip(depth int) {
 	if depth == 0 {
-		r.fail("nested deeper than %d", maxDepth)
+		r.fail("values nested deeper than %d levels", maxDepth)
 	}
 	if r.Err != nil {
 		return
@@ -100,12 +100,12 @@
 		r.skipScalar(code)
 	}
 	r.countValues(nested)
-	for ; nested > 0 && r.Err == nil; nested-- { // ends with the bytes at hand, however many are announced
+	for ; nested > 0 && r.Err == nil; nested-- { // ends with the data, however many values are announced
 		r.skip(depth - 1)
 	}
 }
 
-// nestedValues returns how many values an array or a map has, of which code was read. Other values have none.
+// nestedValues returns the number of values in the array or map whose code was read, and 0 for other types.
 func (r *Reader) nestedValues(code byte) uint64 {
 	switch {
 	case isFixMap(code):
@@ -120,7 +120,7 @@
 	return 0
 }
 
-// skipScalar passes over the rest of a value without nested ones, of which code was read.
+// skipScalar skips the rest of a value without nested values, whose code was read.
 func (r *Reader) skipScalar(code byte) {
 	switch {
 	case code < positiveFixIntEnd, code >= negativeFixIntStart, code == codeNil, code == codeFalse, code == codeTrue:
@@ -135,7 +135,7 @@
 	case code == codeFloat32 || code == codeFloat64:
 		r.take(4 << (code - codeFloat32))
 	case code >= codeUint8 && code <= codeInt64:
-		r.take(1 << ((code - codeUint8) & 3)) // four unsigned sizes, then the same signed
+		r.take(1 << ((code - codeUint8) & 3)) // four unsigned sizes, then the same four signed
 	case code >= codeFixExt1 && code <= codeFixExt16:
 		r.take(1 + 1<<(code-codeFixExt1)) // the extension's type and its data
 	case code >= codeStr8 && code <= codeStr32:
@@ -146,18 +146,18 @@
 	}
 }
 
-// countValues takes nested values off those that may still be skipped.
+// countValues counts nested values against ValuesLeft.
 func (r *Reader) countValues(nested uint64) {
 	if r.ValuesLeft == 0 || r.Err != nil {
 		return
 	}
 	if nested >= uint64(r.ValuesLeft) {
-		r.fail("%d values are announced, fewer than %d expected", nested, r.ValuesLeft)
+		r.fail("%d nested values, expected fewer than %d", nested, r.ValuesLeft)
 	}
 	r.ValuesLeft -= int(min(nested, uint64(r.ValuesLeft)-1))
 }
 
-// code reads the first byte of a value, and returns codeUnused where there is none.
+// code reads the first byte of a value. It returns codeUnused if there is none.
 func (r *Reader) code() byte {
 	if b := r.take(1); b != nil {
 		return b[0]
@@ -181,22 +181,22 @@
 	return 0
 }
 
-// bounded takes bytes that may be at most maxBytes long.
-func (r *Reader) bounded(length, maxBytes uint32) []byte {
+// takeAtMost returns the next length bytes. More than maxBytes are an error.
+func (r *Reader) takeAtMost(length, maxBytes uint32) []byte {
 	if r.Err == nil && length > maxBytes {
-		r.fail("%d bytes, at most %d expected", length, maxBytes)
+		r.fail("value of %d bytes, expected at most %d", length, maxBytes)
 	}
 	return r.take(length)
 }
 
-// take returns the next bytes, which stay part of Data.
+// take returns the next length bytes, which share memory with Data, or nil after an error.
 func (r *Reader) take(length uint32) []byte {
 	if r.Err != nil {
 		return nil
 	}
 	if uint64(length) > uint64(len(r.Data)-r.Pos) {
 		if r.MaxBytes > 0 && uint64(r.Pos)+uint64(length) > uint64(r.MaxBytes) {
-			r.fail("%d bytes are announced, at most %d expected in all", length, r.MaxBytes)
+			r.fail("value of %d bytes, expected at most %d in total", length, r.MaxBytes)
 		} else {
 			r.Err = ErrIncomplete
 		}
@@ -207,7 +207,7 @@
 	return taken
 }
 
-// wrongType notes that the code just read is of another type than expected, unless there was none.
+// wrongType fails because the code just read is not of the expected type, unless reading the code already failed.
 func (r *Reader) wrongType(code byte, expected string) {
 	if r.Err == nil {
 		r.Pos--
@@ -215,7 +215,7 @@
 	}
 }
 
-// fail notes the first error, with its place.
+// fail sets Err, with the current position, unless it is set already.
 func (r *Reader) fail(format string, args ...any) {
 	if r.Err == nil {
 		r.Err = fmt.Errorf("msgpack: byte %d: "+format, append([]any{r.Pos}, args...)...)
--- a/internal/frontend/rpc/pacing/openlimit.go
+++ b/internal/frontend/rpc/pacing/openlimit.go
@@ -1,39 +1,39 @@
 package pacing
 
-// Decision is what becomes of a request.
+// Decision says how a request is handled.
 type Decision uint8
 
 // The decisions.
 const (
 	Admit  Decision = iota
-	Reject          // too much is open, or memory is short
-	Close           // it is rejected, and the connection is to be closed: its client does not look at the responses
+	Reject          // too many requests are open, or memory is short
+	Close           // reject the request and close the connection, because its client ignores the responses
 )
 
-// Load is what a request meets.
+// Load is the load when a request arrives.
 type Load struct {
-	Open        int  // requests that are open on its connection
-	MemoryShort bool // for the responses to all clients
+	Open        int  // open requests on its connection
+	MemoryShort bool // responses to all clients use too much memory
 }
 
-// OpenLimit decides about the requests of one connection.
+// OpenLimit limits the open requests of one connection.
 //
-// Invariants: a request is admitted only with fewer than MaxOpen others open and memory left. In one read at most
-// MaxExcess requests are rejected before the connection is to be closed.
+// Invariants: a request is admitted only if fewer than MaxOpen others are open and memory is not short. In one read at
+// most MaxExcess requests are rejected before the connection must be closed.
 type OpenLimit struct {
 	MaxOpen   int // requests that may be open at once
 	MaxExcess int // requests that may be rejected in one read
 
-	excess int // requests that were rejected in this read
+	excess int // requests rejected in this read
 }
 
 // StartRead begins a read of the connection.
 func (l *OpenLimit) StartRead() { l.excess = 0 }
 
-// Excess returns how many requests were rejected in this read.
+// Excess returns the number of requests rejected in this read.
 func (l *OpenLimit) Excess() int { return l.excess }
 
-// Decide decides about the next request.
+// Decide decides how the next request is handled.
 func (l *OpenLimit) Decide(load Load) Decision {
 	if load.Open < l.MaxOpen && !load.MemoryShort {
 		return Admit
--- a/internal/frontend/rpc/pacing/pacing.go
+++ b/internal/frontend/rpc/pacing/pacing.go
@@ -1,22 +1,22 @@
-// Package pacing decides how fast the messages of rate-limited connections are handled, and which connections send
-// too much and are closed.
+// Package pacing decides how fast the messages of rate-limited connections are handled, and which connections must be
+// closed because they send too much.
 //
-// A connection is rate-limited while identity rejects its requests for want of a budget. Its messages are then
-// handled in rounds of turns, a few at a time, so that a flood delays nobody else. A round here is one tick of the
-// frontend, not one of the event loop. A Queue holds the connections that wait for a turn; an OpenLimit decides about
-// the requests of any connection by how many are open.
+// A connection is rate-limited while identity rejects its requests for lack of budget. Its messages are then handled in
+// turns, a few at a time, so that a flood does not delay other clients. A round of turns is one tick of the frontend,
+// not a round of the event loop. A Queue holds the connections that wait for a turn. An OpenLimit limits the open
+// requests of any connection, rate-limited or not.
 //
 // Invariants:
 //
-//   - In a round a connection has at most one turn, in which at most Limits.MessagesPerConnection of its messages are
-//     handled, and at most Limits.MessagesPerRound of all connections' together.
-//   - Turns are in the order in which connections began to wait; one that still has messages after its turn waits
-//     anew.
-//   - A connection that waits longer than Limits.MaxWait is timed out, and no other.
-//   - A connection stands in the queue at most once.
+//   - In a round, a connection has at most one turn. At most Limits.MessagesPerConnection of its messages are handled
+//     in the turn, and at most Limits.MessagesPerRound messages of all connections in the round.
+//   - Connections get their turns in the order in which they began to wait. A connection that still has messages after
+//     its turn goes to the end of the queue.
+//   - A connection is timed out if and only if it has waited longer than Limits.MaxWait.
+//   - A connection is in the queue at most once.
 //
-// Bounds: one list element for each connection that waits. The package does no I/O and asks no clock. It is not safe
-// for concurrent use.
+// Bounds: one list element for each waiting connection. The package does no I/O and reads no clock. It is not safe for
+// concurrent use.
 package pacing
 
 import (
@@ -24,21 +24,21 @@
 	"time"
 )
 
-// Limits bounds what rate-limited connections may send.
+// Limits bounds how much of rate-limited connections is handled, and how long and how much may wait.
 type Limits struct {
-	MessagesPerConnection int           // that are handled in one turn
-	MessagesPerRound      int           // that are handled in one round, of all connections
-	MaxWait               time.Duration // for a turn: a connection that waits longer is to be closed
-	MaxUnreadBytes        int           // of one connection: with more that wait, it is to be closed
+	MessagesPerConnection int           // handled in one turn
+	MessagesPerRound      int           // handled in one round, of all connections
+	MaxWait               time.Duration // for a turn; a connection that waits longer must be closed
+	MaxUnreadBytes        int           // received but not handled; a connection with more must be closed
 }
 
-// Queue is the rate-limited connections with messages that wait, the longest waiting first.
+// Queue holds the rate-limited connections with unhandled messages, the longest waiting first.
 type Queue[Owner any] struct {
 	limits  Limits
 	waiting list.List // of *Connection[Owner]
 
-	// The round that StartRound began.
-	current      *Connection[Owner] // whose turn it is; nil: nobody's
+	// The state of the current round.
+	current      *Connection[Owner] // whose turn it is; nil: none
 	turnsLeft    int
 	messagesLeft int
 }
@@ -48,18 +48,18 @@
 	return &Queue[Owner]{limits: limits}
 }
 
-// Connection is what the queue knows of one connection.
+// Connection is the pacing state of one connection.
 type Connection[Owner any] struct {
-	Owner Owner // whose the connection is
+	Owner Owner // the frontend's object for the connection
 
-	element     *list.Element // in Queue.waiting; nil: it does not wait for a turn
-	queuedAt    time.Duration // when it began to wait for its turn
-	allowance   int           // messages that may still be handled in its turn
-	unreadSince time.Duration // since when messages of it have waited without a break; 0: none wait
+	element     *list.Element // in Queue.waiting; nil: the connection does not wait for a turn
+	queuedAt    time.Duration // when the connection began to wait for its turn
+	allowance   int           // messages that may still be handled in the current turn
+	unreadSince time.Duration // the earliest arrival of the oldest unread message; 0: none is unread
 }
 
 // Admit reports whether the next message of a rate-limited connection may be handled now. If not, the connection
-// waits for its turn.
+// is queued for a turn.
 func (q *Queue[Owner]) Admit(now time.Duration, connection *Connection[Owner]) bool {
 	if connection.allowance > 0 {
 		connection.allowance--
@@ -72,7 +72,7 @@
 	return false
 }
 
-// Remove takes a connection that has ended out of the queue.
+// Remove removes a connection from the queue, if it is in it.
 func (q *Queue[Owner]) Remove(connection *Connection[Owner]) {
 	if connection.element != nil {
 		q.waiting.Remove(connection.element)
@@ -80,11 +80,11 @@
 	}
 }
 
-// Len returns the number of connections that wait for a turn.
+// Len returns the number of waiting connections.
 func (q *Queue[Owner]) Len() int { return q.waiting.Len() }
 
-// TimedOut returns the connection that has waited longest, and for how long, if that is longer than it may wait; nil:
-// none has. The caller closes and removes it.
+// TimedOut returns the connection that has waited longest, and for how long, if that is longer than Limits.MaxWait.
+// Otherwise it returns nil. The caller must close and remove the connection.
 func (q *Queue[Owner]) TimedOut(now time.Duration) (timedOut *Connection[Owner], waited time.Duration) {
 	longest := q.first()
 	if longest == nil || now-longest.queuedAt <= q.limits.MaxWait {
@@ -93,16 +93,17 @@
 	return longest, now - longest.queuedAt
 }
 
-// TooMuchUnread reports whether a connection with so many unread bytes must be closed.
+// TooMuchUnread reports whether a connection with this many unread bytes must be closed.
 func (q *Queue[Owner]) TooMuchUnread(bytes int) bool { return bytes > q.limits.MaxUnreadBytes }
 
-// StartRound begins a round, in which each connection that waits now gets one turn while messages are left.
+// StartRound begins a round, in which each connection that is waiting now gets one turn until the round's messages are
+// used up.
 func (q *Queue[Owner]) StartRound() {
 	q.turnsLeft = q.waiting.Len()
 	q.messagesLeft = q.limits.MessagesPerRound
 }
 
-// Next ends the current turn and returns the connection that has the next one, or nil at the end of the round.
+// Next ends the current turn and returns the connection whose turn is next, or nil at the end of the round.
 func (q *Queue[Owner]) Next() *Connection[Owner] {
 	q.endTurn()
 	next := q.first()
@@ -117,7 +118,7 @@
 	return next
 }
 
-// endTurn returns the unused part of the last turn to the round.
+// endTurn ends the current turn and returns its unused messages to the round.
 func (q *Queue[Owner]) endTurn() {
 	if q.current == nil {
 		return
@@ -127,7 +128,7 @@
 	q.current = nil
 }
 
-// first returns the connection that has waited longest; nil: none waits.
+// first returns the connection that has waited longest, or nil if none is waiting.
 func (q *Queue[Owner]) first() *Connection[Owner] {
 	element := q.waiting.Front()
 	if element == nil {
@@ -137,7 +138,7 @@
 }
 
 // EarliestArrival returns the earliest time at which the next messages may have arrived, given that new bytes arrived
-// at readAt. While older messages are unread it is the time of the oldest, since message boundaries are not known
+// at readAt. While older messages are unread, it is the time of the oldest, because message boundaries are not known
 // yet.
 func (c *Connection[Owner]) EarliestArrival(readAt time.Duration) time.Duration {
 	if c.unreadSince != 0 {
@@ -146,12 +147,12 @@
 	return readAt
 }
 
-// MarkUnread records that messages are left unread, the first of which may have arrived at arrival.
+// MarkUnread records that messages are left unread, the first of which may have arrived as early as arrival.
 func (c *Connection[Owner]) MarkUnread(arrival time.Duration) {
 	if c.unreadSince == 0 {
 		c.unreadSince = arrival
 	}
 }
 
-// MarkAllRead records that no complete message is left unread.
+// MarkAllRead records that no complete messages are left unread.
 func (c *Connection[Owner]) MarkAllRead() { c.unreadSince = 0 }
--- a/internal/frontend/rpc/pacing/pacing_test.go
+++ b/internal/frontend/rpc/pacing/pacing_test.go
@@ -8,37 +8,37 @@
 	"pgregory.net/rapid"
 )
 
-// plainConnection is a rate-limited connection as the plain model knows it.
-type plainConnection struct {
-	unread     int // messages
-	queuedAt   time.Duration
-	connection *Connection[int]
+// modelConnection is a rate-limited connection in the reference model.
+type modelConnection struct {
+	unread   int // number of messages
+	queuedAt time.Duration
+	tested   *Connection[int]
 }
 
-// plainModel is the plainest way to pace: a list of those that wait, in order.
-type plainModel struct {
-	connections []*plainConnection
-	waiting     []int // places in connections, the longest waiting first
+// queueModel is the reference model of Queue: a list of the waiting connections, in order.
+type queueModel struct {
+	connections []*modelConnection
+	waiting     []int // indexes in connections, the longest waiting first
 }
 
-// handle hands the queue one message after the other until it admits no more, as a frontend does. It returns how many
-// were admitted.
-func (m *plainModel) handle(now time.Duration, queue *Queue[int], owner int) int {
+// handle asks the queue to admit a connection's messages one after the other until it refuses one, as a frontend does.
+// It returns how many were admitted.
+func (m *queueModel) handle(now time.Duration, queue *Queue[int], owner int) int {
 	admitted := 0
-	plain := m.connections[owner]
-	for plain.unread > 0 && queue.Admit(now, plain.connection) {
-		plain.unread--
+	connection := m.connections[owner]
+	for connection.unread > 0 && queue.Admit(now, connection.tested) {
+		connection.unread--
 		admitted++
 	}
-	if plain.unread > 0 && !slices.Contains(m.waiting, owner) {
+	if connection.unread > 0 && !slices.Contains(m.waiting, owner) {
 		m.waiting = append(m.waiting, owner)
-		plain.queuedAt = now
+		connection.queuedAt = now
 	}
 	return admitted
 }
 
-// TestQueue: over random messages and rounds, each connection gets its turns in order and no more than its part, and
-// those that wait too long are timed out, and none else.
+// TestQueue checks over random messages and rounds that connections get their turns in order and within the limits, and
+// that exactly those that wait too long are timed out.
 func TestQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{
@@ -47,10 +47,10 @@
 			MaxWait:               2 * time.Second,
 		}
 		queue := NewQueue[int](limits)
-		model := &plainModel{}
+		model := &queueModel{}
 		for owner := range 6 {
 			connection := &Connection[int]{Owner: owner}
-			model.connections = append(model.connections, &plainConnection{connection: connection})
+			model.connections = append(model.connections, &modelConnection{tested: connection})
 		}
 		now := time.Second
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -60,10 +60,10 @@
 			case "send":
 				model.connections[owner].unread += rapid.IntRange(1, 9).Draw(t, "messages")
 				if admitted := model.handle(now, queue, owner); admitted > 0 {
-					t.Fatalf("%d messages were admitted outside a turn", admitted)
+					t.Fatalf("got %d messages admitted outside a turn, want none", admitted)
 				}
 			case "end":
-				queue.Remove(model.connections[owner].connection)
+				queue.Remove(model.connections[owner].tested)
 				model.waiting = slices.DeleteFunc(model.waiting, func(waiting int) bool { return waiting == owner })
 				model.connections[owner].unread = 0
 			case "round":
@@ -71,60 +71,63 @@
 				checkRound(t, now, queue, model, limits)
 			}
 			if queue.Len() != len(model.waiting) {
-				t.Fatalf("%d connections wait, want %v", queue.Len(), model.waiting)
+				t.Fatalf("got %d connections waiting, want connections %v", queue.Len(), model.waiting)
 			}
 		}
 	})
 }
 
-// checkTimedOut compares who is timed out with those of the model that wait too long, and ends them.
-func checkTimedOut(t *rapid.T, now time.Duration, queue *Queue[int], model *plainModel) {
+// checkTimedOut checks that the timed-out connections are those that have waited too long in the model, and removes
+// them.
+func checkTimedOut(t *rapid.T, now time.Duration, queue *Queue[int], model *queueModel) {
 	for _, owner := range slices.Clone(model.waiting) {
-		plain := model.connections[owner]
+		connection := model.connections[owner]
 		timedOut, waited := queue.TimedOut(now)
-		if now-plain.queuedAt <= queue.limits.MaxWait {
+		if now-connection.queuedAt <= queue.limits.MaxWait {
 			if timedOut != nil {
-				t.Fatalf("connection %d is timed out after %v", timedOut.Owner, waited)
+				t.Fatalf("connection %d timed out after %v, want no timeout", timedOut.Owner, waited)
 			}
 			return
 		}
-		if timedOut != plain.connection || waited != now-plain.queuedAt {
-			want := now - plain.queuedAt
-			t.Fatalf("%v is timed out after %v, want connection %d after %v", timedOut, waited, owner, want)
+		if timedOut != connection.tested || waited != now-connection.queuedAt {
+			want := now - connection.queuedAt
+			t.Fatalf("got %v timed out after %v, want connection %d after %v", timedOut, waited, owner, want)
 		}
 		queue.Remove(timedOut)
-		plain.unread = 0
+		connection.unread = 0
 		model.waiting = model.waiting[1:]
 	}
 }
 
-// checkRound plays a round, and compares its turns with the model's.
-func checkRound(t *rapid.T, now time.Duration, queue *Queue[int], model *plainModel, limits Limits) {
+// checkRound runs a round and compares its turns with those of the model.
+func checkRound(t *rapid.T, now time.Duration, queue *Queue[int], model *queueModel, limits Limits) {
 	expected := slices.Clone(model.waiting)
 	handled, left := 0, limits.MessagesPerRound
 	queue.StartRound()
 	for turn := queue.Next(); turn != nil; turn = queue.Next() {
 		if len(expected) == 0 || left == 0 || turn.Owner != expected[0] {
-			t.Fatalf("connection %d has a turn with %d messages left, want one of %v", turn.Owner, left, expected)
+			t.Fatalf("connection %d got a turn with %d messages left, want the first of connections %v",
+				turn.Owner, left, expected)
 		}
 		expected = expected[1:]
 		model.waiting = model.waiting[1:]
 		want := min(model.connections[turn.Owner].unread, limits.MessagesPerConnection, left)
 		if admitted := model.handle(now, queue, turn.Owner); admitted != want {
-			t.Fatalf("%d messages of connection %d were admitted, want %d", admitted, turn.Owner, want)
+			t.Fatalf("got %d messages of connection %d admitted, want %d", admitted, turn.Owner, want)
 		}
 		left -= want
 		handled += want
 	}
 	if len(expected) > 0 && left > 0 {
-		t.Fatalf("the round ended with %d messages left, before %v had their turns", left, expected)
+		t.Fatalf("round ended with %d messages left, before connections %v had their turns", left, expected)
 	}
 	if handled > limits.MessagesPerRound {
-		t.Fatalf("%d messages in a round, want at most %d", handled, limits.MessagesPerRound)
+		t.Fatalf("got %d messages handled in a round, want at most %d", handled, limits.MessagesPerRound)
 	}
 }
 
-// TestEarliestArrival: what is handled later than it came counts from when the first of what waited may have come.
+// TestEarliestArrival checks that messages which were left unread count as having arrived when the first of them may
+// have arrived.
 func TestEarliestArrival(t *testing.T) {
 	connection := &Connection[int]{}
 	for i, step := range []struct {
@@ -134,7 +137,7 @@
 	}{{10, false, 10}, {20, true, 20}, {30, true, 20}, {40, false, 20}, {50, true, 50}, {45, false, 45}} {
 		got := connection.EarliestArrival(step.readAt)
 		if got != step.want {
-			t.Errorf("step %d: %v, want %v", i, got, step.want)
+			t.Errorf("step %d: got earliest arrival %v, want %v", i, got, step.want)
 		}
 		if step.unread {
 			connection.MarkUnread(got)
@@ -144,8 +147,8 @@
 	}
 }
 
-// TestOpenLimit: over random requests, none is admitted beyond the limit or without memory, and the connection is
-// closed with the first request beyond those that may be rejected in one read.
+// TestOpenLimit checks over random requests that none is admitted beyond the limit or while memory is short, and that
+// the connection is closed at the first request beyond those that may be rejected in one read.
 func TestOpenLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := OpenLimit{
@@ -171,7 +174,8 @@
 				want = Close
 			}
 			if got := limit.Decide(load); got != want || limit.Excess() != rejected {
-				t.Fatalf("%+v: %v with %d rejected, want %v with %d", load, got, limit.Excess(), want, rejected)
+				t.Fatalf("decision under %+v: got %v with %d rejected, want %v with %d",
+					load, got, limit.Excess(), want, rejected)
 			}
 		}
 	})
--- a/internal/frontend/rpc/protocol.go
+++ b/internal/frontend/rpc/protocol.go
@@ -6,14 +6,14 @@
 	"sloequay/internal/frontend/rpc/pacing"
 )
 
-// What a client may send.
+// Limits on what a client may send.
 const (
-	maxFrameBytes  = 96 << 10 // a body of maxBodyBytes with its fields
-	maxFrameValues = 256      // twice the fields, and what they are packed in
+	maxFrameBytes  = 96 << 10 // fits a body of maxBodyBytes with its fields
+	maxFrameValues = 256      // fits names and values of maxFields fields, and what encloses them
 	maxBodyBytes   = 48000
 	maxFields      = 64
-	maxTextBytes   = 256 // of a field's name or value, and of a method
-	maxWordBytes   = 64  // of an idempotency key or an entity tag
+	maxTextBytes   = 256 // in a field's name or value, or a method
+	maxWordBytes   = 64  // in an idempotency key or an entity tag
 	maxMessageID   = 1<<32 - 1
 
 	maxPart          = 1 << 20
@@ -22,20 +22,21 @@
 	minTimeoutMillis = 1
 	maxTimeoutMillis = 3.6e6 // an hour
 
-	maxOpenRequests   = 32 // of one connection, as the protocol says
-	maxExcessRequests = 64 // beyond those in one read: a client that sends more does not look at the responses
+	maxOpenRequests   = 32 // per connection, as the protocol defines
+	maxExcessRequests = 64 // that may be rejected in one read: a client that sends more ignores the responses
 )
 
-// smallBodyBytes is the size up to which a response is sent also while memory is short.
+// smallBodyBytes is the largest body that is sent while memory is short.
 const smallBodyBytes = 4096
 
-// idleTimeout is longer than clients keep an idle connection, so that no request crosses the close.
+// idleTimeout is longer than clients keep an idle connection, so that no request arrives while the connection is being
+// closed.
 const idleTimeout = 6 * time.Second
 
-// What a client may send while identity rejects its requests for want of a budget. A round is one Server.Tick.
+// Limits on a client while identity rejects its requests for lack of budget. A round is one call of Server.Tick.
 const (
-	pacedMessagesPerConnection = 4  // handled in a round
-	pacedMessagesPerRound      = 32 // of all such connections: more at once were felt by other clients
+	pacedMessagesPerConnection = 4  // handled per round
+	pacedMessagesPerRound      = 32 // handled per round, of all such connections: more would delay other clients
 	maxPacedWait               = 2 * time.Second
 	maxUnreadBytes             = 2 * maxFrameBytes
 )
@@ -47,25 +48,25 @@
 	MaxUnreadBytes:        maxUnreadBytes,
 }
 
-// Kinds of messages, each with the number of its elements.
+// Kinds of messages (MessagePack-RPC's message types), and the number of elements of each.
 //
-//	request   [0, ID, METHOD, [FIELDS, BODY]]
-//	answer    [1, ID, ERROR, RESULT]
-//	notice    [2, METHOD, PARAMETERS]
+//	request       [0, ID, METHOD, [FIELDS, BODY]]
+//	response      [1, ID, ERROR, RESULT]
+//	notification  [2, METHOD, PARAMETERS]
 const (
-	kindRequest = 0
-	kindAnswer  = 1
-	kindNotice  = 2
+	kindRequest      = 0
+	kindResponse     = 1
+	kindNotification = 2
 
-	requestElements = 4
-	answerElements  = 4
-	noticeElements  = 3
+	requestElements      = 4
+	responseElements     = 4
+	notificationElements = 3
 )
 
-// Methods beside the classes.
+// Methods other than the names of classes.
 const (
-	methodStatus = "status"   // a request: whether new clients are wanted
-	methodCancel = "withdraw" // a notice [ID]: the client waits no longer for the request
+	methodStatus = "status"   // a request: asks whether the proxy wants new clients
+	methodCancel = "withdraw" // a notification [ID]: the client no longer waits for the request
 )
 
 // Names of the fields of a request.
@@ -80,20 +81,20 @@
 	fieldTimeoutMillis  = "limit"
 	fieldIdempotencyKey = "unique"
 	fieldETag           = "got"
-	fieldMarkedRetry    = "second" // markedRetry: the client's own retry
+	fieldMarkedRetry    = "second" // markedRetry: the request is the client's own retry
 	markedRetry         = "1"
 )
 
-// Names of the fields of an answer.
+// Names of the fields of a response.
 const (
-	fieldNotModified      = "ok304" // notModified: the client's copy is the one that would be served
+	fieldNotModified      = "ok304" // notModified: the client's copy is up to date
 	notModified           = "1"
 	fieldRetryAfterMillis = "later"
 	fieldBudget           = "budget"
 	fieldReason           = "reason"
 )
 
-// Words of the errors in answers.
+// Error codes in responses.
 const (
 	errorRejected  = "Overloaded" // a retry is harmless
 	errorFailed    = "Internal"
--- a/internal/frontend/rpc/request.go
+++ b/internal/frontend/rpc/request.go
@@ -17,10 +17,10 @@
 // requestParameters is the number of parameters of a request: its fields and its body.
 const requestParameters = 2
 
-// requestIDDigits is the number of hex digits of a request id or an object.
+// requestIDDigits is the number of hex digits in a request id or an object.
 const requestIDDigits = 16
 
-// parseRequest reads the parameters of a request of a method, and checks them.
+// parseRequest parses and checks the parameters of a request for a method.
 func (c *connection) parseRequest(method string, body *msgpack.Reader) (*broker.Request, error) {
 	class, known := c.server.classIndex[method]
 	if body.Err == nil && !known {
@@ -51,20 +51,20 @@
 		Caller:      &c.caller,
 		ReceivedAt:  c.receivedAt,
 	}
-	if err := checkWords(request, &c.server.Classes[class]); err != nil {
+	if err := checkTextFields(request, &c.server.Classes[class]); err != nil {
 		return nil, err
 	}
-	if err := parseNumbers(request, fields); err != nil {
+	if err := parseNumberFields(request, fields); err != nil {
 		return nil, err
 	}
 	return request, nil
 }
 
-// readFields reads the map of a request's fields.
+// readFields parses the map of a request's fields.
 func readFields(body *msgpack.Reader) (map[string]string, error) {
 	pairs := body.MapHeader()
 	if body.Err == nil && pairs > maxFields {
-		return nil, fmt.Errorf("%d fields, at most %d expected", pairs, maxFields)
+		return nil, fmt.Errorf("%d fields, expected at most %d", pairs, maxFields)
 	}
 	fields := map[string]string{}
 	for ; pairs > 0 && body.Err == nil; pairs-- {
@@ -74,7 +74,7 @@
 	return fields, body.Err
 }
 
-// maxValueBytes returns how long the value of a field may be.
+// maxValueBytes returns the largest size of a field's value, in bytes.
 func maxValueBytes(field string) uint32 {
 	if field == fieldToken {
 		return identity.MaxTokenBytes
@@ -82,18 +82,18 @@
 	return maxTextBytes
 }
 
-// checkWords checks the fields of a request that are not numbers, and reads its object.
-func checkWords(request *broker.Request, class *policy.Class) error {
+// checkTextFields checks the fields of a request that are not numbers, and parses its object.
+func checkTextFields(request *broker.Request, class *policy.Class) error {
 	if !isID(request.ID) {
 		return fmt.Errorf("%s %q: expected 16 hex digits", fieldRequestID, request.ID)
 	}
 	for _, word := range []string{request.Key, request.ETag} {
 		if !isWord(word) {
-			return fmt.Errorf("field %.80q: not a plain word", word)
+			return fmt.Errorf("field value %.80q: expected at most 64 letters, digits and :.-_", word)
 		}
 	}
 	if class.Idempotency == policy.IdempotentByKey && request.Key == "" {
-		return errors.New(fieldIdempotencyKey + ": missing in a keyed class")
+		return errors.New(fieldIdempotencyKey + ": required in a keyed class")
 	}
 	if !isID(request.ObjectName) {
 		return fmt.Errorf("%s %q: expected 16 hex digits", fieldObject, request.ObjectName)
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// parseNumbers reads the fields of a request that are numbers.
-func parseNumbers(request *broker.Request, fields map[string]string) error {
+// parseNumberFields parses the fields of a request that are numbers.
+func parseNumberFields(request *broker.Request, fields map[string]string) error {
 	timeout, timeoutErr := parseNumber(fields, fieldTimeoutMillis, numberRange{minTimeoutMillis, maxTimeoutMillis}, "")
 	part, partErr := parseNumber(fields, fieldPart, numberRange{0, maxPart}, "0")
 	group, groupErr := parseNumber(fields, fieldGroup, numberRange{0, maxGroup}, "0")
@@ -124,14 +124,14 @@
 	return nil
 }
 
-// numberRange is the numbers that a field may have, ends included.
+// numberRange is the range of numbers that a field may have, both ends included.
 type numberRange struct{ min, max float64 }
 
-// parseNumber reads a plain decimal; absent is what a missing field stands for.
-func parseNumber(fields map[string]string, name string, allowed numberRange, absent string) (float64, error) {
+// parseNumber parses a field as a decimal number without sign or exponent. A missing field is parsed as defaultText.
+func parseNumber(fields map[string]string, name string, allowed numberRange, defaultText string) (float64, error) {
 	text, ok := fields[name]
 	if !ok {
-		text = absent
+		text = defaultText
 	}
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil || strings.Trim(text, "0123456789.") != "" || !(number >= allowed.min && number <= allowed.max) {
@@ -150,8 +150,8 @@
 	return len(text) == requestIDDigits
 }
 
-// isWord reports whether a text may be part of a line to an endpoint. An endpoint closes the connection after a line
-// that it can't parse, which fails every other request on it.
+// isWord reports whether a text can be part of a line to an endpoint. An endpoint closes the connection after a line
+// that it can't parse, which fails all other requests on that connection.
 func isWord(text string) bool {
 	for i := range len(text) {
 		c := text[i]
--- a/internal/frontend/rpc/response.go
+++ b/internal/frontend/rpc/response.go
@@ -9,7 +9,7 @@
 	"sloequay/internal/retryafter"
 )
 
-// Respond answers a request. The broker calls it once for each request that was not canceled.
+// Respond sends the response to a request. The broker calls it once for each request that was not canceled.
 func (c *connection) Respond(request *broker.Request, response broker.Response) {
 	messageID, isOpen := c.messageIDs[request]
 	if !isOpen {
@@ -26,7 +26,7 @@
 
 func (c *connection) sendResponse(messageID uint32, response broker.Response) {
 	if response.Kind == broker.ResponseServed && len(response.Body) > smallBodyBytes && c.server.MemoryShort() {
-		// Clients that do not read their responses use up the memory. A short error is better than no response.
+		// Clients that do not read their responses use up memory. A short error is better than no response.
 		response.Kind = broker.ResponseFailed
 	}
 	switch response.Kind {
@@ -47,22 +47,22 @@
 
 // sendResult sends [1, ID, nil, [BODY, FIELDS]]. The body is not copied.
 func (c *connection) sendResult(messageID uint32, body []byte, fields []broker.Field) {
-	head := msgpack.AppendNil(appendAnswerHead(nil, messageID))
-	head = msgpack.AppendArrayHeader(head, 2)
-	head = msgpack.AppendBinaryHeader(head, len(body))
-	c.conn.Send(head, body, appendFields(nil, fields))
+	header := msgpack.AppendNil(appendResponseHeader(nil, messageID))
+	header = msgpack.AppendArrayHeader(header, 2)
+	header = msgpack.AppendBinaryHeader(header, len(body))
+	c.conn.Send(header, body, appendFields(nil, fields))
 }
 
-// sendStatus sends [1, ID, nil, [READY, {}]]: whether new clients are wanted.
+// sendStatus sends [1, ID, nil, [READY, {}]]. READY tells whether the proxy wants new clients.
 func (c *connection) sendStatus(messageID uint32) {
-	answer := msgpack.AppendNil(appendAnswerHead(nil, messageID))
-	answer = msgpack.AppendArrayHeader(answer, 2)
-	answer = msgpack.AppendBool(answer, c.server.Ready())
-	c.conn.Send(msgpack.AppendMapHeader(answer, 0))
+	message := msgpack.AppendNil(appendResponseHeader(nil, messageID))
+	message = msgpack.AppendArrayHeader(message, 2)
+	message = msgpack.AppendBool(message, c.server.Ready())
+	c.conn.Send(msgpack.AppendMapHeader(message, 0))
 }
 
-// sendRejection sends the error for which a retry is harmless, with the Retry-After and the budget that was used up,
-// if there are any.
+// sendRejection sends the error after which a retry is harmless, with the Retry-After, if one may be sent, and the
+// exhausted budget, if there is one.
 func (c *connection) sendRejection(messageID uint32, response broker.Response) {
 	var fields []broker.Field
 	if response.RetryAfter > 0 && c.server.RetryAfter.MayAdvise() {
@@ -75,18 +75,18 @@
 	c.sendError(messageID, errorRejected, fields)
 }
 
-// sendError sends [1, ID, [WORD, FIELDS], nil].
-func (c *connection) sendError(messageID uint32, word string, fields []broker.Field) {
-	answer := msgpack.AppendArrayHeader(appendAnswerHead(nil, messageID), 2)
-	answer = msgpack.AppendText(answer, word)
-	answer = appendFields(answer, fields)
-	c.conn.Send(msgpack.AppendNil(answer))
+// sendError sends [1, ID, [CODE, FIELDS], nil].
+func (c *connection) sendError(messageID uint32, code string, fields []broker.Field) {
+	message := msgpack.AppendArrayHeader(appendResponseHeader(nil, messageID), 2)
+	message = msgpack.AppendText(message, code)
+	message = appendFields(message, fields)
+	c.conn.Send(msgpack.AppendNil(message))
 }
 
-// appendAnswerHead writes an answer up to its error.
-func appendAnswerHead(b []byte, messageID uint32) []byte {
-	b = msgpack.AppendArrayHeader(b, answerElements)
-	b = msgpack.AppendUint(b, kindAnswer)
+// appendResponseHeader appends a response up to, but not including, its error.
+func appendResponseHeader(b []byte, messageID uint32) []byte {
+	b = msgpack.AppendArrayHeader(b, responseElements)
+	b = msgpack.AppendUint(b, kindResponse)
 	return msgpack.AppendUint(b, uint64(messageID))
 }
 
--- a/internal/frontend/rpc/rpc.go
+++ b/internal/frontend/rpc/rpc.go
@@ -1,8 +1,8 @@
-// Package rpc is the platform's frontend: MessagePack-RPC over TCP. It turns frames into requests of the broker and
-// its responses into frames. Package pacing decides when the messages of a rate-limited connection are handled,
-// package connlimit which connections are closed.
+// Package rpc is the frontend for the platform's own protocol, MessagePack-RPC over TCP. It turns frames into requests
+// to the broker, and the broker's responses into frames. Package pacing decides when the messages of a rate-limited
+// connection are handled, and package connlimit which connections are closed.
 //
-// Only protocol.go contains the protocol's own names for methods, fields and errors.
+// The protocol's names of methods, fields and errors appear only in protocol.go.
 package rpc
 
 import (
@@ -26,13 +26,13 @@
 	Emit           func(broker.Event)
 	Now            func() time.Duration // the monotonic clock
 	Ready          func() bool          // whether new clients are wanted
-	MemoryShort    func() bool          // whether what clients have not read holds too much memory
+	MemoryShort    func() bool          // whether responses that clients have not read use too much memory
 	Log            func(event string, fields ...any)
 
-	// RetryAfter says how long rejected clients are asked to stay away, and whether they may be told at all.
+	// RetryAfter computes the Retry-After advice for rejected clients, and decides whether any may be sent.
 	RetryAfter retryafter.Advisor
 
-	// Monitor checks the frontend's invariants at run time; nil: nothing is checked.
+	// Monitor records violations of the frontend's invariants at run time; nil: none are recorded.
 	Monitor *invariant.Monitor
 }
 
@@ -40,12 +40,12 @@
 type Server struct {
 	Config
 
-	// Source returns what identity knows of where a client comes from. Nil: identity is off.
+	// Source returns identity's state for the host that a client connects from. Nil: identity is disabled.
 	Source func(remote string) *identity.Source
 
-	classIndex map[string]int // of Config.Classes, by name
+	classIndex map[string]int // index in Config.Classes, by name
 	clients    *connlimit.Limiter
-	paced      *pacing.Queue[*connection]
+	pacedQueue *pacing.Queue[*connection]
 }
 
 // New returns a server with no connections.
@@ -54,7 +54,7 @@
 		Config:     config,
 		classIndex: map[string]int{},
 		clients:    connlimit.New(config.MaxConnections, idleTimeout),
-		paced:      pacing.NewQueue[*connection](pacingLimits),
+		pacedQueue: pacing.NewQueue[*connection](pacingLimits),
 	}
 	for i := range config.Classes {
 		server.classIndex[config.Classes[i].Name] = i
@@ -70,7 +70,7 @@
 	return s.AcceptFrom(remote, identity.Caller{Front: "rpc"})
 }
 
-// AcceptFrom is Accept for a caller that is identified in part already, such as by a TLS certificate.
+// AcceptFrom is like Accept, for a caller that is already partly identified, such as by a TLS certificate.
 func (s *Server) AcceptFrom(remote net.Addr, caller identity.Caller) eventloop.Handler {
 	if s.Source != nil {
 		if caller.Remote == "" {
@@ -94,26 +94,27 @@
 	}
 }
 
-// CloseIdle closes the idle connections: no request is open, no response is unsent and no message is incomplete.
+// CloseIdle closes the idle connections: those with no open request, no unsent response and no incomplete message.
 func (s *Server) CloseIdle() { s.clients.CloseIdle(s.Now()) }
 
-// Tick closes the connections whose time-out has passed, and handles some messages of rate-limited ones. It must be
+// Tick closes the connections whose timeout has expired, and handles some messages of rate-limited ones. It must be
 // called periodically.
 func (s *Server) Tick(now time.Duration) {
 	if unfinished := s.clients.Tick(now); unfinished > 0 {
 		s.Log("client-message-timeout", "front", "rpc", "connections", unfinished)
 	}
 	s.closeTimedOut(now)
-	s.paced.StartRound()
-	for turn := s.paced.Next(); turn != nil; turn = s.paced.Next() {
+	s.pacedQueue.StartRound()
+	for turn := s.pacedQueue.Next(); turn != nil; turn = s.pacedQueue.Next() {
 		turn.Owner.conn.ReadAgain()
 	}
 }
 
-// closeTimedOut closes rate-limited connections whose messages could not be handled in time, after rejecting these.
+// closeTimedOut closes rate-limited connections whose messages could not be handled in time. It rejects those messages
+// and fails the open requests first.
 func (s *Server) closeTimedOut(now time.Duration) {
 	for {
-		timedOut, waited := s.paced.TimedOut(now)
+		timedOut, waited := s.pacedQueue.TimedOut(now)
 		if timedOut == nil {
 			return
 		}
