--- a/test/harness_clients_test.go
+++ b/test/harness_clients_test.go
@@ -100,8 +100,8 @@
 
 // requestPrefix returns the frame of a request up to its fields, which the caller appends.
 func requestPrefix(id uint64) []byte {
-	b := msgpack.AppendUint(msgpack.AppendUint(msgpack.AppendArray(nil, 4), 0), id)
-	return msgpack.AppendArray(msgpack.AppendText(b, "footage"), 2)
+	b := msgpack.AppendUint(msgpack.AppendUint(msgpack.AppendArrayHeader(nil, 4), 0), id)
+	return msgpack.AppendArrayHeader(msgpack.AppendText(b, "footage"), 2)
 }
 
 // requestBatch returns the frames of count requests, to be sent in one write.
