--- a/internal/peer/decisions_test.go
+++ b/internal/peer/decisions_test.go
@@ -48,11 +48,11 @@
 		switch kind := random.IntN(40); {
 		case kind < 4:
 			member := Member{
-				Name:        name,
-				Zone:        fmt.Sprint("z", random.IntN(2)),
-				Program:     fmt.Sprint("p", random.IntN(2)),
-				Incarnation: incarnation,
-				Key:         fmt.Sprint("k", random.IntN(8)/7),
+				Name:           name,
+				Zone:           fmt.Sprint("z", random.IntN(2)),
+				ProgramVersion: fmt.Sprint("p", random.IntN(2)),
+				Incarnation:    incarnation,
+				Key:            fmt.Sprint("k", random.IntN(8)/7),
 			}
 			transcript.Write("observe "+verdictText(view.Observe(member)), member.Name)
 		case kind < 5:
@@ -73,7 +73,8 @@
 			transcript.Write(fmt.Sprint("accept ", accepted), name, digesttest.Unsigned(number))
 		}
 		for _, member := range view.Members() {
-			recorder.Add("%s %s %s %d %s", member.Name, member.Zone, member.Program, member.Incarnation, member.Key)
+			recorder.Add("%s %s %s %d %s",
+				member.Name, member.Zone, member.ProgramVersion, member.Incarnation, member.Key)
 		}
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -22,9 +22,9 @@
 
 // Member is another proxy of the fleet.
 type Member struct {
-	Name, Zone, Program string
-	Incarnation         uint64
-	Key                 string // public key of the incarnation's signatures
+	Name, Zone, ProgramVersion string
+	Incarnation                uint64
+	Key                        string // public key of the incarnation's signatures
 }
 
 // Verdict is what an observation of a member changed.
@@ -80,7 +80,7 @@
 		return Conflict
 	}
 	known.Zone = observed.Zone
-	known.Program = observed.Program
+	known.ProgramVersion = observed.ProgramVersion
 	return Unchanged
 }
 
--- a/internal/peer/transport/codec.go
+++ b/internal/peer/transport/codec.go
@@ -44,15 +44,15 @@
 
 // memberMetadata is what a member announces of itself.
 type memberMetadata struct {
-	Zone        string `codec:"Zone"`
-	Program     string `codec:"Program"`
-	Incarnation uint64 `codec:"Epoch"`
-	Key         []byte `codec:"Key"`
+	Zone           string `codec:"Zone"`
+	ProgramVersion string `codec:"Program"`
+	Incarnation    uint64 `codec:"Epoch"`
+	Key            []byte `codec:"Key"`
 }
 
 func encodeMetadata(self Identity, publicKey ed25519.PublicKey) ([]byte, error) {
 	encoded, err := Encode(memberMetadata{
-		Zone: self.Zone, Program: self.Program, Incarnation: self.Incarnation, Key: publicKey,
+		Zone: self.Zone, ProgramVersion: self.ProgramVersion, Incarnation: self.Incarnation, Key: publicKey,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/peer/transport/codec_test.go
+++ b/internal/peer/transport/codec_test.go
@@ -9,7 +9,7 @@
 // with what commit 1dcc078 wrote: proxies of several versions talk to each other during a release.
 func TestEnvelopeKeepsItsForm(t *testing.T) {
 	e := envelope{From: "p1", Incarnation: 1 << 40, Number: 7, To: "p2", Body: []byte("body"), Signature: []byte("sig")}
-	m := memberMetadata{Zone: "z1", Program: "1.0", Incarnation: 9, Key: []byte("key")}
+	m := memberMetadata{Zone: "z1", ProgramVersion: "1.0", Incarnation: 9, Key: []byte("key")}
 	for _, c := range []struct {
 		name    string
 		message any
--- a/internal/peer/transport/config.go
+++ b/internal/peer/transport/config.go
@@ -16,13 +16,13 @@
 
 // Config is the block `peers` of the settings.
 type Config struct {
-	Listen, Advertise string // host:port, TCP and UDP; an empty Advertise stands for Listen
-	Seeds             []string
-	KeyFile           string
-	MembersFile       string // for addresses of others; empty: none
-	Pollers, Fleet    int    // as bootstrap.Config has them; a Fleet of 0: the platform's settings have it
-	MaxMembers        int
-	keys              [][]byte // of KeyFile; the first encrypts
+	Listen, Advertise  string // host:port, TCP and UDP; an empty Advertise stands for Listen
+	Seeds              []string
+	KeyFile            string
+	MembersFile        string // for addresses of others; empty: none
+	Pollers, FleetSize int    // as bootstrap.Config has them; a FleetSize of 0: the platform's settings have it
+	MaxMembers         int
+	keys               [][]byte // of KeyFile; the first encrypts
 }
 
 // The defaults of a Config.
@@ -73,7 +73,7 @@
 	section.Text("remember", &c.MembersFile, checkFolder,
 		"file, on a disk that lasts, of some addresses of others: seeds of the next start")
 	section.Int("askers", &c.Pollers, 1, 100, "proxies of a zone that poll the list service")
-	section.Int("fleet", &c.Fleet, 0, 100_000, "proxies that there are, for the time over which they poll "+
+	section.Int("fleet", &c.FleetSize, 0, 100_000, "proxies that there are, for the time over which they poll "+
 		"where no peer is heard; 0: as the platform's settings tell")
 	section.Int("most", &c.MaxMembers, 1, 100_000, "other proxies that are remembered")
 	section.Check(func() error {
--- a/internal/peer/transport/delegate.go
+++ b/internal/peer/transport/delegate.go
@@ -88,11 +88,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	verdict := t.view.Observe(peer.Member{
-		Name:        node.Name,
-		Zone:        metadata.Zone,
-		Program:     metadata.Program,
-		Incarnation: metadata.Incarnation,
-		Key:         string(metadata.Key),
+		Name:           node.Name,
+		Zone:           metadata.Zone,
+		ProgramVersion: metadata.ProgramVersion,
+		Incarnation:    metadata.Incarnation,
+		Key:            string(metadata.Key),
 	})
 	if verdict != peer.Conflict && verdict != peer.NoCapacity && node.Name != t.self.Name {
 		copied := *node // the library changes its own
--- a/internal/peer/transport/join.go
+++ b/internal/peer/transport/join.go
@@ -91,7 +91,7 @@
 // join joins seeds until Close.
 func (t *Transport) join() {
 	startedAt := time.Now()
-	spread := time.Duration(max(1, t.self.Fleet)) * joinSpreadPerProxy
+	spread := time.Duration(max(1, t.self.FleetSize)) * joinSpreadPerProxy
 	if len(t.seeds) == 0 || !t.sleep(randomDuration(spread)) {
 		return
 	}
@@ -119,7 +119,7 @@
 	}
 }
 
-func (t *Transport) isHalfInView() bool { return 2*t.list.NumMembers() >= t.self.Fleet }
+func (t *Transport) isHalfInView() bool { return 2*t.list.NumMembers() >= t.self.FleetSize }
 
 // joinOne joins an address, and reports whether it answered; "": there is none to join.
 func (t *Transport) joinOne(address string) bool {
--- a/internal/peer/transport/messages.go
+++ b/internal/peer/transport/messages.go
@@ -71,8 +71,8 @@
 func (t *Transport) countSent(bytes int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.counters.Messages++
-	t.counters.Bytes += uint64(bytes)
+	t.counters.MessagesSent++
+	t.counters.BytesSent += uint64(bytes)
 }
 
 // seal numbers, signs and encodes a message.
--- a/internal/peer/transport/transport.go
+++ b/internal/peer/transport/transport.go
@@ -49,10 +49,10 @@
 
 // Identity is who this proxy is.
 type Identity struct {
-	Name, Zone, Program string
-	Incarnation         uint64
-	Fleet               int          // configured number of proxies
-	Bind                *net.TCPAddr // local address of connections to others; nil: the listen address
+	Name, Zone, ProgramVersion string
+	Incarnation                uint64
+	FleetSize                  int          // configured number of proxies
+	LocalAddr                  *net.TCPAddr // local address of connections to others; nil: the listen address
 }
 
 // Receiver takes what the transport receives. It is called on the transport's goroutines, each method by one at a
@@ -65,9 +65,9 @@
 
 // Counters counts messages and bytes.
 type Counters struct {
-	Messages, Bytes uint64 // sent
-	Dropped         uint64 // of either direction, as a queue was full
-	Rejected        uint64 // received, and not valid
+	MessagesSent, BytesSent uint64 // sent
+	Dropped                 uint64 // of either direction, as a queue was full
+	Rejected                uint64 // received, and not valid
 }
 
 // Transport is a proxy's membership in the fleet.
@@ -179,7 +179,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	from := t.self.Bind
+	from := t.self.LocalAddr
 	if from == nil {
 		from = &net.TCPAddr{IP: listen.Addr().AsSlice()}
 	}
--- a/internal/peer/transport/transport_test.go
+++ b/internal/peer/transport/transport_test.go
@@ -95,7 +95,7 @@
 	}
 	config.MembersFile = membersFile
 	receiver := &recorder{}
-	transport, err := Open(config, Identity{Name: name, Zone: "z", Incarnation: rand.Uint64(), Fleet: 4}, receiver)
+	transport, err := Open(config, Identity{Name: name, Zone: "z", Incarnation: rand.Uint64(), FleetSize: 4}, receiver)
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -62,12 +62,12 @@
 func (f *fleet) openTransport(config bootstrap.Config) bool {
 	settings := f.server.plan.settings
 	self := transport.Identity{
-		Name:        config.Name,
-		Zone:        config.Zone,
-		Program:     programVersion(),
-		Incarnation: config.Incarnation,
-		Fleet:       config.Fleet,
-		Bind:        settings.bindAddress(),
+		Name:           config.Name,
+		Zone:           config.Zone,
+		ProgramVersion: programVersion(),
+		Incarnation:    config.Incarnation,
+		FleetSize:      config.Fleet,
+		LocalAddr:      settings.bindAddress(),
 	}
 	opened, err := transport.Open(*settings.Peers, self, f)
 	for attempts := 1; err != nil && attempts < maxTransportAttempts; attempts++ {
@@ -103,8 +103,8 @@
 
 // fleetSize is how many proxies there are: as the block for peers says, or else the platform.
 func (p *Plan) fleetSize() int {
-	if peers := p.settings.Peers; peers != nil && peers.Fleet > 0 {
-		return peers.Fleet
+	if peers := p.settings.Peers; peers != nil && peers.FleetSize > 0 {
+		return peers.FleetSize
 	}
 	return p.platform.Control.Instances
 }
@@ -319,9 +319,9 @@
 	}
 	members, counters := f.transport.Status()
 	fmt.Fprintf(out, "sent %d messages, %d bytes; %d dropped, %d not heard\n",
-		counters.Messages, counters.Bytes, counters.Dropped, counters.Rejected)
+		counters.MessagesSent, counters.BytesSent, counters.Dropped, counters.Rejected)
 	for _, member := range members {
 		fmt.Fprintf(out, "peer %s zone %s epoch %d program %s\n",
-			member.Name, member.Zone, member.Incarnation, member.Program)
+			member.Name, member.Zone, member.Incarnation, member.ProgramVersion)
 	}
 }
--- a/internal/proxy/readiness_test.go
+++ b/internal/proxy/readiness_test.go
@@ -17,7 +17,7 @@
 	const fleet = 400
 	plan := &Plan{
 		platform: &platformconfig.Settings{Control: policy.Config{Instances: 8}},
-		settings: &Settings{Catalogue: &consul.Config{}, Peers: &transport.Config{Fleet: fleet}},
+		settings: &Settings{Catalogue: &consul.Config{}, Peers: &transport.Config{FleetSize: fleet}},
 	}
 	startup := newStartup(plan)
 	of := readiness.NewStartup(fleet)
--- a/internal/snapshot/disk/disk.go
+++ b/internal/snapshot/disk/disk.go
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	if len(data) > snapshot.MaxBytes {
-		return nil, fmt.Errorf("%w: over %d bytes", snapshot.ErrForeign, snapshot.MaxBytes)
+		return nil, fmt.Errorf("%w: over %d bytes", snapshot.ErrInvalid, snapshot.MaxBytes)
 	}
 	return data, nil
 }
--- a/internal/snapshot/disk/disk_test.go
+++ b/internal/snapshot/disk/disk_test.go
@@ -67,7 +67,7 @@
 	data := encodeSome(t)
 	for n := range data {
 		_, _, err := snapshot.Decode(data[:n], now, time.Hour)
-		if !errors.Is(err, snapshot.ErrCorrupt) && !errors.Is(err, snapshot.ErrForeign) {
+		if !errors.Is(err, snapshot.ErrCorrupt) && !errors.Is(err, snapshot.ErrInvalid) {
 			t.Fatalf("the first %d bytes of %d: %v", n, len(data), err)
 		}
 		changed := append([]byte(nil), data...)
@@ -87,7 +87,7 @@
 		now  time.Duration
 		want error
 	}{
-		{"another program's file", []byte("#!/bin/sh\n"), now, snapshot.ErrForeign},
+		{"another program's file", []byte("#!/bin/sh\n"), now, snapshot.ErrInvalid},
 		{"a newer version", newer, now, snapshot.ErrVersion},
 		{"too old", data, now + 2*time.Hour, snapshot.ErrTooOld},
 		{"from the future", data, now - time.Hour, snapshot.ErrFuture},
@@ -106,7 +106,7 @@
 	if err := Write(path, data); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := Read(path, now, limits(time.Hour, 1, 1)); !errors.Is(err, snapshot.ErrForeign) {
+	if _, _, err := Read(path, now, limits(time.Hour, 1, 1)); !errors.Is(err, snapshot.ErrInvalid) {
 		t.Errorf("endpoints of a zone that the settings do not have: %v", err)
 	}
 	if err := Write(filepath.Join(t.TempDir(), "no", "such", "folder"), data); err == nil {
--- a/internal/snapshot/disk/stored_test.go
+++ b/internal/snapshot/disk/stored_test.go
@@ -36,7 +36,7 @@
 	if diff := cmp.Diff(want, got); err != nil || age != time.Hour || diff != "" {
 		t.Errorf("age %v, %v (-want +got):\n%s", age, err, diff)
 	}
-	if _, _, err := Read(storedFile, storedAt, limits(24*time.Hour, 2, 2)); !errors.Is(err, snapshot.ErrForeign) {
+	if _, _, err := Read(storedFile, storedAt, limits(24*time.Hour, 2, 2)); !errors.Is(err, snapshot.ErrInvalid) {
 		t.Errorf("with a kind too few: %v, want it refused", err)
 	}
 	_, _, err = Read(storedFile, storedAt+25*time.Hour, limits(24*time.Hour, 2, 3))
--- a/internal/snapshot/header.go
+++ b/internal/snapshot/header.go
@@ -22,7 +22,7 @@
 		if len(data) < len(magic) && bytes.HasPrefix([]byte(magic), data) {
 			return nil, ErrCorrupt // cut within its first word
 		}
-		return nil, ErrForeign
+		return nil, ErrInvalid
 	}
 	line, text, found := bytes.Cut(data, []byte("\n"))
 	if !found {
@@ -32,7 +32,7 @@
 	var checksum uint32
 	fields, err := fmt.Sscanf(string(line), magic+" %d %d %x", &version, &length, &checksum)
 	if fields < 1 {
-		return nil, fmt.Errorf("%w: %w", ErrForeign, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	// A later version may have other fields, so that the version comes before what they lack.
 	if version != Version {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -31,7 +31,7 @@
 
 // The errors by which a snapshot is refused. They come wrapped.
 var (
-	ErrForeign = errors.New("it is no snapshot of this program")
+	ErrInvalid = errors.New("it is no snapshot of this program")
 	ErrVersion = errors.New("it has another version")
 	ErrCorrupt = errors.New("it is torn")
 	ErrTooOld  = errors.New("it is too old")
@@ -67,7 +67,7 @@
 	}
 	var stored storedSnapshot
 	if err = json.Unmarshal(text, &stored); err != nil {
-		return nil, 0, fmt.Errorf("%w: %w", ErrForeign, err)
+		return nil, 0, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	age = now - milliseconds(stored.WrittenMS)
 	if age > maxAge {
@@ -98,7 +98,7 @@
 			kindKnown := 0 <= endpoint.Kind && endpoint.Kind < limits.Kinds
 			if !zoneKnown || !kindKnown {
 				return fmt.Errorf("%w: endpoint %.64q has zone %d and kind %d, which the settings do not have",
-					ErrForeign, endpoint.ID, endpoint.Zone, endpoint.Kind)
+					ErrInvalid, endpoint.ID, endpoint.Zone, endpoint.Kind)
 			}
 		}
 	}
--- a/internal/snapshot/stored.go
+++ b/internal/snapshot/stored.go
@@ -101,5 +101,5 @@
 			return state, nil
 		}
 	}
-	return membership.Gone, fmt.Errorf("%w: endpoint %.64q is %.32q", ErrForeign, e.ID, e.State)
+	return membership.Gone, fmt.Errorf("%w: endpoint %.64q is %.32q", ErrInvalid, e.ID, e.State)
 }
