--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -7,7 +7,7 @@
 	"sloequay/internal/peer"
 )
 
-// BenchmarkAcceptMessage looks up the key of a message's sender and accepts its number, in a fleet of 300.
+// BenchmarkAcceptMessage looks up a sender's key and accepts a message number, with 300 members in the view.
 func BenchmarkAcceptMessage(b *testing.B) {
 	view := peer.NewView("self", 2000)
 	var names []string
@@ -23,7 +23,7 @@
 	}
 }
 
-// BenchmarkMembers lists a fleet of 300.
+// BenchmarkMembers lists 300 members.
 func BenchmarkMembers(b *testing.B) {
 	view := peer.NewView("self", 2000)
 	for i := range 300 {
--- a/internal/peer/decisions_test.go
+++ b/internal/peer/decisions_test.go
@@ -13,8 +13,8 @@
 	decisionSteps = 2000
 )
 
-// verdictText names a verdict in words that do not change with the names of the constants; the word of the log is
-// part of what must stay.
+// verdictText returns a text for a verdict that does not depend on the names of the constants. It includes the
+// verdict's value in the log, which must not change either.
 func verdictText(verdict Verdict) string {
 	name := "?"
 	switch verdict {
@@ -32,13 +32,13 @@
 	return name + "/" + verdict.String()
 }
 
-// playView plays one seed's events against a view.
+// playView applies one seed's random events to a view and records the results.
 func playView(seed uint64, recorder *digesttest.Recorder, counts map[string]int) {
 	random := rand.New(rand.NewPCG(seed, 72))
 	transcript := digesttest.NewTranscript(recorder, counts)
 	view := NewView("self", 2+random.IntN(5))
 	names := []string{"a", "b", "c", "d", "e", "f", "self", ""}
-	next := map[string]uint64{} // by name: the number of its last message
+	lastNumbers := map[string]uint64{} // highest message number drawn so far, by member name
 	for range decisionSteps {
 		name := names[random.IntN(len(names))]
 		incarnation := uint64(1)
@@ -61,14 +61,14 @@
 			key, known := view.Key(name, incarnation)
 			transcript.Write(fmt.Sprint("key ", known), name, key)
 		default:
-			number := next[name] + uint64(random.IntN(3))
+			number := lastNumbers[name] + uint64(random.IntN(3))
 			switch random.IntN(20) {
 			case 0:
 				number += uint64(random.IntN(200))
 			case 1, 2, 3, 4:
 				number -= min(number, uint64(random.IntN(80)))
 			}
-			next[name] = max(next[name], number)
+			lastNumbers[name] = max(lastNumbers[name], number)
 			accepted := view.AcceptMessage(name, incarnation, number)
 			transcript.Write(fmt.Sprint("accept ", accepted), name, digesttest.Unsigned(number))
 		}
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestDecisionsStayAsTheyWere plays seeded events and compares a digest of all that the views return with the one
-// recorded for each seed. A change of names or shape must leave every line as it is.
+// TestDecisionsStayAsTheyWere applies seeded random events to views and compares a digest of all results with the one
+// recorded for each seed. A refactoring must not change any line of the file.
 func TestDecisionsStayAsTheyWere(t *testing.T) {
 	counts := map[string]int{}
 	digesttest.Format{NoResults: true}.Check(t, decisionSeeds, func(seed uint64, recorder *digesttest.Recorder) {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,18 +1,18 @@
-// Package peer is the view of the other proxies of a fleet, and checks who a message is from: which member, which of
-// its incarnations, by which key, and whether it is a replay. It does no I/O and reads no clock; package
-// peer/transport reports what its membership library finds, and passes each message through the view.
+// Package peer maintains a proxy's view of the other proxies of its fleet. The view has the public key that verifies
+// the messages of a member's incarnation, and detects replays. The package does no I/O and reads no clock; package
+// peer/transport reports the membership changes that its library finds, and checks each message against the view.
 //
-// A member is a name with an incarnation, drawn at random with each start, and the public key of that incarnation.
-// The key is pinned to the name while the incarnation is in the view: another key for it is a conflict and changes
-// nothing. Another incarnation replaces the one before, as after a restart. Which of two is the later one is left
-// to the membership library, which counts on its own; no clock decides, since one may be set back between two
-// starts.
+// A member has a name, an incarnation that is drawn at random at each start, and the public key of that incarnation.
+// While the incarnation is in the view, its key is pinned to the name: another key for it is a conflict and changes
+// nothing. Another incarnation replaces the previous one, as after a restart. The membership library decides which of
+// two incarnations is the later one, by a counter of its own; clocks are not compared, since a clock may be set back
+// between two starts.
 //
 // Invariants:
 //   - a member has one incarnation and one key at a time;
-//   - no message number of an incarnation is accepted twice while it is in the view.
+//   - no message number of an incarnation is accepted twice while the incarnation is in the view.
 //
-// Bounds: the members by the maximum given to NewView, and the state of a member by its replay window.
+// Bounds: NewView sets the maximum number of members, and the state of a member is bounded by its replay window.
 package peer
 
 import (
@@ -27,24 +27,24 @@
 	Key                        string // public key of the incarnation's signatures
 }
 
-// Verdict is what an observation of a member changed.
+// Verdict is the result of observing a member.
 type Verdict uint8
 
-// The verdicts.
+// Verdicts of View.Observe.
 const (
-	Unchanged  Verdict = iota // at most the zone and the program are new
+	Unchanged  Verdict = iota // known already; at most its zone and program version have changed
 	Joined                    // a new member
-	Restarted                 // another incarnation of a member
-	Conflict                  // another key for an incarnation; the view stays as it is
-	NoCapacity                // a new member beyond the maximum; the view stays as it is
+	Restarted                 // another incarnation of a known member
+	Conflict                  // another key for a known incarnation; the view is unchanged
+	NoCapacity                // a new member beyond the maximum; the view is unchanged
 )
 
-// String returns the verdict's value in the log.
+// String returns the verdict as it is written to the log.
 func (v Verdict) String() string {
 	return [...]string{"known", "joined", "restarted", "conflict", "full"}[v]
 }
 
-// View is the other members of the fleet. It is not safe for concurrent use.
+// View holds the other members of the fleet. It is not safe for concurrent use.
 type View struct {
 	self       string
 	maxMembers int
@@ -56,12 +56,12 @@
 	replay replayWindow
 }
 
-// NewView returns an empty view for the proxy of this name.
+// NewView returns an empty view for the proxy named self, with room for maxMembers other members.
 func NewView(self string, maxMembers int) *View {
 	return &View{self: self, maxMembers: maxMembers, members: map[string]*memberState{}}
 }
 
-// Observe takes a member that is alive. It ignores this proxy itself and members without a name.
+// Observe adds or updates a member that is alive. It ignores this proxy itself and members without a name.
 func (v *View) Observe(observed Member) Verdict {
 	if observed.Name == v.self || observed.Name == "" {
 		return Unchanged
@@ -84,7 +84,8 @@
 	return Unchanged
 }
 
-// Remove drops a member if it has this incarnation, and reports whether it did. A later incarnation stays.
+// Remove removes a member and reports whether it did. If the member is in the view with another incarnation, such as
+// a later one, it stays.
 func (v *View) Remove(name string, incarnation uint64) bool {
 	if v.find(name, incarnation) == nil {
 		return false
@@ -93,7 +94,8 @@
 	return true
 }
 
-// Key returns the key for the signatures of a member's incarnation, if that is in the view.
+// Key returns the public key that verifies signatures of a member's incarnation, and whether that incarnation is in
+// the view.
 func (v *View) Key(name string, incarnation uint64) (string, bool) {
 	known := v.find(name, incarnation)
 	if known == nil {
@@ -102,14 +104,14 @@
 	return known.Key, true
 }
 
-// AcceptMessage reports whether a message with a valid signature is new, and remembers its number. Numbers start at
-// 1.
+// AcceptMessage reports whether a message is new, and records its number. The caller must have verified its
+// signature. Numbers start at 1.
 func (v *View) AcceptMessage(name string, incarnation, number uint64) bool {
 	known := v.find(name, incarnation)
 	return known != nil && known.replay.accept(number)
 }
 
-// Members returns all, by name.
+// Members returns all members, sorted by name.
 func (v *View) Members() []Member {
 	members := make([]Member, 0, len(v.members))
 	for _, known := range v.members {
@@ -119,7 +121,7 @@
 	return members
 }
 
-// find returns a member if it has this incarnation.
+// find returns the member if it is in the view with this incarnation, and nil otherwise.
 func (v *View) find(name string, incarnation uint64) *memberState {
 	known := v.members[name]
 	if known == nil || known.Incarnation != incarnation {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -7,12 +7,12 @@
 	"pgregory.net/rapid"
 )
 
-// viewModel is the plainest model of a view: maps of members, and a set of all numbers ever accepted.
+// viewModel is a reference implementation of a view: a map of members and a set of all accepted message numbers.
 type viewModel struct {
 	maxMembers int
 	members    map[string]Member
-	accepted   map[string]bool   // by name, incarnation and number
-	latest     map[string]uint64 // by name and incarnation
+	accepted   map[string]bool   // by messageID
+	latest     map[string]uint64 // highest accepted number, by incarnationID
 }
 
 func incarnationID(name string, incarnation uint64) string { return fmt.Sprint(name, " ", incarnation) }
@@ -21,7 +21,7 @@
 	return fmt.Sprint(name, " ", incarnation, " ", number)
 }
 
-// observe returns the verdict that is due, and takes the member in. A new one starts with no numbers accepted.
+// observe adds or updates a member and returns the expected verdict. A new incarnation starts with no numbers accepted.
 func (m *viewModel) observe(observed Member, maxNumber uint64) Verdict {
 	known, isKnown := m.members[observed.Name]
 	verdict := Joined
@@ -45,13 +45,13 @@
 	return verdict
 }
 
-// has reports whether a member has an incarnation.
+// has reports whether a member is known with this incarnation.
 func (m *viewModel) has(name string, incarnation uint64) bool {
 	known, isKnown := m.members[name]
 	return isKnown && known.Incarnation == incarnation
 }
 
-// accept reports whether a number is new and not too old.
+// accept reports whether a number is new and recent enough, and records it.
 func (m *viewModel) accept(name string, incarnation, number uint64) bool {
 	message, sender := messageID(name, incarnation, number), incarnationID(name, incarnation)
 	isRecent := number+replayWindowSize > m.latest[sender]
@@ -63,7 +63,7 @@
 	return true
 }
 
-// TestViewAgainstModel compares a view with the model after every step.
+// TestViewAgainstModel applies random operations to a view and to the model, and compares the two after every step.
 func TestViewAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const maxMembers, maxNumber = 4, 200
@@ -79,12 +79,12 @@
 				observed := Member{Name: name, Incarnation: incarnation, Key: key}
 				want := model.observe(observed, maxNumber)
 				if got := view.Observe(observed); got != want {
-					t.Fatalf("%+v beside %+v: %v, want %v", observed, known, got, want)
+					t.Fatalf("Observe(%+v) with %+v known: got %v, want %v", observed, known, got, want)
 				}
 			case 1:
 				want := model.has(name, incarnation)
 				if got := view.Remove(name, incarnation); got != want {
-					t.Fatalf("end of %s %d beside %+v: %v, want %v", name, incarnation, known, got, want)
+					t.Fatalf("Remove(%s, %d) with %+v known: got %v, want %v", name, incarnation, known, got, want)
 				}
 				if want {
 					delete(model.members, name)
@@ -94,15 +94,16 @@
 				latest := model.latest[incarnationID(name, incarnation)]
 				want := model.accept(name, incarnation, number)
 				if got := view.AcceptMessage(name, incarnation, number); got != want {
-					t.Fatalf("number %d of %s %d, latest %d: %v, want %v", number, name, incarnation, latest, got, want)
+					t.Fatalf("number %d from %s, incarnation %d, latest number %d: got accepted %v, want %v",
+						number, name, incarnation, latest, got, want)
 				}
 				key, ok := view.Key(name, incarnation)
 				if ok != model.has(name, incarnation) || ok && key != known.Key {
-					t.Fatalf("key of %s %d: %q %v", name, incarnation, key, ok)
+					t.Fatalf("Key(%s, %d): got %q, known %v, want the values of the model", name, incarnation, key, ok)
 				}
 			}
 			if len(view.Members()) != len(model.members) {
-				t.Fatalf("%d members, want %d", len(view.Members()), len(model.members))
+				t.Fatalf("got %d members, want %d", len(view.Members()), len(model.members))
 			}
 		}
 	})
