--- a/internal/peer/transport/codec.go
+++ b/internal/peer/transport/codec.go
@@ -9,32 +9,33 @@
 
 const (
 	maxMessageBytes  = 256 << 10
-	maxMetadataBytes = 512 // memberlist's own limit
-	// maxInitialLength bounds the memory that is taken by the announced length of a list, before its elements came.
+	maxMetadataBytes = 512 // memberlist's limit
+	// maxInitialLength is how many elements of a list are allocated at most before any of them is decoded, whatever
+	// length the list announces.
 	maxInitialLength = 1024
 )
 
-// envelope is a message as it travels. Its signature covers all other fields.
+// envelope is a message on the wire. Its signature covers all other fields.
 type envelope struct {
 	From        string `codec:"From"`
 	Incarnation uint64 `codec:"Epoch"`
-	Number      uint64 `codec:"Number"` // of the incarnation's messages, from 1
-	To          string `codec:"To"`     // so that it can't be replayed to another one; empty in an exchange of state
+	Number      uint64 `codec:"Number"` // counts the incarnation's messages, from 1
+	To          string `codec:"To"`     // prevents a replay to another member; empty in a state exchange
 	Body        []byte `codec:"Body"`
 	Signature   []byte `codec:"Sig"`
 }
 
-// signedBytes returns what the signature covers.
+// signedBytes returns the bytes that the signature covers: the envelope, encoded with an empty signature.
 func (e envelope) signedBytes() []byte {
 	e.Signature = nil
 	encoded, _ := Encode(e)
 	return encoded
 }
 
-// sign signs an envelope with this incarnation's key.
+// sign signs an envelope with this incarnation's private key.
 func (t *Transport) sign(e *envelope) { e.Signature = ed25519.Sign(t.privateKey, e.signedBytes()) }
 
-// isSignedBy reports whether a public key's owner signed the envelope.
+// isSignedBy reports whether the envelope's signature is valid for a public key.
 func (e envelope) isSignedBy(publicKey string) bool {
 	if len(publicKey) != ed25519.PublicKeySize {
 		return false
@@ -42,7 +43,7 @@
 	return ed25519.Verify(ed25519.PublicKey(publicKey), e.signedBytes(), e.Signature)
 }
 
-// memberMetadata is what a member announces of itself.
+// memberMetadata is what a member announces about itself.
 type memberMetadata struct {
 	Zone           string `codec:"Zone"`
 	ProgramVersion string `codec:"Program"`
@@ -63,39 +64,40 @@
 	return encoded, nil
 }
 
-// MetadataSizeError is returned for an Identity that is too long to be announced.
+// MetadataSizeError is returned for an Identity whose metadata is too large to be announced.
 type MetadataSizeError struct{ Bytes int }
 
-// Error gives the size and its bound.
+// Error returns a text with the size and the limit.
 func (err *MetadataSizeError) Error() string {
-	return fmt.Sprintf("peers: the metadata of this proxy has %d bytes, at most %d may be",
+	return fmt.Sprintf("peers: metadata of this proxy too large: got %d bytes, limit %d",
 		err.Bytes, maxMetadataBytes)
 }
 
-// MessageSizeError is returned for an encoded message that is too long.
+// MessageSizeError is returned for an encoded message that is too large.
 type MessageSizeError struct{ Bytes int }
 
-// Error gives the size and its bound.
+// Error returns a text with the size and the limit.
 func (err *MessageSizeError) Error() string {
-	return fmt.Sprintf("%d bytes, at most %d expected", err.Bytes, maxMessageBytes)
+	return fmt.Sprintf("message too large: got %d bytes, limit %d", err.Bytes, maxMessageBytes)
 }
 
 // MalformedError is returned for a message on which the decoder panicked.
 type MalformedError struct{ Cause any }
 
-// Error gives what the decoder said.
-func (err *MalformedError) Error() string { return fmt.Sprintf("malformed: %v", err.Cause) }
+// Error returns a text with the value of the decoder's panic.
+func (err *MalformedError) Error() string { return fmt.Sprintf("malformed message: %v", err.Cause) }
 
-// Encode returns a message as MessagePack.
+// Encode returns a message encoded as MessagePack.
 func Encode(message any) ([]byte, error) {
 	var encoded []byte
 	err := codec.NewEncoderBytes(&encoded, messagePack).Encode(message)
 	return encoded, err
 }
 
-// Decode reads what Encode has written, up to maxMessageBytes. It is safe for malformed input.
+// Decode decodes a message of at most maxMessageBytes that Encode returned. It returns an error for malformed input and
+// does not panic.
 func Decode(encoded []byte, message any) (err error) {
-	defer func() { // the library panics on some malformed input
+	defer func() { // the decoder panics on some malformed input
 		if cause := recover(); cause != nil {
 			err = &MalformedError{cause}
 		}
--- a/internal/peer/transport/config.go
+++ b/internal/peer/transport/config.go
@@ -14,31 +14,31 @@
 	"sloequay/internal/config"
 )
 
-// Config is the block `peers` of the settings.
+// Config is the `peers` block of the settings.
 type Config struct {
-	Listen, Advertise  string // host:port, TCP and UDP; an empty Advertise stands for Listen
+	Listen, Advertise  string // ip:port, TCP and UDP; an empty Advertise stands for Listen
 	Seeds              []string
 	KeyFile            string
-	MembersFile        string // for addresses of others; empty: none
-	Pollers, FleetSize int    // as bootstrap.Config has them; a FleetSize of 0: the platform's settings have it
+	MembersFile        string // stores addresses of other members; empty: none
+	Pollers, FleetSize int    // as in bootstrap.Config; a FleetSize of 0: the platform configuration has it
 	MaxMembers         int
-	keys               [][]byte // of KeyFile; the first encrypts
+	keys               [][]byte // from KeyFile; the first one encrypts
 }
 
-// The defaults of a Config.
+// Defaults of a Config.
 const (
 	defaultPollers    = 3
 	defaultMaxMembers = 2000
 )
 
-// KeyFileError is returned for a key file that can't be used.
+// KeyFileError is returned for a key file that cannot be used.
 type KeyFileError struct {
 	Path   string
-	Line   int // 0: all of it
+	Line   int // 0: the whole file
 	Reason string
 }
 
-// Error names the file, the line and the reason.
+// Error returns the file, the line if there is one, and the reason.
 func (err *KeyFileError) Error() string {
 	if err.Line == 0 {
 		return fmt.Sprintf("%s: %s", err.Path, err.Reason)
@@ -46,7 +46,7 @@
 	return fmt.Sprintf("%s:%d: %s", err.Path, err.Line, err.Reason)
 }
 
-// NewConfig returns settings with these values and the defaults.
+// NewConfig returns a Config with these values, the keys of the key file and the defaults.
 func NewConfig(listen, advertise, keyFile string, seeds []string) (Config, error) {
 	keys, err := readKeys(keyFile)
 	return Config{
@@ -60,25 +60,26 @@
 	}, err
 }
 
-// Section sets the defaults and returns the directives of the block.
+// Section sets the defaults and returns the directives of the `peers` block.
 func (c *Config) Section() *config.Section {
 	c.Pollers = defaultPollers
 	c.MaxMembers = defaultMaxMembers
 	section := &config.Section{}
-	section.Text("listen", &c.Listen, checkAddress, "where other proxies reach this one, by TCP and UDP")
-	section.Text("advertise", &c.Advertise, checkAddress, "the same as they see it, where it differs")
-	section.Words("seed", &c.Seeds, checkAddress, "addresses of some proxies; a few that start first will do")
+	section.Text("listen", &c.Listen, checkAddress, "address at which other proxies reach this one, for TCP and UDP")
+	section.Text("advertise", &c.Advertise, checkAddress,
+		"address that other proxies use to reach this one, if it differs")
+	section.Words("seed", &c.Seeds, checkAddress, "addresses of some proxies; a few that start first are enough")
 	section.Text("key-file", &c.KeyFile, nil,
-		"file with the fleet's keys, 16, 24 or 32 bytes in base64, a line each; the first encrypts")
+		"file with the fleet's keys of 16, 24 or 32 bytes in base64, one per line; the first one encrypts")
 	section.Text("remember", &c.MembersFile, checkFolder,
-		"file, on a disk that lasts, of some addresses of others: seeds of the next start")
-	section.Int("askers", &c.Pollers, 1, 100, "proxies of a zone that poll the list service")
-	section.Int("fleet", &c.FleetSize, 0, 100_000, "proxies that there are, for the time over which they poll "+
-		"where no peer is heard; 0: as the platform's settings tell")
-	section.Int("most", &c.MaxMembers, 1, 100_000, "other proxies that are remembered")
+		"file on a persistent disk for addresses of other proxies, which are seeds at the next start")
+	section.Int("askers", &c.Pollers, 1, 100, "number of proxies in a zone that poll the list service")
+	section.Int("fleet", &c.FleetSize, 0, 100_000, "number of proxies in the fleet, for the time over which they "+
+		"spread their polls without a peer in view; 0: the number in the platform configuration")
+	section.Int("most", &c.MaxMembers, 1, 100_000, "maximum number of other proxies in the view")
 	section.Check(func() error {
 		if c.Listen == "" || c.KeyFile == "" {
-			return errors.New("listen and key-file are needed")
+			return errors.New("listen and key-file are required")
 		}
 		var err error
 		c.keys, err = readKeys(c.KeyFile)
@@ -95,22 +96,22 @@
 	return nil
 }
 
-// checkFolder checks that the folder of a file exists.
+// checkFolder returns an error if the folder of a file does not exist.
 func checkFolder(path string) error {
 	if info, err := os.Stat(filepath.Dir(path)); err != nil || !info.IsDir() {
-		return fmt.Errorf("%.120s is in no folder", path)
+		return fmt.Errorf("folder of %.120s does not exist", path)
 	}
 	return nil
 }
 
-// readKeys reads the fleet's keys from a file that nobody else may read.
+// readKeys reads the fleet's keys from a file that is accessible to its owner only.
 func readKeys(path string) ([][]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if info.Mode().Perm()&0o077 != 0 {
-		return nil, &KeyFileError{Path: path, Reason: "others may read it; chmod 600"}
+		return nil, &KeyFileError{Path: path, Reason: "accessible to other users; run chmod 600"}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/peer/transport/delegate.go
+++ b/internal/peer/transport/delegate.go
@@ -6,13 +6,13 @@
 	"sloequay/internal/peer"
 )
 
-// delegate is what memberlist calls. No method waits.
+// delegate receives memberlist's callbacks. Its methods do not block.
 type delegate struct{ transport *Transport }
 
-// NodeMeta returns what this proxy announces of itself.
+// NodeMeta returns the metadata that this proxy announces.
 func (d delegate) NodeMeta(int) []byte { return d.transport.metadata }
 
-// NotifyMsg queues a message.
+// NotifyMsg queues a received message.
 func (d delegate) NotifyMsg(packet []byte) {
 	if !d.transport.enqueue(packet, d.transport.self.Name) {
 		d.transport.countDropped()
@@ -22,7 +22,7 @@
 // GetBroadcasts returns nothing: only membership is gossiped.
 func (d delegate) GetBroadcasts(int, int) [][]byte { return nil }
 
-// LocalState returns the message that goes along with an exchange of state, as when joining.
+// LocalState returns the message to send with a state exchange, such as the one on joining, or nil if there is none.
 func (d delegate) LocalState(bool) []byte {
 	t := d.transport
 	t.mu.Lock()
@@ -35,20 +35,20 @@
 	return packet
 }
 
-// MergeRemoteState queues such a message. Its sender's key came with the same exchange.
+// MergeRemoteState queues the message received with a state exchange. The same exchange brought its sender's key.
 func (d delegate) MergeRemoteState(packet []byte, _ bool) {
 	if len(packet) > 0 {
-		_ = d.transport.enqueue(packet, "") // if it is dropped, the next exchange brings a later one
+		_ = d.transport.enqueue(packet, "") // if it is dropped, the next exchange brings a newer one
 	}
 }
 
-// NotifyJoin takes a new member.
+// NotifyJoin adds a new member to the view.
 func (d delegate) NotifyJoin(node *memberlist.Node) { d.observe(node) }
 
-// NotifyUpdate takes a member with other metadata.
+// NotifyUpdate updates a member whose metadata has changed.
 func (d delegate) NotifyUpdate(node *memberlist.Node) { d.observe(node) }
 
-// NotifyLeave takes the end of a member.
+// NotifyLeave removes a member that left or was declared dead.
 func (d delegate) NotifyLeave(node *memberlist.Node) {
 	var metadata memberMetadata
 	if Decode(node.Meta, &metadata) != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-// observe takes a member that is alive.
+// observe adds or updates a member that is alive, and logs it if it is new, restarted or rejected.
 func (d delegate) observe(node *memberlist.Node) {
 	var metadata memberMetadata
 	if Decode(node.Meta, &metadata) != nil {
@@ -83,7 +83,7 @@
 	t.notifyChanged()
 }
 
-// observeMember updates the view, and remembers where to send messages for a member in it.
+// observeMember updates the view, and keeps the node to which the member's messages are sent.
 func (t *Transport) observeMember(node *memberlist.Node, metadata memberMetadata) peer.Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,13 +95,13 @@
 		Key:            string(metadata.Key),
 	})
 	if verdict != peer.Conflict && verdict != peer.NoCapacity && node.Name != t.self.Name {
-		copied := *node // the library changes its own
+		copied := *node // memberlist changes the original
 		t.nodes[node.Name] = &copied
 	}
 	return verdict
 }
 
-// removeMember drops a member if it has this incarnation, and reports whether it did.
+// removeMember removes a member if it is in the view with this incarnation, and reports whether it did.
 func (t *Transport) removeMember(name string, incarnation uint64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/peer/transport/join.go
+++ b/internal/peer/transport/join.go
@@ -12,49 +12,50 @@
 
 const (
 	// joinSpreadPerProxy is what each proxy of the fleet adds to the time over which first joins are spread: a seed
-	// takes in one after another, each with all that it knows of the others.
+	// serves one join after another, each with an exchange of its full state.
 	joinSpreadPerProxy = 3 * time.Millisecond
 	minJoinBackoff     = 100 * time.Millisecond
 	maxJoinBackoff     = 2 * time.Second
-	// maxBackoffDoublings is beyond what takes minJoinBackoff to maxJoinBackoff.
+	// maxBackoffDoublings bounds the doublings of minJoinBackoff. It is more than maxJoinBackoff needs.
 	maxBackoffDoublings = 8
-	// earlyJoinPeriod after the start is how long seeds are joined at short backoffs.
+	// earlyJoinPeriod is how long after the start seeds are joined at short backoffs.
 	earlyJoinPeriod = 10 * time.Second
-	// maxEarlyJoins bounds them: each costs the seed an exchange of all that it knows.
+	// maxEarlyJoins bounds these joins, since each costs the seed an exchange of its full state.
 	maxEarlyJoins = 3
-	// rejoinInterval is the backoff between joins of seeds that are not in view, so that two halves of a fleet that
-	// lost each other meet again. Each backoff is drawn from a quarter to five quarters of its value.
+	// rejoinInterval is the backoff between later joins of seeds that are not in view, so that the parts of a
+	// partitioned fleet find each other again. Each backoff is drawn from a quarter to five quarters of its value.
 	rejoinInterval = 15 * time.Second
 
-	maxRememberedMembers = 32
-	minRememberInterval  = 2 * time.Second
+	maxSavedMembers = 32
+	minSaveInterval = 2 * time.Second
 )
 
-// joinSchedule decides which seed is joined next, and how long the backoff after that is. One join is not enough at
-// first: proxies that start together after a power cut are each other's seeds, and would be an island beside those that
-// stayed alive, even where they are half of the fleet. Later a seed is joined now and then that is not in view.
+// joinSchedule decides which seed is joined next, and the backoff after it. A single join at the start is not enough:
+// proxies that start together after a power failure are each other's seeds, and would form a cluster separate from the
+// members that stayed alive, even if they are half of the fleet. Later, a seed that is not in view is joined from
+// time to time.
 //
-// Invariants: no seed is joined again while another one of the candidates was not tried in the same pass; those of the
-// settings come before those remembered, whose addresses may be gone; the backoff grows only from one pass to the next.
+// Invariants: no seed is joined again while another candidate is untried in the same pass; configured seeds come before
+// those from the members file, whose addresses may be out of date; the backoff grows only from one pass to the next.
 type joinSchedule struct {
-	joins  int             // seeds that answered
-	passes int             // that were begun
-	tried  map[string]bool // in this pass
+	joins  int             // joins that succeeded
+	passes int             // over the candidates, with the current one
+	tried  map[string]bool // seeds tried in this pass
 }
 
-// seedView is what a proxy sees of its fleet.
+// seedView is what a proxy knows about its seeds and its fleet when it chooses a seed.
 type seedView struct {
-	seeds    []string // without its own address
-	missing  []string // those of them that no member has
-	isHalf   bool     // half of the fleet is in view
-	hasPeers bool
+	seeds        []string // without its own address
+	missing      []string // seeds whose address no member in view has
+	isHalfInView bool     // at least half of the fleet is in view
+	hasPeers     bool
 }
 
-// next returns the seeds of which one may be joined at a time after the start, and the backoff.
+// next returns the seeds of which one may be joined, and the backoff after that join, given the time since the start.
 func (s *joinSchedule) next(elapsed time.Duration, view seedView) (candidates []string, backoff time.Duration) {
 	early := s.joins < maxEarlyJoins && elapsed < earlyJoinPeriod
 	candidates = view.missing
-	if early && len(candidates) == 0 && !view.isHalf {
+	if early && len(candidates) == 0 && !view.isHalfInView {
 		candidates = view.seeds
 	}
 	if s.tried == nil || len(s.untried(candidates)) == 0 {
@@ -67,17 +68,17 @@
 	return candidates, min(maxJoinBackoff, minJoinBackoff<<min(s.passes, maxBackoffDoublings))
 }
 
-// untried returns the candidates that were not tried in this pass.
+// untried returns the candidates that have not been tried in this pass.
 func (s *joinSchedule) untried(candidates []string) []string {
 	return slices.DeleteFunc(slices.Clone(candidates), func(seed string) bool { return s.tried[seed] })
 }
 
-// pick returns the candidate to be joined, of those that next returned, and notes that it was tried; "": there is none.
-// Of equal ones it is drawn by random, which returns a number below its argument.
+// pick returns one of the candidates that next returned and marks it as tried, or returns "" if there are none. It
+// prefers configured seeds, and draws one of several by random, which returns a number from 0 to below its argument.
 func (s *joinSchedule) pick(candidates, configured []string, random func(int) int) string {
 	choices := s.untried(candidates)
-	isRemembered := func(seed string) bool { return !slices.Contains(configured, seed) }
-	if preferred := slices.DeleteFunc(slices.Clone(choices), isRemembered); len(preferred) > 0 {
+	isSaved := func(seed string) bool { return !slices.Contains(configured, seed) }
+	if preferred := slices.DeleteFunc(slices.Clone(choices), isSaved); len(preferred) > 0 {
 		choices = preferred
 	}
 	if len(choices) == 0 {
@@ -88,7 +89,7 @@
 	return seed
 }
 
-// join joins seeds until Close.
+// join joins seeds as scheduled until Close, or returns at once if there are none.
 func (t *Transport) join() {
 	startedAt := time.Now()
 	spread := time.Duration(max(1, t.self.FleetSize)) * joinSpreadPerProxy
@@ -97,31 +98,31 @@
 	}
 	var schedule joinSchedule
 	for {
-		candidates, backoff := schedule.next(time.Since(startedAt), t.viewSeeds())
+		candidates, backoff := schedule.next(time.Since(startedAt), t.currentSeedView())
 		if t.joinOne(schedule.pick(candidates, t.config.Seeds, mathrand.IntN)) {
 			schedule.joins++
 		}
-		// Jitter: proxies that start together do not join the seeds together again.
+		// Jitter, so that proxies that started together do not join the seeds at the same times again.
 		if !t.sleep(backoff/4 + randomDuration(backoff)) {
 			return
 		}
 	}
 }
 
-// viewSeeds returns what this proxy sees of its fleet now.
-func (t *Transport) viewSeeds() seedView {
+// currentSeedView returns what this proxy knows now.
+func (t *Transport) currentSeedView() seedView {
 	seeds := t.otherSeeds()
 	return seedView{
-		seeds:    seeds,
-		missing:  t.notInView(seeds),
-		isHalf:   t.isHalfInView(),
-		hasPeers: t.list.NumMembers() > 1,
+		seeds:        seeds,
+		missing:      t.notInView(seeds),
+		isHalfInView: t.isHalfInView(),
+		hasPeers:     t.list.NumMembers() > 1,
 	}
 }
 
 func (t *Transport) isHalfInView() bool { return 2*t.list.NumMembers() >= t.self.FleetSize }
 
-// joinOne joins an address, and reports whether it answered; "": there is none to join.
+// joinOne joins the member at an address, and reports whether that succeeded. An empty address means no member.
 func (t *Transport) joinOne(address string) bool {
 	if address == "" {
 		return false
@@ -141,7 +142,7 @@
 	return others
 }
 
-// notInView returns the addresses that no member has.
+// notInView returns the addresses that no member in view has.
 func (t *Transport) notInView(addresses []string) []string {
 	inView := map[string]bool{}
 	for _, member := range t.list.Members() {
@@ -156,7 +157,7 @@
 	return missing
 }
 
-// readMembersFile reads the addresses that an earlier incarnation remembered; what can't be used is skipped.
+// readMembersFile reads at most maxSavedMembers addresses that an earlier incarnation saved, and skips invalid ones.
 func readMembersFile(path string) []string {
 	if path == "" {
 		return nil
@@ -164,16 +165,16 @@
 	var addresses []string
 	text, _ := os.ReadFile(path)
 	for _, word := range strings.Fields(string(text)) {
-		if checkAddress(word) == nil && len(addresses) < maxRememberedMembers {
+		if checkAddress(word) == nil && len(addresses) < maxSavedMembers {
 			addresses = append(addresses, word)
 		}
 	}
 	return addresses
 }
 
-// rememberMembers writes addresses of present members, drawn at random so that not all proxies return to the same
-// ones.
-func (t *Transport) rememberMembers() {
+// saveMembers writes addresses of current members to the members file. They are drawn at random, so that not all
+// proxies join the same members after a restart.
+func (t *Transport) saveMembers() {
 	var addresses []string
 	for _, member := range t.list.Members() {
 		if member.Name != t.self.Name {
@@ -184,13 +185,13 @@
 		return
 	}
 	mathrand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
-	addresses = addresses[:min(len(addresses), maxRememberedMembers)]
+	addresses = addresses[:min(len(addresses), maxSavedMembers)]
 	if err := atomicfile.Replace(t.config.MembersFile, []byte(strings.Join(addresses, "\n")+"\n"), 0o600); err != nil {
 		t.receiver.Log("peer-transport-failed", "error", err)
 	}
 }
 
-// randomDuration draws from 0 up to a limit.
+// randomDuration returns a random duration from 0 to below the limit.
 func randomDuration(limit time.Duration) time.Duration {
 	return time.Duration(mathrand.Int64N(int64(limit)))
 }
--- a/internal/peer/transport/join_test.go
+++ b/internal/peer/transport/join_test.go
@@ -11,73 +11,75 @@
 	"time"
 )
 
-// TestIslandLooksForTheRest guards against proxies that restart together, meet each other first, and look for those
-// that stayed alive only seconds later, as half of the fleet is in view: who has no list until then rejects requests.
-func TestIslandLooksForTheRest(t *testing.T) {
+// TestSeparatedProxiesJoinMissingSeeds guards against proxies that restart together, join each other first, and try the
+// members that stayed alive only seconds later, because half of the fleet is already in view. A proxy that has no
+// endpoint list until then rejects requests.
+func TestSeparatedProxiesJoinMissingSeeds(t *testing.T) {
 	seeds := []string{"a", "b", "c"}
 	var schedule joinSchedule
 	if candidates, _ := schedule.next(0, seedView{seeds: seeds, missing: seeds}); !slices.Equal(candidates, seeds) {
-		t.Errorf("at first: %v, want any seed", candidates)
+		t.Errorf("at the start: got candidates %v, want all seeds", candidates)
 	}
 	schedule.joins++
-	island := seedView{seeds: seeds, missing: seeds[2:], isHalf: true, hasPeers: true}
+	separated := seedView{seeds: seeds, missing: seeds[2:], isHalfInView: true, hasPeers: true}
 	for elapsed := 300 * time.Millisecond; elapsed < earlyJoinPeriod; elapsed += time.Second {
-		candidates, backoff := schedule.next(elapsed, island)
+		candidates, backoff := schedule.next(elapsed, separated)
 		if !slices.Equal(candidates, seeds[2:]) || backoff > maxJoinBackoff {
-			t.Errorf("%v after the start, half in view: joins %v and then waits %v, want the missing one within %v",
+			t.Errorf("%v after the start, half in view: got %v and backoff %v, want the missing seed and at most %v",
 				elapsed, candidates, backoff, maxJoinBackoff)
 		}
 	}
-	if _, backoff := schedule.next(earlyJoinPeriod, island); backoff != rejoinInterval {
-		t.Errorf("later: backoff %v, want %v", backoff, rejoinInterval)
+	if _, backoff := schedule.next(earlyJoinPeriod, separated); backoff != rejoinInterval {
+		t.Errorf("after the early period: got backoff %v, want %v", backoff, rejoinInterval)
 	}
 }
 
-// TestEarlyJoinsAreBounded: a seed exchanges all that it knows at each join.
+// TestEarlyJoinsAreBounded checks that early joins end after maxEarlyJoins, or when all seeds and half of the fleet are
+// in view: each join costs the seed an exchange of its full state.
 func TestEarlyJoinsAreBounded(t *testing.T) {
 	seeds := []string{"a", "b", "c"}
 	var schedule joinSchedule
 	for range maxEarlyJoins {
 		if candidates, _ := schedule.next(time.Second, seedView{seeds: seeds, hasPeers: true}); len(candidates) == 0 {
-			t.Error("less than half is in view, and no seed is joined")
+			t.Error("less than half of the fleet in view: got no candidates, want some")
 		}
 		schedule.joins++
 	}
 	if candidates, _ := schedule.next(time.Second, seedView{seeds: seeds, hasPeers: true}); len(candidates) != 0 {
-		t.Errorf("after %d joins: %v, want none", maxEarlyJoins, candidates)
+		t.Errorf("after %d joins: got candidates %v, want none", maxEarlyJoins, candidates)
 	}
-	complete := seedView{seeds: seeds, isHalf: true, hasPeers: true}
+	complete := seedView{seeds: seeds, isHalfInView: true, hasPeers: true}
 	if candidates, _ := new(joinSchedule).next(time.Second, complete); len(candidates) != 0 {
-		t.Errorf("all seeds and half of the fleet are in view: joins %v, want none", candidates)
+		t.Errorf("all seeds and half of the fleet in view: got candidates %v, want none", candidates)
 	}
 }
 
-// TestMembersFileHasThoseThatCameLast opens a proxy's peers one after another, within the interval in which its
-// members file is written once: the file must have all of them in the end, though nothing changes after the last
-// one came. With the first ones alone in it, proxies that were killed and restarted together joined each other and
-// were an island beside those that stayed alive. The proxy is the seed of its peers, so that each exchanges its state
-// with it on joining: gossip alone can miss a member until the next exchange, half a minute later.
-func TestMembersFileHasThoseThatCameLast(t *testing.T) {
+// TestMembersFileIncludesLateMembers opens a proxy's peers one after another, within the interval in which the members
+// file is written at most once. In the end the file must have all of them, although no change follows the last join.
+// With only the first ones in the file, proxies that were killed and restarted together joined each other and formed a
+// cluster separate from the members that stayed alive. The proxy is the seed of its peers, so that each peer exchanges
+// its state with it on joining: gossip alone can miss a member until the next exchange, half a minute later.
+func TestMembersFileIncludesLateMembers(t *testing.T) {
 	f := newFleet(t)
 	key := f.keyFile("key", "0123456789abcdef")
 	membersFile := filepath.Join(f.folder, "members")
 	_, receiver := f.open(1, "a", key, membersFile)
 	f.open(2, "b", key, "")
-	f.waitUntil("the first peer is remembered", func() bool { return len(readMembersFile(membersFile)) == 1 })
+	f.waitUntil("the first peer is saved", func() bool { return len(readMembersFile(membersFile)) == 1 })
 
 	f.open(3, "c", key, "")
 	f.open(4, "d", key, "")
 
 	f.waitUntil("all peers are in view", func() bool { return receiver.sees("b", "c", "d") })
-	f.waitUntil("all peers are remembered", func() bool { return len(readMembersFile(membersFile)) == 3 })
+	f.waitUntil("all peers are saved", func() bool { return len(readMembersFile(membersFile)) == 3 })
 }
 
-// TestGoneSeedsDelayNoJoin guards against a fleet that moved: the addresses that a proxy remembers are gone, and refuse
-// at once, while the seeds of the settings answer.
-func TestGoneSeedsDelayNoJoin(t *testing.T) {
+// TestUnreachableSeedsDoNotDelayJoin guards against a slow join after the fleet has moved to other addresses: those in
+// the members file refuse connections at once, while the configured seeds answer.
+func TestUnreachableSeedsDoNotDelayJoin(t *testing.T) {
 	configured := []string{"s1", "s2"}
 	seeds := slices.Clone(configured)
-	for i := range maxRememberedMembers {
+	for i := range maxSavedMembers {
 		seeds = append(seeds, fmt.Sprint("gone", i))
 	}
 	view := seedView{seeds: seeds, missing: seeds}
@@ -90,37 +92,38 @@
 			candidates, backoff := schedule.next(time.Second, view)
 			seed := schedule.pick(candidates, configured, random.IntN)
 			if seen[seed] || (i < len(configured)) != slices.Contains(configured, seed) {
-				t.Fatalf("pass %d, join %d: %q, want each seed once and those of the settings first", pass, i, seed)
+				t.Fatalf("pass %d, join %d: got %q, want each seed once and the configured ones first", pass, i, seed)
 			}
 			if want := minJoinBackoff << pass; backoff != want {
-				t.Fatalf("pass %d, join %d: backoff %v, want %v as long as seeds are untried", pass, i, backoff, want)
+				t.Fatalf("pass %d, join %d: got backoff %v, want %v while seeds are untried", pass, i, backoff, want)
 			}
 			seen[seed] = true
 			picked = append(picked, seed)
 		}
 	}
 	if slices.Equal(picked[:len(seeds)], picked[len(seeds):]) {
-		t.Error("two passes have the same order, want it drawn")
+		t.Error("got the same order in two passes, want random orders")
 	}
 	if seed := schedule.pick(nil, configured, random.IntN); seed != "" {
-		t.Errorf("of no candidates %q was picked", seed)
+		t.Errorf("pick without candidates: got %q, want none", seed)
 	}
 }
 
-// readyTimeout is how long a proxy waits at its start for sources, the peers among them, before it says ready.
+// readyTimeout is how long a starting proxy waits for its sources, the peers among them, before it reports ready.
 const readyTimeout = 3 * time.Second
 
-// TestRestartedProxyJoinsDespiteGoneMembers guards against a proxy of a fleet that moved which has no list from its
-// peers when it says ready: 32 remembered addresses refuse, and one seed of the settings answers.
-func TestRestartedProxyJoinsDespiteGoneMembers(t *testing.T) {
+// TestRestartedProxyJoinsDespiteUnreachableMembers guards against a proxy that reports ready without a list from its
+// peers, after its fleet has moved to other addresses: the 32 saved addresses refuse connections, and one configured
+// seed answers.
+func TestRestartedProxyJoinsDespiteUnreachableMembers(t *testing.T) {
 	f := newFleet(t)
 	key := f.keyFile("key", "0123456789abcdef")
 	membersFile := filepath.Join(f.folder, "members")
-	var gone strings.Builder
-	for i := range maxRememberedMembers {
-		fmt.Fprintln(&gone, f.vacantAddress(100+i))
+	var unreachable strings.Builder
+	for i := range maxSavedMembers {
+		fmt.Fprintln(&unreachable, f.unusedAddress(100+i))
 	}
-	if err := os.WriteFile(membersFile, []byte(gone.String()), 0o600); err != nil {
+	if err := os.WriteFile(membersFile, []byte(unreachable.String()), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	f.open(1, "a", key, "")
@@ -128,6 +131,6 @@
 	_, receiver := f.open(2, "b", key, membersFile)
 	f.waitUntil("the seed is in view", func() bool { return receiver.sees("a") })
 	if took := time.Since(startedAt); took > readyTimeout {
-		t.Errorf("joined after %v, want it within %v", took.Round(time.Millisecond), readyTimeout)
+		t.Errorf("joined after %v, want within %v", took.Round(time.Millisecond), readyTimeout)
 	}
 }
--- a/internal/peer/transport/messages.go
+++ b/internal/peer/transport/messages.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	maxDatagramBytes   = 1100 // larger messages go over a connection
+	maxDatagramBytes   = 1100 // larger messages are sent over a connection
 	sendQueueLength    = 512  // messages
 	receiveQueueLength = 1024 // messages
-	maxReliableSends   = 16   // connections at once
+	maxReliableSends   = 16   // concurrent connections
 )
 
 type outgoing struct {
@@ -19,14 +19,14 @@
 	body []byte
 }
 
-// incoming is a message as it came: by itself, addressed to this proxy, or along with an exchange of state,
-// addressed to nobody.
+// incoming is a received packet and the recipient that its envelope must name: this proxy for a message that was
+// sent alone, nobody ("") for one that came with a state exchange.
 type incoming struct {
 	packet []byte
 	to     string
 }
 
-// sendQueued sends what is queued until Close.
+// sendQueued sends the queued messages until Close.
 func (t *Transport) sendQueued() {
 	connections := make(chan struct{}, maxReliableSends)
 	for {
@@ -42,7 +42,8 @@
 		}
 		packet, err := t.seal(next.to, next.body)
 		if err != nil || len(packet) > maxMessageBytes {
-			t.receiver.Log("peer-transport-failed", "error", fmt.Sprintf("a message of %d bytes: %v", len(packet), err))
+			t.receiver.Log("peer-transport-failed", "error",
+				fmt.Sprintf("message of %d bytes not sent: %v", len(packet), err))
 			continue
 		}
 		t.countSent(len(packet))
@@ -56,7 +57,7 @@
 			return
 		}
 		t.goroutines.Go(func() {
-			_ = t.list.SendReliable(node, packet) // a lost message is fetched again
+			_ = t.list.SendReliable(node, packet) // lost content is fetched again
 			<-connections
 		})
 	}
@@ -78,15 +79,15 @@
 // seal numbers, signs and encodes a message.
 func (t *Transport) seal(to string, body []byte) ([]byte, error) {
 	t.mu.Lock()
-	t.number++
-	number := t.number
+	t.lastNumber++
+	number := t.lastNumber
 	t.mu.Unlock()
 	e := envelope{From: t.self.Name, Incarnation: t.self.Incarnation, Number: number, To: to, Body: body}
 	t.sign(&e)
 	return Encode(e)
 }
 
-// enqueue queues a copy of a received packet, and reports false if the queue is full.
+// enqueue queues a copy of a received packet, and reports whether the queue had room for it.
 func (t *Transport) enqueue(packet []byte, to string) bool {
 	select {
 	case t.receiveQueue <- incoming{slices.Clone(packet), to}:
@@ -96,7 +97,7 @@
 	}
 }
 
-// receiveQueued passes valid messages to the receiver until Close.
+// receiveQueued passes the queued messages that are valid to the receiver until Close.
 func (t *Transport) receiveQueued() {
 	for {
 		select {
@@ -119,7 +120,8 @@
 	t.receiver.MessageReceived(e.From, e.Body)
 }
 
-// isValid reports whether a member in view signed the message, and whether it is new.
+// isValid reports whether a member in the view signed the message and the message is new. It records the message's
+// number.
 func (t *Transport) isValid(e envelope) bool {
 	t.mu.Lock()
 	key, known := t.view.Key(e.From, e.Incarnation)
--- a/internal/peer/transport/transport.go
+++ b/internal/peer/transport/transport.go
@@ -1,19 +1,21 @@
-// Package transport connects a proxy to the others of its fleet. Membership is memberlist's (SWIM with suspicion and
-// Lifeguard, encrypted with the fleet's keys); messages travel as its datagrams or, where they are large, over
-// connections. Package peer decides which members and messages are valid; this package does the I/O.
+// Package transport connects a proxy to the other proxies of its fleet. Membership is managed by memberlist (SWIM with
+// suspicion and Lifeguard, encrypted with the fleet's keys). Messages are sent as memberlist's datagrams or, if they
+// are large, over connections. Package peer decides which members and messages are valid; this package does the I/O.
 //
-// The fleet's keys exclude other programs, but do not tell members apart. So each incarnation of a proxy draws a
-// pair of Ed25519 keys, announces the public one with its membership, and signs its messages: no member can send in
-// the name of another one that is alive.
+// The fleet's keys keep other programs out, but do not tell members apart. Therefore each incarnation of a proxy
+// generates an Ed25519 key pair, announces the public key with its membership, and signs its messages: no member can
+// send in the name of another one that is alive.
 //
 // Invariants:
-//   - a message reaches the Receiver once, and only if its sender signed it for this proxy or for an exchange of state;
-//   - the Receiver gets one message at a time, in no certain order; a message may be lost;
+//   - a message reaches the Receiver at most once, and only if its sender signed it for this proxy or for a state
+//     exchange;
+//   - the Receiver gets one message at a time, in no guaranteed order; a message may be lost;
 //   - Send, SetState, Status and AnnounceShutdown do not wait for the network.
 //
-// Bounds: queues by sendQueueLength and receiveQueueLength, a message by maxMessageBytes, connections at once by
-// maxReliableSends, members by Config.MaxMembers. Close waits for all goroutines of the transport; what they wait
-// for on the network ends after connectTimeout, and an announced shutdown after its own time-out.
+// Bounds: the queues by sendQueueLength and receiveQueueLength, a message by maxMessageBytes, concurrent connections
+// for large messages by maxReliableSends, members by Config.MaxMembers. Close waits for all goroutines of the
+// transport; their network operations end after connectTimeout, and an announcement of a shutdown after its own
+// timeout.
 package transport
 
 import (
@@ -37,26 +39,27 @@
 
 const (
 	connectTimeout = 2 * time.Second
-	// membersDelay is how long changes of the members are gathered, so that a fleet that joins is reported at once.
+	// membersDelay is how long membership changes are collected before they are reported, so that members that join
+	// together are reported together.
 	membersDelay = 20 * time.Millisecond
-	// reclaimDelay is how long a member has to be dead before another address may take its name: a proxy that is
-	// started anew may have one.
+	// reclaimDelay is how long a member must be dead before a member at another address may take its name: a proxy may
+	// have another address after a restart.
 	reclaimDelay = time.Second
-	// retransmitFactor is half of the library's: a fleet that starts has each of its N members announce each of the
-	// N, and what is missed comes with the next exchange of state.
+	// retransmitFactor is half of memberlist's default: when a fleet of N starts, each member announces all N. An
+	// announcement that a member misses reaches it with the next state exchange.
 	retransmitFactor = 2
 )
 
-// Identity is who this proxy is.
+// Identity describes this proxy.
 type Identity struct {
 	Name, Zone, ProgramVersion string
 	Incarnation                uint64
 	FleetSize                  int          // configured number of proxies
-	LocalAddr                  *net.TCPAddr // local address of connections to others; nil: the listen address
+	LocalAddr                  *net.TCPAddr // of connections to other members; nil: the IP address of Config.Listen
 }
 
-// Receiver takes what the transport receives. It is called on the transport's goroutines, each method by one at a
-// time except Log.
+// Receiver handles membership changes, messages and log events of a transport. Its methods are called on the
+// transport's goroutines. No method except Log is called concurrently with itself.
 type Receiver interface {
 	MembersChanged(members []peer.Member)
 	MessageReceived(from string, body []byte)
@@ -65,12 +68,12 @@
 
 // Counters counts messages and bytes.
 type Counters struct {
-	MessagesSent, BytesSent uint64 // sent
-	Dropped                 uint64 // of either direction, as a queue was full
-	Rejected                uint64 // received, and not valid
+	MessagesSent, BytesSent uint64
+	Dropped                 uint64 // in either direction, because a queue was full
+	Rejected                uint64 // received but not valid
 }
 
-// Transport is a proxy's membership in the fleet.
+// Transport holds a proxy's membership in the fleet and exchanges messages with the other members.
 type Transport struct {
 	config       Config
 	self         Identity
@@ -78,34 +81,34 @@
 	list         *memberlist.Memberlist
 	privateKey   ed25519.PrivateKey
 	metadata     []byte
-	seeds        []string // of the settings, and those remembered
+	seeds        []string // from the settings and from the members file
 	sendQueue    chan outgoing
 	receiveQueue chan incoming
-	changed      chan struct{} // the view has changed
+	changed      chan struct{} // holds a signal when the view has changed
 
-	ctx        context.Context // until Close
+	ctx        context.Context // canceled by Close
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 
-	mu       sync.Mutex
-	view     *peer.View
-	nodes    map[string]*memberlist.Node // by name, of the members in the view
-	number   uint64                      // of the last message
-	state    []byte                      // message that goes along with an exchange of state; nil: none
-	counters Counters
+	mu         sync.Mutex
+	view       *peer.View
+	nodes      map[string]*memberlist.Node // by name, for the members in the view
+	lastNumber uint64                      // number of the last message that was sealed
+	state      []byte                      // message sent with each state exchange; nil: none
+	counters   Counters
 }
 
-// Open joins the fleet. It returns once the proxy listens, and goes on joining until Close.
+// Open joins the fleet. It returns once the proxy listens, and continues to join members until Close.
 func Open(config Config, self Identity, receiver Receiver) (*Transport, error) {
 	t, err := newTransport(config, self, receiver)
 	if err != nil {
 		return nil, err
 	}
-	library, err := t.libraryConfig()
+	listConfig, err := t.memberlistConfig()
 	if err != nil {
 		return nil, err
 	}
-	if t.list, err = memberlist.Create(library); err != nil {
+	if t.list, err = memberlist.Create(listConfig); err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
 	t.goroutines.Go(t.join)
@@ -144,50 +147,51 @@
 	return t, nil
 }
 
-// libraryConfig returns the settings of memberlist, with a network transport that listens already.
-func (t *Transport) libraryConfig() (*memberlist.Config, error) {
+// memberlistConfig returns memberlist's settings, with a network transport that is already listening.
+func (t *Transport) memberlistConfig() (*memberlist.Config, error) {
 	listen := netip.MustParseAddrPort(t.config.Listen)
 	advertise := listen
 	if t.config.Advertise != "" {
 		advertise = netip.MustParseAddrPort(t.config.Advertise)
 	}
-	// The library's own times for a LAN. With probes twice as often and 200 ms for an answer, 300 that started on a
-	// machine that had no time for all of them held each other for dead, and the gossip about that took the rest. A
-	// second probe by a connection made it worse: where datagrams do not arrive there is no gossip either.
-	library := memberlist.DefaultLANConfig()
-	library.TCPTimeout = connectTimeout
-	library.DisableTcpPings = true
-	library.RetransmitMult = retransmitFactor
-	library.DeadNodeReclaimTime = reclaimDelay
-	library.EnableCompression = false
-	library.Name = t.self.Name
-	library.BindAddr = listen.Addr().String()
-	library.BindPort = int(listen.Port())
-	library.AdvertiseAddr = advertise.Addr().String()
-	library.AdvertisePort = int(advertise.Port())
-	library.Delegate = delegate{t}
-	library.Events = delegate{t}
-	library.LogOutput = nil
-	library.Logger = log.New(io.Discard, "", 0)
+	// Use memberlist's probe interval and timeout for a LAN. With twice as many probes and 200 ms for a response, 300
+	// members that started on one machine without CPU time for all of them declared each other dead, and the gossip
+	// about that used the remaining CPU time. Fallback probes over TCP made it worse; they are of no use either, since
+	// a member that gets no datagrams gets no gossip.
+	listConfig := memberlist.DefaultLANConfig()
+	listConfig.TCPTimeout = connectTimeout
+	listConfig.DisableTcpPings = true
+	listConfig.RetransmitMult = retransmitFactor
+	listConfig.DeadNodeReclaimTime = reclaimDelay
+	listConfig.EnableCompression = false
+	listConfig.Name = t.self.Name
+	listConfig.BindAddr = listen.Addr().String()
+	listConfig.BindPort = int(listen.Port())
+	listConfig.AdvertiseAddr = advertise.Addr().String()
+	listConfig.AdvertisePort = int(advertise.Port())
+	listConfig.Delegate = delegate{t}
+	listConfig.Events = delegate{t}
+	listConfig.LogOutput = nil
+	listConfig.Logger = log.New(io.Discard, "", 0)
 	var err error
-	if library.Keyring, err = memberlist.NewKeyring(t.config.keys, t.config.keys[0]); err != nil {
+	if listConfig.Keyring, err = memberlist.NewKeyring(t.config.keys, t.config.keys[0]); err != nil {
 		return nil, err
 	}
 	network, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
-		BindAddrs: []string{library.BindAddr}, BindPort: library.BindPort, Logger: library.Logger,
+		BindAddrs: []string{listConfig.BindAddr}, BindPort: listConfig.BindPort, Logger: listConfig.Logger,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	from := t.self.LocalAddr
-	if from == nil {
-		from = &net.TCPAddr{IP: listen.Addr().AsSlice()}
+	localAddr := t.self.LocalAddr
+	if localAddr == nil {
+		localAddr = &net.TCPAddr{IP: listen.Addr().AsSlice()}
 	}
-	library.Transport = boundTransport{network, from}
-	return library, nil
+	listConfig.Transport = boundTransport{network, localAddr}
+	return listConfig, nil
 }
 
-// Send queues a message for a member, or drops it if the queue is full.
+// Send queues a message to a member, or drops it if the queue is full.
 func (t *Transport) Send(to string, body []byte) {
 	select {
 	case t.sendQueue <- outgoing{to, body}:
@@ -196,38 +200,39 @@
 	}
 }
 
-// SetState sets the message that goes along when two members exchange their state.
+// SetState sets the message that is sent with each state exchange between this proxy and another member.
 func (t *Transport) SetState(body []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.state = body
 }
 
-// Status returns the members in view and the counters.
+// Status returns the members in the view and the counters.
 func (t *Transport) Status() ([]peer.Member, Counters) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.view.Members(), t.counters
 }
 
-// AnnounceShutdown starts to tell the other members that this proxy leaves, for at most the time-out.
+// AnnounceShutdown starts announcing to the other members that this proxy leaves, and gives up after the timeout.
 func (t *Transport) AnnounceShutdown(timeout time.Duration) {
 	t.goroutines.Go(func() { _ = t.list.Leave(timeout) })
 }
 
-// Close leaves the network and waits for the transport's goroutines. The Receiver must not block for ever.
+// Close stops all network activity and waits for the transport's goroutines. The Receiver must not block forever.
 func (t *Transport) Close() {
 	t.cancel()
 	_ = t.list.Shutdown()
 	t.goroutines.Wait()
 }
 
-// publishMembers reports the members to the receiver after each change, and remembers some of their addresses. A
-// change that comes too soon after they were written is written later: a fleet that starts together is in view
-// within a second, and a file of those that were met first leads a restarted proxy to them alone.
+// publishMembers reports the members to the receiver after each change, and saves some of their addresses to the
+// members file. Changes within minSaveInterval of a write are written when it has passed: the members of a fleet that
+// starts together come into view within a second, and a file with only the first of them would lead a restarted proxy
+// to those alone.
 func (t *Transport) publishMembers() {
-	var rememberedAt time.Time
-	var rememberDue <-chan time.Time // nil: all that is known is written
+	var savedAt time.Time
+	var saveDue <-chan time.Time // nil: no write is pending
 	for {
 		select {
 		case <-t.changed:
@@ -236,20 +241,20 @@
 			}
 			members, _ := t.Status()
 			t.receiver.MembersChanged(members)
-			if t.config.MembersFile != "" && rememberDue == nil {
-				rememberDue = time.After(max(0, minRememberInterval-time.Since(rememberedAt)))
+			if t.config.MembersFile != "" && saveDue == nil {
+				saveDue = time.After(max(0, minSaveInterval-time.Since(savedAt)))
 			}
-		case <-rememberDue:
-			rememberedAt = time.Now()
-			rememberDue = nil
-			t.rememberMembers()
+		case <-saveDue:
+			savedAt = time.Now()
+			saveDue = nil
+			t.saveMembers()
 		case <-t.ctx.Done():
 			return
 		}
 	}
 }
 
-// sleep waits, and reports false if the transport is closed meanwhile.
+// sleep waits for the duration. It returns false if the transport is closed before it has passed.
 func (t *Transport) sleep(duration time.Duration) bool {
 	select {
 	case <-time.After(duration):
@@ -265,19 +270,19 @@
 	t.counters.Dropped++
 }
 
-// boundTransport is memberlist's own transport with a local address for its connections.
+// boundTransport is memberlist's network transport with a fixed local address for outgoing connections.
 type boundTransport struct {
 	*memberlist.NetTransport
-	from *net.TCPAddr
+	localAddr *net.TCPAddr
 }
 
-// DialTimeout connects to a member.
+// DialTimeout connects to a member over TCP.
 func (t boundTransport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: timeout, LocalAddr: t.from}
+	dialer := net.Dialer{Timeout: timeout, LocalAddr: t.localAddr}
 	return dialer.Dial("tcp", address)
 }
 
-// DialAddressTimeout connects to a member.
+// DialAddressTimeout connects to a member over TCP.
 func (t boundTransport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(address.Addr, timeout)
 }
--- a/internal/peer/transport/transport_test.go
+++ b/internal/peer/transport/transport_test.go
@@ -16,7 +16,7 @@
 	"sloequay/internal/peer"
 )
 
-// recorder is a Receiver that keeps the members and the messages.
+// recorder is a Receiver that records the members and the messages.
 type recorder struct {
 	mu       sync.Mutex
 	members  map[string]bool
@@ -46,7 +46,7 @@
 	return !slices.ContainsFunc(names, func(name string) bool { return !r.members[name] })
 }
 
-// count returns how often a message came.
+// count returns how often a message was received.
 func (r *recorder) count(message string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,11 +59,11 @@
 	return count
 }
 
-// fleet opens transports on loopback addresses of their own. The first one is the seed of all others.
+// fleet opens transports, each on a loopback address of its own. The first one is the seed of all others.
 type fleet struct {
 	t      *testing.T
 	folder string
-	prefix string // of the addresses
+	prefix string // first three bytes of the addresses
 	seed   string
 }
 
@@ -80,9 +80,9 @@
 	return path
 }
 
-func (f *fleet) open(number int, name, keyFile, membersFile string) (*Transport, *recorder) {
+func (f *fleet) open(lastByte int, name, keyFile, membersFile string) (*Transport, *recorder) {
 	f.t.Helper()
-	listen := f.vacantAddress(number)
+	listen := f.unusedAddress(lastByte)
 	var seeds []string
 	if f.seed != "" {
 		seeds = []string{f.seed}
@@ -103,9 +103,9 @@
 	return transport, receiver
 }
 
-func (f *fleet) vacantAddress(number int) string {
+func (f *fleet) unusedAddress(lastByte int) string {
 	f.t.Helper()
-	listener, err := net.Listen("tcp", fmt.Sprintf("%s.%d:0", f.prefix, number))
+	listener, err := net.Listen("tcp", fmt.Sprintf("%s.%d:0", f.prefix, lastByte))
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -113,16 +113,16 @@
 	return listener.Addr().String()
 }
 
-func (f *fleet) waitUntil(event string, happened func() bool) {
+func (f *fleet) waitUntil(description string, condition func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(15 * time.Second); !happened(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(15 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			f.t.Fatalf("waited in vain until %s", event)
+			f.t.Fatalf("timed out waiting until %s", description)
 		}
 	}
 }
 
-// packet returns an envelope, signed by a transport and encoded.
+// packet returns the envelope, signed by a transport and encoded.
 func (f *fleet) packet(signer *Transport, e envelope) []byte {
 	f.t.Helper()
 	signer.sign(&e)
@@ -133,24 +133,24 @@
 	return packet
 }
 
-// TestMembersAndStrangers: members find each other and receive each other's messages once, small ones and large
-// ones; a program with another key finds nobody; a message in another member's name, or for another receiver, is
-// rejected; and noise does no harm.
-func TestMembersAndStrangers(t *testing.T) {
+// TestMembersExchangeOnlyValidMessages checks that members find each other and receive each other's messages once, both
+// small and large ones; that a program with another fleet key finds no member; that a message in another member's name
+// or to another recipient is rejected; and that corrupted packets do no harm.
+func TestMembersExchangeOnlyValidMessages(t *testing.T) {
 	f := newFleet(t)
 	keyFile := f.keyFile("right", "0123456789abcdef")
 	membersFile := filepath.Join(f.folder, "peers")
 	a, receivedByA := f.open(1, "a", keyFile, "")
 	_, receivedByB := f.open(2, "b", keyFile, membersFile)
 	c, receivedByC := f.open(3, "c", keyFile, "")
-	_, receivedByStranger := f.open(4, "x", f.keyFile("wrong", "fedcba9876543210"), "")
-	f.waitUntil("all see each other", func() bool {
+	_, receivedByOutsider := f.open(4, "x", f.keyFile("wrong", "fedcba9876543210"), "")
+	f.waitUntil("all members see each other", func() bool {
 		return receivedByA.sees("b", "c") && receivedByB.sees("a", "c") && receivedByC.sees("a", "b")
 	})
 	large := strings.Repeat("x", 50<<10)
 	a.Send("b", []byte("small"))
 	a.Send("b", []byte(large))
-	f.waitUntil("both came", func() bool {
+	f.waitUntil("both messages have arrived", func() bool {
 		return receivedByB.count("a small") == 1 && receivedByB.count("a "+large) == 1
 	})
 
@@ -169,33 +169,33 @@
 	})
 	random := rand.New(rand.NewPCG(1, 1))
 	for range 200 {
-		noise := slices.Clone(valid)
+		corrupted := slices.Clone(valid)
 		for range 1 + random.IntN(8) {
-			noise[random.IntN(len(noise))] = byte(random.IntN(256))
+			corrupted[random.IntN(len(corrupted))] = byte(random.IntN(256))
 		}
-		_ = c.list.SendBestEffort(b, noise[:1+random.IntN(len(noise))])
+		_ = c.list.SendBestEffort(b, corrupted[:1+random.IntN(len(corrupted))])
 	}
 	for range 3 {
 		_ = c.list.SendBestEffort(b, valid)
 	}
 	c.mu.Lock()
-	c.number = number // numbers far below the latest one are rejected
+	c.lastNumber = number // a number too far below the latest one would be rejected
 	c.mu.Unlock()
-	f.waitUntil("the last message came", func() bool {
+	f.waitUntil("the last message has arrived", func() bool {
 		c.Send("b", []byte("last")) // a datagram may be lost
 		return receivedByB.count("c last") > 0
 	})
-	f.waitUntil("the valid message came", func() bool { return receivedByB.count("c once") == 1 })
+	f.waitUntil("the valid message has arrived", func() bool { return receivedByB.count("c once") == 1 })
 	for message, want := range map[string]int{"a forged": 0, "c replayed": 0, "c once": 1} {
 		if got := receivedByB.count(message); got != want {
-			t.Errorf("%q came %d times, want %d", message, got, want)
+			t.Errorf("message %q: received %d times, want %d", message, got, want)
 		}
 	}
-	if receivedByA.sees("x") || receivedByStranger.sees("a") {
-		t.Error("a program with another key is a member")
+	if receivedByA.sees("x") || receivedByOutsider.sees("a") {
+		t.Error("a program with another fleet key is a member, want it kept out")
 	}
 
-	f.waitUntil("addresses are remembered", func() bool { return len(readMembersFile(membersFile)) > 0 })
+	f.waitUntil("addresses are saved", func() bool { return len(readMembersFile(membersFile)) > 0 })
 	a.AnnounceShutdown(time.Second)
-	f.waitUntil("a member that shuts down is gone", func() bool { return !receivedByB.sees("a") })
+	f.waitUntil("the member that shuts down has left", func() bool { return !receivedByB.sees("a") })
 }
