--- a/internal/snapshot/disk/disk.go
+++ b/internal/snapshot/disk/disk.go
@@ -1,4 +1,4 @@
-// Package disk writes and reads the file of a snapshot, so that whoever reads it finds the old snapshot or the new one
+// Package disk writes and reads the file of a snapshot. A reader finds either the old snapshot or the new one,
 // complete, whenever the process or the machine stops.
 //
 // Invariants: those of atomicfile.Replace.
@@ -17,7 +17,7 @@
 	"sloequay/internal/snapshot"
 )
 
-// Write replaces the snapshot at a path.
+// Write replaces the snapshot at path.
 func Write(path string, data []byte) error {
 	if err := atomicfile.Replace(path, data, 0o600); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
@@ -25,10 +25,11 @@
 	return nil
 }
 
-// Clean removes temporary files that a crash in Write has left beside the snapshot.
+// Clean removes temporary files that a crash in Write has left next to the snapshot.
 func Clean(path string) { atomicfile.Clean(path) }
 
-// Read reads the snapshot at a path and gives its age; see snapshot.Decode and snapshot.Check for what they refuse.
+// Read returns the reports in the snapshot at path and the snapshot's age. It rejects what snapshot.Decode and
+// snapshot.Check reject.
 func Read(
 	path string, now time.Duration, limits snapshot.Limits,
 ) (reports []membership.SourceReport, age time.Duration, err error) {
@@ -57,7 +58,7 @@
 		return nil, err
 	}
 	if len(data) > snapshot.MaxBytes {
-		return nil, fmt.Errorf("%w: over %d bytes", snapshot.ErrInvalid, snapshot.MaxBytes)
+		return nil, fmt.Errorf("%w: larger than %d bytes", snapshot.ErrInvalid, snapshot.MaxBytes)
 	}
 	return data, nil
 }
--- a/internal/snapshot/disk/disk_test.go
+++ b/internal/snapshot/disk/disk_test.go
@@ -19,7 +19,7 @@
 	return snapshot.Limits{MaxAge: maxAge, Zones: zones, Kinds: kinds}
 }
 
-func someReports() []membership.SourceReport {
+func testReports() []membership.SourceReport {
 	return []membership.SourceReport{
 		{Source: "consul:cache", Version: 71, LastSeen: now - time.Second, Endpoints: []membership.Endpoint{
 			{ID: "c1", Address: "10.0.0.1:1", Zone: 1, Kind: 0, Cell: 2, Weight: 4.5, StartedAt: 3 * time.Second,
@@ -30,9 +30,9 @@
 	}
 }
 
-func encodeSome(t testing.TB) []byte {
+func encodeTestReports(t testing.TB) []byte {
 	t.Helper()
-	data, err := snapshot.Encode(now, someReports())
+	data, err := snapshot.Encode(now, testReports())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,45 +41,46 @@
 
 func TestRoundTrip(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
-	for range 2 { // the second replaces the first
-		if err := Write(path, encodeSome(t)); err != nil {
+	for range 2 { // the second file replaces the first
+		if err := Write(path, encodeTestReports(t)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	got, age, err := Read(path, now+time.Hour, limits(2*time.Hour, 2, 1))
-	if diff := cmp.Diff(someReports(), got); err != nil || age != time.Hour || diff != "" {
-		t.Errorf("age %v, %v (-want +got):\n%s", age, err, diff)
+	if diff := cmp.Diff(testReports(), got); err != nil || age != time.Hour || diff != "" {
+		t.Errorf("got age %v, error %v (-want +got):\n%s", age, err, diff)
 	}
 	if files, _ := os.ReadDir(filepath.Dir(path)); len(files) != 1 {
-		t.Errorf("%d files are left, want the snapshot alone", len(files))
+		t.Errorf("got %d files, want only the snapshot", len(files))
 	}
 	if err := os.WriteFile(path+".new-1", []byte("half"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	Clean(path)
 	if files, _ := os.ReadDir(filepath.Dir(path)); len(files) != 1 {
-		t.Errorf("%d files are left after cleaning", len(files))
+		t.Errorf("got %d files after Clean, want only the snapshot", len(files))
 	}
 }
 
-// TestTornAtEveryLength: a snapshot is refused wherever it is cut off, and whichever of its bytes is changed.
-func TestTornAtEveryLength(t *testing.T) {
-	data := encodeSome(t)
+// TestCorruptSnapshotIsRejected checks that a snapshot is rejected if it is truncated to any shorter length, or if any
+// one of its bytes is changed.
+func TestCorruptSnapshotIsRejected(t *testing.T) {
+	data := encodeTestReports(t)
 	for n := range data {
 		_, _, err := snapshot.Decode(data[:n], now, time.Hour)
 		if !errors.Is(err, snapshot.ErrCorrupt) && !errors.Is(err, snapshot.ErrInvalid) {
-			t.Fatalf("the first %d bytes of %d: %v", n, len(data), err)
+			t.Fatalf("first %d of %d bytes: got error %v, want ErrCorrupt or ErrInvalid", n, len(data), err)
 		}
-		changed := append([]byte(nil), data...)
-		changed[n] ^= 0x11
-		if reports, _, err := snapshot.Decode(changed, now, time.Hour); err == nil {
-			t.Fatalf("with byte %d changed it reads as %+v", n, reports)
+		corrupted := append([]byte(nil), data...)
+		corrupted[n] ^= 0x11
+		if reports, _, err := snapshot.Decode(corrupted, now, time.Hour); err == nil {
+			t.Fatalf("byte %d changed: got reports %+v, want an error", n, reports)
 		}
 	}
 }
 
-func TestRefused(t *testing.T) {
-	data := encodeSome(t)
+func TestReadAndWriteErrors(t *testing.T) {
+	data := encodeTestReports(t)
 	newer := append([]byte("sloequay-list 2 "), data[len("sloequay-list 1 "):]...)
 	for _, c := range []struct {
 		name string
@@ -90,16 +91,16 @@
 		{"another program's file", []byte("#!/bin/sh\n"), now, snapshot.ErrInvalid},
 		{"a newer version", newer, now, snapshot.ErrVersion},
 		{"too old", data, now + 2*time.Hour, snapshot.ErrTooOld},
-		{"from the future", data, now - time.Hour, snapshot.ErrFuture},
+		{"written in the future", data, now - time.Hour, snapshot.ErrFuture},
 		{"empty", nil, now, snapshot.ErrCorrupt},
-		{"with something behind", append(append([]byte(nil), data...), ' '), now, snapshot.ErrCorrupt},
+		{"trailing byte", append(append([]byte(nil), data...), ' '), now, snapshot.ErrCorrupt},
 	} {
 		path := filepath.Join(t.TempDir(), "list")
 		if err := os.WriteFile(path, c.data, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if _, _, err := Read(path, c.now, limits(time.Hour, 2, 1)); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, err, c.want)
+			t.Errorf("%s: got error %v, want %v", c.name, err, c.want)
 		}
 	}
 	path := filepath.Join(t.TempDir(), "list")
@@ -107,16 +108,17 @@
 		t.Fatal(err)
 	}
 	if _, _, err := Read(path, now, limits(time.Hour, 1, 1)); !errors.Is(err, snapshot.ErrInvalid) {
-		t.Errorf("endpoints of a zone that the settings do not have: %v", err)
+		t.Errorf("endpoint of a zone that is not in the settings: got error %v, want ErrInvalid", err)
 	}
 	if err := Write(filepath.Join(t.TempDir(), "no", "such", "folder"), data); err == nil {
-		t.Error("written to a folder that is not there")
+		t.Error("Write to a missing folder: got no error, want one")
 	}
 }
 
-// TestSilentSource: the report of a source that was silent for too long is left out, however new the snapshot is.
-func TestSilentSource(t *testing.T) {
-	reports := someReports()
+// TestDecodeOmitsStaleSources checks that the report of a source that was last seen too long ago is omitted, however
+// recent the snapshot is.
+func TestDecodeOmitsStaleSources(t *testing.T) {
+	reports := testReports()
 	reports[0].LastSeen = now - 2*time.Hour
 	data, err := snapshot.Encode(now, reports)
 	if err != nil {
@@ -124,13 +126,14 @@
 	}
 	got, _, err := snapshot.Decode(data, now, time.Hour)
 	if err != nil || len(got) != 1 || got[0].Source != "bulletin" {
-		t.Errorf("%+v, %v, want the bulletin's report alone", got, err)
+		t.Errorf("got reports %+v, error %v, want only that of the bulletin", got, err)
 	}
 }
 
-// FuzzDecode: no file ends the program, and what is accepted is written again as the same reports.
+// FuzzDecode checks that no input causes a panic, and that decoded reports stay the same when they are encoded and
+// decoded again.
 func FuzzDecode(f *testing.F) {
-	data := encodeSome(f)
+	data := encodeTestReports(f)
 	f.Add(data)
 	f.Add(data[:len(data)/2])
 	f.Add([]byte("sloequay-list 1 2 a3f8a34f\n{}"))
@@ -140,13 +143,13 @@
 		if err != nil {
 			return
 		}
-		again, err := snapshot.Encode(now, reports)
+		encodedAgain, err := snapshot.Encode(now, reports)
 		if err != nil {
-			return // a weight that JSON can't have
+			return // a weight that JSON cannot represent
 		}
-		back, _, err := snapshot.Decode(again, now, time.Hour)
-		if diff := cmp.Diff(reports, back); err != nil || diff != "" {
-			t.Fatalf("%v (-first +second):\n%s", err, diff)
+		decodedAgain, _, err := snapshot.Decode(encodedAgain, now, time.Hour)
+		if diff := cmp.Diff(reports, decodedAgain); err != nil || diff != "" {
+			t.Fatalf("error %v (-first +second):\n%s", err, diff)
 		}
 	})
 }
--- a/internal/snapshot/disk/stored_test.go
+++ b/internal/snapshot/disk/stored_test.go
@@ -18,8 +18,9 @@
 	storedAt   = 1_790_000_000 * time.Second
 )
 
-// TestStoredFile reads a file that an earlier build wrote: without the source that was last seen over a day before,
-// refused where the settings lack its zones or kinds or where it is too old, and written by Write as the same bytes.
+// TestStoredFile checks that Read reads a file that an earlier build wrote and omits the source that was last seen more
+// than a day before; that it rejects the file if the settings lack one of its kinds, or if it is too old; and that
+// Write writes the same bytes.
 func TestStoredFile(t *testing.T) {
 	want := []membership.SourceReport{
 		{
@@ -34,14 +35,14 @@
 	}
 	got, age, err := Read(storedFile, storedAt+time.Hour, limits(24*time.Hour, 2, 3))
 	if diff := cmp.Diff(want, got); err != nil || age != time.Hour || diff != "" {
-		t.Errorf("age %v, %v (-want +got):\n%s", age, err, diff)
+		t.Errorf("got age %v, error %v (-want +got):\n%s", age, err, diff)
 	}
 	if _, _, err := Read(storedFile, storedAt, limits(24*time.Hour, 2, 2)); !errors.Is(err, snapshot.ErrInvalid) {
-		t.Errorf("with a kind too few: %v, want it refused", err)
+		t.Errorf("settings with one kind too few: got error %v, want ErrInvalid", err)
 	}
 	_, _, err = Read(storedFile, storedAt+25*time.Hour, limits(24*time.Hour, 2, 3))
 	if !errors.Is(err, snapshot.ErrTooOld) {
-		t.Errorf("after 25 hours: %v, want it refused", err)
+		t.Errorf("after 25 hours: got error %v, want ErrTooOld", err)
 	}
 	stored, err := os.ReadFile(storedFile)
 	if err != nil {
@@ -53,6 +54,6 @@
 	}
 	written, err := os.ReadFile(path)
 	if diff := cmp.Diff(string(stored), string(written)); err != nil || diff != "" {
-		t.Errorf("%v (-stored +written):\n%s", err, diff)
+		t.Errorf("error %v (-stored +written):\n%s", err, diff)
 	}
 }
--- a/internal/snapshot/stored.go
+++ b/internal/snapshot/stored.go
@@ -7,7 +7,8 @@
 	"sloequay/internal/membership"
 )
 
-// storedSnapshot is the JSON. Its names and those of the types below are part of the form; times are Unix milliseconds.
+// storedSnapshot is the JSON of a snapshot. The JSON names in this type and those below are part of the format. Times
+// are Unix milliseconds.
 type storedSnapshot struct {
 	WrittenMS int64          `json:"written_ms"`
 	Sources   []storedSource `json:"sources"`
@@ -94,12 +95,14 @@
 	}, nil
 }
 
-// loadState refuses "gone" as well: Export leaves out endpoints that are gone.
+// loadState returns the endpoint's state. It also rejects "gone", since membership.Table.Export
+// omits endpoints that are gone.
 func (e *storedEndpoint) loadState() (membership.State, error) {
 	for _, state := range [...]membership.State{membership.Up, membership.Draining} {
 		if e.State == state.String() {
 			return state, nil
 		}
 	}
-	return membership.Gone, fmt.Errorf("%w: endpoint %.64q is %.32q", ErrInvalid, e.ID, e.State)
+	return membership.Gone, fmt.Errorf("%w: endpoint %.64q has state %.32q, want up or draining",
+		ErrInvalid, e.ID, e.State)
 }
--- a/internal/snapshot/stored_test.go
+++ b/internal/snapshot/stored_test.go
@@ -12,7 +12,7 @@
 
 const storedAt = 1_790_000_000 * time.Second
 
-// storedReports are the reports that testdata/sloequay.list was written from.
+// storedReports returns the reports that testdata/sloequay.list was written from.
 func storedReports() []membership.SourceReport {
 	return []membership.SourceReport{
 		{
@@ -29,7 +29,7 @@
 	}
 }
 
-// TestStoredSnapshot reads a snapshot that an earlier build wrote, and writes the same reports again as the same bytes.
+// TestStoredSnapshot decodes a snapshot that an earlier build wrote, and encodes the same reports to the same bytes.
 func TestStoredSnapshot(t *testing.T) {
 	stored, err := os.ReadFile("testdata/sloequay.list")
 	if err != nil {
@@ -37,10 +37,10 @@
 	}
 	got, age, err := Decode(stored, storedAt+time.Minute, 72*time.Hour)
 	if diff := cmp.Diff(storedReports(), got); err != nil || age != time.Minute || diff != "" {
-		t.Errorf("age %v, %v (-want +got):\n%s", age, err, diff)
+		t.Errorf("got age %v, error %v (-want +got):\n%s", age, err, diff)
 	}
 	written, err := Encode(storedAt, storedReports())
 	if diff := cmp.Diff(string(stored), string(written)); err != nil || diff != "" {
-		t.Errorf("%v, the form of the file has changed (-stored +written):\n%s", err, diff)
+		t.Errorf("error %v, the file format has changed (-stored +written):\n%s", err, diff)
 	}
 }
