--- a/internal/peer/transport/config.go
+++ b/internal/peer/transport/config.go
@@ -20,7 +20,7 @@
 	Seeds              []string
 	KeyFile            string
 	MembersFile        string // stores addresses of other members; empty: none
-	Pollers, FleetSize int    // as in bootstrap.Config; a FleetSize of 0: the platform configuration has it
+	Pollers, FleetSize int    // as in bootstrap.Config; a FleetSize of 0 is taken from the platform configuration
 	MaxMembers         int
 	keys               [][]byte // from KeyFile; the first one encrypts
 }
--- a/internal/peer/transport/join.go
+++ b/internal/peer/transport/join.go
@@ -23,7 +23,7 @@
 	// maxEarlyJoins bounds these joins, since each costs the seed an exchange of its full state.
 	maxEarlyJoins = 3
 	// rejoinInterval is the backoff between later joins of seeds that are not in view, so that the parts of a
-	// partitioned fleet find each other again. Each backoff is drawn from a quarter to five quarters of its value.
+	// partitioned fleet find each other again. The time waited is drawn from a quarter to five quarters of a backoff.
 	rejoinInterval = 15 * time.Second
 
 	maxSavedMembers = 32
