--- a/test/catalogue_test.go
+++ b/test/catalogue_test.go
@@ -237,7 +237,10 @@
 		cluster.Mark("cache", "c2", consul.Passing)
 		time.Sleep(30 * time.Millisecond)
 	}
-	for _, want := range []string{`instance=node-c9/c9 error="c9: port 0 is not in the range 1 to 65535"`, `site \"nowhere\" is not in the settings`} {
+	for _, want := range []string{
+		`instance=node-c9/c9 error="c9: port 0 is not in the range 1 to 65535"`,
+		`site \"nowhere\" is not in the settings`,
+	} {
 		if n := bed.timesLogged(want); n != 1 {
 			t.Errorf("%q is logged %d times, want once", want, n)
 		}
