--- a/internal/cli/contracts.go
+++ b/internal/cli/contracts.go
@@ -65,7 +65,7 @@
 	case options.explain:
 		fmt.Fprintln(out, "as written, nothing being used:")
 		ledger := settings.Contracts.Ledger()
-		proxy.Explain(out, ledger, system.Monotonic(), args[0], args[1], options.service)
+		proxy.ExplainBudgets(out, ledger, system.Monotonic(), args[0], args[1], options.service)
 		return nil
 	}
 	return checkContracts(out, settings.Contracts)
--- a/internal/proxy/admin_socket.go
+++ b/internal/proxy/admin_socket.go
@@ -55,7 +55,7 @@
 		if len(words) > 3 {
 			service = words[3]
 		}
-		Explain(&out, s.quotas, s.clock.Monotonic(), words[1], words[2], service)
+		ExplainBudgets(&out, s.quotas, s.clock.Monotonic(), words[1], words[2], service)
 	default:
 		return contractsUsageText
 	}
@@ -110,8 +110,8 @@
 	}
 }
 
-// Explain prints which budgets apply to a request, the nearest first, and what is left.
-func Explain(out io.Writer, quotas *quota.Ledger, now time.Duration, team, class, service string) {
+// ExplainBudgets prints which budgets apply to a request, the nearest first, and what is left.
+func ExplainBudgets(out io.Writer, quotas *quota.Ledger, now time.Duration, team, class, service string) {
 	usages, refusal := quotas.Explain(now, team, service, class)
 	if refusal != nil {
 		fmt.Fprintln(out, "refused:", refusal)
--- a/internal/proxy/deferral/deferral.go
+++ b/internal/proxy/deferral/deferral.go
@@ -27,8 +27,8 @@
 	r.deferred = false
 }
 
-// Flush reports whether the attempts gathered so far may be written, given how long the round has taken.
-func (r *Rounds) Flush(elapsed time.Duration) bool {
+// MayFlush reports whether the attempts gathered so far may be written, given how long the round has taken.
+func (r *Rounds) MayFlush(elapsed time.Duration) bool {
 	if elapsed > maxRoundTime && r.mayDefer {
 		r.deferred = true
 	}
--- a/internal/proxy/deferral/deferral_test.go
+++ b/internal/proxy/deferral/deferral_test.go
@@ -22,10 +22,10 @@
 	} {
 		rounds := Rounds{deferred: c.deferredBefore}
 		rounds.Begin()
-		if rounds.Flush(c.took); rounds.Deferred() != c.want {
+		if rounds.MayFlush(c.took); rounds.Deferred() != c.want {
 			t.Errorf("%s: deferred %v, want %v", c.name, rounds.Deferred(), c.want)
 		}
-		if rounds.Flush(0); rounds.Deferred() != c.want {
+		if rounds.MayFlush(0); rounds.Deferred() != c.want {
 			t.Errorf("%s: after another look in the same round deferred %v, want %v", c.name, rounds.Deferred(), c.want)
 		}
 	}
@@ -47,7 +47,7 @@
 				longest = max(longest, elapsed)
 				stalled := longest > 50*time.Millisecond
 				want := previousDeferred || !stalled
-				if got := rounds.Flush(elapsed); got != want {
+				if got := rounds.MayFlush(elapsed); got != want {
 					t.Fatalf("after %v, deferred before %v: may write %v, want %v",
 						longest, previousDeferred, got, want)
 				}
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -7,7 +7,7 @@
 // newStartup returns the startup of a proxy. Only one whose endpoints come from a catalogue has to wait for them.
 func newStartup(plan *Plan) readiness.Startup {
 	if plan.settings.Catalogue == nil {
-		return readiness.CompleteStartup()
+		return readiness.NewCompletedStartup()
 	}
 	return readiness.NewStartup(plan.fleetSize())
 }
--- a/internal/proxy/readiness/readiness.go
+++ b/internal/proxy/readiness/readiness.go
@@ -45,8 +45,8 @@
 	return Startup{limit: sourceTimeout + time.Duration(proxies)*bootstrap.PollWindowPerProxy}
 }
 
-// CompleteStartup returns the startup of a proxy that waits for no source.
-func CompleteStartup() Startup { return Startup{complete: true} }
+// NewCompletedStartup returns the startup of a proxy that waits for no source.
+func NewCompletedStartup() Startup { return Startup{complete: true} }
 
 // Complete reports whether the startup is complete.
 func (s *Startup) Complete() bool { return s.complete }
--- a/internal/proxy/readiness/readiness_test.go
+++ b/internal/proxy/readiness/readiness_test.go
@@ -42,7 +42,7 @@
 
 // TestStartupWithoutSources: a proxy without a catalogue is ready at once.
 func TestStartupWithoutSources(t *testing.T) {
-	startup := CompleteStartup()
+	startup := NewCompletedStartup()
 	if !startup.Complete() || !startup.Observe(0, Sources{}) {
 		t.Error("not complete")
 	}
--- a/internal/proxy/round.go
+++ b/internal/proxy/round.go
@@ -57,7 +57,7 @@
 
 // flush writes the attempts of the round, unless they are deferred to the next one.
 func (s *server) flush(roundBegan time.Duration) {
-	if !s.rounds.Flush(s.clock.Monotonic() - roundBegan) {
+	if !s.rounds.MayFlush(s.clock.Monotonic() - roundBegan) {
 		return
 	}
 	for _, pool := range s.pools {
@@ -68,7 +68,7 @@
 // deferWrites reports whether attempts that are about to be written are left to the next round after all, as the
 // process stood still since the round gathered them.
 func (s *server) deferWrites() bool {
-	if s.rounds.Flush(s.clock.Monotonic() - s.roundBeganAt) {
+	if s.rounds.MayFlush(s.clock.Monotonic() - s.roundBeganAt) {
 		return false
 	}
 	s.loop.WakeAfter(0) // by the timer, as in scheduleNextRound, which did not know
