--- a/internal/proxy/admin/admin.go
+++ b/internal/proxy/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin is the operators' socket: a command is one line, the answer is text up to the end of the connection.
-// The socket is a file of its owner's alone, so that those who may read the proxy's settings may send commands, and
-// nobody on the network.
+// Package admin implements the operators' socket, a Unix domain socket. A connection carries one command, which is a
+// line of text, and one answer, which is text that ends with the connection. Only the owner of the socket's file has
+// access to it, so nobody can send commands over the network.
 package admin
 
 import (
@@ -18,28 +18,28 @@
 
 const (
 	maxConnections = 4
-	// maxCommandSize is in bytes, the end of the line included.
+	// maxCommandSize is the maximum length of a command in bytes, including the newline.
 	maxCommandSize = 1024
-	// timeout bounds one exchange; who asks waits for twice as long.
+	// timeout limits one exchange on the proxy's side; Query waits twice as long for the answer.
 	timeout = 2 * time.Second
-	// acceptPause is the time from an accept that failed to the next.
-	acceptPause = 100 * time.Millisecond
-	// ownerOnly is the umask by which the socket is its owner's alone.
-	ownerOnly = 0o177
-	// errorPrefix marks an answer that says why there is none.
+	// acceptRetryDelay is the pause after a failed accept.
+	acceptRetryDelay = 100 * time.Millisecond
+	// ownerOnlyUmask is the umask with which only the owner can read and write the socket.
+	ownerOnlyUmask = 0o177
+	// errorPrefix marks an answer that is an error message.
 	errorPrefix = "error: "
 )
 
-// ErrInUse says that another process answers on the socket.
-var ErrInUse = errors.New("another process answers there")
+// ErrInUse is returned if another process listens on the socket.
+var ErrInUse = errors.New("another process is listening on the socket")
 
-// Handler gets the words of a command on a goroutine of its own, and sends the answer, without blocking, when it has
-// it.
+// Handler handles a command, given as its words, and sends the answer to the channel, then or later. The channel is
+// buffered, so the one send does not block. Each call runs on its own goroutine.
 type Handler func(words []string, answer chan<- string)
 
-// Listen opens the socket and answers beside the caller, until the process ends. It blocks while the system has no
-// memory or descriptor for that, for some seconds at most. acceptFailed is told, on a goroutine of the socket's, of
-// connections that could not be accepted.
+// Listen opens the socket and serves it on other goroutines until the process ends. While the system is out of memory
+// or file descriptors, Listen blocks and retries for a few seconds. acceptFailed is called on the accepting goroutine
+// with the error of each failed accept.
 func Listen(path string, handler Handler, acceptFailed func(error)) error {
 	var listener net.Listener
 	err := socket.RetryLocal(func() (err error) {
@@ -53,17 +53,18 @@
 	return nil
 }
 
-// openSocket tries once to open the socket. What a failed try leaves is stale for the next.
+// openSocket tries once to open the socket. If it fails after creating the file, the next try removes that file as
+// stale.
 func openSocket(path string) (net.Listener, error) {
 	if err := removeStale(path); err != nil {
 		return nil, err
 	}
-	previous := syscall.Umask(ownerOnly)
+	previous := syscall.Umask(ownerOnlyUmask)
 	defer syscall.Umask(previous)
 	return net.Listen("unix", path)
 }
 
-// removeStale removes the socket of a process that was killed.
+// removeStale removes a socket file that nobody listens on, such as that of a killed process.
 func removeStale(path string) error {
 	conn, dialErr := net.DialTimeout("unix", path, timeout)
 	if dialErr == nil {
@@ -80,7 +81,7 @@
 	return nil
 }
 
-// accept serves connections until the listener is closed, and closes at once those beyond maxConnections.
+// accept serves connections until the listener is closed. Connections beyond maxConnections are closed immediately.
 func accept(listener net.Listener, handler Handler, acceptFailed func(error)) {
 	slots := make(chan struct{}, maxConnections)
 	for {
@@ -88,9 +89,9 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // for want of descriptors or memory, which passes
+		if err != nil { // the system is out of descriptors or memory, which is temporary
 			acceptFailed(err)
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		select {
@@ -112,7 +113,7 @@
 	if err != nil {
 		return
 	}
-	answer := make(chan string, 1) // so that an answer after the time-out blocks nobody
+	answer := make(chan string, 1) // buffered, so that a handler that answers after the timeout does not block
 	handler(strings.Fields(line), answer)
 	select {
 	case text := <-answer:
@@ -121,8 +122,8 @@
 	}
 }
 
-// Query sends a command to a running proxy, and writes its answer to out. An answer that says why there is none
-// becomes the error.
+// Query sends a command to a running proxy and writes the answer to out. If the answer is an error message, Query
+// returns it as an error instead.
 func Query(out io.Writer, path, command string) error {
 	conn, err := net.DialTimeout("unix", path, timeout)
 	if err != nil {
--- a/internal/proxy/admin/admin_test.go
+++ b/internal/proxy/admin/admin_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// listen opens a socket whose answers are the words of the command, or an error for the command `bad`.
-func listen(t *testing.T) string {
+// startEchoSocket opens a socket that answers with the words of the command, or with an error to the command `bad`.
+func startEchoSocket(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "admin")
 	err := Listen(path, func(words []string, answer chan<- string) {
@@ -20,7 +20,7 @@
 			return
 		}
 		answer <- strings.Join(words, ",") + "\n"
-	}, ignoreFailure)
+	}, ignoreError)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,30 +28,30 @@
 }
 
 func TestQuery(t *testing.T) {
-	path := listen(t)
+	path := startEchoSocket(t)
 	var out strings.Builder
 	if err := Query(&out, path, "contracts lanes  urgent"); err != nil || out.String() != "contracts,lanes,urgent\n" {
-		t.Errorf("answer %q, %v", out.String(), err)
+		t.Errorf("answer: got %q, %v, want the words joined by commas", out.String(), err)
 	}
 	out.Reset()
 	err := Query(&out, path, "bad")
 	if err == nil || err.Error() != "no such command" || out.Len() > 0 {
-		t.Errorf("a command that is refused: %q, %v", out.String(), err)
+		t.Errorf("rejected command: got output %q, error %v, want no output and the handler's error", out.String(), err)
 	}
 	if err := Query(&out, path+".none", "state"); err == nil {
-		t.Error("no error without a socket")
+		t.Error("query without a socket: got no error, want one")
 	}
 }
 
-// TestListenInUse: a socket on which a process answers is not taken over.
+// TestListenInUse checks that a socket on which a process listens is not replaced.
 func TestListenInUse(t *testing.T) {
-	path := listen(t)
+	path := startEchoSocket(t)
 	if err := Listen(path, nil, nil); !errors.Is(err, ErrInUse) {
-		t.Errorf("got %v, want %v", err, ErrInUse)
+		t.Errorf("second Listen on the socket: got error %v, want %v", err, ErrInUse)
 	}
 }
 
-// TestListenReplacesStaleSocket: what a killed process left is not in the way.
+// TestListenReplacesStaleSocket checks that the socket file of a killed process is replaced.
 func TestListenReplacesStaleSocket(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "admin")
 	stale, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -62,12 +62,12 @@
 	if err := stale.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := Listen(path, func([]string, chan<- string) {}, ignoreFailure); err != nil {
+	if err := Listen(path, func([]string, chan<- string) {}, ignoreError); err != nil {
 		t.Error(err)
 	}
 }
 
-// failingListener fails its first accepts, as one does where the machine has no descriptor or memory left.
+// failingListener fails its first accepts, like a listener on a machine that is out of file descriptors or memory.
 type failingListener struct {
 	net.Listener
 	failures []error
@@ -82,9 +82,9 @@
 	return l.Listener.Accept()
 }
 
-// TestFailedAcceptsEndNothing guards against an operators' socket that is dead for the rest of the process after one
-// accept has failed for a moment.
-func TestFailedAcceptsEndNothing(t *testing.T) {
+// TestServingContinuesAfterFailedAccepts guards against an operators' socket that stays dead until the process ends
+// because one accept failed temporarily.
+func TestServingContinuesAfterFailedAccepts(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "admin")
 	listener, err := net.Listen("unix", path)
 	if err != nil {
@@ -93,15 +93,15 @@
 	defer listener.Close()
 	failing := &failingListener{Listener: listener, failures: []error{syscall.ENFILE, syscall.ENOMEM}}
 	var reported atomic.Int64
-	go accept(failing, func(_ []string, answer chan<- string) { answer <- "well\n" },
+	go accept(failing, func(_ []string, answer chan<- string) { answer <- "ok\n" },
 		func(error) { reported.Add(1) })
 	var out strings.Builder
-	if err := Query(&out, path, "state"); err != nil || out.String() != "well\n" {
-		t.Errorf("answer %q, %v", out.String(), err)
+	if err := Query(&out, path, "state"); err != nil || out.String() != "ok\n" {
+		t.Errorf("answer: got %q, %v, want %q", out.String(), err, "ok\n")
 	}
 	if got := reported.Load(); got != 2 {
-		t.Errorf("%d failures were reported, want 2", got)
+		t.Errorf("failed accepts reported: got %d, want 2", got)
 	}
 }
 
-func ignoreFailure(error) {}
+func ignoreError(error) {}
--- a/internal/proxy/deferral/deferral.go
+++ b/internal/proxy/deferral/deferral.go
@@ -1,33 +1,34 @@
-// Package deferral decides when the attempts of a round of the event loop are left to the next round. While a round
-// stalls, clients may leave and endpoints may drain: what has come meanwhile is read before attempts are written. It
-// does no I/O and reads no clock.
+// Package deferral decides whether a round of the event loop writes its attempts to endpoints or defers them to the
+// next round. While a round stalls, clients may disconnect and endpoints may start draining; deferring the attempts
+// lets the loop read those events first. The package does no I/O and reads no clock.
 //
 // Invariants:
 //   - a round that has deferred its attempts writes none until it ends;
-//   - of two rounds that follow each other at most one defers, or a machine that is always slow would send nothing;
-//   - a round that is shorter than maxRoundTime defers nothing.
+//   - of two consecutive rounds, at most one defers; otherwise a machine that is always slow would never send anything;
+//   - a round that takes at most maxRoundTime defers nothing.
 //
 // Bounds: an attempt is deferred by one round at most.
 package deferral
 
 import "time"
 
-// maxRoundTime is how long after the beginning of a round its attempts are still written.
+// maxRoundTime is how long after the start of a round its attempts are still written.
 const maxRoundTime = 50 * time.Millisecond
 
-// Rounds is the rounds of one event loop. The zero value has had none.
+// Rounds tracks which rounds of one event loop defer their attempts. The zero value is ready for the first round.
 type Rounds struct {
-	deferred bool // in this round
-	mayDefer bool
+	deferred bool // the current round has deferred its attempts
+	mayDefer bool // the previous round has not, so this one may
 }
 
-// Begin begins the next round.
+// Begin starts the next round.
 func (r *Rounds) Begin() {
 	r.mayDefer = !r.deferred
 	r.deferred = false
 }
 
-// MayFlush reports whether the attempts gathered so far may be written, given how long the round has taken.
+// MayFlush reports whether the attempts gathered so far may be written, given the time since the start of the round.
+// Once it has returned false, it returns false for the rest of the round.
 func (r *Rounds) MayFlush(elapsed time.Duration) bool {
 	if elapsed > maxRoundTime && r.mayDefer {
 		r.deferred = true
@@ -35,5 +36,5 @@
 	return !r.deferred
 }
 
-// Deferred reports whether this round has left attempts to the next one.
+// Deferred reports whether the current round has deferred its attempts to the next one.
 func (r *Rounds) Deferred() bool { return r.deferred }
--- a/internal/proxy/descriptors/descriptors.go
+++ b/internal/proxy/descriptors/descriptors.go
@@ -1,64 +1,65 @@
-// Package descriptors splits the file descriptors that a proxy may have between its clients, by protocol, and its
-// endpoints. It is one function without state.
+// Package descriptors splits the file descriptors that a proxy may open between its clients, by protocol, and its
+// endpoints. It keeps no state.
 //
 // Invariants:
-//   - clients of all protocols together have half of the descriptors;
-//   - where there are more than twice ownDescriptors, all that clients and endpoints may take, and ownDescriptors, are
-//     the descriptors that there are.
+//   - the clients of all protocols together get half of the descriptors;
+//   - if the total is at least twice reservedDescriptors, the descriptors of clients and endpoints and
+//     reservedDescriptors add up to the total.
 //
-// Bounds: with fewer descriptors nothing is left to endpoints; each pool of them may have one connection even so.
+// Bounds: with fewer descriptors, none are left for endpoints; each pool may still open one connection.
 package descriptors
 
 const (
-	// ownDescriptors is what a proxy needs beside clients and endpoints: listeners, epoll, the endpoint list watch,
-	// standard streams, and connections that were accepted and are being handed to the loop.
-	ownDescriptors = 28
-	// clientDivisor is the part of all that is for clients. Usually a third is used at most; the rest is for those
-	// that stay connected.
+	// reservedDescriptors is the number of descriptors for everything but clients and endpoints: listeners, epoll, the
+	// endpoint list watch, the standard streams, and accepted connections that are being handed to the event loop.
+	reservedDescriptors = 28
+	// clientDivisor divides the total: the quotient is for clients. Usually clients use at most a third of the total;
+	// the rest of their part is for clients that stay connected.
 	clientDivisor = 2
-	// protocolDivisor is the part of the clients' that DNS may take, and of what is left then that TLS may take.
+	// protocolDivisor divides the clients' descriptors: the quotient is the limit for DNS. It also divides those that
+	// DNS leaves: that quotient is the maximum number of TLS connections.
 	protocolDivisor = 4
-	// tlsExtra is what a client's connection by TLS takes beside the one that the RPC server counts: the pair that
-	// joins it to the loop.
-	tlsExtra = 2
-	// upstreamTLSDescriptors is what a connection to an endpoint by TLS takes: its own, and the pair that joins it to
-	// the loop.
+	// tlsExtraDescriptors is the number of descriptors of a client's TLS connection in addition to the one that the RPC
+	// server counts: the socket pair that connects it to the event loop.
+	tlsExtraDescriptors = 2
+	// upstreamTLSDescriptors is the number of descriptors of a TLS connection to an endpoint: its own and the socket
+	// pair that connects it to the event loop.
 	upstreamTLSDescriptors = 3
 )
 
-// Demand is who shares the descriptors.
+// Demand describes what the descriptors are needed for.
 type Demand struct {
-	Total             int  // that the process may have
-	DNS               bool // there is a DNS server
-	MaxTLSConnections int  // the most that the settings allow of clients by TLS; 0: there is no such listener
+	Total             int  // number of descriptors that the process may open
+	DNS               bool // whether the proxy has a DNS server
+	MaxTLSConnections int  // configured limit for clients' TLS connections; 0: no TLS listener
 }
 
-// Split is the result: connections that each may have.
+// Split holds the limits that result: numbers of connections for clients, and of descriptors for endpoints.
 type Split struct {
-	RPC       int // clients by RPC, those by TLS among them
-	DNS       int // clients of the DNS server by TCP
-	TLS       int // clients by TLS
-	Endpoints int // descriptors for the connections to endpoints
+	RPC       int // clients' RPC connections, including those over TLS
+	DNS       int // clients' TCP connections to the DNS server
+	TLS       int // clients' TLS connections
+	Endpoints int // descriptors for connections to endpoints
 }
 
-// Plan splits the descriptors.
+// Plan splits the descriptors according to the demand.
 func Plan(demand Demand) Split {
 	clients := demand.Total / clientDivisor
-	split := Split{Endpoints: demand.Total - clients - ownDescriptors}
+	split := Split{Endpoints: demand.Total - clients - reservedDescriptors}
 	if demand.DNS {
 		split.DNS = clients / protocolDivisor
 		clients -= split.DNS
 	}
 	if demand.MaxTLSConnections > 0 {
 		split.TLS = min(demand.MaxTLSConnections, clients/protocolDivisor)
-		clients -= tlsExtra * split.TLS
+		clients -= tlsExtraDescriptors * split.TLS
 	}
 	split.RPC = clients
 	return split
 }
 
-// MaxConnections returns how many connections to endpoints a pool may have that gets a share of their descriptors, one
-// at least.
+// MaxConnections returns how many connections a pool may open to its endpoints if it gets the given share of the
+// descriptors for endpoints. It returns at least one.
 func (s Split) MaxConnections(share float64, security Security) int {
 	connections := max(1, int(float64(s.Endpoints)*share))
 	if security == TLS {
@@ -67,11 +68,11 @@
 	return connections
 }
 
-// Security is how connections to endpoints are secured.
+// Security is the transport security of connections to endpoints.
 type Security int
 
-// The ways to connect to endpoints.
+// The kinds of transport security.
 const (
-	Plain Security = iota
+	Plain Security = iota // TCP without TLS
 	TLS
 )
--- a/internal/proxy/descriptors/descriptors_test.go
+++ b/internal/proxy/descriptors/descriptors_test.go
@@ -21,7 +21,7 @@
 		{Demand{Total: 33}, Split{RPC: 16, Endpoints: -11}},
 	} {
 		if got := Plan(c.demand); got != c.want {
-			t.Errorf("%+v: got %+v, want %+v", c.demand, got, c.want)
+			t.Errorf("Plan(%+v): got %+v, want %+v", c.demand, got, c.want)
 		}
 	}
 }
@@ -43,26 +43,28 @@
 	} {
 		split := Split{Endpoints: c.endpoints}
 		if got := split.MaxConnections(c.share, c.security); got != c.want {
-			t.Errorf("share %g of %d, security %d: got %d, want %d", c.share, c.endpoints, c.security, got, c.want)
+			t.Errorf("MaxConnections for share %g of %d descriptors, security %d: got %d, want %d",
+				c.share, c.endpoints, c.security, got, c.want)
 		}
 	}
 }
 
-// TestPlanNeverExceedsTheTotal: all descriptors that the parts may take together are there.
+// TestPlanNeverExceedsTheTotal checks that the descriptors of all parts add up to the total, and that no part is
+// negative or exceeds its configured limit.
 func TestPlanNeverExceedsTheTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demand := Demand{
-			Total:             rapid.IntRange(2*ownDescriptors, 1<<20).Draw(t, "total"),
+			Total:             rapid.IntRange(2*reservedDescriptors, 1<<20).Draw(t, "total"),
 			DNS:               rapid.Bool().Draw(t, "dns"),
 			MaxTLSConnections: rapid.IntRange(0, 100_000).Draw(t, "tls"),
 		}
 		split := Plan(demand)
-		used := split.RPC + split.DNS + tlsExtra*split.TLS + split.Endpoints + ownDescriptors
+		used := split.RPC + split.DNS + tlsExtraDescriptors*split.TLS + split.Endpoints + reservedDescriptors
 		if used != demand.Total {
-			t.Fatalf("%+v uses %d of %d", split, used, demand.Total)
+			t.Fatalf("%+v: got %d descriptors in use, want %d", split, used, demand.Total)
 		}
 		if min(split.RPC, split.DNS, split.TLS, split.Endpoints) < 0 || split.TLS > demand.MaxTLSConnections {
-			t.Fatalf("%+v of %+v", split, demand)
+			t.Fatalf("got %+v for %+v, want no part negative and TLS within its limit", split, demand)
 		}
 	})
 }
--- a/internal/proxy/readiness/readiness.go
+++ b/internal/proxy/readiness/readiness.go
@@ -1,13 +1,13 @@
-// Package readiness decides when a proxy that starts may say that it is ready for clients: once its endpoints are
-// known, since it would reject requests for want of endpoints before. It does no I/O and reads no clock.
+// Package readiness decides when a starting proxy may report that it is ready for clients: once its endpoints are
+// known. Before that it would reject requests because it has no endpoints. The package does no I/O and reads no clock.
 //
 // Invariants:
 //   - once complete, a startup stays complete: sources that go silent later do not make a proxy unready;
-//   - before its limit a startup completes only when each service of the catalogue was seen and, where peers exchange
-//     lists, their lists are confirmed or a snapshot was restored.
+//   - before its time limit, a startup completes only when each service of the catalogue has been seen and, if lists
+//     are exchanged with peers, the peers' lists are in force or a snapshot was restored.
 //
-// Bounds: a startup completes at the first look later than sourceTimeout and the fleet's polling window after the
-// start of the process, whatever the sources do.
+// Bounds: the time limit is sourceTimeout plus the fleet's polling window after the start of the process. The first
+// call of Observe after it completes the startup, whatever the state of the sources.
 package readiness
 
 import (
@@ -16,31 +16,31 @@
 	"sloequay/internal/bootstrap"
 )
 
-// sourceTimeout is how long a proxy waits for sources that do not answer: a catalogue that is away must not keep a
-// proxy unready for ever.
+// sourceTimeout is how long a proxy waits for sources that do not answer, in addition to the polling window. An
+// unreachable catalogue must not keep a proxy unready forever.
 const sourceTimeout = 3 * time.Second
 
-// Sources is what is known of the sources of endpoints.
+// Sources is the state of the sources of endpoints.
 type Sources struct {
 	AllSeen    bool // each service of the catalogue has answered or was in the snapshot
-	HasPeers   bool // lists are exchanged with peers, so that one which a single peer reports is not in force at once
+	HasPeers   bool // lists are exchanged with peers, so a list from a single peer is not put in force immediately
 	PeersAgree bool // the lists exchanged with peers are in force
 	Restored   bool // a snapshot was read
 }
 
-// isKnown reports whether the endpoints of the sources are known.
-func (s Sources) isKnown() bool {
+// endpointsKnown reports whether the endpoints of the sources are known.
+func (s Sources) endpointsKnown() bool {
 	return s.AllSeen && (!s.HasPeers || s.PeersAgree || s.Restored)
 }
 
-// Startup is the startup of one proxy.
+// Startup tracks whether the startup of one proxy is complete.
 type Startup struct {
-	limit    time.Duration // of the process's uptime
+	limit    time.Duration // uptime of the process after which the startup is complete in any case
 	complete bool
 }
 
-// NewStartup returns the startup of a proxy that polls the catalogue as one of a fleet. Its proxies poll one after
-// another, which takes longer the more there are.
+// NewStartup returns the startup of a proxy in a fleet of the given size that polls the catalogue. The time limit grows
+// with the fleet, because its proxies spread their first polls over a polling window.
 func NewStartup(proxies int) Startup {
 	return Startup{limit: sourceTimeout + time.Duration(proxies)*bootstrap.PollWindowPerProxy}
 }
@@ -51,8 +51,8 @@
 // Complete reports whether the startup is complete.
 func (s *Startup) Complete() bool { return s.complete }
 
-// Observe takes what is known of the sources at an uptime of the process, and reports whether the startup is complete.
+// Observe records the state of the sources at an uptime of the process, and reports whether the startup is complete.
 func (s *Startup) Observe(uptime time.Duration, sources Sources) bool {
-	s.complete = s.complete || sources.isKnown() || uptime > s.limit
+	s.complete = s.complete || sources.endpointsKnown() || uptime > s.limit
 	return s.complete
 }
--- a/internal/proxy/readiness/readiness_test.go
+++ b/internal/proxy/readiness/readiness_test.go
@@ -9,7 +9,7 @@
 	"sloequay/internal/bootstrap"
 )
 
-// TestStartup compares startups with a model that keeps all observations and looks through them each time.
+// TestStartup compares random startups with a model that is written as separate conditions.
 func TestStartup(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		proxies := rapid.IntRange(0, 100).Draw(t, "proxies")
@@ -33,17 +33,17 @@
 				want = true
 			}
 			if got := startup.Observe(uptime, sources); got != want || startup.Complete() != want {
-				t.Fatalf("at %v with %+v: complete %v, want %v", uptime, sources, got, want)
+				t.Fatalf("complete at %v with %+v: got %v, want %v", uptime, sources, got, want)
 			}
 			wasComplete = want
 		}
 	})
 }
 
-// TestStartupWithoutSources: a proxy without a catalogue is ready at once.
+// TestStartupWithoutSources checks that a proxy without a catalogue is ready immediately.
 func TestStartupWithoutSources(t *testing.T) {
 	startup := NewCompletedStartup()
 	if !startup.Complete() || !startup.Observe(0, Sources{}) {
-		t.Error("not complete")
+		t.Error("startup without sources: got incomplete, want complete")
 	}
 }
