--- a/internal/proxy/authenticator.go
+++ b/internal/proxy/authenticator.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	verifiers = 2 // goroutines that check signatures
+	verifierCount = 2 // goroutines that check signatures
 	// maxAuditSubjects is how many subjects and reasons the audit log keeps apart.
 	maxAuditSubjects = 4096
-	// maxSources is how many addresses are remembered for their bad signatures.
-	maxSources = 4096
-	// expireBatch is how many remembered tokens one housekeeping looks at.
-	expireBatch = 256
+	// maxSourceAddresses is how many addresses are remembered for their bad signatures.
+	maxSourceAddresses = 4096
+	// expiryBatchSize is how many remembered tokens one housekeeping looks at.
+	expiryBatchSize = 256
 )
 
 // authenticator stands between the front ends and the broker where identity is on: it decides who calls, and whether
@@ -31,27 +31,27 @@
 type authenticator struct {
 	server        *server
 	settings      *identitySettings
-	machine       *identity.Authenticator
+	stateMachine  *identity.Authenticator
 	audit         *identity.Audit
 	sources       *identity.Sources
 	jobs          chan *identity.SignatureJob
 	tsigKeys      *tsig.Keys            // of DNS
 	tls           *tlslistener.Listener // nil: none
 	keys          keydir.Content        // that is in force
-	lastKeysFault string                // that was logged last
+	lastKeysError string                // that was logged last
 }
 
 // newAuthenticator makes the authenticator of a server whose loop runs, and opens the listener for TLS.
 func newAuthenticator(server *server, settings *identitySettings) *authenticator {
 	created := &authenticator{
-		server:   server,
-		settings: settings,
-		machine:  identity.NewAuthenticator(settings.authenticator, settings.rights),
-		audit:    identity.NewAudit(maxAuditSubjects),
-		sources:  identity.NewSources(maxSources),
-		jobs:     make(chan *identity.SignatureJob, settings.authenticator.MaxWaiting),
+		server:       server,
+		settings:     settings,
+		stateMachine: identity.NewAuthenticator(settings.authenticator, settings.rights),
+		audit:        identity.NewAudit(maxAuditSubjects),
+		sources:      identity.NewSources(maxSourceAddresses),
+		jobs:         make(chan *identity.SignatureJob, settings.authenticator.MaxWaiting),
 	}
-	for range verifiers {
+	for range verifierCount {
 		go created.verifySignatures()
 	}
 	if settings.keyDirectory != "" {
@@ -70,8 +70,8 @@
 		claims, reason := identity.Verify(job.Token, job.Key)
 		a.server.loop.Post(func() {
 			now := a.server.clock.Monotonic()
-			for _, outcome := range a.machine.SignatureChecked(now, job, claims, reason) {
-				a.resolve(outcome)
+			for _, outcome := range a.stateMachine.SignatureChecked(now, job, claims, reason) {
+				a.handleOutcome(outcome)
 			}
 			a.server.loop.RequestRound()
 		})
@@ -85,16 +85,16 @@
 	log := func(event string, fields ...any) {
 		a.server.loop.Post(func() { a.server.log.Event(event, fields...) })
 	}
-	listener, err := tlslistener.Open(settings, a.settings.callerOf, a.adopt, log)
+	listener, err := tlslistener.Open(settings, a.settings.callerFor, a.adoptConnection, log)
 	if err != nil {
 		log("tls-listener-failed", "error", err)
 	}
 	a.tls = listener
 }
 
-// adopt has a connection by TLS served like any other client's, and reports whether it is. It is called on a goroutine
+// adoptConnection has a connection by TLS served like any other client's, and reports whether it is. It is called on a goroutine
 // of the connection's.
-func (a *authenticator) adopt(conn net.Conn, caller identity.Caller) bool {
+func (a *authenticator) adoptConnection(conn net.Conn, caller identity.Caller) bool {
 	server := a.server
 	accepted := make(chan eventloop.Handler, 1)
 	server.loop.Post(func() { accepted <- server.frontend.AcceptFrom(conn.RemoteAddr(), caller) })
@@ -113,25 +113,25 @@
 	return true
 }
 
-// source returns what is known of a host that clients connect from.
-func (a *authenticator) source(remote string) *identity.Source {
+// lookupSource returns what is known of a host that clients connect from.
+func (a *authenticator) lookupSource(remote string) *identity.Source {
 	address, _ := netip.ParseAddr(remote)
 	return a.sources.Of(address)
 }
 
 // authenticate takes a request of a front end, and resolves it now or once its signature is checked.
 func (a *authenticator) authenticate(request *broker.Request) {
-	outcome, job := a.machine.Authenticate(a.server.clock.Monotonic(), a.call(request))
+	outcome, job := a.stateMachine.Authenticate(a.server.clock.Monotonic(), a.newCall(request))
 	switch {
 	case outcome != nil:
-		a.resolve(outcome)
+		a.handleOutcome(outcome)
 	case job != nil:
 		a.jobs <- job // does not block: there is capacity for all that may wait
 	}
 }
 
-// call returns what the decision needs of a request.
-func (a *authenticator) call(request *broker.Request) *identity.Call {
+// newCall returns what the decision needs of a request.
+func (a *authenticator) newCall(request *broker.Request) *identity.Call {
 	class := a.server.plan.platform.Control.Classes[request.Class]
 	call := &identity.Call{
 		Caller: request.Caller,
@@ -149,8 +149,8 @@
 	return call
 }
 
-// resolve passes a request on, or responds to it. An admitted request is its tenant's, whatever team it names.
-func (a *authenticator) resolve(outcome *identity.Outcome) {
+// handleOutcome passes a request on, or responds to it. An admitted request is its tenant's, whatever team it names.
+func (a *authenticator) handleOutcome(outcome *identity.Outcome) {
 	request := outcome.Call.Data.(*broker.Request)
 	if outcome.Reason != identity.Allowed || outcome.Call.Key != "" {
 		a.logDecision(outcome, request)
@@ -184,8 +184,8 @@
 	if subject == "" {
 		subject = "-"
 	}
-	omitted, isDue := a.audit.ShouldLog(a.server.clock.Monotonic(), subject+" "+outcome.Reason.String())
-	if !isDue {
+	omitted, shouldLog := a.audit.ShouldLog(a.server.clock.Monotonic(), subject+" "+outcome.Reason.String())
+	if !shouldLog {
 		return
 	}
 	a.server.log.Event("audit", "reason", outcome.Reason, "subject", subject, "tenant", outcome.Tenant,
@@ -194,7 +194,7 @@
 }
 
 // expire drops what has expired.
-func (a *authenticator) expire(now time.Duration) { a.machine.Expire(now, expireBatch) }
+func (a *authenticator) expire(now time.Duration) { a.stateMachine.Expire(now, expiryBatchSize) }
 
 // clockStepped takes over the directory's content anew after the Unix clock was set: revocations that a clock set
 // forward had ended hold again once it is set back.
@@ -219,17 +219,17 @@
 		next, err = a.makeKeySet(content)
 	}
 	if err != nil {
-		if a.lastKeysFault != err.Error() {
-			a.lastKeysFault = err.Error()
+		if a.lastKeysError != err.Error() {
+			a.lastKeysError = err.Error()
 			a.server.log.Event("keys-rejected", "error", err)
 		}
 		return
 	}
-	a.lastKeysFault = ""
+	a.lastKeysError = ""
 	a.tsigKeys = next.tsigKeys
 	a.keys = content
-	a.machine.SetKeys(next.keys)
-	a.machine.SetRevocations(next.revocations)
+	a.stateMachine.SetKeys(next.keys)
+	a.stateMachine.SetRevocations(next.revocations)
 	signer := "-"
 	if key := next.keys.Signer(a.server.clock.Unix()); key != nil {
 		signer = key.ID
@@ -240,7 +240,7 @@
 
 // makeKeySet checks the content of the directory of keys against the keys in force.
 func (a *authenticator) makeKeySet(content keydir.Content) (keySet, error) {
-	keys, err := a.machine.Keys().Replace(content.Keys)
+	keys, err := a.stateMachine.Keys().Replace(content.Keys)
 	if err != nil {
 		return keySet{}, err
 	}
@@ -275,9 +275,9 @@
 	never := make(chan struct{})
 	if directory := a.settings.keyDirectory; directory != "" {
 		// The folder above reports a directory that is replaced as a whole.
-		folders := []string{directory, filepath.Dir(directory)}
+		directories := []string{directory, filepath.Dir(directory)}
 		fingerprint := func() string { return keydir.Fingerprint(directory) }
-		go files.Watch(never, folders, fingerprint, a.reloadKeys)
+		go files.Watch(never, directories, fingerprint, a.reloadKeys)
 	}
 	if a.tls != nil {
 		paths := []string{a.settings.tls.Cert, a.settings.tls.Key, a.settings.tls.ClientCA}
--- a/internal/proxy/dispatch.go
+++ b/internal/proxy/dispatch.go
@@ -52,11 +52,11 @@
 		s.pools[event.Request.Route.Pool].publish(event)
 	case broker.EndpointList:
 		for i, pool := range s.pools {
-			pool.publish(s.listOfPool(i, event))
+			pool.publish(s.listForPool(i, event))
 		}
 	case broker.EndpointDelta:
 		for i, pool := range s.pools {
-			pool.publish(s.deltaOfPool(i, event))
+			pool.publish(s.deltaForPool(i, event))
 		}
 	default: // purges, and sources that report or are silent
 		for _, pool := range s.pools {
@@ -65,8 +65,8 @@
 	}
 }
 
-// listOfPool returns a list without the endpoints that are not a pool's.
-func (s *server) listOfPool(pool int, event broker.EndpointList) broker.EndpointList {
+// listForPool returns a list without the endpoints that are not a pool's.
+func (s *server) listForPool(pool int, event broker.EndpointList) broker.EndpointList {
 	all := event.List.Endpoints
 	event.List.Endpoints = nil
 	for _, endpoint := range all {
@@ -77,8 +77,8 @@
 	return event
 }
 
-// deltaOfPool returns changes in which the endpoints that are not a pool's are gone.
-func (s *server) deltaOfPool(pool int, event broker.EndpointDelta) broker.EndpointDelta {
+// deltaForPool returns changes in which the endpoints that are not a pool's are gone.
+func (s *server) deltaForPool(pool int, event broker.EndpointDelta) broker.EndpointDelta {
 	event.Endpoints = slices.Clone(event.Endpoints)
 	for i := range event.Endpoints {
 		endpoint := &event.Endpoints[i]
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -27,7 +27,7 @@
 func PrintEndpoints(out io.Writer, plan *Plan, options EndpointsOptions) error {
 	poll := &endpointsPoll{plan: plan}
 	if plan.settings.usesListWatch {
-		poll.fetchWatched(options.Wait)
+		poll.fetchListWatch(options.Wait)
 	}
 	if plan.settings.Catalogue != nil {
 		ctx, cancel := context.WithTimeout(context.Background(), options.Wait)
@@ -42,24 +42,24 @@
 	now := plan.clock.Monotonic()
 	plan.members.Step(now)
 	plan.members.TakeChanges(now, plan.members.Len())
-	return writeEndpoints(out, plan, plan.clock.Monotonic(), poll.remarks)
+	return writeEndpoints(out, plan, plan.clock.Monotonic(), poll.notes)
 }
 
 // endpointsPoll polls the sources once.
 type endpointsPoll struct {
-	mu      sync.Mutex // the catalogue publishes and logs on goroutines of its own
-	plan    *Plan
-	remarks []string // what went wrong, printed below the tables
+	mu    sync.Mutex // the catalogue publishes and logs on goroutines of its own
+	plan  *Plan
+	notes []string // what went wrong, printed below the tables
 }
 
 // apply takes events into the table. Purges do not change it.
 func (p *endpointsPoll) apply(events ...membership.SourceEvent) {
 	for _, event := range events {
-		p.applyOne(event)
+		p.applyEvent(event)
 	}
 }
 
-func (p *endpointsPoll) applyOne(event membership.SourceEvent) {
+func (p *endpointsPoll) applyEvent(event membership.SourceEvent) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.plan.clock.Monotonic()
@@ -78,14 +78,14 @@
 	}
 }
 
-func (p *endpointsPoll) remark(text string) {
+func (p *endpointsPoll) addNote(text string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.remarks = append(p.remarks, text)
+	p.notes = append(p.notes, text)
 }
 
-// fetchWatched takes the events of the settings and those that the endpoint list watch has after them.
-func (p *endpointsPoll) fetchWatched(wait time.Duration) {
+// fetchListWatch takes the events of the settings and those that the endpoint list watch has after them.
+func (p *endpointsPoll) fetchListWatch(wait time.Duration) {
 	plan := p.plan
 	p.apply(plan.initialEvents...)
 	address := plan.platform.ListAddress
@@ -94,7 +94,7 @@
 	}
 	events, err := plan.decoder.FetchOnce(address, plan.lastInitialEvent, wait)
 	if err != nil {
-		p.remark(fmt.Sprintf("bulletin %s: %v", address, err))
+		p.addNote(fmt.Sprintf("bulletin %s: %v", address, err))
 		p.apply(membership.SourceStatus{Source: plan.decoder.Source, Silent: true})
 	}
 	p.apply(events...)
@@ -111,7 +111,7 @@
 		Seed:        plan.platform.Seed,
 		Publish:     p.apply,
 		Log: func(event string, fields ...any) {
-			p.remark(strings.TrimSpace(event + " " + fmt.Sprintln(fields...)))
+			p.addNote(strings.TrimSpace(event + " " + fmt.Sprintln(fields...)))
 		},
 	}
 	if err := catalogue.Start(ctx); err != nil {
@@ -130,7 +130,7 @@
 }
 
 // writeEndpoints prints sources and endpoints as tables.
-func writeEndpoints(out io.Writer, plan *Plan, now time.Duration, remarks []string) error {
+func writeEndpoints(out io.Writer, plan *Plan, now time.Duration, notes []string) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	sources := plan.members.Sources()
 	fmt.Fprintln(table, "SOURCE\tSTATE\tBOXES\tVERSION\tHEARD")
@@ -163,8 +163,8 @@
 		}
 		fmt.Fprintln(table)
 	}
-	for _, line := range remarks {
-		fmt.Fprintln(table, "#", line)
+	for _, note := range notes {
+		fmt.Fprintln(table, "#", note)
 	}
 	return table.Flush()
 }
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -35,19 +35,19 @@
 // Lists of the catalogue go to the machine, and so to the peers, only once the endpoint table accepts them; lists of
 // peers that the machine accepts are published like those of any source.
 type fleet struct {
-	server    *server
-	machine   *bootstrap.Machine
-	transport *transport.Transport // nil: no peers
-	pending   []*membership.List   // by list: the catalogue's last one, until the endpoint table accepts it
-	steppedAt time.Duration
+	server       *server
+	machine      *bootstrap.Machine
+	transport    *transport.Transport // nil: no peers
+	pendingLists []*membership.List   // by list: the catalogue's last one, until the endpoint table accepts it
+	steppedAt    time.Duration
 }
 
 // newFleet opens the transport and makes the machine.
 func newFleet(s *sources) *fleet {
 	settings := s.server.plan.settings
 	created := &fleet{
-		server:  s.server,
-		pending: make([]*membership.List, len(settings.Catalogue.Services)),
+		server:       s.server,
+		pendingLists: make([]*membership.List, len(settings.Catalogue.Services)),
 	}
 	config := created.machineConfig()
 	if settings.Peers != nil {
@@ -161,32 +161,32 @@
 func (f *fleet) observe(event membership.SourceEvent) {
 	switch event := event.(type) {
 	case membership.ListReceived:
-		list, known := f.list(event.Source)
+		list, known := f.listIndex(event.Source)
 		if known && !event.List.Part && !event.List.Incomplete {
 			received := event.List
-			f.pending[list] = &received
+			f.pendingLists[list] = &received
 		}
 	case membership.SourceStatus:
-		list, known := f.list(event.Source)
-		if known && !event.Silent && f.pending[list] == nil {
+		list, known := f.listIndex(event.Source)
+		if known && !event.Silent && f.pendingLists[list] == nil {
 			f.apply(f.machine.ServiceSeen(f.now(), list))
 		}
 	}
 }
 
-// list returns the machine's index of a source, and whether it has one.
-func (f *fleet) list(source int) (int, bool) {
+// listIndex returns the machine's index of a source, and whether it has one.
+func (f *fleet) listIndex(source int) (int, bool) {
 	list := source - f.server.plan.firstCatalogueSource
-	return list, list >= 0 && list < len(f.pending)
+	return list, list >= 0 && list < len(f.pendingLists)
 }
 
-// source returns the index among the sources of one of the machine's lists.
-func (f *fleet) source(list int) int { return f.server.plan.firstCatalogueSource + list }
+// sourceIndex returns the index among the sources of one of the machine's lists.
+func (f *fleet) sourceIndex(list int) int { return f.server.plan.firstCatalogueSource + list }
 
 // serviceSeen takes an answer of the catalogue to a call that is not for a list.
 func (f *fleet) serviceSeen() {
-	for list := range f.pending {
-		if f.pending[list] == nil {
+	for list := range f.pendingLists {
+		if f.pendingLists[list] == nil {
 			f.apply(f.machine.ServiceSeen(f.now(), list))
 		}
 	}
@@ -194,7 +194,7 @@
 
 // step passes on the pending lists that the endpoint table has accepted, and steps the machine.
 func (f *fleet) step(now time.Duration) {
-	f.passOnAccepted(now)
+	f.forwardAcceptedLists(now)
 	if now-f.steppedAt < fleetStepInterval {
 		return
 	}
@@ -208,17 +208,17 @@
 	}
 }
 
-// passOnAccepted passes on the pending lists under no suspicion.
-func (f *fleet) passOnAccepted(now time.Duration) {
-	isPending := func(list *membership.List) bool { return list != nil }
-	if !slices.ContainsFunc(f.pending, isPending) {
+// forwardAcceptedLists passes on the pending lists under no suspicion.
+func (f *fleet) forwardAcceptedLists(now time.Duration) {
+	pending := func(list *membership.List) bool { return list != nil }
+	if !slices.ContainsFunc(f.pendingLists, pending) {
 		return
 	}
-	for list, received := range f.pending {
-		if received == nil || f.server.isSuspected(f.source(list)) {
+	for list, received := range f.pendingLists {
+		if received == nil || f.server.isSuspected(f.sourceIndex(list)) {
 			continue
 		}
-		f.pending[list] = nil
+		f.pendingLists[list] = nil
 		f.apply(f.machine.ListFromService(now, list, received.Version, received.Endpoints))
 	}
 }
@@ -230,11 +230,11 @@
 		case bootstrap.Send:
 			f.send(effect)
 		case bootstrap.SetPolling:
-			f.poll(effect)
+			f.setPolling(effect)
 		case bootstrap.Adopt:
 			f.adopt(effect)
 		case bootstrap.SourceStatus:
-			f.server.publish(broker.SourceStatus{Source: f.source(effect.List), Silent: effect.Silent})
+			f.server.publish(broker.SourceStatus{Source: f.sourceIndex(effect.List), Silent: effect.Silent})
 		case bootstrap.LogEntry:
 			f.logEntry(effect)
 		}
@@ -244,39 +244,39 @@
 	}
 }
 
-func (f *fleet) send(sent bootstrap.Send) {
+func (f *fleet) send(effect bootstrap.Send) {
 	if f.transport == nil {
 		return
 	}
-	if body, err := transport.Encode(sent.Message); err == nil {
-		f.transport.Send(sent.To, body)
+	if body, err := transport.Encode(effect.Message); err == nil {
+		f.transport.Send(effect.To, body)
 	}
 }
 
-// poll starts or stops polling the catalogue.
-func (f *fleet) poll(polled bootstrap.SetPolling) {
-	if polled.On {
+// setPolling starts or stops polling the catalogue.
+func (f *fleet) setPolling(effect bootstrap.SetPolling) {
+	if effect.On {
 		f.server.sources.pollLists()
 		return
 	}
-	clear(f.pending) // a list under suspicion must not count later, when another source has lifted the suspicion
+	clear(f.pendingLists) // a list under suspicion must not count later, when another source has lifted the suspicion
 	f.server.sources.endPolling()
 }
 
 // adopt publishes a list of peers: a large one in parts first, which makes the complete one that follows cheap.
-func (f *fleet) adopt(adopted bootstrap.Adopt) {
-	source := f.source(adopted.List)
-	if len(adopted.Endpoints) > maxPartEndpoints {
-		for part := range slices.Chunk(adopted.Endpoints, maxPartEndpoints) {
-			list := membership.List{Version: adopted.Version, Endpoints: part, Part: true}
+func (f *fleet) adopt(effect bootstrap.Adopt) {
+	source := f.sourceIndex(effect.List)
+	if len(effect.Endpoints) > maxPartEndpoints {
+		for part := range slices.Chunk(effect.Endpoints, maxPartEndpoints) {
+			list := membership.List{Version: effect.Version, Endpoints: part, Part: true}
 			f.server.publish(broker.EndpointList{Source: source, List: list})
 		}
 	}
 	f.server.publish(broker.EndpointList{Source: source, List: membership.List{
-		Version:    adopted.Version,
-		Endpoints:  adopted.Endpoints,
-		Confirms:   !adopted.Hint, // a quorum of peers has confirmed it, even where it lacks many endpoints
-		Incomplete: adopted.Hint,
+		Version:    effect.Version,
+		Endpoints:  effect.Endpoints,
+		Confirms:   !effect.Hint, // a quorum of peers has confirmed it, even where it lacks many endpoints
+		Incomplete: effect.Hint,
 	}})
 }
 
@@ -309,7 +309,7 @@
 		role = "asks the list service"
 	}
 	fmt.Fprintln(out, role)
-	for list := range f.pending {
+	for list := range f.pendingLists {
 		version, known := f.machine.Version(list)
 		fmt.Fprintf(out, "list %s version %d sum %016x held %v\n",
 			f.serviceName(list), version.Version, version.Sum, known)
--- a/internal/proxy/identity_settings.go
+++ b/internal/proxy/identity_settings.go
@@ -27,8 +27,8 @@
 	tenantByWildcard map[string]string   // by what follows "*." in such a name
 }
 
-// callerOf returns the tenant and the subject that the names of a client certificate stand for.
-func (i *identitySettings) callerOf(names []string) (tenant, subject string) {
+// callerFor returns the tenant and the subject that the names of a client certificate stand for.
+func (i *identitySettings) callerFor(names []string) (tenant, subject string) {
 	for _, name := range names {
 		if tenant := i.tenantByName[name]; tenant != "" {
 			return tenant, name
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -57,7 +57,7 @@
 	if err := p.validate(); err != nil {
 		return nil, err
 	}
-	return p, p.decode()
+	return p, p.decodeInitialList()
 }
 
 // validate checks our settings against the platform's configuration.
@@ -74,12 +74,12 @@
 	if p.settings.Snapshot != nil {
 		return errors.New("services: a snapshot is of one pool; leave out one of the two blocks")
 	}
-	_, err := p.settings.Services.table(0, control.ZoneNames, control.KindNames)
+	_, err := p.settings.Services.newTable(0, control.ZoneNames, control.KindNames)
 	return err
 }
 
-// decode reads the initial events, so that `sloequay check` finds faults in them too.
-func (p *Plan) decode() error {
+// decodeInitialList reads the initial events, so that `sloequay check` finds faults in them too.
+func (p *Plan) decodeInitialList() error {
 	control := p.platform.Control
 	p.members, p.decoder.Source, p.firstCatalogueSource = p.settings.membershipTable()
 	p.decoder.Names = membership.Names{Zones: control.ZoneNames, Kinds: control.KindNames}
--- a/internal/proxy/pools.go
+++ b/internal/proxy/pools.go
@@ -29,7 +29,7 @@
 		return nil, nil
 	}
 	control := plan.platform.Control
-	return plan.settings.Services.table(plan.clock.Monotonic(), control.ZoneNames, control.KindNames)
+	return plan.settings.Services.newTable(plan.clock.Monotonic(), control.ZoneNames, control.KindNames)
 }
 
 // poolShares returns the share of each pool.
@@ -53,18 +53,18 @@
 			members, _, _ = s.plan.settings.membershipTable()
 		}
 		maxOpen := max(1, int(float64(platform.OpenCap)*share))
-		made, err := broker.New(platform.Control, platform.Seed+uint64(i), maxOpen, s.quotas, members)
+		created, err := broker.New(platform.Control, platform.Seed+uint64(i), maxOpen, s.quotas, members)
 		if err != nil {
 			return err
 		}
-		made.SetMonitor(&s.monitor)
-		s.pools = append(s.pools, &pool{broker: made, members: members, share: share})
+		created.SetMonitor(&s.monitor)
+		s.pools = append(s.pools, &pool{broker: created, members: members, share: share})
 	}
 	return nil
 }
 
-// connect makes the pool's connections, once the loop runs.
-func (p *pool) connect(server *server) {
+// createConnections makes the pool's connections, once the loop runs.
+func (p *pool) createConnections(server *server) {
 	platform := server.plan.platform
 	control := platform.Control
 	p.connections = &upstream.Pool{
--- a/internal/proxy/pools_test.go
+++ b/internal/proxy/pools_test.go
@@ -26,7 +26,7 @@
 		}
 		return list
 	}
-	for suspicious := range 2 {
+	for suspecting := range 2 {
 		s := &server{pools: []*pool{{members: newTable()}, {members: newTable()}}}
 		for _, pool := range s.pools {
 			pool.members.ReplaceList(time.Second, 0, listOf(10))
@@ -34,9 +34,9 @@
 		if s.isSuspected(0) {
 			t.Fatal("first lists are suspected")
 		}
-		s.pools[suspicious].members.ReplaceList(2*time.Second, 0, listOf(1))
+		s.pools[suspecting].members.ReplaceList(2*time.Second, 0, listOf(1))
 		if !s.isSuspected(0) {
-			t.Errorf("pool %d has lost nine of ten endpoints, and the list is not suspected", suspicious)
+			t.Errorf("pool %d has lost nine of ten endpoints, and the list is not suspected", suspecting)
 		}
 	}
 }
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -20,17 +20,17 @@
 	if s.startup.Complete() {
 		return true
 	}
-	return s.startup.Observe(s.clock.Uptime(), s.sources.observed())
+	return s.startup.Observe(s.clock.Uptime(), s.sources.readinessSources())
 }
 
-// observed returns what is known of the sources of endpoints.
-func (s *sources) observed() readiness.Sources {
-	observed := readiness.Sources{AllSeen: s.server.plan.catalogueSeen(), Restored: s.restored}
+// readinessSources returns what is known of the sources of endpoints.
+func (s *sources) readinessSources() readiness.Sources {
+	status := readiness.Sources{AllSeen: s.server.plan.catalogueSeen(), Restored: s.restored}
 	if s.fleet.transport != nil {
-		observed.HasPeers = true
-		observed.PeersAgree = s.fleet.machine.Ready()
+		status.HasPeers = true
+		status.PeersAgree = s.fleet.machine.Ready()
 	}
-	return observed
+	return status
 }
 
 // catalogueSeen reports whether each service of the catalogue has answered or was in the snapshot.
--- a/internal/proxy/readiness_test.go
+++ b/internal/proxy/readiness_test.go
@@ -20,9 +20,9 @@
 		settings: &Settings{Catalogue: &consul.Config{}, Peers: &transport.Config{Fleet: fleet}},
 	}
 	startup := newStartup(plan)
-	of := readiness.NewStartup(fleet)
+	reference := readiness.NewStartup(fleet)
 	for uptime := time.Second; uptime < 20*time.Second; uptime += 100 * time.Millisecond {
-		got, want := startup.Observe(uptime, readiness.Sources{}), of.Observe(uptime, readiness.Sources{})
+		got, want := startup.Observe(uptime, readiness.Sources{}), reference.Observe(uptime, readiness.Sources{})
 		if got != want {
 			t.Fatalf("at %v complete %v, want %v as in a fleet of %d", uptime, got, want, fleet)
 		}
--- a/internal/proxy/round.go
+++ b/internal/proxy/round.go
@@ -108,7 +108,7 @@
 	case broker.EndpointChanged:
 		pool.connections.EndpointChanged(effect)
 	case broker.RefetchList:
-		s.sources.confirm(effect.Source)
+		s.sources.refetchList(effect.Source)
 	case broker.LogEntry:
 		s.log.Event(effect.Event, effect.Fields...)
 	}
--- a/internal/proxy/round_test.go
+++ b/internal/proxy/round_test.go
@@ -11,7 +11,7 @@
 func TestStalledRoundDefersItsAttempts(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		took     time.Duration
+		elapsed  time.Duration
 		mayDefer bool
 		want     bool
 	}{
@@ -25,7 +25,7 @@
 			s.flush(s.clock.Monotonic() - time.Second)
 		}
 		s.rounds.Begin()
-		s.flush(s.clock.Monotonic() - c.took)
+		s.flush(s.clock.Monotonic() - c.elapsed)
 		if s.rounds.Deferred() != c.want {
 			t.Errorf("%s: deferred %v, want %v", c.name, s.rounds.Deferred(), c.want)
 		}
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -168,14 +168,14 @@
 	loop.AcceptFailed = func(err error) { s.log.Event("accept-failed", "error", err) }
 	s.resolver = s.newResolver()
 	for _, pool := range s.pools {
-		pool.connect(s)
+		pool.createConnections(s)
 	}
 	if settings.UpstreamTLS != nil {
 		settings.UpstreamTLS.watch(s.certificatesReloaded)
 	}
 	if settings.Identity != nil {
 		s.authenticator = newAuthenticator(s, settings.Identity)
-		s.frontend.Source = s.authenticator.source
+		s.frontend.Source = s.authenticator.lookupSource
 	}
 	if settings.AdminSocket != "" {
 		s.openAdminSocket(settings.AdminSocket)
@@ -190,12 +190,12 @@
 }
 
 func (s *server) newResolver() *resolver.Resolver {
-	made := &resolver.Resolver{Loop: s.loop, Now: s.clock.Monotonic}
+	created := &resolver.Resolver{Loop: s.loop, Now: s.clock.Monotonic}
 	if settings := s.plan.settings.DNS; settings != nil {
-		made.Server = settings.Resolver
-		made.Timeout = settings.ResolveTimeout
+		created.Server = settings.Resolver
+		created.Timeout = settings.ResolveTimeout
 	}
-	return made
+	return created
 }
 
 // certificatesReloaded logs that files of certificates were taken over, or why not. It may be called beside the loop.
--- a/internal/proxy/services_settings.go
+++ b/internal/proxy/services_settings.go
@@ -151,13 +151,13 @@
 	return shares, nil
 }
 
-// table makes the table of routes, in which zones and kinds are indices into the names of the platform's settings.
-func (s *serviceSettings) table(now time.Duration, zoneNames, kindNames []string) (*route.Table, error) {
+// newTable makes the newTable of routes, in which zones and kinds are indices into the names of the platform's settings.
+func (s *serviceSettings) newTable(now time.Duration, zoneNames, kindNames []string) (*route.Table, error) {
 	plan := s.plan
 	for _, settings := range s.pools {
 		pool := settings.Pool
 		for _, words := range settings.selectors {
-			selector, err := words.selector(settings.Name, zoneNames, kindNames)
+			selector, err := words.resolve(settings.Name, zoneNames, kindNames)
 			if err != nil {
 				return nil, err
 			}
@@ -172,8 +172,8 @@
 	return table, nil
 }
 
-// selector looks the names up. The pool's is for the error.
-func (s selectorWords) selector(pool string, zoneNames, kindNames []string) (route.Selector, error) {
+// resolve looks the names up. The pool's is for the error.
+func (s selectorWords) resolve(pool string, zoneNames, kindNames []string) (route.Selector, error) {
 	zones, unknownZone := indicesOf(s.zones, zoneNames)
 	if unknownZone != "" {
 		return route.Selector{}, unknownNameError(pool, "site", unknownZone)
--- a/internal/proxy/snapshots.go
+++ b/internal/proxy/snapshots.go
@@ -26,9 +26,9 @@
 func (s *snapshotSettings) section() *config.Section {
 	section := &config.Section{}
 	section.Text("file", &s.File, func(path string) error {
-		folder := filepath.Dir(path)
-		if info, err := os.Stat(folder); err != nil || !info.IsDir() {
-			return fmt.Errorf("%s is no folder", folder)
+		directory := filepath.Dir(path)
+		if info, err := os.Stat(directory); err != nil || !info.IsDir() {
+			return fmt.Errorf("%s is no folder", directory)
 		}
 		return nil
 	}, "where it is written")
@@ -108,9 +108,9 @@
 	w.isWriting = true
 	w.writtenAt = now
 	w.revision = revision
-	at := server.clock.Unix()
+	unixNow := server.clock.Unix()
 	go func() {
-		data, err := snapshot.Encode(at, reports)
+		data, err := snapshot.Encode(unixNow, reports)
 		if err == nil {
 			err = disk.Write(settings.File, data)
 		}
--- a/internal/proxy/sources.go
+++ b/internal/proxy/sources.go
@@ -42,22 +42,22 @@
 	server := s.server
 	plan := server.plan
 	for _, event := range plan.initialEvents {
-		s.publishWatched(event)
+		s.publishWatchEvent(event)
 	}
 	s.listWatch = &listwatch.Watcher{
 		Loop:      server.loop,
 		Address:   plan.platform.ListAddress,
 		Decoder:   plan.decoder,
 		LastEvent: plan.lastInitialEvent,
-		Publish:   s.publishWatched,
+		Publish:   s.publishWatchEvent,
 		Now:       server.clock.Monotonic,
 		Log:       server.log.Event,
 	}
 }
 
-// publishWatched takes an event of the endpoint list watch. Where the settings leave the watch out of the sources of
+// publishWatchEvent takes an event of the endpoint list watch. Where the settings leave the watch out of the sources of
 // endpoints, it still brings purges.
-func (s *sources) publishWatched(event membership.SourceEvent) {
+func (s *sources) publishWatchEvent(event membership.SourceEvent) {
 	if _, isPurge := event.(membership.PurgeReceived); isPurge || s.server.plan.settings.usesListWatch {
 		s.server.publish(brokerEvent(event))
 	}
@@ -70,17 +70,17 @@
 	if from := plan.settings.bindAddress(); from != nil {
 		plan.settings.Catalogue.Bind = from
 	}
-	lists := *plan.settings.Catalogue
+	listConfig := *plan.settings.Catalogue
 	if plan.settings.Peers != nil {
 		// Peers take turns in polling lists; each proxy polls purges.
-		purges := lists
+		purges := listConfig
 		purges.Services = nil
-		lists.PurgePrefix = ""
+		listConfig.PurgePrefix = ""
 		if purges.PurgePrefix != "" {
-			s.openCatalogue(context.Background(), &purges)
+			s.followCatalogue(context.Background(), &purges)
 		}
 	}
-	s.listConfig = &lists
+	s.listConfig = &listConfig
 	s.fleet = newFleet(s)
 	s.fleet.step(s.server.clock.Monotonic())
 	if plan.settings.Catalogue.Registration != nil {
@@ -117,8 +117,8 @@
 	}
 }
 
-// openCatalogue begins to poll the catalogue, until ctx ends. What comes after that is dropped.
-func (s *sources) openCatalogue(ctx context.Context, config *consul.Config) *consul.Catalogue {
+// followCatalogue begins to poll the catalogue, until ctx ends. What comes after that is dropped.
+func (s *sources) followCatalogue(ctx context.Context, config *consul.Config) *consul.Catalogue {
 	catalogue := s.newCatalogue(config)
 	catalogue.Publish = func(events ...membership.SourceEvent) {
 		if ctx.Err() == nil {
@@ -143,7 +143,7 @@
 	s.endPolling()
 	ctx, cancel := context.WithCancel(context.Background())
 	s.stopPolling = cancel
-	s.catalogue = s.openCatalogue(ctx, s.listConfig)
+	s.catalogue = s.followCatalogue(ctx, s.listConfig)
 }
 
 // endPolling ends that.
@@ -164,7 +164,7 @@
 // publish takes events of the catalogue to the loop and returns once they are there, so that a source that reports
 // much waits for the loop. It is called beside the loop.
 func (s *sources) publish(events ...membership.SourceEvent) {
-	taken := make(chan struct{})
+	handled := make(chan struct{})
 	s.server.loop.Post(func() {
 		for _, event := range events {
 			s.server.publish(brokerEvent(event))
@@ -173,13 +173,13 @@
 			}
 		}
 		s.server.loop.RequestRound()
-		close(taken)
+		close(handled)
 	})
-	<-taken
+	<-handled
 }
 
-// confirm has a source's list fetched again at once, if it is the catalogue's and this proxy polls it.
-func (s *sources) confirm(source int) {
+// refetchList has a source's list fetched again at once, if it is the catalogue's and this proxy polls it.
+func (s *sources) refetchList(source int) {
 	if s.catalogue != nil {
 		s.catalogue.Confirm(source)
 	}
--- a/internal/proxy/upstream_tls.go
+++ b/internal/proxy/upstream_tls.go
@@ -9,27 +9,27 @@
 	"sloequay/internal/identity/tlsclient"
 )
 
-// zone returns what holds for a zone.
-func (u *upstreamTLS) zone(name string) *zoneTLS {
+// zoneByName returns what holds for a zoneByName.
+func (u *upstreamTLS) zoneByName(name string) *zoneTLS {
 	if zone := u.zones[name]; zone != nil {
 		return zone
 	}
 	return &u.defaultZone
 }
 
-// zoneOf returns what holds for an endpoint. One whose zone has no name gets what holds for most.
-func (u *upstreamTLS) zoneOf(endpoint *broker.Endpoint, zoneNames []string) *zoneTLS {
+// zoneFor returns what holds for an endpoint. One whose zone has no name gets what holds for most.
+func (u *upstreamTLS) zoneFor(endpoint *broker.Endpoint, zoneNames []string) *zoneTLS {
 	if int(endpoint.Zone) >= len(zoneNames) {
 		return &u.defaultZone
 	}
-	return u.zone(zoneNames[endpoint.Zone])
+	return u.zoneByName(zoneNames[endpoint.Zone])
 }
 
 // dialer returns how endpoints are connected to: for each a function that dials it beside the loop, or nil where it is
 // connected to by plain TCP.
 func (u *upstreamTLS) dialer(zoneNames []string) func(*broker.Endpoint) func(address string) (net.Conn, error) {
 	return func(endpoint *broker.Endpoint) func(string) (net.Conn, error) {
-		zone := u.zoneOf(endpoint, zoneNames)
+		zone := u.zoneFor(endpoint, zoneNames)
 		if zone.plain {
 			return nil
 		}
@@ -46,17 +46,17 @@
 func (u *upstreamTLS) dial(dialer *tlsclient.Dialer, address, serverName string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), u.timeout)
 	defer cancel()
-	secure, err := dialer.Dial(ctx, address, serverName)
+	tlsConn, err := dialer.Dial(ctx, address, serverName)
 	if err != nil {
 		return nil, err
 	}
-	near, far, err := bridge.Pair()
+	bridgeEnd, loopEnd, err := bridge.Pair()
 	if err != nil {
-		_ = secure.Close()
+		_ = tlsConn.Close()
 		return nil, err
 	}
-	go bridge.Copy(secure, near)
-	return far, nil
+	go bridge.Copy(tlsConn, bridgeEnd)
+	return loopEnd, nil
 }
 
 // watch takes over files of certificates that change, until the process ends. reloaded is called beside the loop.
