--- a/internal/proxy/admin/admin_test.go
+++ b/internal/proxy/admin/admin_test.go
@@ -31,7 +31,7 @@
 	path := startEchoSocket(t)
 	var out strings.Builder
 	if err := Query(&out, path, "contracts lanes  urgent"); err != nil || out.String() != "contracts,lanes,urgent\n" {
-		t.Errorf("answer: got %q, %v, want the words joined by commas", out.String(), err)
+		t.Errorf("answer: got %q, error %v, want the words joined by commas", out.String(), err)
 	}
 	out.Reset()
 	err := Query(&out, path, "bad")
@@ -97,7 +97,7 @@
 		func(error) { reported.Add(1) })
 	var out strings.Builder
 	if err := Query(&out, path, "state"); err != nil || out.String() != "ok\n" {
-		t.Errorf("answer: got %q, %v, want %q", out.String(), err, "ok\n")
+		t.Errorf("answer: got %q, error %v, want the handler's answer", out.String(), err)
 	}
 	if got := reported.Load(); got != 2 {
 		t.Errorf("failed accepts reported: got %d, want 2", got)
--- a/internal/proxy/admin_socket.go
+++ b/internal/proxy/admin_socket.go
@@ -10,18 +10,18 @@
 	"sloequay/internal/quota"
 )
 
-// maxTenantsShown is how many tenants are shown, the busiest first.
+// maxTenantsShown is the maximum number of tenants in an answer, the busiest first.
 const maxTenantsShown = 50
 
 // The answers to commands that cannot be carried out.
 const (
-	usageText          = "error: the questions are: state; peers; contracts; contracts TEAM CLASS [SERVICE]\n"
-	contractsUsageText = "error: contracts TEAM CLASS [SERVICE]\n"
+	usageText          = "error: expected one of: state; peers; contracts; contracts TEAM CLASS [SERVICE]\n"
+	contractsUsageText = "error: expected contracts TEAM CLASS [SERVICE]\n"
 	noContractsText    = "error: no contracts are in force\n"
-	noFleetText        = "error: there is no list service that peers could spare\n"
+	noFleetText        = "error: no catalogue is configured, so there are no lists to exchange with peers\n"
 )
 
-// openAdminSocket opens the operators' socket. It hands commands to the loop, and waits there for the answers.
+// openAdminSocket opens the operators' socket. Its commands are answered on the event loop.
 func (s *server) openAdminSocket(path string) {
 	err := admin.Listen(path, func(words []string, answer chan<- string) {
 		s.loop.Post(func() { answer <- s.answerCommand(words) })
@@ -62,8 +62,8 @@
 	return out.String()
 }
 
-// writeState prints how much this proxy holds, a kind a line. All of it must come back to what it was once a fault is
-// over.
+// writeState prints the number of invariant violations and how many objects of each kind the proxy holds, one kind per
+// line. After a fault is over, the numbers of objects must return to their earlier values.
 func (s *server) writeState(out io.Writer) {
 	fmt.Fprintf(out, "clients %d\nviolations %d\n", s.frontend.Clients(), s.monitor.Violations())
 	for i, pool := range s.pools {
@@ -89,14 +89,14 @@
 	}
 }
 
-// writeUsage prints what the busiest tenants use of their budgets.
+// writeUsage prints the budgets of the installation and of the busiest tenants, with their usage.
 func (s *server) writeUsage(out io.Writer) {
 	now := s.clock.Monotonic()
 	tenants, total := s.quotas.BusiestTenants(now, maxTenantsShown)
 	fmt.Fprintf(out, "version %d, %d open, %d of %d tenants in use shown\n",
 		s.quotas.Version, s.quotas.InFlight(), len(tenants), total)
 	if limit := s.quotas.ConcurrencyLimit(); limit != nil {
-		fmt.Fprintf(out, "capacity %.0f open, as learned; %d are\n", limit.Value(), limit.Open())
+		fmt.Fprintf(out, "capacity %.0f open (adaptive limit); %d open now\n", limit.Value(), limit.Open())
 	}
 	usages := s.quotas.InstallationUsage(now)
 	for _, tenant := range tenants {
@@ -110,7 +110,7 @@
 	}
 }
 
-// ExplainBudgets prints which budgets apply to a request, the nearest first, and what is left.
+// ExplainBudgets prints the budgets that apply to a request, the most specific first, and what is left of them.
 func ExplainBudgets(out io.Writer, quotas *quota.Ledger, now time.Duration, team, class, service string) {
 	usages, refusal := quotas.Explain(now, team, service, class)
 	if refusal != nil {
--- a/internal/proxy/authenticator.go
+++ b/internal/proxy/authenticator.go
@@ -18,16 +18,16 @@
 
 const (
 	verifierCount = 2 // goroutines that check signatures
-	// maxAuditSubjects is how many subjects and reasons the audit log keeps apart.
+	// maxAuditSubjects is the maximum number of pairs of subject and reason that the audit log limits separately.
 	maxAuditSubjects = 4096
-	// maxSourceAddresses is how many addresses are remembered for their bad signatures.
+	// maxSourceAddresses is the maximum number of client addresses whose budgets for signature checks are kept.
 	maxSourceAddresses = 4096
-	// expiryBatchSize is how many remembered tokens one housekeeping looks at.
+	// expiryBatchSize is the number of cached tokens that one housekeeping run checks for expiry.
 	expiryBatchSize = 256
 )
 
-// authenticator stands between the front ends and the broker where identity is on: it decides who calls, and whether
-// the caller may. Its methods run on the loop, unless they say otherwise; signatures are checked beside it.
+// authenticator authenticates and authorizes requests on their way from the frontends to the broker, if identity is on.
+// Its methods run on the event loop unless their comments say otherwise; signatures are checked on other goroutines.
 type authenticator struct {
 	server        *server
 	settings      *identitySettings
@@ -35,13 +35,13 @@
 	audit         *identity.Audit
 	sources       *identity.Sources
 	jobs          chan *identity.SignatureJob
-	tsigKeys      *tsig.Keys            // of DNS
-	tls           *tlslistener.Listener // nil: none
-	keys          keydir.Content        // that is in force
-	lastKeysError string                // that was logged last
+	tsigKeys      *tsig.Keys            // for DNS
+	tls           *tlslistener.Listener // nil: no TLS listener
+	keys          keydir.Content        // content of the directory of keys in force
+	lastKeysError string                // last logged error about the directory of keys; empty once it is valid again
 }
 
-// newAuthenticator makes the authenticator of a server whose loop runs, and opens the listener for TLS.
+// newAuthenticator returns the authenticator of a server whose loop is running, and opens the TLS listener.
 func newAuthenticator(server *server, settings *identitySettings) *authenticator {
 	created := &authenticator{
 		server:       server,
@@ -64,7 +64,7 @@
 	return created
 }
 
-// verifySignatures checks signatures until the process ends. It runs on a goroutine of its own.
+// verifySignatures checks signatures until the process ends. It runs on a separate goroutine.
 func (a *authenticator) verifySignatures() {
 	for job := range a.jobs {
 		claims, reason := identity.Verify(job.Token, job.Key)
@@ -78,7 +78,7 @@
 	}
 }
 
-// listenTLS opens the listener for TLS. The proxy serves without it where that fails.
+// listenTLS opens the TLS listener. If that fails, the proxy serves without it.
 func (a *authenticator) listenTLS() {
 	settings := *a.settings.tls
 	settings.MaxConnections = a.server.descriptors.TLS
@@ -92,14 +92,14 @@
 	a.tls = listener
 }
 
-// adoptConnection has a connection by TLS served like any other client's, and reports whether it is. It is called on a goroutine
-// of the connection's.
+// adoptConnection passes a client's TLS connection to the event loop, to be served like any other, and reports whether
+// that succeeded. It runs on the connection's goroutine.
 func (a *authenticator) adoptConnection(conn net.Conn, caller identity.Caller) bool {
 	server := a.server
 	accepted := make(chan eventloop.Handler, 1)
 	server.loop.Post(func() { accepted <- server.frontend.AcceptFrom(conn.RemoteAddr(), caller) })
 	handler := <-accepted
-	if handler == nil { // there are as many clients as may be
+	if handler == nil { // the limit on client connections is reached
 		_ = conn.Close()
 		return false
 	}
@@ -113,24 +113,25 @@
 	return true
 }
 
-// lookupSource returns what is known of a host that clients connect from.
+// lookupSource returns the identity.Source of the address from which a client connects.
 func (a *authenticator) lookupSource(remote string) *identity.Source {
 	address, _ := netip.ParseAddr(remote)
 	return a.sources.Of(address)
 }
 
-// authenticate takes a request of a front end, and resolves it now or once its signature is checked.
+// authenticate starts to authenticate a request from a frontend. The outcome is handled now, or after the signature of
+// the request's token has been checked.
 func (a *authenticator) authenticate(request *broker.Request) {
 	outcome, job := a.stateMachine.Authenticate(a.server.clock.Monotonic(), a.newCall(request))
 	switch {
 	case outcome != nil:
 		a.handleOutcome(outcome)
 	case job != nil:
-		a.jobs <- job // does not block: there is capacity for all that may wait
+		a.jobs <- job // does not block: the channel has capacity for MaxWaiting jobs
 	}
 }
 
-// newCall returns what the decision needs of a request.
+// newCall returns the call that describes a request to the authenticator's state machine.
 func (a *authenticator) newCall(request *broker.Request) *identity.Call {
 	class := a.server.plan.platform.Control.Classes[request.Class]
 	call := &identity.Call{
@@ -149,7 +150,8 @@
 	return call
 }
 
-// handleOutcome passes a request on, or responds to it. An admitted request is its tenant's, whatever team it names.
+// handleOutcome passes an admitted request on, or rejects or denies the request. The team of an admitted request is set
+// to the caller's tenant, unless the caller is anonymous and names a team.
 func (a *authenticator) handleOutcome(outcome *identity.Outcome) {
 	request := outcome.Call.Data.(*broker.Request)
 	if outcome.Reason != identity.Allowed || outcome.Call.Key != "" {
@@ -178,7 +180,7 @@
 	}
 }
 
-// logDecision writes the audit line of a decision, unless its subject has had too many.
+// logDecision writes the audit log line of a decision, unless its subject has exceeded the rate for such lines.
 func (a *authenticator) logDecision(outcome *identity.Outcome, request *broker.Request) {
 	subject := outcome.Subject
 	if subject == "" {
@@ -193,26 +195,26 @@
 		"rule", outcome.Rule, "request", request.ID, "omitted", omitted)
 }
 
-// expire drops what has expired.
+// expire removes expired entries, such as cached tokens.
 func (a *authenticator) expire(now time.Duration) { a.stateMachine.Expire(now, expiryBatchSize) }
 
-// clockStepped takes over the directory's content anew after the Unix clock was set: revocations that a clock set
-// forward had ended hold again once it is set back.
+// clockStepped applies the content of the directory of keys again after a step of the Unix clock: revocations that had
+// ended only because the clock was ahead must hold again after it is set back.
 func (a *authenticator) clockStepped() {
 	if a.settings.keyDirectory != "" {
 		a.replaceKeys(a.keys, nil)
 	}
 }
 
-// keySet is what the content of the directory of keys comes to.
+// keySet holds the keys and revocations made from the content of the directory of keys.
 type keySet struct {
 	keys        *identity.Keys
 	tsigKeys    *tsig.Keys
 	revocations *identity.Revocations
 }
 
-// replaceKeys takes over the content of the directory of keys. With a fault the old content stays in force; each fault
-// is logged once.
+// replaceKeys puts the content of the directory of keys in force. If it is invalid or err is not nil, the old content
+// stays in force, and the error is logged unless it is the same as the last one.
 func (a *authenticator) replaceKeys(content keydir.Content, err error) {
 	var next keySet
 	if err == nil {
@@ -238,7 +240,7 @@
 		"revocations", next.revocations.Len())
 }
 
-// makeKeySet checks the content of the directory of keys against the keys in force.
+// makeKeySet checks the content of the directory of keys against the keys in force, and returns the key set made of it.
 func (a *authenticator) makeKeySet(content keydir.Content) (keySet, error) {
 	keys, err := a.stateMachine.Keys().Replace(content.Keys)
 	if err != nil {
@@ -269,12 +271,11 @@
 	return inForce, nil
 }
 
-// watchFiles takes over what changes, until the process ends: the directory of keys, and the files of the listener for
-// TLS.
+// watchFiles reloads the directory of keys and the files of the TLS listener when they change, until the process ends.
 func (a *authenticator) watchFiles() {
 	never := make(chan struct{})
 	if directory := a.settings.keyDirectory; directory != "" {
-		// The folder above reports a directory that is replaced as a whole.
+		// Watching the parent directory too shows when the directory is replaced as a whole.
 		directories := []string{directory, filepath.Dir(directory)}
 		fingerprint := func() string { return keydir.Fingerprint(directory) }
 		go files.Watch(never, directories, fingerprint, a.reloadKeys)
@@ -286,7 +287,7 @@
 	}
 }
 
-// reloadKeys reads the directory of keys beside the loop, and takes its content over there.
+// reloadKeys reads the directory of keys and puts its content in force on the event loop. It runs on another goroutine.
 func (a *authenticator) reloadKeys() error {
 	content, err := keydir.Read(a.settings.keyDirectory)
 	a.server.loop.Post(func() {
@@ -296,7 +297,7 @@
 	return err
 }
 
-// reloadCertificate reads the files of the listener for TLS. It is called beside the loop.
+// reloadCertificate reloads the files of the TLS listener. It runs on another goroutine than the event loop's.
 func (a *authenticator) reloadCertificate() error {
 	err := a.tls.Reload()
 	a.server.certificatesReloaded(a.settings.tls.Cert, err)
--- a/internal/proxy/dispatch.go
+++ b/internal/proxy/dispatch.go
@@ -7,7 +7,8 @@
 	"sloequay/internal/membership"
 )
 
-// admit takes the events of a front end. A request is authenticated first, where identity is on.
+// admit handles an event from a frontend. A request is rejected if too little time is left before the platform kills
+// the process, and authenticated if identity is on; all else is published.
 func (s *server) admit(event broker.Event) {
 	received, isRequest := event.(broker.RequestReceived)
 	if !isRequest {
@@ -30,7 +31,7 @@
 	s.publish(event)
 }
 
-// publish passes an event of a source of endpoints or purges, or of an admitted request, on to the pools.
+// publish passes an event about endpoints, purges or an admitted request on to the pools that it concerns.
 func (s *server) publish(event broker.Event) {
 	if s.routes == nil {
 		s.pools[0].publish(event)
@@ -39,7 +40,8 @@
 	s.dispatch(event)
 }
 
-// dispatch gives each pool what concerns it. An endpoint that is not a pool's is gone for it, also one that was its.
+// dispatch passes an event on to the pools that it concerns. In lists and deltas, a pool sees only its own endpoints:
+// the others are absent or gone, even those that were in the pool before.
 func (s *server) dispatch(event broker.Event) {
 	switch event := event.(type) {
 	case broker.RequestReceived:
@@ -58,14 +60,14 @@
 		for i, pool := range s.pools {
 			pool.publish(s.deltaForPool(i, event))
 		}
-	default: // purges, and sources that report or are silent
+	default: // events that concern all pools: purges, and sources that become silent or answer again
 		for _, pool := range s.pools {
 			pool.publish(event)
 		}
 	}
 }
 
-// listForPool returns a list without the endpoints that are not a pool's.
+// listForPool returns a copy of the list with only the endpoints of a pool.
 func (s *server) listForPool(pool int, event broker.EndpointList) broker.EndpointList {
 	all := event.List.Endpoints
 	event.List.Endpoints = nil
@@ -77,7 +79,7 @@
 	return event
 }
 
-// deltaForPool returns changes in which the endpoints that are not a pool's are gone.
+// deltaForPool returns a copy of the delta in which the endpoints outside a pool are gone.
 func (s *server) deltaForPool(pool int, event broker.EndpointDelta) broker.EndpointDelta {
 	event.Endpoints = slices.Clone(event.Endpoints)
 	for i := range event.Endpoints {
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -13,17 +13,17 @@
 	"sloequay/internal/membership/consul"
 )
 
-// DefaultEndpointsWait is the wait without a flag.
+// DefaultEndpointsWait is the default of EndpointsOptions.Wait.
 const DefaultEndpointsWait = 2 * time.Second
 
-// answerCheckInterval is how often PrintEndpoints looks whether the catalogue has answered.
+// answerCheckInterval is the interval at which PrintEndpoints checks whether the catalogue has answered.
 const answerCheckInterval = 5 * time.Millisecond
 
-// EndpointsOptions is how PrintEndpoints polls the sources.
+// EndpointsOptions holds the options of PrintEndpoints. Wait is the timeout for each source.
 type EndpointsOptions struct{ Wait time.Duration }
 
-// PrintEndpoints polls each source once and prints the merged view. What a source reports goes into the table as in a
-// running proxy.
+// PrintEndpoints polls each source once and prints the merged view. Reports of the sources are merged as in a running
+// proxy.
 func PrintEndpoints(out io.Writer, plan *Plan, options EndpointsOptions) error {
 	poll := &endpointsPoll{plan: plan}
 	if plan.settings.usesListWatch {
@@ -36,7 +36,7 @@
 			return err
 		}
 	}
-	// What the catalogue's goroutines still bring waits for the lock, and the program ends.
+	// Holding the lock until the end keeps the catalogue's goroutines, which may still run, from changing the table.
 	poll.mu.Lock()
 	defer poll.mu.Unlock()
 	now := plan.clock.Monotonic()
@@ -45,14 +45,14 @@
 	return writeEndpoints(out, plan, plan.clock.Monotonic(), poll.notes)
 }
 
-// endpointsPoll polls the sources once.
+// endpointsPoll polls the sources once. mu guards the plan's table of endpoints and notes.
 type endpointsPoll struct {
-	mu    sync.Mutex // the catalogue publishes and logs on goroutines of its own
+	mu    sync.Mutex // needed as the catalogue publishes and logs on its own goroutines
 	plan  *Plan
-	notes []string // what went wrong, printed below the tables
+	notes []string // errors and log lines, printed below the tables
 }
 
-// apply takes events into the table. Purges do not change it.
+// apply applies events to the table of endpoints. It ignores purges.
 func (p *endpointsPoll) apply(events ...membership.SourceEvent) {
 	for _, event := range events {
 		p.applyEvent(event)
@@ -84,7 +84,7 @@
 	p.notes = append(p.notes, text)
 }
 
-// fetchListWatch takes the events of the settings and those that the endpoint list watch has after them.
+// fetchListWatch applies the initial events of the configuration and the later ones of the endpoint list watch.
 func (p *endpointsPoll) fetchListWatch(wait time.Duration) {
 	plan := p.plan
 	p.apply(plan.initialEvents...)
@@ -129,7 +129,7 @@
 	return p.plan.catalogueSeen()
 }
 
-// writeEndpoints prints sources and endpoints as tables.
+// writeEndpoints prints the sources and the endpoints as two tables, followed by the notes.
 func writeEndpoints(out io.Writer, plan *Plan, now time.Duration, notes []string) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	sources := plan.members.Sources()
@@ -169,7 +169,7 @@
 	return table.Flush()
 }
 
-// describeSource returns the words that operators read of a source.
+// describeSource returns the state of a source and the time since it was last seen, as shown to operators.
 func describeSource(source membership.SourceView, now time.Duration) (state, lastSeen string) {
 	state, lastSeen = "speaks", "never"
 	switch {
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -16,33 +16,33 @@
 )
 
 const (
-	// maxPartEndpoints is how many endpoints of a list of peers are published together, so that a large one does
-	// not hold the loop.
+	// maxPartEndpoints is the maximum number of endpoints of a peers' list that are published as one part, so that a
+	// large list does not block the event loop.
 	maxPartEndpoints = 500
-	// fleetStepInterval is the time between two steps of the machine without an event.
+	// fleetStepInterval is the interval between two steps of the machine.
 	fleetStepInterval = 100 * time.Millisecond
-	// maxTransportAttempts is how often the transport is opened at the start, before it is done without.
+	// maxTransportAttempts is the maximum number of attempts to open the transport at the start. If all fail, the
+	// proxy runs without peers.
 	maxTransportAttempts = 5
 	transportRetryPause  = 20 * time.Millisecond
-	// announceTimeout is how long the announcement of a shutdown may take; the proxy serves for at least twice as
-	// long.
+	// announceTimeout limits the announcement of a shutdown. The proxy keeps serving for at least twice as long.
 	announceTimeout = 450 * time.Millisecond
 )
 
-// fleet connects the decisions of package bootstrap with the transport to other proxies, the catalogue and the
-// endpoint lists. Its methods run on the loop, except those of transport.Receiver.
+// fleet carries out the decisions of a bootstrap.Machine: it connects the machine with the transport to other proxies,
+// the catalogue and the tables of endpoints. Its methods run on the event loop, except those of transport.Receiver.
 //
-// Lists of the catalogue go to the machine, and so to the peers, only once the endpoint table accepts them; lists of
-// peers that the machine accepts are published like those of any source.
+// A list from the catalogue is passed to the machine, and so to the peers, only after the tables of endpoints accept
+// it. A list from peers that the machine accepts is published like that of any source.
 type fleet struct {
 	server       *server
 	machine      *bootstrap.Machine
 	transport    *transport.Transport // nil: no peers
-	pendingLists []*membership.List   // by list: the catalogue's last one, until the endpoint table accepts it
+	pendingLists []*membership.List   // by list index: the catalogue's last list, while it waits to be accepted; or nil
 	steppedAt    time.Duration
 }
 
-// newFleet opens the transport and makes the machine.
+// newFleet opens the transport, if the settings name peers, and creates the machine.
 func newFleet(s *sources) *fleet {
 	settings := s.server.plan.settings
 	created := &fleet{
@@ -57,8 +57,8 @@
 	return created
 }
 
-// openTransport opens the transport to the peers, and reports whether it could. Peers help but are not needed: without
-// them the proxy polls by itself.
+// openTransport opens the transport to the peers, and reports whether it succeeded. Peers are optional: without them
+// the proxy polls the catalogue itself.
 func (f *fleet) openTransport(config bootstrap.Config) bool {
 	settings := f.server.plan.settings
 	self := transport.Identity{
@@ -71,7 +71,7 @@
 	}
 	opened, err := transport.Open(*settings.Peers, self, f)
 	for attempts := 1; err != nil && attempts < maxTransportAttempts; attempts++ {
-		time.Sleep(transportRetryPause) // memberlist's errors don't tell what passes from what stays
+		time.Sleep(transportRetryPause) // memberlist's errors do not show whether they are temporary
 		opened, err = transport.Open(*settings.Peers, self, f)
 	}
 	if err != nil {
@@ -81,7 +81,7 @@
 	return err == nil
 }
 
-// machineConfig combines the platform's settings with those of the block for peers.
+// machineConfig combines the platform configuration with the settings in the block `peers`.
 func (f *fleet) machineConfig() bootstrap.Config {
 	plan := f.server.plan
 	control := plan.platform.Control
@@ -101,7 +101,7 @@
 	return config
 }
 
-// fleetSize is how many proxies there are: as the block for peers says, or else the platform.
+// fleetSize returns the number of proxies in the fleet, from the block `peers` or else the platform configuration.
 func (p *Plan) fleetSize() int {
 	if peers := p.settings.Peers; peers != nil && peers.Fleet > 0 {
 		return peers.Fleet
@@ -109,7 +109,7 @@
 	return p.platform.Control.Instances
 }
 
-// programVersion names the build, as far as it is known.
+// programVersion returns the VCS revision of the build, or else its module version; empty if neither is known.
 func programVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -125,7 +125,7 @@
 
 func (f *fleet) now() time.Duration { return f.server.clock.Monotonic() }
 
-// MembersChanged takes the other members. The transport calls it beside the loop.
+// MembersChanged passes the other members on to the machine. The transport calls it on one of its goroutines.
 func (f *fleet) MembersChanged(members []peer.Member) {
 	peers := make([]bootstrap.Peer, 0, len(members))
 	for _, member := range members {
@@ -134,15 +134,15 @@
 	f.server.loop.Post(func() { f.apply(f.machine.PeersChanged(f.now(), peers)) })
 }
 
-// MessageReceived takes a message of a peer, and returns once the loop has handled it, so that no more is read than
-// the loop can take. The transport calls it beside the loop.
+// MessageReceived handles a message from a peer. It returns after the event loop has handled the message, so that
+// messages are read no faster than the loop can handle them. The transport calls it on one of its goroutines.
 func (f *fleet) MessageReceived(from string, body []byte) {
 	var message bootstrap.Message
 	if err := transport.Decode(body, &message); err != nil {
 		f.Log("peer-rejected", "peer", from, "reason", err)
 		return
 	}
-	message.From = from // as signed; the message itself may claim another sender
+	message.From = from // the verified signer; the message itself may claim another sender
 	handled := make(chan struct{})
 	f.server.loop.Post(func() {
 		f.apply(f.machine.MessageReceived(f.now(), message))
@@ -151,13 +151,12 @@
 	<-handled
 }
 
-// Log writes a line of the event log. It may be called beside the loop.
+// Log writes a line to the event log. Any goroutine may call it.
 func (f *fleet) Log(event string, fields ...any) {
 	f.server.loop.Post(func() { f.server.log.Event(event, fields...) })
 }
 
-// observe takes what the catalogue sends to this proxy. A complete list is pending until the endpoint table accepts
-// it.
+// observe handles an event from the catalogue. A complete list becomes pending until the tables of endpoints accept it.
 func (f *fleet) observe(event membership.SourceEvent) {
 	switch event := event.(type) {
 	case membership.ListReceived:
@@ -174,16 +173,16 @@
 	}
 }
 
-// listIndex returns the machine's index of a source, and whether it has one.
+// listIndex returns the machine's index of a source's list, and whether the machine has such a list.
 func (f *fleet) listIndex(source int) (int, bool) {
 	list := source - f.server.plan.firstCatalogueSource
 	return list, list >= 0 && list < len(f.pendingLists)
 }
 
-// sourceIndex returns the index among the sources of one of the machine's lists.
+// sourceIndex returns the index of the source of one of the machine's lists.
 func (f *fleet) sourceIndex(list int) int { return f.server.plan.firstCatalogueSource + list }
 
-// serviceSeen takes an answer of the catalogue to a call that is not for a list.
+// serviceSeen records an answer of the catalogue that brings no list. It counts for each list that has none pending.
 func (f *fleet) serviceSeen() {
 	for list := range f.pendingLists {
 		if f.pendingLists[list] == nil {
@@ -192,7 +191,8 @@
 	}
 }
 
-// step passes on the pending lists that the endpoint table has accepted, and steps the machine.
+// step passes accepted lists to the machine. Every fleetStepInterval, it also steps the machine and updates the state
+// that the transport exchanges with peers.
 func (f *fleet) step(now time.Duration) {
 	f.forwardAcceptedLists(now)
 	if now-f.steppedAt < fleetStepInterval {
@@ -208,10 +208,10 @@
 	}
 }
 
-// forwardAcceptedLists passes on the pending lists under no suspicion.
+// forwardAcceptedLists passes the pending lists to the machine that no pool's table of endpoints suspects.
 func (f *fleet) forwardAcceptedLists(now time.Duration) {
-	pending := func(list *membership.List) bool { return list != nil }
-	if !slices.ContainsFunc(f.pendingLists, pending) {
+	isPending := func(list *membership.List) bool { return list != nil }
+	if !slices.ContainsFunc(f.pendingLists, isPending) {
 		return
 	}
 	for list, received := range f.pendingLists {
@@ -259,11 +259,12 @@
 		f.server.sources.pollLists()
 		return
 	}
-	clear(f.pendingLists) // a list under suspicion must not count later, when another source has lifted the suspicion
+	clear(f.pendingLists) // a suspected list must not be passed on later, after another list has ended the suspicion
 	f.server.sources.endPolling()
 }
 
-// adopt publishes a list of peers: a large one in parts first, which makes the complete one that follows cheap.
+// adopt publishes a list from peers. A large list is published in parts first, which makes the complete list that
+// follows cheap to apply.
 func (f *fleet) adopt(effect bootstrap.Adopt) {
 	source := f.sourceIndex(effect.List)
 	if len(effect.Endpoints) > maxPartEndpoints {
@@ -275,7 +276,7 @@
 	f.server.publish(broker.EndpointList{Source: source, List: membership.List{
 		Version:    effect.Version,
 		Endpoints:  effect.Endpoints,
-		Confirms:   !effect.Hint, // a quorum of peers has confirmed it, even where it lacks many endpoints
+		Confirms:   !effect.Hint, // a quorum of peers has confirmed it, even if it lacks many endpoints
 		Incomplete: effect.Hint,
 	}})
 }
@@ -295,18 +296,18 @@
 	return f.server.plan.settings.Catalogue.Services[list].Name
 }
 
-// announceShutdown tells the other members that this proxy leaves. It does not wait.
+// announceShutdown starts to tell the other members that this proxy leaves. It does not block.
 func (f *fleet) announceShutdown() {
 	if f.transport != nil {
 		f.transport.AnnounceShutdown(announceTimeout)
 	}
 }
 
-// writeStatus prints whether this proxy polls, its lists, and the other members, for `sloequay peers`.
+// writeStatus prints whether this proxy polls the catalogue, its lists, and the other members, for `sloequay peers`.
 func (f *fleet) writeStatus(out io.Writer) {
-	role := "listens to peers"
+	role := "receives lists from peers"
 	if f.machine.IsPolling() {
-		role = "asks the list service"
+		role = "polls the catalogue"
 	}
 	fmt.Fprintln(out, role)
 	for list := range f.pendingLists {
@@ -318,7 +319,7 @@
 		return
 	}
 	members, counters := f.transport.Status()
-	fmt.Fprintf(out, "sent %d messages, %d bytes; %d dropped, %d not heard\n",
+	fmt.Fprintf(out, "sent %d messages, %d bytes; %d dropped, %d rejected\n",
 		counters.Messages, counters.Bytes, counters.Dropped, counters.Rejected)
 	for _, member := range members {
 		fmt.Fprintf(out, "peer %s zone %s epoch %d program %s\n",
--- a/internal/proxy/housekeeping.go
+++ b/internal/proxy/housekeeping.go
@@ -8,11 +8,12 @@
 
 const (
 	housekeepingInterval = 100 * time.Millisecond
-	// statsInterval is the time between two log lines of what a pool has sent to its endpoints.
+	// statsInterval is the interval at which the statistics of attempts to endpoints are logged.
 	statsInterval = 5 * time.Second
 )
 
-// followUnixClock tells all that compare Unix times how far that clock is from the monotonic one.
+// followUnixClock passes the offset between the Unix clock and the monotonic clock to all components that compare Unix
+// times, and logs steps of the Unix clock.
 func (s *server) followUnixClock(now time.Duration) {
 	if step := s.unixClock.Observe(now, s.clock.Unix()); step != 0 {
 		s.log.Event("clock-stepped", "by", step)
@@ -28,7 +29,7 @@
 	}
 }
 
-// housekeep does what is due each housekeepingInterval.
+// housekeep runs the periodic tasks, every housekeepingInterval.
 func (s *server) housekeep(now time.Duration) {
 	if now-s.lastHousekeeping < housekeepingInterval {
 		return
@@ -51,7 +52,8 @@
 	s.log.Tick(now)
 }
 
-// logUpstreamStats logs what each pool has sent to its endpoints, each statsInterval.
+// logUpstreamStats logs the statistics of each pool's attempts to endpoints, every statsInterval. Pools without any are
+// skipped.
 func (s *server) logUpstreamStats(now time.Duration) {
 	if now-s.statsLoggedAt < statsInterval {
 		return
--- a/internal/proxy/identity_settings.go
+++ b/internal/proxy/identity_settings.go
@@ -13,7 +13,7 @@
 	"sloequay/internal/identity/tlslistener"
 )
 
-// identitySettings is the block `identity`: who may do what, and how callers show who they are.
+// identitySettings holds the settings in the block `identity`: how callers authenticate and what they may do.
 type identitySettings struct {
 	keyDirectory     string // empty: no tokens are accepted
 	authenticator    identity.AuthenticatorConfig
@@ -21,13 +21,14 @@
 	tenants          []identity.Tenant
 	rulesByRole      map[string][]identity.Rule
 	rolesByTenant    map[string][]string
-	rights           *identity.Rights    // what the rules of tenants and roles come to
-	tls              *tlslistener.Config // nil: no listener for TLS
-	tenantByName     map[string]string   // by a name of a client certificate
-	tenantByWildcard map[string]string   // by what follows "*." in such a name
+	rights           *identity.Rights    // the rules of all tenants, with those of their roles
+	tls              *tlslistener.Config // nil: no TLS listener
+	tenantByName     map[string]string   // by a name in a client certificate
+	tenantByWildcard map[string]string   // by parent domain: the wildcard name without its "*."
 }
 
-// callerFor returns the tenant and the subject that the names of a client certificate stand for.
+// callerFor returns the tenant of the first name in a client certificate that belongs to one, and that name as the
+// subject; both are empty if no name does.
 func (i *identitySettings) callerFor(names []string) (tenant, subject string) {
 	for _, name := range names {
 		if tenant := i.tenantByName[name]; tenant != "" {
@@ -40,7 +41,7 @@
 	return "", ""
 }
 
-// section returns the directives of the block. Certificates are checked at the time that unixTime gives.
+// section returns the directives of the block. The validity of certificates is checked against unixTime.
 func (i *identitySettings) section(unixTime func() time.Time) *config.Section {
 	i.authenticator = identity.Defaults()
 	i.rulesByRole = map[string][]identity.Rule{}
@@ -49,7 +50,7 @@
 	i.tenantByWildcard = map[string]string{}
 	section := &config.Section{}
 	i.addTokenDirectives(section)
-	section.Block("tls", false, "a listener for TLS 1.3", func([]string) (*config.Section, error) {
+	section.Block("tls", false, "TLS 1.3 listener", func([]string) (*config.Section, error) {
 		i.tls = &tlslistener.Config{
 			Now:               unixTime,
 			MaxHandshakes:     64,
@@ -59,37 +60,37 @@
 		}
 		return tlsListenerSection(i.tls), nil
 	})
-	section.Block("role", true, "rules that several tenants share", i.roleSection)
-	section.Block("tenant", true, "what one tenant may do", i.tenantSection)
+	section.Block("role", true, "rules that tenants can share", i.roleSection)
+	section.Block("tenant", true, "rights of a tenant", i.tenantSection)
 	section.Check(i.resolve)
 	return section
 }
 
-// addTokenDirectives adds the directives of tokens, their checks and what is remembered of them.
+// addTokenDirectives adds the directives for tokens, signature checks and the sizes of caches.
 func (i *identitySettings) addTokenDirectives(section *config.Section) {
 	limits := &i.authenticator
 	policy := &limits.Policy
-	section.Text("keys", &i.keyDirectory, nil, "directory of keys.json and revoked; without it no tokens are taken")
-	section.Text("audience", &policy.Audience, nil, "that a token must name; any without it")
-	section.Duration("skew", &policy.Skew, 0, 5*time.Minute, "of the callers' clocks, either way")
-	section.Duration("life-most", &policy.MaxLifetime, 0, 10*365*24*time.Hour, "longest life of a token; 0s: any")
-	section.Text("unsigned", &i.anonymousTenant, nil, "tenant of callers without a token; they are refused without it")
-	section.Rate("checks", &limits.ChecksPerSecond, 1, 1e6, "signatures checked a second")
-	section.Rate("checks-connection", &limits.ChecksPerConnection, 1, 1e6, "for one connection")
-	section.Rate("checks-source", &limits.ChecksPerSource, 1, 1e6, "and for all connections from one address")
-	section.Int("tokens", &limits.MaxCachedTokens, 1, 10_000_000, "verified tokens remembered")
-	section.Int("keyed", &limits.MaxIdempotencyKeys, 1, 10_000_000, "idempotency keys remembered")
-	section.Int("revocations", &limits.MaxRevocations, 1, 10_000_000, "revocations held")
+	section.Text("keys", &i.keyDirectory, nil, "directory of keys.json and revoked; default: no tokens are accepted")
+	section.Text("audience", &policy.Audience, nil, "audience that a token must name; default: any")
+	section.Duration("skew", &policy.Skew, 0, 5*time.Minute, "tolerated skew of callers' clocks, in both directions")
+	section.Duration("life-most", &policy.MaxLifetime, 0, 10*365*24*time.Hour, "maximum lifetime of a token; 0s: any")
+	section.Text("unsigned", &i.anonymousTenant, nil, "tenant of callers without a token; default: they are denied")
+	section.Rate("checks", &limits.ChecksPerSecond, 1, 1e6, "signature checks per second, in all")
+	section.Rate("checks-connection", &limits.ChecksPerConnection, 1, 1e6, "signature checks per second per connection")
+	section.Rate("checks-source", &limits.ChecksPerSource, 1, 1e6, "signature checks per second per source address")
+	section.Int("tokens", &limits.MaxCachedTokens, 1, 10_000_000, "maximum number of verified tokens cached")
+	section.Int("keyed", &limits.MaxIdempotencyKeys, 1, 10_000_000, "maximum number of idempotency keys kept")
+	section.Int("revocations", &limits.MaxRevocations, 1, 10_000_000, "maximum number of revocations")
 }
 
-// addRuleDirectives adds the directives of rules.
+// addRuleDirectives adds the directives `right` and `deny`, which append to rules.
 func addRuleDirectives(section *config.Section, rules *[]identity.Rule) {
 	for _, name := range []string{"right", "deny"} {
 		section.Each(name, func(words []string) error {
 			rule, err := identity.ParseRule(name == "deny", words)
 			*rules = append(*rules, rule)
 			return err
-		}, "classes, or * for all, with front=, site=, group=, object=")
+		}, "classes, or * for all; may be restricted by front=, site=, group=, object=")
 	}
 }
 
@@ -100,7 +101,7 @@
 	}
 	name := words[0]
 	if _, exists := i.rulesByRole[name]; exists {
-		return nil, fmt.Errorf("the role %s is named twice", name)
+		return nil, fmt.Errorf("the role %s is defined twice", name)
 	}
 	i.rulesByRole[name] = nil
 	var rules []identity.Rule
@@ -121,9 +122,9 @@
 	tenant := identity.Tenant{Name: words[0]}
 	var roles, certificates []string
 	section := &config.Section{}
-	section.Words("role", &roles, nil, "roles whose rules it has too")
+	section.Words("role", &roles, nil, "roles whose rules apply to the tenant too")
 	section.Words("certificate", &certificates, nil,
-		"names of client certificates that are of it, or *.DOMAIN for all right below")
+		"names of its client certificates; *.DOMAIN stands for all names one level below DOMAIN")
 	addRuleDirectives(section, &tenant.Rules)
 	section.Check(func() error { return i.addCertificates(tenant.Name, certificates) })
 	section.Check(func() error {
@@ -134,7 +135,7 @@
 	return section, nil
 }
 
-// addCertificates makes the names of client certificates a tenant's.
+// addCertificates assigns the names of client certificates to a tenant.
 func (i *identitySettings) addCertificates(tenant string, names []string) error {
 	for _, name := range names {
 		tenants, key := i.tenantByName, name
@@ -142,14 +143,14 @@
 			tenants, key = i.tenantByWildcard, parent
 		}
 		if other := tenants[key]; other != "" {
-			return fmt.Errorf("certificate %s is of the tenant %s already", name, other)
+			return fmt.Errorf("certificate %s already belongs to tenant %s", name, other)
 		}
 		tenants[key] = tenant
 	}
 	return nil
 }
 
-// resolve makes the rights of all tenants, and checks the directory of keys.
+// resolve computes the rights of all tenants, and checks the directory of keys.
 func (i *identitySettings) resolve() error {
 	if err := i.resolveRoles(); err != nil {
 		return err
@@ -172,7 +173,7 @@
 		for _, role := range i.rolesByTenant[tenant.Name] {
 			rules, exists := i.rulesByRole[role]
 			if !exists {
-				return fmt.Errorf("tenant %s: there is no role %s", tenant.Name, role)
+				return fmt.Errorf("tenant %s: unknown role %s", tenant.Name, role)
 			}
 			tenant.Rules = append(tenant.Rules, rules...)
 		}
@@ -183,17 +184,18 @@
 // tlsListenerSection returns the directives of the block `tls`.
 func tlsListenerSection(listener *tlslistener.Config) *config.Section {
 	section := &config.Section{}
-	section.Text("listen", &listener.Listen, checkAddressPort, "where clients connect by TLS")
-	section.Text("cert", &listener.Cert, nil, "file of our certificate")
-	section.Text("key", &listener.Key, nil, "file of its key, readable by its owner alone")
+	section.Text("listen", &listener.Listen, checkAddressPort, "ip:port of the listener")
+	section.Text("cert", &listener.Cert, nil, "file with the proxy's certificate")
+	section.Text("key", &listener.Key, nil, "file with its private key, readable only by its owner")
 	section.Text("client-ca", &listener.ClientCA, nil,
-		"file of the authorities that sign clients; they show no certificates without it")
-	section.Flag("client-needed", &listener.RequireClientCert, "whether a client must show a certificate")
-	section.Int("handshakes", &listener.MaxHandshakes, 1, 10_000, "handshakes at once")
-	section.Duration("limit", &listener.HandshakeTimeout, 10*time.Millisecond, time.Minute, "for one")
-	section.Int("connections", &listener.MaxConnections, 1, 100_000, "connections; each takes three descriptors")
+		"file with the CA certificates for clients; default: no client certificates are requested")
+	section.Flag("client-needed", &listener.RequireClientCert, "whether clients must present a certificate")
+	section.Int("handshakes", &listener.MaxHandshakes, 1, 10_000, "maximum number of concurrent handshakes")
+	section.Duration("limit", &listener.HandshakeTimeout, 10*time.Millisecond, time.Minute, "timeout of a handshake")
+	section.Int("connections", &listener.MaxConnections, 1, 100_000,
+		"maximum number of connections; each takes three descriptors")
 	section.Duration("tickets", &listener.TicketKeyRotation, time.Second, 24*time.Hour,
-		"how often the key of session tickets changes; three are taken")
+		"rotation interval of the key for session tickets; the last three keys are accepted")
 	section.Check(func() error {
 		if listener.Listen == "" {
 			return errors.New("listen is missing")
--- a/internal/proxy/layout_test.go
+++ b/internal/proxy/layout_test.go
@@ -7,15 +7,16 @@
 	"testing"
 )
 
-// packagesBelowLoop are the packages that do no I/O of the proxy's: state machines that their users step, and the sources.
+// packagesBelowLoop lists the packages that do no I/O for the proxy: state machines that their callers step, and parts
+// of the sources of endpoints.
 var packagesBelowLoop = []string{
 	"bootstrap", "broker", "clock", "concurrency", "config", "invalidation", "membership", "peer", "policy", "quota",
 	"retry", "retryafter", "route", "shutdown", "snapshot", "membership/consul/blockingquery",
 	"membership/consul/health", "membership/consul/registrar", "proxy/readiness", "proxy/deferral", "proxy/descriptors",
 }
 
-// TestImportsFollowLayers: what stands below the event loop imports nothing that stands above, not by way of others either,
-// and the sources of endpoints know nothing of the broker that takes what they report.
+// TestImportsFollowLayers checks that packages below the event loop import nothing from above it, directly or
+// indirectly, and that the sources of endpoints do not depend on the broker, which receives their reports.
 func TestImportsFollowLayers(t *testing.T) {
 	for _, name := range packagesBelowLoop {
 		forbidImports(t, name, "eventloop", "proxy", "frontend", "upstream", "emulator", "drill")
@@ -29,20 +30,21 @@
 	forbidImports(t, "proxy", "emulator", "drill")
 }
 
-// forbidImports fails when a package of internal/ imports, at whatever depth, one of the folders named or one below it.
+// forbidImports fails the test if a package of internal/ imports, directly or indirectly, a package in one of the
+// directories.
 func forbidImports(t *testing.T, name string, directories ...string) {
 	t.Helper()
 	for imported, chain := range transitiveImports(t, name) {
-		for _, folder := range directories {
-			if imported == folder || strings.HasPrefix(imported, folder+"/") {
-				t.Errorf("internal/%s must not import %s: %s", name, folder, chain)
+		for _, directory := range directories {
+			if imported == directory || strings.HasPrefix(imported, directory+"/") {
+				t.Errorf("internal/%s must not import %s, got the import chain %s", name, directory, chain)
 			}
 		}
 	}
 }
 
-// transitiveImports gives the packages of internal/ that one imports at whatever depth, and by which way. Tests' own do not
-// count.
+// transitiveImports returns the packages of internal/ that a package imports directly or indirectly, each with the
+// chain of imports that leads to it. Imports of test files do not count.
 func transitiveImports(t *testing.T, name string) map[string]string {
 	t.Helper()
 	const root = "sloequay/internal/"
--- a/internal/proxy/migrations.go
+++ b/internal/proxy/migrations.go
@@ -7,8 +7,8 @@
 	"sloequay/internal/route"
 )
 
-// recordResult tells the migrations how a request has ended. What a budget rejects or the caller may not do is no
-// pool's failure.
+// recordResult reports the result of a request to the migrations. Requests that a budget rejects or that are denied to
+// their caller do not count, because the pool did not fail them.
 func (s *server) recordResult(request *broker.Request, response broker.Response) {
 	if s.routes == nil || response.Kind == broker.ResponseDenied || response.Budget != "" {
 		return
@@ -22,7 +22,7 @@
 	}
 }
 
-// stepMigrations has the migrations take the steps that are due.
+// stepMigrations advances the migrations whose next step is due.
 func (s *server) stepMigrations(now time.Duration) {
 	if s.routes == nil {
 		return
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -12,30 +12,31 @@
 	"sloequay/internal/proxy/descriptors"
 )
 
-// Plan is all that Serve runs by: the platform's configuration, our settings, and what both come to.
+// Plan is the complete configuration that Serve runs with: the platform configuration, the proxy's own settings, and
+// what is derived from both.
 type Plan struct {
 	clock                *clock.System
 	platform             *platformconfig.Settings
 	settings             *Settings
 	members              *membership.Table
-	firstCatalogueSource int // the index in members of the catalogue's first service
+	firstCatalogueSource int // index of the catalogue's first service among the sources of members
 	decoder              listwatch.Decoder
-	initialEvents        []membership.SourceEvent // of the endpoint list watch, as the platform's settings have them
-	lastInitialEvent     int64                    // the number of the last of them
+	initialEvents        []membership.SourceEvent // the endpoint list in the platform configuration, as watch events
+	lastInitialEvent     int64                    // event number of the last one, after which the watch continues
 	initialEndpointCount int
-	reload               func() (*Plan, error) // reads all files anew
+	reload               func() (*Plan, error) // reads all files again
 }
 
-// Print writes our settings in force, with defaults marked.
+// Print writes the proxy's own settings in force, with defaults marked.
 func (p *Plan) Print(out io.Writer) error { return p.settings.Section.Print(out) }
 
-// String says in a line what was read.
+// String summarizes the configuration in one line.
 func (p *Plan) String() string {
-	return fmt.Sprintf("the configuration of %s is sound: %d classes, %d boxes known",
+	return fmt.Sprintf("the configuration of %s is valid: %d classes, %d endpoints",
 		p.platform.Name, len(p.platform.Control.Classes), p.initialEndpointCount)
 }
 
-// Load reads and checks all files: the platform's configuration, and our settings, which may be left out.
+// Load reads and checks all files: the platform configuration and the proxy's own settings. settingsPath may be empty.
 func Load(system *clock.System, configPath, settingsPath string) (*Plan, error) {
 	if configPath == "" {
 		return nil, errors.New("no configuration: set BALANCER_CONFIG or --config")
@@ -60,7 +61,7 @@
 	return p, p.decodeInitialList()
 }
 
-// validate checks our settings against the platform's configuration.
+// validate checks the proxy's own settings against the platform configuration.
 func (p *Plan) validate() error {
 	control := p.platform.Control
 	if p.settings.UpstreamTLS != nil {
@@ -72,13 +73,13 @@
 		return nil
 	}
 	if p.settings.Snapshot != nil {
-		return errors.New("services: a snapshot is of one pool; leave out one of the two blocks")
+		return errors.New("services: a snapshot holds the endpoints of a single pool; remove one of the two blocks")
 	}
 	_, err := p.settings.Services.newTable(0, control.ZoneNames, control.KindNames)
 	return err
 }
 
-// decodeInitialList reads the initial events, so that `sloequay check` finds faults in them too.
+// decodeInitialList decodes the initial events, which Load does so that `sloequay check` finds errors in them too.
 func (p *Plan) decodeInitialList() error {
 	control := p.platform.Control
 	p.members, p.decoder.Source, p.firstCatalogueSource = p.settings.membershipTable()
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// descriptorDemand returns who shares the file descriptors.
+// descriptorDemand returns what the file descriptors are needed for.
 func (p *Plan) descriptorDemand() descriptors.Demand {
 	demand := descriptors.Demand{Total: p.platform.Sockets, DNS: p.settings.DNS != nil}
 	if identity := p.settings.Identity; identity != nil && identity.tls != nil {
--- a/internal/proxy/pools.go
+++ b/internal/proxy/pools.go
@@ -11,19 +11,19 @@
 	"sloequay/internal/upstream"
 )
 
-// pool is a set of endpoints with its broker and its connections. Pools see nothing of one another.
+// pool is a set of endpoints with its broker and its connections. Pools do not know of each other.
 type pool struct {
 	broker      *broker.Broker
 	members     *membership.Table // of its endpoints
-	connections *upstream.Pool
-	events      []broker.Event // for the next round
-	share       float64        // of open requests and of connections
+	connections *upstream.Pool    // nil until the loop runs
+	events      []broker.Event    // for the next round
+	share       float64           // of open requests and of connections
 }
 
-// publish gives the pool an event for the next round.
+// publish queues an event for the pool's next round.
 func (p *pool) publish(event broker.Event) { p.events = append(p.events, event) }
 
-// newRoutes makes the table of routes that the settings name; nil: there is one pool for all.
+// newRoutes returns the table of routes for the services in the settings; nil: all requests use one pool.
 func newRoutes(plan *Plan) (*route.Table, error) {
 	if plan.settings.Services == nil {
 		return nil, nil
@@ -32,7 +32,7 @@
 	return plan.settings.Services.newTable(plan.clock.Monotonic(), control.ZoneNames, control.KindNames)
 }
 
-// poolShares returns the share of each pool.
+// poolShares returns the share of each pool; a single pool has all.
 func poolShares(routes *route.Table) []float64 {
 	if routes == nil {
 		return []float64{1}
@@ -44,7 +44,8 @@
 	return shares
 }
 
-// newPools makes the pools, each with its broker. Pools beside the first have a table of endpoints of their own.
+// newPools creates the pools, each with its broker. The first pool uses the plan's table of endpoints, the others have
+// their own.
 func (s *server) newPools() error {
 	platform := s.plan.platform
 	for i, share := range poolShares(s.routes) {
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// createConnections makes the pool's connections, once the loop runs.
+// createConnections creates the pool's upstream.Pool. It must be called after the loop has started.
 func (p *pool) createConnections(server *server) {
 	platform := server.plan.platform
 	control := platform.Control
@@ -91,7 +92,7 @@
 	}
 }
 
-// round hands the gathered events to the pool's broker together, and carries out what it decides.
+// round passes the queued events to the pool's broker as one batch, and carries out the resulting effects.
 func (p *pool) round(server *server) {
 	events := p.events
 	p.events = nil
@@ -100,24 +101,24 @@
 	}
 }
 
-// endpointByName finds an endpoint of any pool by its host on connections.
-func (s *server) endpointByName(host string) *broker.Endpoint {
+// endpointByName returns the endpoint with a name, ignoring case, from the first pool that has one, or nil.
+func (s *server) endpointByName(name string) *broker.Endpoint {
 	for _, pool := range s.pools {
-		if endpoint := pool.broker.EndpointByName(host); endpoint != nil {
+		if endpoint := pool.broker.EndpointByName(name); endpoint != nil {
 			return endpoint
 		}
 	}
 	return nil
 }
 
-// isSuspected reports whether any pool suspects that the last list of a source lacks endpoints of it.
+// isSuspected reports whether, in any pool, the last list of a source is suspected of lacking endpoints.
 func (s *server) isSuspected(source int) bool {
 	return slices.ContainsFunc(s.pools, func(pool *pool) bool {
 		return pool.members.Sources()[source].Suspected != 0
 	})
 }
 
-// openRequests is the number of requests without a response.
+// openRequests returns the number of requests without a response, over all pools.
 func (s *server) openRequests() int {
 	open := 0
 	for _, pool := range s.pools {
@@ -126,7 +127,7 @@
 	return open
 }
 
-// limitRetries sets the retry budgets of the contracts.
+// limitRetries sets the retry budgets of all pools to those of the contracts.
 func (s *server) limitRetries(contracts *quota.Contracts) {
 	for _, pool := range s.pools {
 		pool.broker.LimitRetries(contracts.TeamRetries, contracts.EndpointRetries)
--- a/internal/proxy/pools_test.go
+++ b/internal/proxy/pools_test.go
@@ -8,8 +8,8 @@
 	"sloequay/internal/membership"
 )
 
-// TestListSuspectedByAnyPool guards against a list that lacks another pool's endpoints and is passed on to peers as if
-// it were sound, since the first pool alone was asked.
+// TestListSuspectedByAnyPool guards against passing a suspected list on to peers because only the first pool is
+// consulted, while the list lacks endpoints of another pool.
 func TestListSuspectedByAnyPool(t *testing.T) {
 	newTable := func() *membership.Table {
 		return membership.New(membership.Config{
@@ -32,11 +32,11 @@
 			pool.members.ReplaceList(time.Second, 0, listOf(10))
 		}
 		if s.isSuspected(0) {
-			t.Fatal("first lists are suspected")
+			t.Fatal("first lists: got suspected, want accepted")
 		}
 		s.pools[suspecting].members.ReplaceList(2*time.Second, 0, listOf(1))
 		if !s.isSuspected(0) {
-			t.Errorf("pool %d has lost nine of ten endpoints, and the list is not suspected", suspecting)
+			t.Errorf("list that lacks nine of ten endpoints of pool %d: got accepted, want suspected", suspecting)
 		}
 	}
 }
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -4,7 +4,7 @@
 	"sloequay/internal/proxy/readiness"
 )
 
-// newStartup returns the startup of a proxy. Only one whose endpoints come from a catalogue has to wait for them.
+// newStartup returns the startup of a proxy. Only a proxy whose endpoints come from a catalogue has to wait for them.
 func newStartup(plan *Plan) readiness.Startup {
 	if plan.settings.Catalogue == nil {
 		return readiness.NewCompletedStartup()
@@ -12,7 +12,7 @@
 	return readiness.NewStartup(plan.fleetSize())
 }
 
-// isReady reports whether this proxy wants new clients.
+// isReady reports whether this proxy is ready for new clients.
 func (s *server) isReady() bool {
 	if s.shutdown.Begun() {
 		return false
@@ -23,7 +23,7 @@
 	return s.startup.Observe(s.clock.Uptime(), s.sources.readinessSources())
 }
 
-// readinessSources returns what is known of the sources of endpoints.
+// readinessSources returns the state of the sources of endpoints. A catalogue must be configured.
 func (s *sources) readinessSources() readiness.Sources {
 	status := readiness.Sources{AllSeen: s.server.plan.catalogueSeen(), Restored: s.restored}
 	if s.fleet.transport != nil {
--- a/internal/proxy/readiness_test.go
+++ b/internal/proxy/readiness_test.go
@@ -11,8 +11,8 @@
 	"sloequay/internal/proxy/readiness"
 )
 
-// TestStartupWaitsForTheFleet guards against a proxy that says ready, without endpoints, before its polling window has
-// ended: the block for peers may name a fleet that is larger than the platform's instances.
+// TestStartupWaitsForTheFleet guards against a proxy that reports ready without endpoints before its polling window has
+// ended, because it uses the platform's number of instances while the block `peers` gives a larger fleet.
 func TestStartupWaitsForTheFleet(t *testing.T) {
 	const fleet = 400
 	plan := &Plan{
@@ -24,7 +24,7 @@
 	for uptime := time.Second; uptime < 20*time.Second; uptime += 100 * time.Millisecond {
 		got, want := startup.Observe(uptime, readiness.Sources{}), reference.Observe(uptime, readiness.Sources{})
 		if got != want {
-			t.Fatalf("at %v complete %v, want %v as in a fleet of %d", uptime, got, want, fleet)
+			t.Fatalf("startup complete at %v: got %v, want %v as in a fleet of %d", uptime, got, want, fleet)
 		}
 	}
 }
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -1,7 +1,8 @@
 package proxy
 
-// reload takes over what may change while the proxy runs. Files with a fault change nothing: operators replace files
-// under load, and the proxy must survive their mistakes.
+// reload applies those parts of a new configuration that may change while the proxy runs: the address of the endpoint
+// list watch, and the contracts. If reading the files has failed, nothing changes: operators replace files under load,
+// and the proxy must survive their mistakes.
 func (s *server) reload(next *Plan, err error) {
 	if err != nil {
 		s.log.Event("reload-failed", "error", err)
--- a/internal/proxy/round.go
+++ b/internal/proxy/round.go
@@ -6,12 +6,12 @@
 	"sloequay/internal/broker"
 )
 
-// drainInterval is the longest time between two rounds of a proxy that drains: a connection is closed in the round
-// after its last response was written, and the next request may come soon.
+// drainInterval is the maximum time between two rounds while the proxy drains. A connection is closed in the round
+// after its last response was written; a long wait would let the client's next request arrive before that.
 const drainInterval = 10 * time.Millisecond
 
-// round hands all events that were gathered to the brokers, and carries out what they decide. The loop calls it each
-// time after it has read what was ready.
+// round passes all queued events to the brokers and carries out the resulting effects. The loop calls it each time
+// after it has read all connections that were ready.
 func (s *server) round() {
 	now := s.clock.Monotonic()
 	s.roundBeganAt = now
@@ -32,8 +32,8 @@
 	s.scheduleNextRound(now)
 }
 
-// runBrokers hands the gathered events to the brokers until there are none: effects may bring events of their own, and
-// what ends in one pool may be retried in another.
+// runBrokers passes the queued events to the brokers until there are none: effects may cause further events, and a
+// request that ends in one pool may be retried in another.
 func (s *server) runBrokers(roundBegan time.Duration) {
 	for {
 		for _, pool := range s.pools {
@@ -55,7 +55,7 @@
 	return false
 }
 
-// flush writes the attempts of the round, unless they are deferred to the next one.
+// flush writes the attempts of the round, unless they are deferred to the next round.
 func (s *server) flush(roundBegan time.Duration) {
 	if !s.rounds.MayFlush(s.clock.Monotonic() - roundBegan) {
 		return
@@ -65,21 +65,21 @@
 	}
 }
 
-// deferWrites reports whether attempts that are about to be written are left to the next round after all, as the
-// process stood still since the round gathered them.
+// deferWrites reports whether attempts that are about to be written must be deferred to the next round after all,
+// because the process has stood still since the round gathered them.
 func (s *server) deferWrites() bool {
 	if s.rounds.MayFlush(s.clock.Monotonic() - s.roundBeganAt) {
 		return false
 	}
-	s.loop.WakeAfter(0) // by the timer, as in scheduleNextRound, which did not know
+	s.loop.WakeAfter(0) // by the timer, as in scheduleNextRound, which ran before this deferral
 	return true
 }
 
-// scheduleNextRound has the loop wake up for the next thing that is due by time.
+// scheduleNextRound sets the loop's timer to the time of the next scheduled task.
 func (s *server) scheduleNextRound(now time.Duration) {
 	wake := s.lastHousekeeping + housekeepingInterval
 	if s.rounds.Deferred() {
-		wake = now // by the timer, so that the loop reads first: a round that is requested would come before that
+		wake = now // by the timer, so that the loop reads first; a round by RequestRound would start before that
 	}
 	if s.sources.fleet != nil {
 		wake = min(wake, s.sources.fleet.steppedAt+fleetStepInterval)
@@ -95,7 +95,7 @@
 	s.loop.WakeAfter(max(0, wake-s.clock.Monotonic()))
 }
 
-// applyEffect carries out what the broker of a pool has decided.
+// applyEffect carries out an effect of a pool's broker.
 func (s *server) applyEffect(pool *pool, effect broker.Effect) {
 	switch effect := effect.(type) {
 	case broker.SendAttempt:
--- a/internal/proxy/round_test.go
+++ b/internal/proxy/round_test.go
@@ -7,7 +7,8 @@
 	"sloequay/internal/clock"
 )
 
-// TestStalledRoundDefersItsAttempts: once, and not where the round before has done so; and for the whole round.
+// TestStalledRoundDefersItsAttempts checks that a stalled round defers its attempts until it ends, unless the previous
+// round has deferred its own.
 func TestStalledRoundDefersItsAttempts(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -15,9 +16,9 @@
 		mayDefer bool
 		want     bool
 	}{
-		{"a round as usual", time.Millisecond, true, false},
-		{"a round that stalled", time.Second, true, true},
-		{"the round after one that stalled", time.Second, false, false},
+		{"normal round", time.Millisecond, true, false},
+		{"stalled round", time.Second, true, true},
+		{"stalled round after one that deferred", time.Second, false, false},
 	} {
 		s := &server{clock: clock.NewSystem()}
 		s.rounds.Begin()
@@ -27,10 +28,10 @@
 		s.rounds.Begin()
 		s.flush(s.clock.Monotonic() - c.elapsed)
 		if s.rounds.Deferred() != c.want {
-			t.Errorf("%s: deferred %v, want %v", c.name, s.rounds.Deferred(), c.want)
+			t.Errorf("%s: got deferred %v, want %v", c.name, s.rounds.Deferred(), c.want)
 		}
 		if s.flush(s.clock.Monotonic()); s.rounds.Deferred() != c.want {
-			t.Errorf("%s: after another look in the same round deferred %v, want %v",
+			t.Errorf("%s: second flush in the round: got deferred %v, want %v",
 				c.name, s.rounds.Deferred(), c.want)
 		}
 	}
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// The memory limit of the Go runtime is this part of the settings' memory; the rest is for stacks, the runtime and
-	// the sockets' buffers.
+	// heapNumerator / heapDenominator is the memory limit of the Go runtime as a fraction of the process's memory. The
+	// rest is for stacks, the runtime and socket buffers.
 	heapNumerator   = 6
 	heapDenominator = 10
-	// gcPercent spaces collections out; the memory limit bounds the heap all the same.
+	// gcPercent makes garbage collections less frequent than by default; the memory limit still bounds the heap.
 	gcPercent = 300
-	// minProcessors is the least GOMAXPROCS. The loop never parks its goroutine, so that with one processor the dials
-	// beside it would wait for the scheduler's next preemption.
+	// minProcessors is the minimum GOMAXPROCS. The event loop never parks its goroutine, so with one processor
+	// concurrent dials would have to wait until the scheduler preempts the loop.
 	minProcessors = 2
 )
 
@@ -31,7 +31,7 @@
 	return eventloop.Run(s.listeners(), s.start, s.round)
 }
 
-// configureRuntime bounds the Go runtime by the memory in bytes that the process may have.
+// configureRuntime configures the Go runtime for a process that may use the given memory, in bytes.
 func configureRuntime(memory int64) {
 	debug.SetMemoryLimit(memory * heapNumerator / heapDenominator)
 	debug.SetGCPercent(gcPercent)
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -1,5 +1,5 @@
-// Package proxy is the assembly: what `sloequay serve` joins on the event loop. Load reads all files into a Plan, and
-// Serve runs the proxy by it.
+// Package proxy assembles the proxy that `sloequay serve` runs: it connects all components on the event loop. Load
+// reads the configuration files into a Plan, and Serve runs the proxy with it.
 package proxy
 
 import (
@@ -22,8 +22,8 @@
 	"sloequay/internal/upstream/resolver"
 )
 
-// unsentDivisor is the part of the memory that responses may fill which clients have not read yet. Beyond it memory is
-// short: see rpc.Config.MemoryShort.
+// unsentDivisor divides the process's memory: responses that clients have not read yet may fill the quotient. Above it
+// memory is short, see rpc.Config.MemoryShort.
 const unsentDivisor = 5
 
 // server is the assembled proxy. Everything in it runs on the event loop.
@@ -37,32 +37,32 @@
 
 	descriptors descriptors.Split
 
-	// Requests, in the order in which they meet these.
+	// Components that process requests, in the order in which a request passes them.
 	frontend      *rpc.Server
 	dns           *dns.Server    // nil: off
-	authenticator *authenticator // nil until the loop runs, or: every caller may do everything
+	authenticator *authenticator // nil: the loop does not run yet, or identity is off and callers may do everything
 	quotas        *quota.Ledger  // nil: every team may do everything
 	routes        *route.Table   // nil: one pool
-	pools         []*pool        // one, where the settings name none
+	pools         []*pool        // one pool if the settings name none
 
-	// Endpoints, from when the loop runs.
+	// Endpoints. Both fields are nil until the loop runs.
 	sources  *sources
 	resolver *resolver.Resolver
 
-	// Rounds of the loop.
+	// Rounds of the event loop.
 	rounds           deferral.Rounds
 	roundBeganAt     time.Duration
-	unixClock        clock.Tracker // finds steps of the Unix clock
+	unixClock        clock.Tracker // detects steps of the Unix clock
 	lastHousekeeping time.Duration
 	statsLoggedAt    time.Duration
 
-	// The life of the process.
+	// Lifecycle of the process.
 	startup  readiness.Startup
 	shutdown shutdown.Sequence
 	stopped  bool
 }
 
-// newServer assembles what does not need the loop.
+// newServer assembles the components that do not need the loop; start adds the others.
 func newServer(plan *Plan, signals *Signals, log *eventlog.Logger) (*server, error) {
 	created := &server{
 		plan:        plan,
@@ -97,7 +97,7 @@
 	return created, nil
 }
 
-// newFrontend makes the server of the clients' protocol.
+// newFrontend returns the server for clients' RPC connections.
 func (s *server) newFrontend() *rpc.Server {
 	control := s.plan.platform.Control
 	return rpc.New(rpc.Config{
@@ -113,12 +113,12 @@
 	})
 }
 
-// retryAfter returns what clients that are rejected may be advised.
+// retryAfter returns the advisor for the Retry-After of rejected requests.
 func (s *server) retryAfter() retryafter.Advisor {
 	return retryafter.Advisor{Max: s.plan.platform.Control.MaxRetryAfter}
 }
 
-// isMemoryShort reports whether clients leave too much unread.
+// isMemoryShort reports whether responses that clients have not read yet take too much memory.
 func (s *server) isMemoryShort() bool {
 	return int64(s.loop.UnsentBytes()) > s.plan.platform.Memory/unsentDivisor
 }
@@ -130,7 +130,7 @@
 		Classes:        platform.Control.Classes,
 		Emit:           s.admit,
 		Now:            s.clock.Monotonic,
-		PacketLag:      func() time.Duration { return s.loop.PacketLag() }, // the loop does not run yet
+		PacketLag:      func() time.Duration { return s.loop.PacketLag() }, // a closure, as s.loop is still nil here
 		Unix:           s.clock.Unix,
 		Log:            s.log.Event,
 		EndpointByName: s.endpointByName,
@@ -145,7 +145,7 @@
 	return dns.New(options)
 }
 
-// listeners returns where clients connect. That of TLS is the authenticator's.
+// listeners returns the listeners for clients, except the TLS listener, which the authenticator opens.
 func (s *server) listeners() []eventloop.Listener {
 	var listeners []eventloop.Listener
 	if s.dns != nil {
@@ -158,8 +158,8 @@
 		eventloop.Listener{Network: "tcp", Address: s.plan.platform.Listen, Accept: s.frontend.Accept})
 }
 
-// start assembles what needs the loop, publishes the endpoints that are known at the start, and begins to follow their
-// sources. The loop calls it once before the first round.
+// start assembles the components that need the loop, publishes the endpoints that are known at the start, and starts
+// following their sources. The loop calls it once, before the first round.
 func (s *server) start(loop *eventloop.Loop) {
 	settings := s.plan.settings
 	s.loop = loop
@@ -198,7 +198,7 @@
 	return created
 }
 
-// certificatesReloaded logs that files of certificates were taken over, or why not. It may be called beside the loop.
+// certificatesReloaded logs that certificate files were reloaded, or the error. Any goroutine may call it.
 func (s *server) certificatesReloaded(certificate string, err error) {
 	s.loop.Post(func() {
 		if err != nil {
--- a/internal/proxy/services_settings.go
+++ b/internal/proxy/services_settings.go
@@ -12,20 +12,21 @@
 	"sloequay/internal/route"
 )
 
-// serviceSettings is the block `services`. Zones and kinds in it are names of the platform's settings, which table
-// looks up.
+// serviceSettings holds the settings in the block `services`. Zones and kinds are names from the platform
+// configuration; newTable resolves them to indices.
 type serviceSettings struct {
 	pools []*poolSettings
 	plan  route.Plan
 }
 
-// poolSettings is a block `pool`.
+// poolSettings holds the settings in a block `pool`.
 type poolSettings struct {
 	route.Pool
 	selectors []selectorWords
 }
 
-// selectorWords selects endpoints by names. All lists that are not empty must match.
+// selectorWords selects endpoints by the names of their zones and kinds and by their IDs. An endpoint must match every
+// list that is not empty.
 type selectorWords struct {
 	zones []string
 	kinds []string
@@ -37,10 +38,10 @@
 	s.plan.Services = map[string]string{}
 	section := &config.Section{}
 	section.Block("pool", true,
-		"endpoints with a policy of their own; the first serves what names no service", s.poolSection)
+		"endpoints with their own policy; the first pool serves requests of no service", s.poolSection)
 	section.Each("service", s.addService, "a service and its pool")
-	section.Each("rule", s.addRule, "whose requests are a service's: the first rule that fits counts")
-	section.Block("move", true, "a team that migrates to another pool step by step", s.migrationSection)
+	section.Each("rule", s.addRule, "assigns requests to a service; the first rule that matches applies")
+	section.Block("move", true, "a team that migrates to another pool in steps", s.migrationSection)
 	return section
 }
 
@@ -53,17 +54,17 @@
 	s.pools = append(s.pools, pool)
 	section := &config.Section{}
 	section.Number("part", &pool.Share, 0, 1,
-		"of connections and of open requests; an even part of the rest without it")
+		"share of connections and of open requests; default: an equal part of what is left")
 	section.Each("boxes", func(words []string) error {
 		selector, err := parseSelector(words)
 		pool.selectors = append(pool.selectors, selector)
 		return err
-	}, "which endpoints are its: site=, class=, id= with values joined by commas; "+
-		"without a line those that no other pool has")
+	}, "selects endpoints: site=, class=, id= with values separated by commas; "+
+		"default: the endpoints that no other pool selects")
 	return section, nil
 }
 
-// parseSelector reads the words of a line `boxes`.
+// parseSelector parses the words of a directive `boxes`.
 func parseSelector(words []string) (selectorWords, error) {
 	var selector selectorWords
 	if len(words) == 0 {
@@ -81,20 +82,20 @@
 	return selector, nil
 }
 
-// addService reads the words of a line `service`.
+// addService parses the words of a directive `service`.
 func (s *serviceSettings) addService(words []string) error {
 	if len(words) != 2 {
-		return errors.New("expected the service's name and its pool")
+		return errors.New("expected the service's name and its pool's name")
 	}
 	service, pool := words[0], words[1]
 	if s.plan.Services[service] != "" {
-		return fmt.Errorf("the service %s is named twice", service)
+		return fmt.Errorf("the service %s is defined twice", service)
 	}
 	s.plan.Services[service] = pool
 	return nil
 }
 
-// addRule reads the words of a line `rule`.
+// addRule parses the words of a directive `rule`.
 func (s *serviceSettings) addRule(words []string) error {
 	if len(words) < 1 {
 		return errors.New("expected the service's name")
@@ -116,19 +117,21 @@
 // migrationSection opens a block `move`.
 func (s *serviceSettings) migrationSection(words []string) (*config.Section, error) {
 	if len(words) != 2 {
-		return nil, errors.New("expected the team and the pool it goes to")
+		return nil, errors.New("expected the team and the pool that it migrates to")
 	}
 	index := len(s.plan.Migrations)
 	s.plan.Migrations = append(s.plan.Migrations, route.MigrationPlan{Team: words[0], To: words[1]})
 	migration := route.MigrationConfig{Hold: time.Minute, MinResults: 50, Tolerance: 0.02, MaxAttempts: 3}
 	var steps []string
 	section := &config.Section{}
-	section.Words("steps", &steps, nil, "shares of the new pool; 0.01 0.05 0.25 0.5 1 without it")
-	section.Duration("hold", &migration.Hold, 10*time.Millisecond, 24*time.Hour, "that a step must do well for")
-	section.Int("least", &migration.MinResults, 1, 1_000_000, "results of the new pool that a judgement needs")
+	section.Words("steps", &steps, nil, "shares of the new pool; default: 0.01 0.05 0.25 0.5 1")
+	section.Duration("hold", &migration.Hold, 10*time.Millisecond, 24*time.Hour,
+		"time for which a step must succeed before the next one")
+	section.Int("least", &migration.MinResults, 1, 1_000_000,
+		"minimum number of results of the new pool before its failure ratio is judged")
 	section.Number("worse", &migration.Tolerance, 0.0001, 0.5,
-		"share of failures beyond the old pool's that is tolerated")
-	section.Int("tries", &migration.MaxAttempts, 1, 100, "steps back after which it is given up")
+		"tolerated excess of the new pool's failure ratio over the old pool's")
+	section.Int("tries", &migration.MaxAttempts, 1, 100, "steps back after which the migration is abandoned")
 	section.Check(func() error {
 		shares, err := parseSteps(steps)
 		migration.Steps = shares
@@ -138,7 +141,7 @@
 	return section, nil
 }
 
-// parseSteps reads the shares of a migration's steps.
+// parseSteps parses the shares of a migration's steps.
 func parseSteps(words []string) ([]float64, error) {
 	var shares []float64
 	for _, word := range words {
@@ -151,7 +154,7 @@
 	return shares, nil
 }
 
-// newTable makes the newTable of routes, in which zones and kinds are indices into the names of the platform's settings.
+// newTable returns the table of routes. In it zones and kinds are indices into the names of the platform configuration.
 func (s *serviceSettings) newTable(now time.Duration, zoneNames, kindNames []string) (*route.Table, error) {
 	plan := s.plan
 	for _, settings := range s.pools {
@@ -172,7 +175,8 @@
 	return table, nil
 }
 
-// resolve looks the names up. The pool's is for the error.
+// resolve returns the selector with indices in place of the names of zones and kinds. pool is the name of the pool, for
+// the error.
 func (s selectorWords) resolve(pool string, zoneNames, kindNames []string) (route.Selector, error) {
 	zones, unknownZone := indicesOf(s.zones, zoneNames)
 	if unknownZone != "" {
@@ -185,7 +189,7 @@
 	return route.Selector{IDs: s.ids, Zones: zones, Kinds: kinds}, nil
 }
 
-// indicesOf returns the indices of words among names, and the first word that is none of them.
+// indicesOf returns the indices of words in names. If a word is not in names, it returns the first such word instead.
 func indicesOf(words, names []string) (indices []int, unknown string) {
 	for _, word := range words {
 		index := slices.Index(names, word)
@@ -198,5 +202,5 @@
 }
 
 func unknownNameError(pool, directive, word string) error {
-	return fmt.Errorf("services: the pool %s: the %s %s is not in the platform's settings", pool, directive, word)
+	return fmt.Errorf("services: the pool %s: the %s %s is not in the platform configuration", pool, directive, word)
 }
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -19,22 +19,24 @@
 )
 
 const (
-	// maxSocketPath is the longest path of the operators' socket, in bytes: the system takes few more.
+	// maxSocketPath is the maximum length of the path of the operators' socket, in bytes. The system's own limit is
+	// slightly higher.
 	maxSocketPath = 100
-	// maxClockOffset bounds the offset of the Unix clock, either way.
+	// maxClockOffset limits the offset of the Unix clock in both directions.
 	maxClockOffset = 10 * 365 * 24 * time.Hour
 )
 
-// The words of `prefer`.
+// The values of the directive `prefer`.
 const (
 	preferListWatch = "bulletin"
 	preferCatalogue = "catalogue"
 )
 
-// listWatchSource is the name of the endpoint list watch as a source of endpoints, which operators read.
+// listWatchSource is the name of the endpoint list watch, as a source of endpoints, in output for operators.
 const listWatchSource = "bulletin"
 
-// Settings is the file that --conf names. Without it everything in it is off, as on the platform.
+// Settings holds the settings of the file given by --conf. Without the file all of its features are off, as on the
+// platform.
 type Settings struct {
 	Section     *config.Section
 	Contracts   *quota.Contracts  // nil: every team may do everything
@@ -44,19 +46,19 @@
 	Identity    *identitySettings // nil: off
 	Services    *serviceSettings  // nil: one pool for all
 	AdminSocket string            // path of the operators' socket; empty: none
-	UpstreamTLS *upstreamTLS      // nil: endpoints are connected to by plain TCP
-	Peers       *transport.Config // nil: no other proxy is known
+	UpstreamTLS *upstreamTLS      // nil: connections to endpoints are plain TCP
+	Peers       *transport.Config // nil: no messages are exchanged with other proxies
 
 	clock         *clock.System
-	clockOffset   time.Duration // of the Unix clock here, for drills
-	bind          string        // address that our own connections come from; empty: the system's choice
+	clockOffset   time.Duration // added to the Unix clock, for drills
+	bind          string        // local address of outgoing connections; empty: chosen by the system
 	list          membership.Config
 	damping       membership.Damping
-	usesListWatch bool   // whether the endpoint list watch is a source of endpoints; it always is one of purges
-	preferred     string // the source whose report on an endpoint goes first: preferListWatch or preferCatalogue
+	usesListWatch bool   // whether the endpoint list watch is a source of endpoints; it always is a source of purges
+	preferred     string // the source whose reports take precedence: preferListWatch or preferCatalogue
 }
 
-// NewSettings returns settings with everything off. Certificates are checked by the clock.
+// NewSettings returns settings with all features off. The validity of certificates is checked against the clock.
 func NewSettings(system *clock.System) *Settings {
 	created := &Settings{
 		Section:       &config.Section{},
@@ -82,7 +84,7 @@
 	return created
 }
 
-// ReadSettings reads the file of settings; without a path everything is off.
+// ReadSettings reads the file of settings. If the path is empty, all features are off.
 func ReadSettings(system *clock.System, path string) (*Settings, error) {
 	settings := NewSettings(system)
 	if path == "" {
@@ -94,32 +96,32 @@
 	return settings, nil
 }
 
-// addDirectives adds the directives of the top level, in the order in which they are printed.
+// addDirectives adds the top-level directives, in the order in which they are printed.
 func (s *Settings) addDirectives() {
-	s.block("contracts", "what each team may send", func() *config.Section {
+	s.block("contracts", "budgets of each team", func() *config.Section {
 		section, contracts := quota.Section()
 		s.Contracts = contracts
 		return section
 	})
 	s.Section.Text("control", &s.AdminSocket, checkSocketPath,
-		"path of a socket for operators, as sloequay contracts --show; none without it")
+		"path of the operators' socket, which sloequay contracts --show and others query; default: no socket")
 	s.Section.Text("bind", &s.bind, checkIPv4,
-		"address that connections to endpoints, lists and other proxies come from; the system's choice without it")
+		"local address of connections to endpoints, list sources and other proxies; default: the system's choice")
 	s.Section.Duration("clock-ahead", &s.clockOffset, -maxClockOffset, maxClockOffset,
-		"for drills: what the Unix clock here is taken to be ahead of the system's")
-	s.block("peers", "proxies that know of each other", func() *config.Section {
+		"for drills: how far the proxy's Unix clock is ahead of the system's")
+	s.block("peers", "exchange of lists with other proxies", func() *config.Section {
 		s.Peers = &transport.Config{}
 		return s.Peers.Section()
 	})
-	s.block("identity", "who may do what", func() *config.Section {
+	s.block("identity", "authentication and authorization of callers", func() *config.Section {
 		s.Identity = &identitySettings{}
 		return s.Identity.section(s.clock.UnixTime)
 	})
-	s.block("services", "services, their pools of endpoints, and moves between those", func() *config.Section {
+	s.block("services", "services, their pools of endpoints, and migrations between pools", func() *config.Section {
 		s.Services = &serviceSettings{}
 		return s.Services.section()
 	})
-	s.block("box-tls", "TLS towards endpoints", func() *config.Section {
+	s.block("box-tls", "TLS for connections to endpoints", func() *config.Section {
 		s.UpstreamTLS = &upstreamTLS{}
 		return s.UpstreamTLS.section(s.clock.UnixTime)
 	})
@@ -131,21 +133,21 @@
 		s.Catalogue = &consul.Config{}
 		return s.Catalogue.Section()
 	})
-	s.block("list", "how the sources of endpoints are joined", s.listSection)
-	s.block("snapshot", "the last good list on a disk that lasts", func() *config.Section {
+	s.block("list", "how the lists of the sources of endpoints are merged", s.listSection)
+	s.block("snapshot", "the last good list, kept on a persistent disk", func() *config.Section {
 		s.Snapshot = &snapshotSettings{Interval: 10 * time.Second, MaxAge: 24 * time.Hour}
 		return s.Snapshot.section()
 	})
 }
 
-// block adds a block that may be given once and takes no words.
+// block adds a block that may be given once and takes no words after its name.
 func (s *Settings) block(name, help string, open func() *config.Section) {
 	s.Section.Block(name, false, help, func([]string) (*config.Section, error) { return open(), nil })
 }
 
 func checkSocketPath(path string) error {
 	if info, err := os.Stat(filepath.Dir(path)); err != nil || !info.IsDir() || len(path) > maxSocketPath {
-		return fmt.Errorf("%.120s: no folder for a socket, or a path of more than %d letters", path, maxSocketPath)
+		return fmt.Errorf("%.120s: directory does not exist, or path is longer than %d bytes", path, maxSocketPath)
 	}
 	return nil
 }
@@ -161,40 +163,41 @@
 func (s *Settings) listSection() *config.Section {
 	section := &config.Section{}
 	section.Flag("bulletin", &s.usesListWatch,
-		"whether the endpoint list watch is a source of endpoints; it always is one of purges")
+		"whether the endpoint list watch is a source of endpoints; it always is a source of purges")
 	section.Choice("prefer", &s.preferred, []string{preferListWatch, preferCatalogue},
-		"whose report of address, place, kind and weight goes first")
-	section.Int("most-boxes", &s.list.MaxEndpoints, 1, 1_000_000, "endpoints held")
+		"source whose reports of address, zone, kind and weight take precedence")
+	section.Int("most-boxes", &s.list.MaxEndpoints, 1, 1_000_000, "maximum number of endpoints")
 	section.Number("loss-share", &s.list.MaxLossShare, 0, 1,
-		"of a source's endpoints: a list that lacks more at once is suspected; 0: none")
-	section.Int("loss-least", &s.list.MinLoss, 1, 1_000_000, "and at least so many")
+		"share of a source's endpoints: a list that lacks more at once is suspected; 0: only one that lacks all")
+	section.Int("loss-least", &s.list.MinLoss, 1, 1_000_000,
+		"minimum number of missing endpoints for a list to be suspected, unless it lacks all")
 	section.Duration("confirm", &s.list.ConfirmInterval, 50*time.Millisecond, 10*time.Second,
-		"how often a suspected source is polled again")
+		"interval at which a suspected list is fetched again")
 	section.Duration("silent-most", &s.list.MaxSilence, time.Second, 30*24*time.Hour,
-		"after which a silent source is overruled by any other")
+		"silence after which any other source overrules a source")
 	s.addDampingDirectives(section)
 	return section
 }
 
-// addDampingDirectives adds the directives of the damping of endpoints that flap.
+// addDampingDirectives adds the directives for the damping of flapping endpoints.
 func (s *Settings) addDampingDirectives(section *config.Section) {
 	damping := &s.damping
 	section.Number("flap-cut", &damping.SuppressAbove, 0, 1000,
-		"times gone down, halved by flap-half-life, from which an endpoint is held down; 0: never")
-	section.Number("flap-reuse", &damping.ReuseBelow, 0.01, 1000, "below which it is released")
-	section.Duration("flap-half-life", &damping.HalfLife, 10*time.Millisecond, time.Hour, "of that count")
+		"penalty from which an endpoint is suppressed: 1 per change to down, decaying over time; 0: never")
+	section.Number("flap-reuse", &damping.ReuseBelow, 0.01, 1000, "penalty at which the suppression ends")
+	section.Duration("flap-half-life", &damping.HalfLife, 10*time.Millisecond, time.Hour, "half-life of the penalty")
 	section.Duration("flap-most", &damping.MaxSuppress, 10*time.Millisecond, time.Hour,
-		"longest that an endpoint is held down")
+		"maximum time for which an endpoint is suppressed")
 	section.Check(func() error {
 		if damping.SuppressAbove > 0 && damping.ReuseBelow >= damping.SuppressAbove {
-			return errors.New("flap-reuse must be under flap-cut")
+			return errors.New("flap-reuse must be less than flap-cut")
 		}
 		return nil
 	})
 }
 
-// membershipTable makes the table of endpoints, and returns the indices of its sources: the endpoint list watch's and
-// that of the catalogue's first service. The watch reports changes, the catalogue complete lists.
+// membershipTable returns a new table of endpoints, and the indices of two of its sources: the endpoint list watch and
+// the catalogue's first service. The watch reports changes; the catalogue reports complete lists.
 func (s *Settings) membershipTable() (table *membership.Table, watchSource, firstCatalogueSource int) {
 	config := s.list
 	watch := membership.Source{Name: listWatchSource}
@@ -211,7 +214,7 @@
 	return membership.New(config), 0, 1
 }
 
-// bindAddress returns the address that our own connections come from; nil: the system's choice.
+// bindAddress returns the local address of outgoing connections; nil: chosen by the system.
 func (s *Settings) bindAddress() *net.TCPAddr {
 	if s.bind == "" {
 		return nil
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -7,20 +7,20 @@
 	"sloequay/internal/shutdown"
 )
 
-// beginShutdown has the status say that this proxy is not ready, and goes on serving what is open or still comes. The
-// signal for it was received at a time, which may be long after it was sent.
+// beginShutdown starts the shutdown: the proxy reports that it is not ready, but keeps serving open and new requests.
+// receivedAt is when the process received the signal, which may be long after the signal was sent.
 func (s *server) beginShutdown(receivedAt time.Duration) {
 	now := s.clock.Monotonic()
 	sentAt := min(receivedAt, now-s.loop.Lag())
 	if !s.shutdown.Begin(now, sentAt) {
 		return
 	}
-	s.sources.beginShutdown() // first, so that clients look elsewhere
+	s.sources.beginShutdown() // first: deregistering makes clients turn to other proxies
 	s.log.Event("draining", "open", s.openRequests())
 	s.loop.RequestRound()
 }
 
-// stepShutdown does what the shutdown needs next.
+// stepShutdown carries out the next action of the shutdown sequence.
 func (s *server) stepShutdown(now time.Duration) {
 	load := shutdown.Load{
 		OpenRequests:      s.openRequests(),
@@ -46,7 +46,7 @@
 	}
 }
 
-// closeIdle closes the connections of clients without an open request.
+// closeIdle closes the clients' connections that have no open request.
 func (s *server) closeIdle() {
 	s.frontend.CloseIdle()
 	if s.dns != nil {
--- a/internal/proxy/signals.go
+++ b/internal/proxy/signals.go
@@ -6,16 +6,16 @@
 	"syscall"
 )
 
-// Signals receives the signals that the proxy handles. The shutdown and reloads have channels of their own, each with
-// room for one: a signal that comes while another waits says nothing new, and no number of reloads delays the
-// shutdown.
+// Signals receives the signals that the proxy handles. Shutdown and reload have separate channels, so that no number of
+// reloads delays the shutdown. Each channel holds one signal: another one that arrives meanwhile adds nothing.
 type Signals struct {
 	shutdown chan os.Signal // SIGTERM, SIGINT
 	reload   chan os.Signal // SIGHUP
 }
 
-// ReceiveSignals takes the signals over. It has to be called before files are read: SIGHUP ends a process that has
-// not taken it over. Writes to a log that nobody reads any more fail instead of ending the process.
+// ReceiveSignals starts receiving the signals. It must be called before any files are read, because until then SIGHUP
+// ends the process. It ignores SIGPIPE, so that writes to a log whose reader has gone fail instead of ending the
+// process.
 func ReceiveSignals() *Signals {
 	s := &Signals{shutdown: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
 	signal.Notify(s.shutdown, syscall.SIGTERM, syscall.SIGINT)
@@ -24,7 +24,7 @@
 	return s
 }
 
-// handleShutdownSignals begins the shutdown at each signal for it. It runs on a goroutine of its own until the process
+// handleShutdownSignals begins the shutdown at SIGTERM or SIGINT. It runs on a separate goroutine until the process
 // ends.
 func (s *server) handleShutdownSignals() {
 	for range s.signals.shutdown {
@@ -33,8 +33,8 @@
 	}
 }
 
-// handleReloadSignals reads the files anew for each SIGHUP, on a goroutine of its own, and takes the result to the
-// loop. It runs until the process ends.
+// handleReloadSignals reads the files again at each SIGHUP, and applies the result on the event loop. It runs on a
+// separate goroutine until the process ends.
 func (s *server) handleReloadSignals() {
 	for range s.signals.reload {
 		next, err := s.plan.reload()
--- a/internal/proxy/snapshots.go
+++ b/internal/proxy/snapshots.go
@@ -15,11 +15,11 @@
 	"sloequay/internal/snapshot/disk"
 )
 
-// snapshotSettings is the block `snapshot`.
+// snapshotSettings holds the settings in the block `snapshot`.
 type snapshotSettings struct {
 	File     string
-	Interval time.Duration // the least between two writes
-	MaxAge   time.Duration // from which one is not used
+	Interval time.Duration // minimum time between two writes
+	MaxAge   time.Duration // an older snapshot is not used
 }
 
 // section returns the directives of the block.
@@ -28,12 +28,12 @@
 	section.Text("file", &s.File, func(path string) error {
 		directory := filepath.Dir(path)
 		if info, err := os.Stat(directory); err != nil || !info.IsDir() {
-			return fmt.Errorf("%s is no folder", directory)
+			return fmt.Errorf("%s is not a directory", directory)
 		}
 		return nil
-	}, "where it is written")
-	section.Duration("every", &s.Interval, 100*time.Millisecond, time.Hour, "least time between two")
-	section.Duration("oldest", &s.MaxAge, time.Second, 30*24*time.Hour, "age from which one is refused")
+	}, "path of the snapshot")
+	section.Duration("every", &s.Interval, 100*time.Millisecond, time.Hour, "minimum time between two writes")
+	section.Duration("oldest", &s.MaxAge, time.Second, 30*24*time.Hour, "maximum age of a snapshot that is used")
 	section.Check(func() error {
 		if s.File == "" {
 			return errors.New("file is missing")
@@ -43,22 +43,22 @@
 	return section
 }
 
-// refreshesPerMaxAge is how often an unchanged snapshot is written within its oldest usable age: how old it is must
-// not count from the last change.
+// refreshesPerMaxAge is how many times an unchanged snapshot is written again within its maximum age. Otherwise it
+// would become too old to use because the endpoints have not changed for long.
 const refreshesPerMaxAge = 10
 
-// noRevision is no revision of the endpoints: nothing is on the disk.
+// noRevision differs from every revision of the endpoints. It means that the last snapshot could not be written.
 const noRevision = math.MaxUint64
 
-// snapshotWriter reads the snapshot at the start and writes it while the proxy runs. Its methods run on the loop.
+// snapshotWriter reads the snapshot at the start and writes it while the proxy runs. Its methods run on the event loop.
 type snapshotWriter struct {
 	server    *server
-	writtenAt time.Duration // when the last snapshot was begun
-	revision  uint64        // of the endpoints in it
+	writtenAt time.Duration // when the last write started
+	revision  uint64        // of the endpoints in the last snapshot, or noRevision
 	isWriting bool
 }
 
-// restore reads the snapshot and reports whether there was one to use.
+// restore reads the snapshot, publishes its endpoints, and reports whether there was a snapshot that can be used.
 func (w *snapshotWriter) restore() bool {
 	server := w.server
 	settings := server.plan.settings.Snapshot
@@ -85,8 +85,9 @@
 	return true
 }
 
-// tick writes a snapshot when the endpoints have changed and its time has come. A goroutine waits for the disk. The
-// exit does not wait for it: the file holds the old snapshot or the new one, whenever the process ends.
+// tick writes a snapshot if one is due: Interval after the last one if the endpoints have changed, later if not. A
+// separate goroutine waits for the disk. The exit of the process does not wait for that goroutine, because the file
+// always holds either the old snapshot or the new one.
 func (w *snapshotWriter) tick(now time.Duration) {
 	server := w.server
 	settings := server.plan.settings.Snapshot
@@ -117,7 +118,7 @@
 		server.loop.Post(func() {
 			w.isWriting = false
 			if err != nil {
-				w.revision = noRevision // what is on the disk is old, so that the next one is due after the usual time
+				w.revision = noRevision // the file is out of date: the next write is due after Interval
 				server.log.Event("snapshot-write-failed", "error", err)
 			}
 		})
--- a/internal/proxy/source_events.go
+++ b/internal/proxy/source_events.go
@@ -7,8 +7,8 @@
 	"sloequay/internal/membership"
 )
 
-// brokerEvent gives what a source of endpoints or purges reports as the broker takes it. Sources stand below the
-// broker and know nothing of its events; here the two meet.
+// brokerEvent converts an event of a source of endpoints or purges to an event of the broker. The sources' packages do
+// not depend on the broker, so the conversion is done here.
 func brokerEvent(event membership.SourceEvent) broker.Event {
 	switch event := event.(type) {
 	case membership.ListReceived:
@@ -20,9 +20,9 @@
 	case membership.PurgeReceived:
 		object := event.Object
 		if event.IsObject && object == 0 {
-			object = broker.ObjectZero // 0 stands for a group there
+			object = broker.ObjectZero // in a broker.Purge, object 0 means that a group is purged
 		}
 		return broker.Purge{Object: object, Group: event.Group, Issued: event.Issued}
 	}
-	panic(fmt.Sprintf("the source event %T has no event of the broker's", event))
+	panic(fmt.Sprintf("no broker event corresponds to the source event %T", event))
 }
--- a/internal/proxy/source_events_test.go
+++ b/internal/proxy/source_events_test.go
@@ -10,8 +10,8 @@
 	"sloequay/internal/membership"
 )
 
-// TestBrokerEvent: each event of a source becomes the broker's own with all that it says, and the object 0 stays an
-// object.
+// TestBrokerEvent checks that each event of a source is converted with all its fields, and that a purge of object 0
+// remains the purge of an object.
 func TestBrokerEvent(t *testing.T) {
 	endpoints := []membership.Endpoint{{ID: "c1", Address: "10.0.0.1:80", State: membership.Up, Weight: 4}}
 	list := membership.List{Version: 7, Endpoints: endpoints, Confirms: true, Incomplete: true, Part: true}
@@ -33,7 +33,7 @@
 		{"purge of the group 0", membership.PurgeReceived{Issued: time.Second}, broker.Purge{Issued: time.Second}},
 	} {
 		if diff := cmp.Diff(c.want, brokerEvent(c.event)); diff != "" {
-			t.Errorf("%s (-want +got):\n%s", c.name, diff)
+			t.Errorf("broker event of %s (-want +got):\n%s", c.name, diff)
 		}
 	}
 }
--- a/internal/proxy/sources.go
+++ b/internal/proxy/sources.go
@@ -10,23 +10,23 @@
 	"sloequay/internal/membership/listwatch"
 )
 
-// sources joins the sources of endpoints and purges to the server: the endpoint list watch, Consul's catalogue, the
-// peers (by way of fleet) and the snapshot. Its methods run on the loop, but for log and publish.
+// sources connects the sources of endpoints and purges to the server: the endpoint list watch, Consul's catalogue, the
+// peers (through fleet) and the snapshot. Its methods run on the event loop, except log and publish.
 type sources struct {
 	server      *server
 	listWatch   *listwatch.Watcher
-	fleet       *fleet            // nil: there is no catalogue
-	listConfig  *consul.Config    // what is polled while this proxy polls
-	catalogue   *consul.Catalogue // nil: this proxy does not poll it
-	stopPolling context.CancelFunc
-	restored    bool // a snapshot was read
+	fleet       *fleet             // nil: no catalogue is configured
+	listConfig  *consul.Config     // settings for polling the catalogue's lists
+	catalogue   *consul.Catalogue  // nil: this proxy does not poll the catalogue's lists
+	stopPolling context.CancelFunc // nil if catalogue is
+	restored    bool               // whether a snapshot was read
 	snapshots   snapshotWriter
 
 	deregister         chan struct{} // closed when the shutdown begins
-	registrationActive atomic.Bool   // a goroutine keeps the registration, or removes it
+	registrationActive atomic.Bool   // whether a goroutine still maintains or removes the registration
 }
 
-// start publishes what is known at the start, and begins to follow the sources.
+// start publishes the endpoints that are known at the start, and starts following the sources.
 func (s *sources) start() {
 	s.deregister = make(chan struct{})
 	s.snapshots.server = s.server
@@ -37,7 +37,7 @@
 	}
 }
 
-// startListWatch publishes the events of the settings, after which the watch goes on.
+// startListWatch publishes the initial events of the configuration, and creates the watch, which continues after them.
 func (s *sources) startListWatch() {
 	server := s.server
 	plan := server.plan
@@ -55,24 +55,23 @@
 	}
 }
 
-// publishWatchEvent takes an event of the endpoint list watch. Where the settings leave the watch out of the sources of
-// endpoints, it still brings purges.
+// publishWatchEvent publishes an event of the endpoint list watch. If the settings exclude the watch from the sources
+// of endpoints, only purges are published.
 func (s *sources) publishWatchEvent(event membership.SourceEvent) {
 	if _, isPurge := event.(membership.PurgeReceived); isPurge || s.server.plan.settings.usesListWatch {
 		s.server.publish(brokerEvent(event))
 	}
 }
 
-// startCatalogue begins to follow the catalogue, as far as this proxy is to poll it, and to keep the proxy
-// registered.
+// startCatalogue starts following the catalogue, as far as this proxy has to poll it, and keeping the proxy registered.
 func (s *sources) startCatalogue() {
 	plan := s.server.plan
-	if from := plan.settings.bindAddress(); from != nil {
-		plan.settings.Catalogue.Bind = from
+	if address := plan.settings.bindAddress(); address != nil {
+		plan.settings.Catalogue.Bind = address
 	}
 	listConfig := *plan.settings.Catalogue
 	if plan.settings.Peers != nil {
-		// Peers take turns in polling lists; each proxy polls purges.
+		// Only some of the peers poll lists, as the fleet decides; each proxy polls purges itself.
 		purges := listConfig
 		purges.Services = nil
 		listConfig.PurgePrefix = ""
@@ -88,8 +87,8 @@
 	}
 }
 
-// keepRegistered keeps the registration on a goroutine of its own, which ends once deregister is closed and the
-// registration is removed, or was attempted to be. The shutdown waits for it: see shutdownDone.
+// keepRegistered keeps the proxy registered, on a separate goroutine. That ends after deregister is closed and the
+// proxy is deregistered, or the attempts to do so have failed. The shutdown waits for it, see shutdownDone.
 func (s *sources) keepRegistered() {
 	platform := s.server.plan.platform
 	catalogue := s.newCatalogue(s.server.plan.settings.Catalogue)
@@ -103,7 +102,7 @@
 	}()
 }
 
-// newCatalogue makes a catalogue that publishes here.
+// newCatalogue returns a catalogue that publishes its events with publish.
 func (s *sources) newCatalogue(config *consul.Config) *consul.Catalogue {
 	plan := s.server.plan
 	return &consul.Catalogue{
@@ -117,7 +116,7 @@
 	}
 }
 
-// followCatalogue begins to poll the catalogue, until ctx ends. What comes after that is dropped.
+// followCatalogue starts polling the catalogue until ctx ends. Events that arrive after that are dropped.
 func (s *sources) followCatalogue(ctx context.Context, config *consul.Config) *consul.Catalogue {
 	catalogue := s.newCatalogue(config)
 	catalogue.Publish = func(events ...membership.SourceEvent) {
@@ -138,7 +137,7 @@
 	return catalogue
 }
 
-// pollLists begins to poll the catalogue for its lists, anew where it is polled already.
+// pollLists starts polling the catalogue's lists. If they are being polled already, it restarts the polling.
 func (s *sources) pollLists() {
 	s.endPolling()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -146,7 +145,7 @@
 	s.catalogue = s.followCatalogue(ctx, s.listConfig)
 }
 
-// endPolling ends that.
+// endPolling stops polling the catalogue's lists, if they are being polled.
 func (s *sources) endPolling() {
 	if s.stopPolling == nil {
 		return
@@ -156,13 +155,13 @@
 	s.catalogue = nil
 }
 
-// log writes a log event. Any goroutine may call it.
+// log writes a line to the event log. Any goroutine may call it.
 func (s *sources) log(event string, fields ...any) {
 	s.server.loop.Post(func() { s.server.log.Event(event, fields...) })
 }
 
-// publish takes events of the catalogue to the loop and returns once they are there, so that a source that reports
-// much waits for the loop. It is called beside the loop.
+// publish passes events of the catalogue to the event loop and returns after the loop has taken them, so that a source
+// with many reports waits for the loop. It must not be called on the loop.
 func (s *sources) publish(events ...membership.SourceEvent) {
 	handled := make(chan struct{})
 	s.server.loop.Post(func() {
@@ -178,7 +177,8 @@
 	<-handled
 }
 
-// refetchList has a source's list fetched again at once, if it is the catalogue's and this proxy polls it.
+// refetchList requests that a source's list be fetched again immediately, if the source is a service of the catalogue
+// and this proxy polls it.
 func (s *sources) refetchList(source int) {
 	if s.catalogue != nil {
 		s.catalogue.Confirm(source)
@@ -188,7 +188,7 @@
 // tick writes a snapshot when one is due.
 func (s *sources) tick(now time.Duration) { s.snapshots.tick(now) }
 
-// beginShutdown has the registration removed, and notifies the peers.
+// beginShutdown starts to deregister the proxy and to announce the shutdown to the peers.
 func (s *sources) beginShutdown() {
 	close(s.deregister)
 	if s.fleet != nil {
@@ -196,5 +196,5 @@
 	}
 }
 
-// shutdownDone reports whether nothing of the shutdown is left to do.
+// shutdownDone reports whether the registration has been removed, or there is none.
 func (s *sources) shutdownDone() bool { return !s.registrationActive.Load() }
--- a/internal/proxy/upstream_tls.go
+++ b/internal/proxy/upstream_tls.go
@@ -9,7 +9,7 @@
 	"sloequay/internal/identity/tlsclient"
 )
 
-// zoneByName returns what holds for a zoneByName.
+// zoneByName returns the settings for the zone with a name.
 func (u *upstreamTLS) zoneByName(name string) *zoneTLS {
 	if zone := u.zones[name]; zone != nil {
 		return zone
@@ -17,7 +17,7 @@
 	return &u.defaultZone
 }
 
-// zoneFor returns what holds for an endpoint. One whose zone has no name gets what holds for most.
+// zoneFor returns the settings for an endpoint. If its zone has no name, these are the default ones.
 func (u *upstreamTLS) zoneFor(endpoint *broker.Endpoint, zoneNames []string) *zoneTLS {
 	if int(endpoint.Zone) >= len(zoneNames) {
 		return &u.defaultZone
@@ -25,8 +25,8 @@
 	return u.zoneByName(zoneNames[endpoint.Zone])
 }
 
-// dialer returns how endpoints are connected to: for each a function that dials it beside the loop, or nil where it is
-// connected to by plain TCP.
+// dialer returns a function that returns the dial function for an endpoint, or nil if the connection is plain TCP. The
+// dial function blocks, so it must not run on the event loop.
 func (u *upstreamTLS) dialer(zoneNames []string) func(*broker.Endpoint) func(address string) (net.Conn, error) {
 	return func(endpoint *broker.Endpoint) func(string) (net.Conn, error) {
 		zone := u.zoneFor(endpoint, zoneNames)
@@ -41,8 +41,8 @@
 	}
 }
 
-// dial connects by TLS, and returns the connection that the loop reads and writes in plain text. It blocks until the
-// time-out.
+// dial connects over TLS and returns a connection on which the event loop reads and writes the plain text. It blocks
+// for at most the timeout.
 func (u *upstreamTLS) dial(dialer *tlsclient.Dialer, address, serverName string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), u.timeout)
 	defer cancel()
@@ -59,7 +59,8 @@
 	return loopEnd, nil
 }
 
-// watch takes over files of certificates that change, until the process ends. reloaded is called beside the loop.
+// watch reloads certificate files when they change, until the process ends. It calls reloaded after each reload, on
+// other goroutines than the event loop's.
 func (u *upstreamTLS) watch(reloaded func(certificate string, err error)) {
 	never := make(chan struct{})
 	for _, zone := range u.zones {
