--- a/internal/proxy/identity_settings.go
+++ b/internal/proxy/identity_settings.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// roleSection opens a block `role`.
+// roleSection returns the directives of a block `role`. Its only word is the name of the role.
 func (i *identitySettings) roleSection(words []string) (*config.Section, error) {
 	if len(words) != 1 {
 		return nil, fmt.Errorf("expected the role's name, got %d words", len(words))
@@ -114,7 +114,7 @@
 	return section, nil
 }
 
-// tenantSection opens a block `tenant`.
+// tenantSection returns the directives of a block `tenant`. Its only word is the name of the tenant.
 func (i *identitySettings) tenantSection(words []string) (*config.Section, error) {
 	if len(words) != 1 {
 		return nil, fmt.Errorf("expected the tenant's name, got %d words", len(words))
@@ -124,7 +124,7 @@
 	section := &config.Section{}
 	section.Words("role", &roles, nil, "roles whose rules apply to the tenant too")
 	section.Words("certificate", &certificates, nil,
-		"names of its client certificates; *.DOMAIN stands for all names one level below DOMAIN")
+		"names in its client certificates; *.DOMAIN stands for all names one level below DOMAIN")
 	addRuleDirectives(section, &tenant.Rules)
 	section.Check(func() error { return i.addCertificates(tenant.Name, certificates) })
 	section.Check(func() error {
@@ -166,7 +166,7 @@
 	return err
 }
 
-// resolveRoles adds the rules of its roles to each tenant.
+// resolveRoles adds to each tenant the rules of its roles.
 func (i *identitySettings) resolveRoles() error {
 	for index := range i.tenants {
 		tenant := &i.tenants[index]
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -26,7 +26,7 @@
 // memory is short, see rpc.Config.MemoryShort.
 const unsentDivisor = 5
 
-// server is the assembled proxy. Everything in it runs on the event loop.
+// server is the assembled proxy. Its methods run on the event loop unless their comments say otherwise.
 type server struct {
 	plan    *Plan
 	clock   *clock.System
@@ -41,7 +41,7 @@
 	frontend      *rpc.Server
 	dns           *dns.Server    // nil: off
 	authenticator *authenticator // nil: the loop does not run yet, or identity is off and callers may do everything
-	quotas        *quota.Ledger  // nil: every team may do everything
+	quotas        *quota.Ledger  // nil: no limits on teams
 	routes        *route.Table   // nil: one pool
 	pools         []*pool        // one pool if the settings name none
 
--- a/internal/proxy/services_settings.go
+++ b/internal/proxy/services_settings.go
@@ -45,7 +45,7 @@
 	return section
 }
 
-// poolSection opens a block `pool`.
+// poolSection returns the directives of a block `pool`. Its only word is the name of the pool.
 func (s *serviceSettings) poolSection(words []string) (*config.Section, error) {
 	if len(words) != 1 {
 		return nil, fmt.Errorf("expected the pool's name, got %d words", len(words))
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// migrationSection opens a block `move`.
+// migrationSection returns the directives of a block `move`. Its words are a team and the pool that it migrates to.
 func (s *serviceSettings) migrationSection(words []string) (*config.Section, error) {
 	if len(words) != 2 {
 		return nil, errors.New("expected the team and the pool that it migrates to")
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -39,7 +39,7 @@
 // platform.
 type Settings struct {
 	Section     *config.Section
-	Contracts   *quota.Contracts  // nil: every team may do everything
+	Contracts   *quota.Contracts  // nil: no limits on teams
 	DNS         *dns.Config       // nil: off
 	Catalogue   *consul.Config    // nil: off
 	Snapshot    *snapshotSettings // nil: off
@@ -174,7 +174,7 @@
 	section.Duration("confirm", &s.list.ConfirmInterval, 50*time.Millisecond, 10*time.Second,
 		"interval at which a suspected list is fetched again")
 	section.Duration("silent-most", &s.list.MaxSilence, time.Second, 30*24*time.Hour,
-		"silence after which any other source overrules a source")
+		"time of silence after which other sources overrule a source")
 	s.addDampingDirectives(section)
 	return section
 }
--- a/internal/proxy/sources.go
+++ b/internal/proxy/sources.go
@@ -18,7 +18,7 @@
 	fleet       *fleet             // nil: no catalogue is configured
 	listConfig  *consul.Config     // settings for polling the catalogue's lists
 	catalogue   *consul.Catalogue  // nil: this proxy does not poll the catalogue's lists
-	stopPolling context.CancelFunc // nil if catalogue is
+	stopPolling context.CancelFunc // nil if catalogue is nil
 	restored    bool               // whether a snapshot was read
 	snapshots   snapshotWriter
 
@@ -72,11 +72,11 @@
 	listConfig := *plan.settings.Catalogue
 	if plan.settings.Peers != nil {
 		// Only some of the peers poll lists, as the fleet decides; each proxy polls purges itself.
-		purges := listConfig
-		purges.Services = nil
+		purgeConfig := listConfig
+		purgeConfig.Services = nil
 		listConfig.PurgePrefix = ""
-		if purges.PurgePrefix != "" {
-			s.followCatalogue(context.Background(), &purges)
+		if purgeConfig.PurgePrefix != "" {
+			s.followCatalogue(context.Background(), &purgeConfig)
 		}
 	}
 	s.listConfig = &listConfig
