--- a/internal/proxy/authenticator.go
+++ b/internal/proxy/authenticator.go
@@ -17,41 +17,41 @@
 )
 
 const (
-	verifiers = 2 // goroutines that check signatures
-	// maxAuditSubjects is how many subjects and reasons the audit log keeps apart.
+	verifierCount = 2 // goroutines that check signatures
+	// maxAuditSubjects is the maximum number of pairs of subject and reason that the audit log limits separately.
 	maxAuditSubjects = 4096
-	// maxSources is how many addresses are remembered for their bad signatures.
-	maxSources = 4096
-	// expireBatch is how many remembered tokens one housekeeping looks at.
-	expireBatch = 256
+	// maxSourceAddresses is the maximum number of client addresses whose budgets for signature checks are kept.
+	maxSourceAddresses = 4096
+	// expiryBatchSize is the number of cached tokens that one housekeeping run checks for expiry.
+	expiryBatchSize = 256
 )
 
-// authenticator stands between the front ends and the broker where identity is on: it decides who calls, and whether
-// the caller may. Its methods run on the loop, unless they say otherwise; signatures are checked beside it.
+// authenticator authenticates and authorizes requests on their way from the frontends to the broker, if identity is on.
+// Its methods run on the event loop unless their comments say otherwise; signatures are checked on other goroutines.
 type authenticator struct {
 	server        *server
 	settings      *identitySettings
-	machine       *identity.Authenticator
+	stateMachine  *identity.Authenticator
 	audit         *identity.Audit
 	sources       *identity.Sources
 	jobs          chan *identity.SignatureJob
-	tsigKeys      *tsig.Keys            // of DNS
-	tls           *tlslistener.Listener // nil: none
-	keys          keydir.Content        // that is in force
-	lastKeysFault string                // that was logged last
+	tsigKeys      *tsig.Keys            // for DNS
+	tls           *tlslistener.Listener // nil: no TLS listener
+	keys          keydir.Content        // content of the directory of keys in force
+	lastKeysError string                // last logged error about the directory of keys; empty once it is valid again
 }
 
-// newAuthenticator makes the authenticator of a server whose loop runs, and opens the listener for TLS.
+// newAuthenticator returns the authenticator of a server whose loop is running, and opens the TLS listener.
 func newAuthenticator(server *server, settings *identitySettings) *authenticator {
 	created := &authenticator{
-		server:   server,
-		settings: settings,
-		machine:  identity.NewAuthenticator(settings.authenticator, settings.rights),
-		audit:    identity.NewAudit(maxAuditSubjects),
-		sources:  identity.NewSources(maxSources),
-		jobs:     make(chan *identity.SignatureJob, settings.authenticator.MaxWaiting),
+		server:       server,
+		settings:     settings,
+		stateMachine: identity.NewAuthenticator(settings.authenticator, settings.rights),
+		audit:        identity.NewAudit(maxAuditSubjects),
+		sources:      identity.NewSources(maxSourceAddresses),
+		jobs:         make(chan *identity.SignatureJob, settings.authenticator.MaxWaiting),
 	}
-	for range verifiers {
+	for range verifierCount {
 		go created.verifySignatures()
 	}
 	if settings.keyDirectory != "" {
@@ -64,42 +64,42 @@
 	return created
 }
 
-// verifySignatures checks signatures until the process ends. It runs on a goroutine of its own.
+// verifySignatures checks signatures until the process ends. It runs on a separate goroutine.
 func (a *authenticator) verifySignatures() {
 	for job := range a.jobs {
 		claims, reason := identity.Verify(job.Token, job.Key)
 		a.server.loop.Post(func() {
 			now := a.server.clock.Monotonic()
-			for _, outcome := range a.machine.SignatureChecked(now, job, claims, reason) {
-				a.resolve(outcome)
+			for _, outcome := range a.stateMachine.SignatureChecked(now, job, claims, reason) {
+				a.handleOutcome(outcome)
 			}
 			a.server.loop.RequestRound()
 		})
 	}
 }
 
-// listenTLS opens the listener for TLS. The proxy serves without it where that fails.
+// listenTLS opens the TLS listener. If that fails, the proxy serves without it.
 func (a *authenticator) listenTLS() {
 	settings := *a.settings.tls
 	settings.MaxConnections = a.server.descriptors.TLS
 	log := func(event string, fields ...any) {
 		a.server.loop.Post(func() { a.server.log.Event(event, fields...) })
 	}
-	listener, err := tlslistener.Open(settings, a.settings.callerOf, a.adopt, log)
+	listener, err := tlslistener.Open(settings, a.settings.callerFor, a.adoptConnection, log)
 	if err != nil {
 		log("tls-listener-failed", "error", err)
 	}
 	a.tls = listener
 }
 
-// adopt has a connection by TLS served like any other client's, and reports whether it is. It is called on a goroutine
-// of the connection's.
-func (a *authenticator) adopt(conn net.Conn, caller identity.Caller) bool {
+// adoptConnection passes a client's TLS connection to the event loop, to be served like any other, and reports whether
+// that succeeded. It runs on the connection's goroutine.
+func (a *authenticator) adoptConnection(conn net.Conn, caller identity.Caller) bool {
 	server := a.server
 	accepted := make(chan eventloop.Handler, 1)
 	server.loop.Post(func() { accepted <- server.frontend.AcceptFrom(conn.RemoteAddr(), caller) })
 	handler := <-accepted
-	if handler == nil { // there are as many clients as may be
+	if handler == nil { // the limit on client connections is reached
 		_ = conn.Close()
 		return false
 	}
@@ -113,25 +113,26 @@
 	return true
 }
 
-// source returns what is known of a host that clients connect from.
-func (a *authenticator) source(remote string) *identity.Source {
+// lookupSource returns the identity.Source of the address from which a client connects.
+func (a *authenticator) lookupSource(remote string) *identity.Source {
 	address, _ := netip.ParseAddr(remote)
 	return a.sources.Of(address)
 }
 
-// authenticate takes a request of a front end, and resolves it now or once its signature is checked.
+// authenticate starts to authenticate a request from a frontend. The outcome is handled now, or after the signature of
+// the request's token has been checked.
 func (a *authenticator) authenticate(request *broker.Request) {
-	outcome, job := a.machine.Authenticate(a.server.clock.Monotonic(), a.call(request))
+	outcome, job := a.stateMachine.Authenticate(a.server.clock.Monotonic(), a.newCall(request))
 	switch {
 	case outcome != nil:
-		a.resolve(outcome)
+		a.handleOutcome(outcome)
 	case job != nil:
-		a.jobs <- job // does not block: there is capacity for all that may wait
+		a.jobs <- job // does not block: the channel has capacity for MaxWaiting jobs
 	}
 }
 
-// call returns what the decision needs of a request.
-func (a *authenticator) call(request *broker.Request) *identity.Call {
+// newCall returns the call that describes a request to the authenticator's state machine.
+func (a *authenticator) newCall(request *broker.Request) *identity.Call {
 	class := a.server.plan.platform.Control.Classes[request.Class]
 	call := &identity.Call{
 		Caller: request.Caller,
@@ -149,8 +150,9 @@
 	return call
 }
 
-// resolve passes a request on, or responds to it. An admitted request is its tenant's, whatever team it names.
-func (a *authenticator) resolve(outcome *identity.Outcome) {
+// handleOutcome passes an admitted request on, or rejects or denies the request. The team of an admitted request is set
+// to the caller's tenant, unless the caller is anonymous and names a team.
+func (a *authenticator) handleOutcome(outcome *identity.Outcome) {
 	request := outcome.Call.Data.(*broker.Request)
 	if outcome.Reason != identity.Allowed || outcome.Call.Key != "" {
 		a.logDecision(outcome, request)
@@ -178,14 +180,14 @@
 	}
 }
 
-// logDecision writes the audit line of a decision, unless its subject has had too many.
+// logDecision writes the audit log line of a decision, unless its subject has exceeded the rate for such lines.
 func (a *authenticator) logDecision(outcome *identity.Outcome, request *broker.Request) {
 	subject := outcome.Subject
 	if subject == "" {
 		subject = "-"
 	}
-	omitted, isDue := a.audit.ShouldLog(a.server.clock.Monotonic(), subject+" "+outcome.Reason.String())
-	if !isDue {
+	omitted, shouldLog := a.audit.ShouldLog(a.server.clock.Monotonic(), subject+" "+outcome.Reason.String())
+	if !shouldLog {
 		return
 	}
 	a.server.log.Event("audit", "reason", outcome.Reason, "subject", subject, "tenant", outcome.Tenant,
@@ -193,43 +195,43 @@
 		"rule", outcome.Rule, "request", request.ID, "omitted", omitted)
 }
 
-// expire drops what has expired.
-func (a *authenticator) expire(now time.Duration) { a.machine.Expire(now, expireBatch) }
+// expire removes expired entries, such as cached tokens.
+func (a *authenticator) expire(now time.Duration) { a.stateMachine.Expire(now, expiryBatchSize) }
 
-// clockStepped takes over the directory's content anew after the Unix clock was set: revocations that a clock set
-// forward had ended hold again once it is set back.
+// clockStepped applies the content of the directory of keys again after a step of the Unix clock: revocations that had
+// ended only because the clock was ahead must hold again after it is set back.
 func (a *authenticator) clockStepped() {
 	if a.settings.keyDirectory != "" {
 		a.replaceKeys(a.keys, nil)
 	}
 }
 
-// keySet is what the content of the directory of keys comes to.
+// keySet holds the keys and revocations made from the content of the directory of keys.
 type keySet struct {
 	keys        *identity.Keys
 	tsigKeys    *tsig.Keys
 	revocations *identity.Revocations
 }
 
-// replaceKeys takes over the content of the directory of keys. With a fault the old content stays in force; each fault
-// is logged once.
+// replaceKeys puts the content of the directory of keys in force. If it is invalid or err is not nil, the old content
+// stays in force, and the error is logged unless it is the same as the last one.
 func (a *authenticator) replaceKeys(content keydir.Content, err error) {
 	var next keySet
 	if err == nil {
 		next, err = a.makeKeySet(content)
 	}
 	if err != nil {
-		if a.lastKeysFault != err.Error() {
-			a.lastKeysFault = err.Error()
+		if a.lastKeysError != err.Error() {
+			a.lastKeysError = err.Error()
 			a.server.log.Event("keys-rejected", "error", err)
 		}
 		return
 	}
-	a.lastKeysFault = ""
+	a.lastKeysError = ""
 	a.tsigKeys = next.tsigKeys
 	a.keys = content
-	a.machine.SetKeys(next.keys)
-	a.machine.SetRevocations(next.revocations)
+	a.stateMachine.SetKeys(next.keys)
+	a.stateMachine.SetRevocations(next.revocations)
 	signer := "-"
 	if key := next.keys.Signer(a.server.clock.Unix()); key != nil {
 		signer = key.ID
@@ -238,9 +240,9 @@
 		"revocations", next.revocations.Len())
 }
 
-// makeKeySet checks the content of the directory of keys against the keys in force.
+// makeKeySet checks the content of the directory of keys against the keys in force, and returns the key set made of it.
 func (a *authenticator) makeKeySet(content keydir.Content) (keySet, error) {
-	keys, err := a.machine.Keys().Replace(content.Keys)
+	keys, err := a.stateMachine.Keys().Replace(content.Keys)
 	if err != nil {
 		return keySet{}, err
 	}
@@ -269,15 +271,14 @@
 	return inForce, nil
 }
 
-// watchFiles takes over what changes, until the process ends: the directory of keys, and the files of the listener for
-// TLS.
+// watchFiles reloads the directory of keys and the files of the TLS listener when they change, until the process ends.
 func (a *authenticator) watchFiles() {
 	never := make(chan struct{})
 	if directory := a.settings.keyDirectory; directory != "" {
-		// The folder above reports a directory that is replaced as a whole.
-		folders := []string{directory, filepath.Dir(directory)}
+		// Watching the parent directory too shows when the directory is replaced as a whole.
+		directories := []string{directory, filepath.Dir(directory)}
 		fingerprint := func() string { return keydir.Fingerprint(directory) }
-		go files.Watch(never, folders, fingerprint, a.reloadKeys)
+		go files.Watch(never, directories, fingerprint, a.reloadKeys)
 	}
 	if a.tls != nil {
 		paths := []string{a.settings.tls.Cert, a.settings.tls.Key, a.settings.tls.ClientCA}
@@ -286,7 +287,7 @@
 	}
 }
 
-// reloadKeys reads the directory of keys beside the loop, and takes its content over there.
+// reloadKeys reads the directory of keys and puts its content in force on the event loop. It runs on another goroutine.
 func (a *authenticator) reloadKeys() error {
 	content, err := keydir.Read(a.settings.keyDirectory)
 	a.server.loop.Post(func() {
@@ -296,7 +297,7 @@
 	return err
 }
 
-// reloadCertificate reads the files of the listener for TLS. It is called beside the loop.
+// reloadCertificate reloads the files of the TLS listener. It runs on another goroutine than the event loop's.
 func (a *authenticator) reloadCertificate() error {
 	err := a.tls.Reload()
 	a.server.certificatesReloaded(a.settings.tls.Cert, err)
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -13,21 +13,21 @@
 	"sloequay/internal/membership/consul"
 )
 
-// DefaultEndpointsWait is the wait without a flag.
+// DefaultEndpointsWait is the default of EndpointsOptions.Wait.
 const DefaultEndpointsWait = 2 * time.Second
 
-// answerCheckInterval is how often PrintEndpoints looks whether the catalogue has answered.
+// answerCheckInterval is the interval at which PrintEndpoints checks whether the catalogue has answered.
 const answerCheckInterval = 5 * time.Millisecond
 
-// EndpointsOptions is how PrintEndpoints polls the sources.
+// EndpointsOptions holds the options of PrintEndpoints. Wait is the timeout for each source.
 type EndpointsOptions struct{ Wait time.Duration }
 
-// PrintEndpoints polls each source once and prints the merged view. What a source reports goes into the table as in a
-// running proxy.
+// PrintEndpoints polls each source once and prints the merged view. Reports of the sources are merged as in a running
+// proxy.
 func PrintEndpoints(out io.Writer, plan *Plan, options EndpointsOptions) error {
 	poll := &endpointsPoll{plan: plan}
 	if plan.settings.usesListWatch {
-		poll.fetchWatched(options.Wait)
+		poll.fetchListWatch(options.Wait)
 	}
 	if plan.settings.Catalogue != nil {
 		ctx, cancel := context.WithTimeout(context.Background(), options.Wait)
@@ -36,30 +36,30 @@
 			return err
 		}
 	}
-	// What the catalogue's goroutines still bring waits for the lock, and the program ends.
+	// Holding the lock until the end keeps the catalogue's goroutines, which may still run, from changing the table.
 	poll.mu.Lock()
 	defer poll.mu.Unlock()
 	now := plan.clock.Monotonic()
 	plan.members.Step(now)
 	plan.members.TakeChanges(now, plan.members.Len())
-	return writeEndpoints(out, plan, plan.clock.Monotonic(), poll.remarks)
+	return writeEndpoints(out, plan, plan.clock.Monotonic(), poll.notes)
 }
 
-// endpointsPoll polls the sources once.
+// endpointsPoll polls the sources once. mu guards the plan's table of endpoints and notes.
 type endpointsPoll struct {
-	mu      sync.Mutex // the catalogue publishes and logs on goroutines of its own
-	plan    *Plan
-	remarks []string // what went wrong, printed below the tables
+	mu    sync.Mutex // needed as the catalogue publishes and logs on its own goroutines
+	plan  *Plan
+	notes []string // errors and log lines, printed below the tables
 }
 
-// apply takes events into the table. Purges do not change it.
+// apply applies events to the table of endpoints. It ignores purges.
 func (p *endpointsPoll) apply(events ...membership.SourceEvent) {
 	for _, event := range events {
-		p.applyOne(event)
+		p.applyEvent(event)
 	}
 }
 
-func (p *endpointsPoll) applyOne(event membership.SourceEvent) {
+func (p *endpointsPoll) applyEvent(event membership.SourceEvent) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.plan.clock.Monotonic()
@@ -78,14 +78,14 @@
 	}
 }
 
-func (p *endpointsPoll) remark(text string) {
+func (p *endpointsPoll) addNote(text string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.remarks = append(p.remarks, text)
+	p.notes = append(p.notes, text)
 }
 
-// fetchWatched takes the events of the settings and those that the endpoint list watch has after them.
-func (p *endpointsPoll) fetchWatched(wait time.Duration) {
+// fetchListWatch applies the initial events of the configuration and the later ones of the endpoint list watch.
+func (p *endpointsPoll) fetchListWatch(wait time.Duration) {
 	plan := p.plan
 	p.apply(plan.initialEvents...)
 	address := plan.platform.ListAddress
@@ -94,7 +94,7 @@
 	}
 	events, err := plan.decoder.FetchOnce(address, plan.lastInitialEvent, wait)
 	if err != nil {
-		p.remark(fmt.Sprintf("bulletin %s: %v", address, err))
+		p.addNote(fmt.Sprintf("bulletin %s: %v", address, err))
 		p.apply(membership.SourceStatus{Source: plan.decoder.Source, Silent: true})
 	}
 	p.apply(events...)
@@ -111,7 +111,7 @@
 		Seed:        plan.platform.Seed,
 		Publish:     p.apply,
 		Log: func(event string, fields ...any) {
-			p.remark(strings.TrimSpace(event + " " + fmt.Sprintln(fields...)))
+			p.addNote(strings.TrimSpace(event + " " + fmt.Sprintln(fields...)))
 		},
 	}
 	if err := catalogue.Start(ctx); err != nil {
@@ -129,8 +129,8 @@
 	return p.plan.catalogueSeen()
 }
 
-// writeEndpoints prints sources and endpoints as tables.
-func writeEndpoints(out io.Writer, plan *Plan, now time.Duration, remarks []string) error {
+// writeEndpoints prints the sources and the endpoints as two tables, followed by the notes.
+func writeEndpoints(out io.Writer, plan *Plan, now time.Duration, notes []string) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	sources := plan.members.Sources()
 	fmt.Fprintln(table, "SOURCE\tSTATE\tBOXES\tVERSION\tHEARD")
@@ -163,13 +163,13 @@
 		}
 		fmt.Fprintln(table)
 	}
-	for _, line := range remarks {
-		fmt.Fprintln(table, "#", line)
+	for _, note := range notes {
+		fmt.Fprintln(table, "#", note)
 	}
 	return table.Flush()
 }
 
-// describeSource returns the words that operators read of a source.
+// describeSource returns the state of a source and the time since it was last seen, as shown to operators.
 func describeSource(source membership.SourceView, now time.Duration) (state, lastSeen string) {
 	state, lastSeen = "speaks", "never"
 	switch {
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -4,15 +4,15 @@
 	"sloequay/internal/proxy/readiness"
 )
 
-// newStartup returns the startup of a proxy. Only one whose endpoints come from a catalogue has to wait for them.
+// newStartup returns the startup of a proxy. Only a proxy whose endpoints come from a catalogue has to wait for them.
 func newStartup(plan *Plan) readiness.Startup {
 	if plan.settings.Catalogue == nil {
-		return readiness.CompleteStartup()
+		return readiness.NewCompletedStartup()
 	}
 	return readiness.NewStartup(plan.fleetSize())
 }
 
-// isReady reports whether this proxy wants new clients.
+// isReady reports whether this proxy is ready for new clients.
 func (s *server) isReady() bool {
 	if s.shutdown.Begun() {
 		return false
@@ -20,17 +20,17 @@
 	if s.startup.Complete() {
 		return true
 	}
-	return s.startup.Observe(s.clock.Uptime(), s.sources.observed())
+	return s.startup.Observe(s.clock.Uptime(), s.sources.readinessSources())
 }
 
-// observed returns what is known of the sources of endpoints.
-func (s *sources) observed() readiness.Sources {
-	observed := readiness.Sources{AllSeen: s.server.plan.catalogueSeen(), Restored: s.restored}
+// readinessSources returns the state of the sources of endpoints. A catalogue must be configured.
+func (s *sources) readinessSources() readiness.Sources {
+	status := readiness.Sources{AllSeen: s.server.plan.catalogueSeen(), Restored: s.restored}
 	if s.fleet.transport != nil {
-		observed.HasPeers = true
-		observed.PeersAgree = s.fleet.machine.Ready()
+		status.HasPeers = true
+		status.PeersAgree = s.fleet.machine.Ready()
 	}
-	return observed
+	return status
 }
 
 // catalogueSeen reports whether each service of the catalogue has answered or was in the snapshot.
--- a/internal/proxy/upstream_tls.go
+++ b/internal/proxy/upstream_tls.go
@@ -9,27 +9,27 @@
 	"sloequay/internal/identity/tlsclient"
 )
 
-// zone returns what holds for a zone.
-func (u *upstreamTLS) zone(name string) *zoneTLS {
+// zoneByName returns the settings for the zone with a name.
+func (u *upstreamTLS) zoneByName(name string) *zoneTLS {
 	if zone := u.zones[name]; zone != nil {
 		return zone
 	}
 	return &u.defaultZone
 }
 
-// zoneOf returns what holds for an endpoint. One whose zone has no name gets what holds for most.
-func (u *upstreamTLS) zoneOf(endpoint *broker.Endpoint, zoneNames []string) *zoneTLS {
+// zoneFor returns the settings for an endpoint. If its zone has no name, these are the default ones.
+func (u *upstreamTLS) zoneFor(endpoint *broker.Endpoint, zoneNames []string) *zoneTLS {
 	if int(endpoint.Zone) >= len(zoneNames) {
 		return &u.defaultZone
 	}
-	return u.zone(zoneNames[endpoint.Zone])
+	return u.zoneByName(zoneNames[endpoint.Zone])
 }
 
-// dialer returns how endpoints are connected to: for each a function that dials it beside the loop, or nil where it is
-// connected to by plain TCP.
+// dialer returns a function that returns the dial function for an endpoint, or nil if the connection is plain TCP. The
+// dial function blocks, so it must not run on the event loop.
 func (u *upstreamTLS) dialer(zoneNames []string) func(*broker.Endpoint) func(address string) (net.Conn, error) {
 	return func(endpoint *broker.Endpoint) func(string) (net.Conn, error) {
-		zone := u.zoneOf(endpoint, zoneNames)
+		zone := u.zoneFor(endpoint, zoneNames)
 		if zone.plain {
 			return nil
 		}
@@ -41,25 +41,26 @@
 	}
 }
 
-// dial connects by TLS, and returns the connection that the loop reads and writes in plain text. It blocks until the
-// time-out.
+// dial connects over TLS and returns a connection on which the event loop reads and writes the plain text. It blocks
+// for at most the timeout.
 func (u *upstreamTLS) dial(dialer *tlsclient.Dialer, address, serverName string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), u.timeout)
 	defer cancel()
-	secure, err := dialer.Dial(ctx, address, serverName)
+	tlsConn, err := dialer.Dial(ctx, address, serverName)
 	if err != nil {
 		return nil, err
 	}
-	near, far, err := bridge.Pair()
+	bridgeEnd, loopEnd, err := bridge.Pair()
 	if err != nil {
-		_ = secure.Close()
+		_ = tlsConn.Close()
 		return nil, err
 	}
-	go bridge.Copy(secure, near)
-	return far, nil
+	go bridge.Copy(tlsConn, bridgeEnd)
+	return loopEnd, nil
 }
 
-// watch takes over files of certificates that change, until the process ends. reloaded is called beside the loop.
+// watch reloads certificate files when they change, until the process ends. It calls reloaded after each reload, on
+// other goroutines than the event loop's.
 func (u *upstreamTLS) watch(reloaded func(certificate string, err error)) {
 	never := make(chan struct{})
 	for _, zone := range u.zones {
