--- a/internal/config/directives.go
+++ b/internal/config/directives.go
@@ -231,9 +231,9 @@
 	s.add(&directive{name: name, repeatable: true, set: set, show: show})
 }
 
-// Each adds a directive that may be given many times, with words that set reads. Its lines are printed as they were
-// given.
-func (s *Section) Each(name string, set func(words []string) error, _ string) {
+// Repeated adds a directive that may be given any number of times. set reads the words of each line. Print writes the
+// lines as they were given.
+func (s *Section) Repeated(name string, set func(words []string) error, _ string) {
 	var given []string
 	s.add(&directive{
 		name:       name,
--- a/internal/drill/plan.go
+++ b/internal/drill/plan.go
@@ -109,16 +109,16 @@
 	section := &config.Section{}
 	p.bindCluster(section)
 	p.bindEndpoints(section)
-	section.Each("doorman", func(words []string) error {
+	section.Repeated("doorman", func(words []string) error {
 		p.Settings = append(p.Settings, strings.Join(words, " "))
 		return nil
 	}, "a line of each proxy's settings; @dir, @ip, @name and @plaza stand for its own, @{ and @} for braces")
-	section.Each("at", func(words []string) error {
+	section.Repeated("at", func(words []string) error {
 		step, err := parseStep(words)
 		p.Steps = append(p.Steps, step)
 		return err
 	}, "TIME STEP ... [for TIME]")
-	section.Each("hold", func(words []string) error {
+	section.Repeated("hold", func(words []string) error {
 		invariant, err := parseInvariant(words)
 		p.Invariants = append(p.Invariants, invariant)
 		return err
--- a/internal/platformconfig/control.go
+++ b/internal/platformconfig/control.go
@@ -29,12 +29,11 @@
 	detailWords = map[string]struct{}{"": {}, "off": {}, "hit": {}, "all": {}}
 )
 
-// ParseControl reads the settings of a site, and maps the platform's names to the policy's. Keys that it does not know
-// are ignored.
+// ParsePolicy parses the site settings, a JSON object, into the configuration of the policy. Unknown keys are ignored.
 //
 // Some settings are needed by no decision. They are checked in their place like the others, so that a fault is found
 // when the settings are read: these are the calls whose result is dropped.
-func ParseControl(text []byte) (policy.Config, error) {
+func ParsePolicy(text []byte) (policy.Config, error) {
 	settings := parseObject(text, "settings")
 	config := policy.Config{}
 	readFleet(settings, &config)
--- a/internal/platformconfig/control_test.go
+++ b/internal/platformconfig/control_test.go
@@ -26,7 +26,7 @@
 		{`{"classes":[{"late-value":"1"}]}`, "settings.classes[0].late-value: expected a number"},
 		{`{"classes":[{"streamed":1}]}`, "settings.classes[0].streamed: expected true or false"},
 	} {
-		if _, err := ParseControl([]byte(c.text)); err == nil || err.Error() != c.want {
+		if _, err := ParsePolicy([]byte(c.text)); err == nil || err.Error() != c.want {
 			t.Errorf("%s: got %v, want %s", c.text, err, c.want)
 		}
 	}
@@ -36,7 +36,7 @@
 func TestFirstFaultIsReported(t *testing.T) {
 	const text = `{"classes":[{"streamed":1}],"prices":{"probe":"1"},"period-ms":"1"}`
 	const want = "settings.period-ms: expected a number"
-	if _, err := ParseControl([]byte(text)); err == nil || err.Error() != want {
+	if _, err := ParsePolicy([]byte(text)); err == nil || err.Error() != want {
 		t.Errorf("got %v, want %s", err, want)
 	}
 }
--- a/internal/platformconfig/platformconfig.go
+++ b/internal/platformconfig/platformconfig.go
@@ -20,20 +20,20 @@
 	ListAddress string // host:port of the endpoint list watch; empty: there is none
 	Seed        uint64
 	Memory      int64 // bytes
-	Sockets     int   // file descriptors
-	Control     policy.Config
+	Descriptors int   // file descriptors
+	Policy      policy.Config
 
-	DialTimeout time.Duration
-	ConnIdle    time.Duration // after which endpoints close an idle connection; 0: never
-	Streams     int           // attempts that one connection carries together
-	OpenCap     int           // requests that may be open together
-	InitialList gjson.Result  // the events of the endpoint list watch so far: {"no":LAST,"items":[...]}
+	DialTimeout     time.Duration
+	IdleTimeout     time.Duration // after which endpoints close an idle connection; 0: never
+	Streams         int           // attempts that one connection carries together
+	MaxOpenRequests int           // requests that may be open together
+	InitialList     gjson.Result  // the events of the endpoint list watch so far: {"no":LAST,"items":[...]}
 }
 
 // LongestDeadline returns the longest deadline of a class, or a usual one where no class has any.
 func (s *Settings) LongestDeadline() time.Duration {
 	longest := time.Duration(0)
-	for _, class := range s.Control.Classes {
+	for _, class := range s.Policy.Classes {
 		longest = max(longest, class.Deadline)
 	}
 	if longest == 0 {
@@ -79,13 +79,13 @@
 	if configuration.err != nil {
 		return nil, configuration.err
 	}
-	control, err := ParseControl([]byte(site.Raw))
+	control, err := ParsePolicy([]byte(site.Raw))
 	if err != nil {
 		return nil, err
 	}
-	settings.Control = control
+	settings.Policy = control
 	// The policy checks the rest of what it needs: at least one class, no negative time, a zone in range.
-	if _, err := policy.New(settings.Control, settings.Seed); err != nil {
+	if _, err := policy.New(settings.Policy, settings.Seed); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	return settings, nil
@@ -99,11 +99,11 @@
 	settings.ListAddress = configuration.text("bulletin")
 	memoryMB := min(configuration.integerOr("limits.memory_mb", maxMemoryMB), maxMemoryMB)
 	settings.Memory = int64(memoryMB) << 20
-	settings.Sockets = min(configuration.integerOr("limits.sockets", maxSockets), maxSockets)
+	settings.Descriptors = min(configuration.integerOr("limits.sockets", maxSockets), maxSockets)
 	settings.DialTimeout = configuration.milliseconds("settings.limits.dial-timeout-ms")
-	settings.ConnIdle = configuration.milliseconds("settings.limits.conn-idle-ms")
+	settings.IdleTimeout = configuration.milliseconds("settings.limits.conn-idle-ms")
 	settings.Streams = configuration.integerOr("settings.limits.streams-per-conn", defaultStreams)
-	settings.OpenCap = configuration.integerOr("settings.limits.open-cap", defaultOpenCap)
+	settings.MaxOpenRequests = configuration.integerOr("settings.limits.open-cap", defaultOpenCap)
 	settings.InitialList = configuration.object("known")
 	if seed := configuration.text("seed"); seed != "" {
 		if _, err := fmt.Sscanf(seed, "%x", &settings.Seed); err != nil {
@@ -119,19 +119,19 @@
 	if s.ListAddress != "" {
 		configuration.checkAddress("bulletin", s.ListAddress)
 	}
-	if s.Sockets < minSockets {
-		configuration.fail("limits.sockets", fmt.Sprintf("%d are too few, %d needed", s.Sockets, minSockets))
+	if s.Descriptors < minSockets {
+		configuration.fail("limits.sockets", fmt.Sprintf("%d are too few, %d needed", s.Descriptors, minSockets))
 	}
 	if s.Memory <= 0 {
 		configuration.fail("limits.memory_mb", "expected more than 0")
 	}
-	if s.DialTimeout < 0 || s.ConnIdle < 0 {
+	if s.DialTimeout < 0 || s.IdleTimeout < 0 {
 		configuration.fail("settings.limits", "negative time")
 	}
 	if s.DialTimeout == 0 {
 		s.DialTimeout = defaultDialTimeout
 	}
-	if s.Streams < 1 || s.OpenCap < 1 {
+	if s.Streams < 1 || s.MaxOpenRequests < 1 {
 		configuration.fail("settings.limits", "streams-per-conn and open-cap must be 1 or more")
 	}
 }
--- a/internal/proxy/authenticator.go
+++ b/internal/proxy/authenticator.go
@@ -132,7 +132,7 @@
 
 // call returns what the decision needs of a request.
 func (a *authenticator) call(request *broker.Request) *identity.Call {
-	class := a.server.plan.platform.Control.Classes[request.Class]
+	class := a.server.plan.platform.Policy.Classes[request.Class]
 	call := &identity.Call{
 		Caller: request.Caller,
 		Token:  request.Token,
--- a/internal/proxy/dispatch.go
+++ b/internal/proxy/dispatch.go
@@ -17,7 +17,7 @@
 	request := received.Request
 	timeout, ok := s.shutdown.TimeoutFor(s.clock.Monotonic(), request.Timeout)
 	if !ok {
-		control := &s.plan.platform.Control
+		control := &s.plan.platform.Policy
 		retryAfter := control.RetryAfter(&control.Classes[request.Class])
 		request.Frontend.Respond(request, broker.Response{Kind: broker.ResponseRejected, RetryAfter: retryAfter})
 		return
@@ -44,7 +44,7 @@
 	switch event := event.(type) {
 	case broker.RequestReceived:
 		request := event.Request
-		class := s.plan.platform.Control.Classes[request.Class].Name
+		class := s.plan.platform.Policy.Classes[request.Class].Name
 		request.Route = s.routes.Choose(request.Team, class, request.Zone, request.Object)
 		request.Service = request.Route.Service
 		s.pools[request.Route.Pool].publish(event)
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -84,7 +84,7 @@
 // machineConfig combines the platform's settings with those of the block for peers.
 func (f *fleet) machineConfig() bootstrap.Config {
 	plan := f.server.plan
-	control := plan.platform.Control
+	control := plan.platform.Policy
 	config := bootstrap.Config{
 		Name:        plan.platform.Name,
 		Incarnation: rand.Uint64(),
@@ -106,7 +106,7 @@
 	if peers := p.settings.Peers; peers != nil && peers.Fleet > 0 {
 		return peers.Fleet
 	}
-	return p.platform.Control.Instances
+	return p.platform.Policy.Instances
 }
 
 // programVersion names the build, as far as it is known.
--- a/internal/proxy/identity_settings.go
+++ b/internal/proxy/identity_settings.go
@@ -85,7 +85,7 @@
 // addRuleDirectives adds the directives of rules.
 func addRuleDirectives(section *config.Section, rules *[]identity.Rule) {
 	for _, name := range []string{"right", "deny"} {
-		section.Each(name, func(words []string) error {
+		section.Repeated(name, func(words []string) error {
 			rule, err := identity.ParseRule(name == "deny", words)
 			*rules = append(*rules, rule)
 			return err
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -32,7 +32,7 @@
 // String says in a line what was read.
 func (p *Plan) String() string {
 	return fmt.Sprintf("the configuration of %s is sound: %d classes, %d boxes known",
-		p.platform.Name, len(p.platform.Control.Classes), p.initialEndpointCount)
+		p.platform.Name, len(p.platform.Policy.Classes), p.initialEndpointCount)
 }
 
 // Load reads and checks all files: the platform's configuration, and our settings, which may be left out.
@@ -62,7 +62,7 @@
 
 // validate checks our settings against the platform's configuration.
 func (p *Plan) validate() error {
-	control := p.platform.Control
+	control := p.platform.Policy
 	if p.settings.UpstreamTLS != nil {
 		if err := p.settings.UpstreamTLS.checkZones(control.ZoneNames); err != nil {
 			return err
@@ -80,7 +80,7 @@
 
 // decode reads the initial events, so that `sloequay check` finds faults in them too.
 func (p *Plan) decode() error {
-	control := p.platform.Control
+	control := p.platform.Policy
 	p.members, p.decoder.Source, p.firstCatalogueSource = p.settings.membershipTable()
 	p.decoder.Names = membership.Names{Zones: control.ZoneNames, Kinds: control.KindNames}
 	last, events, err := p.decoder.DecodeInitial(p.platform.InitialList)
@@ -95,7 +95,7 @@
 
 // descriptorDemand returns who shares the file descriptors.
 func (p *Plan) descriptorDemand() descriptors.Demand {
-	demand := descriptors.Demand{Total: p.platform.Sockets, DNS: p.settings.DNS != nil}
+	demand := descriptors.Demand{Total: p.platform.Descriptors, DNS: p.settings.DNS != nil}
 	if identity := p.settings.Identity; identity != nil && identity.tls != nil {
 		demand.MaxTLSConnections = identity.tls.MaxConnections
 	}
--- a/internal/proxy/pools.go
+++ b/internal/proxy/pools.go
@@ -28,7 +28,7 @@
 	if plan.settings.Services == nil {
 		return nil, nil
 	}
-	control := plan.platform.Control
+	control := plan.platform.Policy
 	return plan.settings.Services.table(plan.clock.Monotonic(), control.ZoneNames, control.KindNames)
 }
 
@@ -52,8 +52,8 @@
 		if i > 0 {
 			members, _, _ = s.plan.settings.membershipTable()
 		}
-		maxOpen := max(1, int(float64(platform.OpenCap)*share))
-		made, err := broker.New(platform.Control, platform.Seed+uint64(i), maxOpen, s.quotas, members)
+		maxOpen := max(1, int(float64(platform.MaxOpenRequests)*share))
+		made, err := broker.New(platform.Policy, platform.Seed+uint64(i), maxOpen, s.quotas, members)
 		if err != nil {
 			return err
 		}
@@ -66,7 +66,7 @@
 // connect makes the pool's connections, once the loop runs.
 func (p *pool) connect(server *server) {
 	platform := server.plan.platform
-	control := platform.Control
+	control := platform.Policy
 	p.connections = &upstream.Pool{
 		Loop:           server.loop,
 		Emit:           p.publish,
@@ -78,7 +78,7 @@
 		AddressBlocked: p.broker.AddressBlocked,
 		Classes:        control.Classes,
 		DialTimeout:    platform.DialTimeout,
-		IdleTimeout:    platform.ConnIdle,
+		IdleTimeout:    platform.IdleTimeout,
 		Streams:        platform.Streams,
 		ChecksAllowed:  control.HealthChecks,
 		CancelAllowed:  control.MayCancel,
--- a/internal/proxy/readiness_test.go
+++ b/internal/proxy/readiness_test.go
@@ -16,7 +16,7 @@
 func TestStartupWaitsForTheFleet(t *testing.T) {
 	const fleet = 400
 	plan := &Plan{
-		platform: &platformconfig.Settings{Control: policy.Config{Instances: 8}},
+		platform: &platformconfig.Settings{Policy: policy.Config{Instances: 8}},
 		settings: &Settings{Catalogue: &consul.Config{}, Peers: &transport.Config{Fleet: fleet}},
 	}
 	startup := newStartup(plan)
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -99,7 +99,7 @@
 
 // newFrontend makes the server of the clients' protocol.
 func (s *server) newFrontend() *rpc.Server {
-	control := s.plan.platform.Control
+	control := s.plan.platform.Policy
 	return rpc.New(rpc.Config{
 		Classes:        control.Classes,
 		MaxConnections: s.descriptors.RPC,
@@ -115,7 +115,7 @@
 
 // retryAfter returns what clients that are rejected may be advised.
 func (s *server) retryAfter() retryafter.Advisor {
-	return retryafter.Advisor{Max: s.plan.platform.Control.MaxRetryAfter}
+	return retryafter.Advisor{Max: s.plan.platform.Policy.MaxRetryAfter}
 }
 
 // isMemoryShort reports whether clients leave too much unread.
@@ -127,7 +127,7 @@
 	platform := s.plan.platform
 	options := dns.Options{
 		Config:         s.plan.settings.DNS,
-		Classes:        platform.Control.Classes,
+		Classes:        platform.Policy.Classes,
 		Emit:           s.admit,
 		Now:            s.clock.Monotonic,
 		PacketLag:      func() time.Duration { return s.loop.PacketLag() }, // the loop does not run yet
--- a/internal/proxy/services_settings.go
+++ b/internal/proxy/services_settings.go
@@ -38,8 +38,8 @@
 	section := &config.Section{}
 	section.Block("pool", true,
 		"endpoints with a policy of their own; the first serves what names no service", s.poolSection)
-	section.Each("service", s.addService, "a service and its pool")
-	section.Each("rule", s.addRule, "whose requests are a service's: the first rule that fits counts")
+	section.Repeated("service", s.addService, "a service and its pool")
+	section.Repeated("rule", s.addRule, "whose requests are a service's: the first rule that fits counts")
 	section.Block("move", true, "a team that migrates to another pool step by step", s.migrationSection)
 	return section
 }
@@ -54,7 +54,7 @@
 	section := &config.Section{}
 	section.Number("part", &pool.Share, 0, 1,
 		"of connections and of open requests; an even part of the rest without it")
-	section.Each("boxes", func(words []string) error {
+	section.Repeated("boxes", func(words []string) error {
 		selector, err := parseSelector(words)
 		pool.selectors = append(pool.selectors, selector)
 		return err
--- a/internal/proxy/snapshots.go
+++ b/internal/proxy/snapshots.go
@@ -66,7 +66,7 @@
 		return false
 	}
 	disk.Clean(settings.File)
-	control := server.plan.platform.Control
+	control := server.plan.platform.Policy
 	limits := snapshot.Limits{
 		MaxAge: settings.MaxAge,
 		Zones:  len(control.ZoneNames),
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -158,7 +158,7 @@
 func (s *Spec) section(syntax rateSyntax) *config.Section {
 	section := &config.Section{}
 	for k := Requests; k < rateKinds; k++ {
-		section.Each(k.String(), func(words []string) error {
+		section.Repeated(k.String(), func(words []string) error {
 			if s.Rates[k].Set {
 				return errGivenTwice
 			}
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -42,7 +42,7 @@
 	if fields.err != nil {
 		return hello
 	}
-	config, err := platformconfig.ParseControl(text)
+	config, err := platformconfig.ParsePolicy(text)
 	if err != nil {
 		fields.fail(offset, "%w", err)
 	}
