--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,10 +1,12 @@
-// Package config reads the settings files: one directive a line, its words split as a shell does, # comments, include
-// GLOB, and blocks that a last word { opens and a line } closes. A package states its directives in a Section, bound
-// to its own variables; what it does not state is an error. All errors are found, not the first alone, each with file,
-// line and key.
+// Package config reads the settings files. Each line holds one directive, split into words as by a shell. A # starts a
+// comment, "include GLOB" includes other files, and a block starts with { as the last word of a directive's line and
+// ends with a line }.
 //
-// The last argument of a method that adds a directive says what the directive is for. It documents the place where the
-// directive is stated, and is not kept.
+// A package declares its directives in a Section, bound to its own variables; an undeclared directive is an error. All
+// errors are reported, not just the first, each with file, line and key.
+//
+// The methods that add a directive take a description of its purpose, which documents the declaration in the source
+// and is not stored.
 package config
 
 import (
@@ -14,63 +16,67 @@
 	"strings"
 )
 
-// Section is the directives of the top level or of a block.
+// Section holds the directives of the top level or of a block.
 type Section struct {
 	directives []*directive
 	checks     []func() error
 }
 
-// directive is a directive that a section states: one with words has set and show, one with a block has open.
+// directive is a directive that a section declares. One without a block has set and show, one with a block has
+// openBlock.
 type directive struct {
 	name       string
 	repeatable bool
 	set        func(words []string) error
-	show       func() []string // the values in force, a line each
-	open       func(words []string) (*Section, error)
+	show       func() []string // returns the current values, one per line of the settings file
+	openBlock  func(words []string) (*Section, error)
 
-	blocks    []block // that were given
+	blocks    []block // given so far
 	givenFile string
-	givenLine int // the last one; 0: not given
+	givenLine int // of the last line that gives the directive; 0: not given
 }
 
-// block is a block that was given.
+// block is a block that a file gives for a directive.
 type block struct {
 	words   []string
 	section *Section
 }
 
-func (s *Section) add(added *directive) { s.directives = append(s.directives, added) }
+func (s *Section) add(d *directive) { s.directives = append(s.directives, d) }
 
 func (s *Section) find(name string) *directive {
-	for _, stated := range s.directives {
-		if stated.name == name {
-			return stated
+	for _, declared := range s.directives {
+		if declared.name == name {
+			return declared
 		}
 	}
 	return nil
 }
 
-// Check is called once the section was read without a fault; its error is reported for the section's block.
+// Check adds a check that runs after the section's directives have been set without an error. An error that it returns
+// is reported for the line that opens the section's block.
 func (s *Section) Check(check func() error) { s.checks = append(s.checks, check) }
 
-// Load reads a file into a section. The error is an Errors.
+// Load reads a file and sets the section's directives from it. The error is of type Errors.
 func (s *Section) Load(path string) error {
 	p := &parser{}
 	return s.finish(p, p.load(path, nil, 0), path)
 }
 
-// Parse reads a text into a section; name stands for its file. The error is an Errors.
+// Parse sets the section's directives from a text. name is the file name in errors, and relative includes are resolved
+// against its directory. The error is of type Errors.
 func (s *Section) Parse(name string, text []byte) error {
 	p := &parser{}
 	return s.finish(p, p.parse(name, text, 0), name)
 }
 
-// finish sets the section's directives from the lines that were read, and joins all errors.
+// finish sets the section's directives from the lines of a file, and returns these errors and those of the parser, or
+// nil.
 func (s *Section) finish(p *parser, lines []line, file string) error {
-	errs := append(p.errs, s.apply(place{file: file, line: 1}, lines)...)
+	errs := append(p.errs, s.apply(blockPosition{file: file, line: 1}, lines)...)
 	slices.SortStableFunc(errs, func(a, b Error) int {
 		if a.File != b.File {
-			return 0 // included files stay where they are included
+			return 0 // errors of an included file keep their place
 		}
 		return a.Line - b.Line
 	})
@@ -80,23 +86,23 @@
 	return errs
 }
 
-// place is where a block stands.
-type place struct {
+// blockPosition is the place of a block in the settings.
+type blockPosition struct {
 	file string
 	line int
-	path string // of its directive with the blocks it is in, as catalogue.tls; empty: the top level
+	path string // of its directive and the enclosing blocks, such as catalogue.tls; empty: top level
 }
 
-// key returns the path of a directive in the block.
-func (p place) key(name string) string {
+// key returns the path of a directive of the block.
+func (p blockPosition) key(name string) string {
 	if p.path == "" {
 		return name
 	}
 	return p.path + "." + name
 }
 
-// apply sets the section's directives from the lines of its block.
-func (s *Section) apply(at place, lines []line) Errors {
+// apply sets the section's directives from the lines of its block. It runs the checks if there is no error.
+func (s *Section) apply(at blockPosition, lines []line) Errors {
 	var errs Errors
 	for _, given := range lines {
 		errs = append(errs, s.applyLine(at, given)...)
@@ -112,63 +118,64 @@
 	return errs
 }
 
-// applyLine sets one directive, and the directives of its block.
-func (s *Section) applyLine(at place, given line) Errors {
+// applyLine sets the directive of one line and, if it opens a block, the directives in the block.
+func (s *Section) applyLine(at blockPosition, given line) Errors {
 	key := at.key(given.name)
 	fail := func(text string) Errors {
 		return Errors{{File: given.file, Line: given.number, Key: key, Text: text}}
 	}
-	stated := s.find(given.name)
-	if stated == nil {
+	declared := s.find(given.name)
+	if declared == nil {
 		return fail("unknown directive" + s.suggest(given.name))
 	}
-	if fault := stated.check(given); fault != "" {
+	if fault := declared.check(given); fault != "" {
 		return fail(fault)
 	}
-	stated.givenFile = given.file
-	stated.givenLine = given.number
-	if stated.open == nil {
-		if err := stated.set(given.words); err != nil {
+	declared.givenFile = given.file
+	declared.givenLine = given.number
+	if declared.openBlock == nil {
+		if err := declared.set(given.words); err != nil {
 			return fail(err.Error())
 		}
 		return nil
 	}
-	section, err := stated.open(given.words)
+	section, err := declared.openBlock(given.words)
 	if err != nil {
 		return fail(err.Error())
 	}
-	stated.blocks = append(stated.blocks, block{given.words, section})
-	return section.apply(place{file: given.file, line: given.number, path: key}, given.block)
+	declared.blocks = append(declared.blocks, block{given.words, section})
+	return section.apply(blockPosition{file: given.file, line: given.number, path: key}, given.block)
 }
 
-// check returns why a line may not be given for the directive; empty: it may.
+// check returns why a line is not valid for the directive, or "" if it is valid.
 func (d *directive) check(given line) string {
 	switch {
 	case d.givenLine > 0 && !d.repeatable:
 		return fmt.Sprintf("given twice, first at %s:%d", d.givenFile, d.givenLine)
-	case d.open == nil && given.isBlock:
+	case d.openBlock == nil && given.isBlock:
 		return "takes no block"
-	case d.open != nil && !given.isBlock:
+	case d.openBlock != nil && !given.isBlock:
 		return "expected a block: end the line with {"
 	}
 	return ""
 }
 
-// suggest names the directives of the section that are like an unknown one.
+// suggest returns the end of the error about an unknown directive: the similar directives of the section, if any.
 func (s *Section) suggest(unknown string) string {
 	var similar []string
-	for _, stated := range s.directives {
-		if isSimilar(stated.name, unknown) {
-			similar = append(similar, stated.name)
+	for _, declared := range s.directives {
+		if isSimilar(declared.name, unknown) {
+			similar = append(similar, declared.name)
 		}
 	}
 	if len(similar) == 0 {
 		return ""
 	}
-	return "; there is " + strings.Join(similar, ", ")
+	return "; similar directives: " + strings.Join(similar, ", ")
 }
 
-// isSimilar reports whether an unknown name begins like a name that there is, or one contains the other.
+// isSimilar reports whether an unknown name of two bytes or more has the same first two bytes as name, or one of them
+// contains the other.
 func isSimilar(name, unknown string) bool {
 	if len(unknown) < 2 {
 		return false
@@ -176,16 +183,16 @@
 	return strings.HasPrefix(name, unknown[:2]) || strings.Contains(name, unknown) || strings.Contains(unknown, name)
 }
 
-// Print writes the settings in force in the form that Load reads, with defaults marked.
+// Print writes the current settings in the syntax that Load reads, and marks the defaults.
 func (s *Section) Print(out io.Writer) error {
 	p := &printer{out: out}
 	p.section(s, "")
 	return p.err
 }
 
-const indentStep = "    "
+const indentUnit = "    "
 
-// printer writes settings, and keeps the first error.
+// printer writes settings. It stops at the first error and keeps it.
 type printer struct {
 	out io.Writer
 	err error
@@ -198,37 +205,37 @@
 }
 
 func (p *printer) section(s *Section, indent string) {
-	for _, stated := range s.directives {
-		if stated.open != nil {
-			p.blocks(stated, indent)
+	for _, declared := range s.directives {
+		if declared.openBlock != nil {
+			p.blocks(declared, indent)
 		} else {
-			p.values(stated, indent)
+			p.values(declared, indent)
 		}
 	}
 }
 
-func (p *printer) blocks(stated *directive, indent string) {
-	if len(stated.blocks) == 0 {
-		p.line(indent, "# %s: none given", stated.name)
+func (p *printer) blocks(declared *directive, indent string) {
+	if len(declared.blocks) == 0 {
+		p.line(indent, "# %s: none given", declared.name)
 	}
-	for _, given := range stated.blocks {
-		words := append([]string{stated.name}, quoteAll(given.words)...)
+	for _, given := range declared.blocks {
+		words := append([]string{declared.name}, quoteAll(given.words)...)
 		p.line(indent, "%s {", strings.Join(words, " "))
-		p.section(given.section, indent+indentStep)
+		p.section(given.section, indent+indentUnit)
 		p.line(indent, "}")
 	}
 }
 
-func (p *printer) values(stated *directive, indent string) {
-	values := stated.show()
+func (p *printer) values(declared *directive, indent string) {
+	values := declared.show()
 	switch {
 	case len(values) == 0:
-		p.line(indent, "# %s: none", stated.name)
-	case stated.givenLine == 0:
-		p.line(indent, "%s %s  # default", stated.name, values[0])
+		p.line(indent, "# %s: none", declared.name)
+	case declared.givenLine == 0:
+		p.line(indent, "%s %s  # default", declared.name, values[0])
 	default:
 		for _, value := range values {
-			p.line(indent, "%s %s", stated.name, value)
+			p.line(indent, "%s %s", declared.name, value)
 		}
 	}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,8 +13,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// all has a directive of each kind.
-type all struct {
+// allKinds holds the values of a section with a directive of each kind.
+type allKinds struct {
 	wait   time.Duration
 	open   int
 	share  float64
@@ -32,7 +32,7 @@
 	open int
 }
 
-func (a *all) section() *Section {
+func (a *allKinds) section() *Section {
 	a.wait, a.open, a.mode, a.tags = 30*time.Second, 5, "default", []string{"a"}
 	s := &Section{}
 	s.Duration("wait", &a.wait, time.Second, 10*time.Minute, "")
@@ -74,44 +74,44 @@
 		{"all kinds", "wait 1m\nopen 7 # seven\nshare 0.5\nmemory 64MiB\nrate 200/s\nprobe on\nname 'a b'\n" +
 			"mode stale\ntag x y\ntag z\n" +
 			"team lanes {\n  open 3\n}\nteam \"the rest\" {\n}\n", ""},
-		{"windows lines", "open 7\r\nteam x {\r\n}\r\n", ""},
-		{"a duration", "\nwait fast", `f:2: wait: expected a duration of 1s to 10m, got "fast"`},
+		{"lines that end in CRLF", "open 7\r\nteam x {\r\n}\r\n", ""},
+		{"an invalid duration", "\nwait fast", `f:2: wait: expected a duration of 1s to 10m, got "fast"`},
 		{"a duration out of bounds", "wait 11m", `f:1: wait: expected a duration of 1s to 10m, got "11m"`},
-		{"a number that is none", "share nan", `f:1: share: expected a number of 0 to 1, got "nan"`},
+		{"NaN as a number", "share nan", `f:1: share: expected a number of 0 to 1, got "nan"`},
 		{"a size without unit", "memory 64", `f:1: memory: expected a size of 0B to 1GiB, got "64"`},
 		{"a size that overflows", "memory 99999999999GiB",
 			`f:1: memory: expected a size of 0B to 1GiB, got "99999999999GiB"`},
-		{"a rate", "rate 7", `f:1: rate: expected a rate of 0/s to 1e+06/s, got "7"`},
-		{"a flag", "probe yes", `f:1: probe: expected on or off, got "yes"`},
-		{"a choice", "mode odd", `f:1: mode: expected one of default, stale, got "odd"`},
-		{"a check of its own", "name a!", `f:1: name: no ! in names`},
-		{"two words", "open 1 2", `f:1: open: expected one word, got 2`},
-		{"no word", "tag", `f:1: tag: expected at least one word`},
-		{"unknown", "opne 3", `f:1: opne: unknown directive; there is open`},
-		{"given twice", "open 1\nopen 2", `f:2: open: given twice, first at f:1`},
-		{"in a block", "team lanes {\n  open many\n}",
+		{"a rate without unit", "rate 7", `f:1: rate: expected a rate of 0/s to 1e+06/s, got "7"`},
+		{"an invalid flag", "probe yes", `f:1: probe: expected on or off, got "yes"`},
+		{"an unknown choice", "mode odd", `f:1: mode: expected one of default, stale, got "odd"`},
+		{"a failed check of a text", "name a!", `f:1: name: no ! in names`},
+		{"two words for one", "open 1 2", `f:1: open: expected one word, got 2`},
+		{"no words", "tag", `f:1: tag: expected at least one word`},
+		{"an unknown directive", "opne 3", `f:1: opne: unknown directive; similar directives: open`},
+		{"a directive given twice", "open 1\nopen 2", `f:2: open: given twice, first at f:1`},
+		{"an invalid value in a block", "team lanes {\n  open many\n}",
 			`f:2: team.open: expected a whole number of 0 to 100, got "many"`},
-		{"a block's own check", "\nteam lanes {\n  open 13\n}", `f:2: team: open must not be 13`},
+		{"a failed check of a block", "\nteam lanes {\n  open 13\n}", `f:2: team: open must not be 13`},
 		{"a block without a name", "team {\n}", `f:1: team: expected a name, got 0 words`},
-		{"a block that is none", "team lanes", `f:1: team: expected a block: end the line with {`},
-		{"none that is a block", "open 3 {\n}", `f:1: open: takes no block`},
-		{"an open block", "team lanes {\n open 3\n", `f:1: the block team is not closed`},
-		{"a closed one too many", "}\n", `f:1: a block is closed that was not opened`},
-		{"an open quote", "name 'a", `f:1: a quote is not closed`},
-		{"a zero byte", "name a\x00b", `f:1: the line has a zero byte`},
-		{"no file", "include nowhere.conf", `f:1: include: no file nowhere.conf`},
-		{"all that is wrong", "opne 3\nwait x\nteam a {\n open x\n", "f:1: opne: unknown directive; there is open\n" +
-			"f:2: wait: expected a duration of 1s to 10m, got \"x\"\nf:3: the block team is not closed"},
+		{"a block directive without a block", "team lanes", `f:1: team: expected a block: end the line with {`},
+		{"a block after a directive without one", "open 3 {\n}", `f:1: open: takes no block`},
+		{"an unclosed block", "team lanes {\n open 3\n", `f:1: block team is not closed`},
+		{"a closing brace without a block", "}\n", `f:1: unexpected }: no block is open`},
+		{"an unterminated quote", "name 'a", `f:1: unterminated quote or escape`},
+		{"a zero byte", "name a\x00b", `f:1: line contains a zero byte`},
+		{"a missing file", "include nowhere.conf", `f:1: include: no file matches nowhere.conf`},
+		{"several errors", "opne 3\nwait x\nteam a {\n open x\n", "f:1: opne: unknown directive; similar directives: open\n" +
+			"f:2: wait: expected a duration of 1s to 10m, got \"x\"\nf:3: block team is not closed"},
 	} {
 		got := ""
-		if err := new(all).section().Parse("f", []byte(c.text)); err != nil {
+		if err := new(allKinds).section().Parse("f", []byte(c.text)); err != nil {
 			got = err.Error()
 		}
-		if c.name == "all that is wrong" { // what stands in a block that is not closed is not read
+		if c.name == "several errors" { // the directives in an unclosed block are not checked
 			got = strings.Join(strings.Split(got, "\n")[:3], "\n")
 		}
 		if got != c.want {
-			t.Errorf("%s:\n got %s\nwant %s", c.name, got, c.want)
+			t.Errorf("%s: got error\n%s\nwant\n%s", c.name, got, c.want)
 		}
 	}
 }
@@ -126,27 +126,27 @@
 	write("main.conf", "open 9\ninclude teams-*.conf\ninclude none-*.conf\n")
 	write("teams-b.conf", "team b {\n}\n")
 	write("teams-a.conf", "team a {\n open 4\n}\n")
-	var a all
+	var a allKinds
 	if err := a.section().Load(filepath.Join(dir, "main.conf")); err != nil {
 		t.Fatal(err)
 	}
 	if len(a.teams) != 2 || a.teams[0].name != "a" || a.teams[0].open != 4 || a.open != 9 {
-		t.Errorf("read %+v", a)
+		t.Errorf("got %+v, want open 9 and 2 teams, the first a with open 4", a)
 	}
 	write("teams-b.conf", "\nteam b {\n open x\n}\n")
-	err := new(all).section().Load(filepath.Join(dir, "main.conf"))
+	err := new(allKinds).section().Load(filepath.Join(dir, "main.conf"))
 	want := filepath.Join(dir, "teams-b.conf") + ":3: team.open: "
 	if err == nil || !strings.HasPrefix(err.Error(), want) {
-		t.Errorf("got %v, want it to begin with %s", err, want)
+		t.Errorf("got error %v, want it to begin with %s", err, want)
 	}
 	write("loop.conf", "include loop.conf\n")
-	err = new(all).section().Load(filepath.Join(dir, "loop.conf"))
-	if err == nil || !strings.Contains(err.Error(), "include each other") {
-		t.Errorf("a file that includes itself: %v", err)
+	err = new(allKinds).section().Load(filepath.Join(dir, "loop.conf"))
+	if err == nil || !strings.Contains(err.Error(), "perhaps in a cycle") {
+		t.Errorf("file that includes itself: got error %v, want one about a cycle", err)
 	}
 }
 
-// printed gives the settings in force.
+// printed returns what Print writes.
 func printed(t testing.TB, s *Section) string {
 	var b bytes.Buffer
 	if err := s.Print(&b); err != nil {
@@ -156,7 +156,7 @@
 }
 
 func TestPrint(t *testing.T) {
-	s := new(all).section()
+	s := new(allKinds).section()
 	if err := s.Parse("f", []byte("open 7\nmemory 2048KiB\nname \"a 'b\"\nteam 'x y' {\n open 3\n}")); err != nil {
 		t.Fatal(err)
 	}
@@ -174,11 +174,12 @@
 }
 `
 	if diff := cmp.Diff(want, printed(t, s)); diff != "" {
-		t.Errorf("printed (-want +got):\n%s", diff)
+		t.Errorf("printed settings (-want +got):\n%s", diff)
 	}
 }
 
-// FuzzParse: no text ends the program, an error names its line, and what is printed reads back as the same settings.
+// FuzzParse checks that no text causes a panic, that each error has a line, and that printed settings parse to the same
+// settings.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{"open 7\n", "team 'a b' {\n open 3\n}\n", "name \"q\\\"'\"\n", "tag a '#' \\{ \n",
 		"}\n{\n", "memory 1GiB\nrate 1e3/s\n", "name ''\n", "include x\n"} {
@@ -186,25 +187,25 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if bytes.Contains(text, []byte("include")) {
-			return // reads files
+			return // an include directive reads files
 		}
-		s := new(all).section()
+		s := new(allKinds).section()
 		err := s.Parse("f", text)
 		var errs Errors
 		if err != nil {
 			if !errors.As(err, &errs) || len(errs) == 0 || errs[0].Line < 1 {
-				t.Fatalf("error without a line: %v", err)
+				t.Fatalf("got error %v, want Errors with a line of 1 or more", err)
 			}
 			return
 		}
 		once := printed(t, s)
-		again := new(all).section()
+		again := new(allKinds).section()
 		if err := again.Parse("f", []byte(once)); err != nil {
-			t.Fatalf("what was printed can't be read: %v\n%s", err, once)
+			t.Fatalf("parsing the printed settings: got error %v, want none; printed\n%s", err, once)
 		}
 		twice := printed(t, again)
 		if strings.ReplaceAll(twice, "  # default", "") != strings.ReplaceAll(once, "  # default", "") {
-			t.Fatalf("printed as\n%sand read back as\n%s", once, twice)
+			t.Fatalf("printed settings\n%sparse to\n%s", once, twice)
 		}
 	})
 }
--- a/internal/config/directives.go
+++ b/internal/config/directives.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// addWord adds a directive with exactly one word. show returns the value in force; empty: none.
+// addWord adds a directive that takes exactly one word. show returns the current value; empty: none.
 func (s *Section) addWord(name string, set func(word string) error, show func() string) {
 	s.add(&directive{
 		name: name,
@@ -29,7 +29,7 @@
 	})
 }
 
-// Duration adds a time such as 300ms or 1m30s, from minimum to maximum.
+// Duration adds a duration from minimum to maximum, such as 300ms or 1m30s.
 func (s *Section) Duration(name string, value *time.Duration, minimum, maximum time.Duration, _ string) {
 	s.addWord(name, func(word string) error {
 		duration, err := time.ParseDuration(word)
@@ -42,7 +42,7 @@
 	}, func() string { return shortDuration(*value) })
 }
 
-// shortDuration leaves out the zeros that Duration's own form ends with: 10m and not 10m0s.
+// shortDuration formats a duration without the trailing zero units of Duration.String: 10m, not 10m0s.
 func shortDuration(duration time.Duration) string {
 	text := duration.String()
 	if strings.HasSuffix(text, "m0s") {
@@ -78,12 +78,12 @@
 	}, func() string { return formatNumber(*value) })
 }
 
-// isBetween is false for what is no number.
+// isBetween reports whether minimum <= number <= maximum. It returns false for NaN.
 func isBetween(number, minimum, maximum float64) bool { return number >= minimum && number <= maximum }
 
 func formatNumber(number float64) string { return strconv.FormatFloat(number, 'g', -1, 64) }
 
-// sizeUnits are the units of sizes, the largest first.
+// sizeUnits holds the units of sizes, largest first.
 var sizeUnits = []struct {
 	name  string
 	bytes int64
@@ -94,7 +94,7 @@
 	{"B", 1},
 }
 
-// Size adds a number of bytes with its unit, such as 64MiB, from minimum to maximum bytes.
+// Size adds a size from minimum to maximum bytes, written with a unit, such as 64MiB.
 func (s *Section) Size(name string, value *int64, minimum, maximum int64, _ string) {
 	s.addWord(name, func(word string) error {
 		size, ok := parseSize(word, maximum)
@@ -106,7 +106,7 @@
 	}, func() string { return formatSize(*value) })
 }
 
-// parseSize reads a size of maximum bytes at most.
+// parseSize parses a size of at most maximum bytes.
 func parseSize(word string, maximum int64) (size int64, ok bool) {
 	for _, unit := range sizeUnits {
 		digits, hasUnit := strings.CutSuffix(word, unit.name)
@@ -120,7 +120,7 @@
 	return 0, false
 }
 
-// formatSize writes a size in the largest unit that divides it.
+// formatSize formats a size in the largest unit of which it is a multiple.
 func formatSize(size int64) string {
 	for _, unit := range sizeUnits {
 		if size != 0 && size%unit.bytes == 0 {
@@ -130,7 +130,7 @@
 	return "0B"
 }
 
-// Rate adds a number a second, such as 200/s, from minimum to maximum. An infinite rate and one of 0 are shown as
+// Rate adds a rate from minimum to maximum per second, such as 200/s. Print shows a rate of 0 and an infinite rate as
 // none.
 func (s *Section) Rate(name string, value *float64, minimum, maximum float64, _ string) {
 	s.addWord(name, func(word string) error {
@@ -149,7 +149,7 @@
 	})
 }
 
-// The words of a flag.
+// The values of a flag.
 const (
 	flagOn  = "on"
 	flagOff = "off"
@@ -171,7 +171,7 @@
 	})
 }
 
-// Text adds one word that check, which may be nil, finds no fault with.
+// Text adds a directive that takes one word. check, if not nil, returns an error for an invalid word.
 func (s *Section) Text(name string, value *string, check func(string) error, _ string) {
 	s.addWord(name, func(word string) error {
 		if check != nil {
@@ -189,7 +189,7 @@
 	})
 }
 
-// Choice adds one of some words.
+// Choice adds a directive that takes one of the given words.
 func (s *Section) Choice(name string, value *string, words []string, help string) {
 	s.Text(name, value, func(word string) error {
 		if !slices.Contains(words, word) {
@@ -199,8 +199,8 @@
 	}, help)
 }
 
-// Words adds a list of words, which check, if not nil, finds no fault with. The directive may be given more than once,
-// and adds; what is given first replaces the default.
+// Words adds a list of words. check, if not nil, returns an error for an invalid word. The directive may be given more
+// than once: the first line replaces the default, and the others add to the list.
 func (s *Section) Words(name string, value *[]string, check func(string) error, _ string) {
 	isDefault := true
 	set := func(words []string) error {
@@ -231,8 +231,8 @@
 	s.add(&directive{name: name, repeatable: true, set: set, show: show})
 }
 
-// Repeated adds a directive that may be given any number of times. set reads the words of each line. Print writes the
-// lines as they were given.
+// Repeated adds a directive that may be given any number of times. set gets the words of each line. Print writes the
+// same words again.
 func (s *Section) Repeated(name string, set func(words []string) error, _ string) {
 	var given []string
 	s.add(&directive{
@@ -249,13 +249,13 @@
 	})
 }
 
-// Block adds a directive with a block. open gets its words and returns the section that the block's lines are read by;
-// a repeatable one may be given more than once.
+// Block adds a directive with a block. open gets the directive's words and returns the section that declares the
+// directives of the block. A repeatable block may be given more than once.
 func (s *Section) Block(name string, repeatable bool, _ string, open func(words []string) (*Section, error)) {
-	s.add(&directive{name: name, repeatable: repeatable, open: open})
+	s.add(&directive{name: name, repeatable: repeatable, openBlock: open})
 }
 
-// quote puts a word in quotes that would not be read back as one without.
+// quote returns a word in the form in which the parser reads it back as the same single word, quoted if necessary.
 func quote(word string) string {
 	if word != "" && !strings.ContainsAny(word, " \t#\"'\\{}") {
 		return word
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// Error is one thing that is wrong with the settings.
+// Error is one fault in the settings.
 type Error struct {
 	File string
 	Line int
-	Key  string // the directive with the blocks it is in, as catalogue.wait; empty: the line itself
+	Key  string // path of the directive, such as catalogue.wait; empty: a fault of the line or file as a whole
 	Text string
 }
 
-// Error returns it as file:line: key: text.
+// Error returns the fault as "file:line: key: text".
 func (e Error) Error() string {
 	where := fmt.Sprintf("%s:%d: ", e.File, e.Line)
 	if e.Key != "" {
@@ -22,10 +22,10 @@
 	return where + e.Text
 }
 
-// Errors is all that is wrong, in the order of the lines.
+// Errors holds all faults in the settings, in the order of the lines.
 type Errors []Error
 
-// Error returns one error a line.
+// Error returns the faults, one per line.
 func (e Errors) Error() string {
 	lines := make([]string, len(e))
 	for i := range e {
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -11,11 +11,11 @@
 	"github.com/google/shlex"
 )
 
-// The bounds of what is read.
+// Limits of the parser.
 const (
-	maxFileSize = 1 << 20 // in bytes
+	maxFileSize = 1 << 20 // bytes
 	maxFiles    = 256
-	maxDepth    = 16 // of blocks, and of files that include others
+	maxDepth    = 16 // of nested blocks, and of nested includes
 )
 
 const (
@@ -24,7 +24,7 @@
 	includeDirective = "include"
 )
 
-// line is a line of a file: a directive's name, its words, and the lines of its block.
+// line is one line of a file: the name of a directive, its words, and the lines of its block.
 type line struct {
 	file    string
 	number  int // from 1
@@ -34,7 +34,7 @@
 	block   []line
 }
 
-// parser reads files into lines.
+// parser reads files into lines and collects the errors.
 type parser struct {
 	errs  Errors
 	files int
@@ -44,7 +44,7 @@
 	p.errs = append(p.errs, Error{File: file, Line: number, Text: fmt.Sprintf(format, args...)})
 }
 
-// load reads a file and what it includes. includedBy is nil for the first.
+// load reads a file and the files that it includes. includedBy is the include directive, nil for the first file.
 func (p *parser) load(path string, includedBy *line, depth int) []line {
 	file, number := path, 0
 	if includedBy != nil {
@@ -52,7 +52,7 @@
 	}
 	p.files++
 	if p.files > maxFiles || depth > maxDepth {
-		p.fail(file, number, "more than %d files, or files that include each other", maxFiles)
+		p.fail(file, number, "more than %d files, or includes nested too deeply, perhaps in a cycle", maxFiles)
 		return nil
 	}
 	text, err := readFile(path)
@@ -63,36 +63,36 @@
 	return p.parse(path, text, depth)
 }
 
-// readFile reads a file that is not too large.
+// readFile reads a file. It returns an error if the file is larger than maxFileSize.
 func readFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if info.Size() > maxFileSize {
-		return nil, fmt.Errorf("%s has %d bytes, at most %d are read", path, info.Size(), maxFileSize)
+		return nil, fmt.Errorf("%s has %d bytes, expected at most %d", path, info.Size(), maxFileSize)
 	}
 	return os.ReadFile(path)
 }
 
-// openBlocks is the stack of the blocks that are open while a file is read; the first stands for the file.
-type openBlocks []line
+// blockStack is the stack of the open blocks while a file is parsed. Its first element is the file itself.
+type blockStack []line
 
-func (o openBlocks) top() *line { return &o[len(o)-1] }
+func (s blockStack) top() *line { return &s[len(s)-1] }
 
-func (o openBlocks) add(lines ...line) { o.top().block = append(o.top().block, lines...) }
+func (s blockStack) add(lines ...line) { s.top().block = append(s.top().block, lines...) }
 
-// closeTop adds the last block to the one around it.
-func (o openBlocks) closeTop() openBlocks {
-	closed := *o.top()
-	outer := o[:len(o)-1]
+// closeTop closes the innermost block: it adds the block to the enclosing one and returns the stack without it.
+func (s blockStack) closeTop() blockStack {
+	closed := *s.top()
+	outer := s[:len(s)-1]
 	outer.add(closed)
 	return outer
 }
 
-// parse reads the lines of one file.
+// parse parses the text of one file. The lines of an included file take the place of the include directive.
 func (p *parser) parse(file string, text []byte, depth int) []line {
-	blocks := openBlocks{{file: file}}
+	blocks := blockStack{{file: file}}
 	for i, raw := range bytes.Split(text, []byte("\n")) {
 		number := i + 1
 		words, ok := p.split(file, number, raw)
@@ -101,58 +101,59 @@
 		}
 		if len(words) == 1 && words[0] == blockClosing {
 			if len(blocks) == 1 {
-				p.fail(file, number, "a block is closed that was not opened")
+				p.fail(file, number, "unexpected }: no block is open")
 				continue
 			}
 			blocks = blocks.closeTop()
 			continue
 		}
-		read := newLine(file, number, words)
+		parsed := newLine(file, number, words)
 		switch {
-		case read.isBlock:
+		case parsed.isBlock:
 			if len(blocks) > maxDepth {
 				p.fail(file, number, "blocks are nested more than %d deep", maxDepth)
 				return blocks[0].block
 			}
-			blocks = append(blocks, read)
-		case read.name == includeDirective:
-			blocks.add(p.include(read, depth)...)
+			blocks = append(blocks, parsed)
+		case parsed.name == includeDirective:
+			blocks.add(p.include(parsed, depth)...)
 		default:
-			blocks.add(read)
+			blocks.add(parsed)
 		}
 	}
 	for i := len(blocks) - 1; i > 0; i-- {
-		p.fail(file, blocks[i].number, "the block %s is not closed", blocks[i].name)
+		p.fail(file, blocks[i].number, "block %s is not closed", blocks[i].name)
 	}
 	return blocks[0].block
 }
 
-// split splits a line into words as a shell does, and reports whether it could.
+// split splits a line into words as a shell does. If it cannot, it records an error and returns false.
 func (p *parser) split(file string, number int, raw []byte) (words []string, ok bool) {
 	if bytes.IndexByte(raw, 0) >= 0 {
-		p.fail(file, number, "the line has a zero byte")
+		p.fail(file, number, "line contains a zero byte")
 		return nil, false
 	}
 	words, err := shlex.Split(strings.TrimSuffix(string(raw), "\r"))
 	if err != nil {
-		p.fail(file, number, "a quote is not closed")
+		p.fail(file, number, "unterminated quote or escape")
 		return nil, false
 	}
 	return words, true
 }
 
-// newLine makes a line of its words, of which a last { opens a block.
+// newLine returns the line with the given words. A last word { opens a block.
 func newLine(file string, number int, words []string) line {
-	read := line{file: file, number: number, name: words[0], words: words[1:]}
-	last := len(read.words) - 1
-	if last >= 0 && read.words[last] == blockOpening {
-		read.words = read.words[:last]
-		read.isBlock = true
+	parsed := line{file: file, number: number, name: words[0], words: words[1:]}
+	last := len(parsed.words) - 1
+	if last >= 0 && parsed.words[last] == blockOpening {
+		parsed.words = parsed.words[:last]
+		parsed.isBlock = true
 	}
-	return read
+	return parsed
 }
 
-// include reads the files that a pattern matches, by name; it is relative to the file that names it.
+// include reads the files that a pattern matches, sorted by name. A relative pattern is resolved against the directory
+// of the including file. A pattern with wildcards may match no file.
 func (p *parser) include(given line, depth int) []line {
 	if len(given.words) != 1 {
 		p.fail(given.file, given.number, "include: expected one pattern, got %d words", len(given.words))
@@ -165,7 +166,7 @@
 	paths, err := filepath.Glob(pattern)
 	isMissing := len(paths) == 0 && !strings.ContainsAny(pattern, "*?[")
 	if err != nil || isMissing {
-		p.fail(given.file, given.number, "include: no file %s", pattern)
+		p.fail(given.file, given.number, "include: no file matches %s", pattern)
 		return nil
 	}
 	slices.Sort(paths)
--- a/internal/quota/settings_test.go
+++ b/internal/quota/settings_test.go
@@ -21,7 +21,7 @@
 		"adaptive {\nleast 9\nmost 3\n}":                "least is above most",
 		"retries {\nteam-share 9\n}":                    "f:2: retries.team-share: expected",
 		"team a {\nservice s {\nfor c {\nrequest 1/s\n}\n}\n}\n": "f:4: team.service.for.request:" +
-			" unknown directive; there is requests",
+			" unknown directive; similar directives: requests",
 	} {
 		section, _ := Section()
 		if err := section.Parse("f", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -97,7 +97,7 @@
 		}, "family-info.detail"},
 		{"a list entry", func(bed *testbed) { bed.listedEndpoints[0]["site"] = "nowhere" }, "site"},
 		{"contracts", func(bed *testbed) { bed.addSettings("contracts {\n team a {\n  opne 3\n }\n}") },
-			":3: contracts.team.opne: unknown directive; there is open"},
+			":3: contracts.team.opne: unknown directive; similar directives: open"},
 		{"the DNS zone", func(bed *testbed) { bed.addSettings("dns {\n listen 127.0.0.1:53\n}") },
 			":1: dns: listen and zone are needed"},
 		{"the catalogue", func(bed *testbed) { bed.addSettings("catalogue {\n agent 127.0.0.1:1\n wait fast\n}") },
