--- a/internal/platformconfig/control.go
+++ b/internal/platformconfig/control.go
@@ -6,33 +6,33 @@
 	"sloequay/internal/policy"
 )
 
-// The words of the platform's settings, by key.
+// The values that the platform's settings accept, where "" stands for an absent setting.
 var (
-	idempotencyWords = map[string]policy.Idempotency{
+	idempotencyValues = map[string]policy.Idempotency{
 		"":           policy.Idempotent,
 		"repeatable": policy.Idempotent,
 		"by_key":     policy.IdempotentByKey,
 		"once":       policy.NotIdempotent,
 	}
-	dedupScopeWords = map[string]policy.DedupScope{
+	dedupScopeValues = map[string]policy.DedupScope{
 		"":     policy.DedupAll,
 		"all":  policy.DedupAll,
 		"zone": policy.DedupZone,
 		"cell": policy.DedupCell,
 	}
-	reachWords = map[string]policy.SiblingScope{
+	siblingScopeValues = map[string]policy.SiblingScope{
 		"":         policy.SiblingsNone,
 		"off":      policy.SiblingsNone,
 		"location": policy.SiblingsZone,
 		"any":      policy.SiblingsAny,
 	}
-	detailWords = map[string]struct{}{"": {}, "off": {}, "hit": {}, "all": {}}
+	detailValues = map[string]struct{}{"": {}, "off": {}, "hit": {}, "all": {}}
 )
 
 // ParsePolicy parses the site settings, a JSON object, into the configuration of the policy. Unknown keys are ignored.
 //
-// Some settings are needed by no decision. They are checked in their place like the others, so that a fault is found
-// when the settings are read: these are the calls whose result is dropped.
+// Settings that no decision depends on are read too, so that their faults are reported like those of the others. The
+// calls for them discard the result.
 func ParsePolicy(text []byte) (policy.Config, error) {
 	settings := parseObject(text, "settings")
 	config := policy.Config{}
@@ -45,7 +45,7 @@
 	return config, settings.err
 }
 
-// readFleet reads this proxy's place in its fleet.
+// readFleet reads the number of proxies, the position of this proxy among them, and the names of zones and kinds.
 func readFleet(settings *reader, config *policy.Config) {
 	config.Ordinal = settings.integer("ordinal")
 	config.Instances = settings.integer("n-instances")
@@ -55,7 +55,7 @@
 	settings.number("period-ms")
 }
 
-// readCaching reads how the caches, their parents and the origin work together.
+// readCaching reads the settings of caches, parents and the origin: their kinds, fills and purges.
 func readCaching(settings *reader, config *policy.Config) {
 	config.ParentKind = settings.integerOr("family-info.shield-kind", -1)
 	config.OriginKind = settings.integerOr("family-info.master-kind", -1)
@@ -63,8 +63,8 @@
 	settings.integers("family-info.zone-hub")
 	settings.numbers("family-info.link-in-kb-per-s")
 	config.FlowKBps = settings.number("family-info.one-flow-kb-per-s")
-	config.Siblings = word(settings, "family-info.peers-fill", reachWords)
-	word(settings, "family-info.detail", detailWords)
+	config.Siblings = enum(settings, "family-info.peers-fill", siblingScopeValues)
+	enum(settings, "family-info.detail", detailValues)
 	config.DirectFetch = settings.flag("family-info.pass-through-ok")
 	config.JoinFills = settings.flag("family-info.merges-fills")
 	settings.number("family-info.purge-slack-ms")
@@ -73,7 +73,7 @@
 	settings.number("family-info.origin-over-for-ms")
 }
 
-// readWarmup reads how endpoints start cold, and what overloads them.
+// readWarmup reads the warm-up after a start and the overload thresholds of caches and parents.
 func readWarmup(settings *reader, config *policy.Config) {
 	settings.number("safety.drain-grace-ms")
 	settings.number("safety.answer-slack-ms")
@@ -86,7 +86,8 @@
 	config.ParentOverloadMultiple = settings.number("family-info.upper-fall-multiple")
 }
 
-// readLimits reads what a proxy may do.
+// readLimits reads which actions the proxy may take, how many attempts a request may have, and how endpoints are
+// discovered.
 func readLimits(settings *reader, config *policy.Config) {
 	config.MaxAttempts = settings.integer("limits.attempts-cap")
 	config.MayCancel = settings.flag("limits.cancelling")
@@ -97,7 +98,7 @@
 	settings.number("safety.ask-within-ms")
 }
 
-// readReports reads what endpoints report, and what clients may be advised.
+// readReports reads which weights and loads endpoints report, and the longest Retry-After for clients.
 func readReports(settings *reader, config *policy.Config) {
 	weights := settings.text("weights")
 	config.WeightsReported = weights != "" && weights != "off"
@@ -110,7 +111,7 @@
 	}
 }
 
-// readClasses reads the classes of requests. What concerns copies of their objects is in lists beside them.
+// readClasses reads the classes of requests. Their settings for cached copies are in separate lists, indexed by class.
 func readClasses(settings *reader) []policy.Class {
 	freshFor := settings.numbers("family-info.max-age-ms")
 	staleFor := settings.numbers("family-info.stale-for-ms")
@@ -140,8 +141,8 @@
 	class.Deadline = settings.milliseconds("deadline-ms")
 	class.PriorityWeight = settings.number("worth")
 	settings.number("late-value")
-	class.Idempotency = word(settings, "idempotency", idempotencyWords)
-	class.DedupScope = word(settings, "group", dedupScopeWords)
+	class.Idempotency = enum(settings, "idempotency", idempotencyValues)
+	class.DedupScope = enum(settings, "group", dedupScopeValues)
 	class.DedupWindow = settings.milliseconds("window-ms")
 	settings.flag("streamed")
 	return class, settings.err
--- a/internal/platformconfig/platformconfig.go
+++ b/internal/platformconfig/platformconfig.go
@@ -1,5 +1,6 @@
-// Package platformconfig reads what a proxy gets from the platform at its start: the configuration file, and in it the
-// settings of the site, which the simulator gives its instances too. It maps the platform's names to ours.
+// Package platformconfig reads the configuration file that a proxy gets from the platform at its start. The simulator
+// sends the site settings, which are a part of it, to its instances too. The package maps the platform's names to those
+// of package policy.
 package platformconfig
 
 import (
@@ -13,24 +14,24 @@
 	"sloequay/internal/policy"
 )
 
-// Settings is what one proxy gets from the platform at its start.
+// Settings holds the configuration of one proxy from the platform.
 type Settings struct {
 	Name        string
 	Listen      string // host:port for clients
-	ListAddress string // host:port of the endpoint list watch; empty: there is none
+	ListAddress string // host:port of the endpoint list watch; empty: none
 	Seed        uint64
-	Memory      int64 // bytes
-	Descriptors int   // file descriptors
+	Memory      int64 // limit in bytes
+	Descriptors int   // limit of file descriptors
 	Policy      policy.Config
 
 	DialTimeout     time.Duration
 	IdleTimeout     time.Duration // after which endpoints close an idle connection; 0: never
-	Streams         int           // attempts that one connection carries together
-	MaxOpenRequests int           // requests that may be open together
-	InitialList     gjson.Result  // the events of the endpoint list watch so far: {"no":LAST,"items":[...]}
+	Streams         int           // limit of concurrent attempts on one connection
+	MaxOpenRequests int           // limit of open requests
+	InitialList     gjson.Result  // earlier events of the endpoint list watch: {"no":LAST,"items":[...]}
 }
 
-// LongestDeadline returns the longest deadline of a class, or a usual one where no class has any.
+// LongestDeadline returns the longest deadline of all classes, or defaultDeadline if no class has a deadline.
 func (s *Settings) LongestDeadline() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range s.Policy.Classes {
@@ -43,19 +44,19 @@
 }
 
 const (
-	// The limits of scored days hold where the configuration gives larger ones or none.
-	maxMemoryMB = 192
-	maxSockets  = 1024
+	// The limits on scored days, which also apply if the configuration has larger ones or none.
+	maxMemoryMB    = 192
+	maxDescriptors = 1024
 
-	minSockets = 32
+	minDescriptors = 32
 
-	defaultDialTimeout = 400 * time.Millisecond
-	defaultDeadline    = 3 * time.Second
-	defaultStreams     = 32
-	defaultOpenCap     = 20000
+	defaultDialTimeout     = 400 * time.Millisecond
+	defaultDeadline        = 3 * time.Second
+	defaultStreams         = 32
+	defaultMaxOpenRequests = 20000
 )
 
-// Load reads and checks the configuration file of a proxy.
+// Load reads and validates the configuration file of a proxy.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -64,7 +65,7 @@
 	return Parse(text)
 }
 
-// Parse reads and checks the text of a configuration. Its error is the first fault, with the key.
+// Parse parses and validates a configuration. The error is the first fault found, and names the key.
 func Parse(text []byte) (*Settings, error) {
 	configuration := parseObject(text, "")
 	if configuration.err != nil {
@@ -79,19 +80,19 @@
 	if configuration.err != nil {
 		return nil, configuration.err
 	}
-	control, err := ParsePolicy([]byte(site.Raw))
+	policyConfig, err := ParsePolicy([]byte(site.Raw))
 	if err != nil {
 		return nil, err
 	}
-	settings.Policy = control
-	// The policy checks the rest of what it needs: at least one class, no negative time, a zone in range.
+	settings.Policy = policyConfig
+	// New validates what is left: at least one class, no negative times of classes, and a zone in range.
 	if _, err := policy.New(settings.Policy, settings.Seed); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	return settings, nil
 }
 
-// readSettings reads all but the settings of the site.
+// readSettings reads everything except the site settings.
 func readSettings(configuration *reader) *Settings {
 	settings := &Settings{}
 	settings.Name = configuration.text("name")
@@ -99,11 +100,11 @@
 	settings.ListAddress = configuration.text("bulletin")
 	memoryMB := min(configuration.integerOr("limits.memory_mb", maxMemoryMB), maxMemoryMB)
 	settings.Memory = int64(memoryMB) << 20
-	settings.Descriptors = min(configuration.integerOr("limits.sockets", maxSockets), maxSockets)
+	settings.Descriptors = min(configuration.integerOr("limits.sockets", maxDescriptors), maxDescriptors)
 	settings.DialTimeout = configuration.milliseconds("settings.limits.dial-timeout-ms")
 	settings.IdleTimeout = configuration.milliseconds("settings.limits.conn-idle-ms")
 	settings.Streams = configuration.integerOr("settings.limits.streams-per-conn", defaultStreams)
-	settings.MaxOpenRequests = configuration.integerOr("settings.limits.open-cap", defaultOpenCap)
+	settings.MaxOpenRequests = configuration.integerOr("settings.limits.open-cap", defaultMaxOpenRequests)
 	settings.InitialList = configuration.object("known")
 	if seed := configuration.text("seed"); seed != "" {
 		if _, err := fmt.Sscanf(seed, "%x", &settings.Seed); err != nil {
@@ -113,30 +114,31 @@
 	return settings
 }
 
-// validate records the first value that is out of range, and sets the dial time-out where none is given.
+// validate records the first value that is out of range, and sets the default dial timeout if none is given.
 func (s *Settings) validate(configuration *reader) {
 	configuration.checkAddress("listen", s.Listen)
 	if s.ListAddress != "" {
 		configuration.checkAddress("bulletin", s.ListAddress)
 	}
-	if s.Descriptors < minSockets {
-		configuration.fail("limits.sockets", fmt.Sprintf("%d are too few, %d needed", s.Descriptors, minSockets))
+	if s.Descriptors < minDescriptors {
+		configuration.fail("limits.sockets", fmt.Sprintf("got %d, expected at least %d", s.Descriptors, minDescriptors))
 	}
 	if s.Memory <= 0 {
 		configuration.fail("limits.memory_mb", "expected more than 0")
 	}
 	if s.DialTimeout < 0 || s.IdleTimeout < 0 {
-		configuration.fail("settings.limits", "negative time")
+		configuration.fail("settings.limits", "dial-timeout-ms and conn-idle-ms must not be negative")
 	}
 	if s.DialTimeout == 0 {
 		s.DialTimeout = defaultDialTimeout
 	}
 	if s.Streams < 1 || s.MaxOpenRequests < 1 {
-		configuration.fail("settings.limits", "streams-per-conn and open-cap must be 1 or more")
+		configuration.fail("settings.limits", "streams-per-conn and open-cap must be at least 1")
 	}
 }
 
-// checkAddress checks a host:port. The host is numeric: there is no name service to resolve another.
+// checkAddress checks that an address has the form host:port. The host must be an IP address, because there is no name
+// service to resolve a host name.
 func (r *reader) checkAddress(key, address string) {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || net.ParseIP(host) == nil || port == "" {
--- a/internal/platformconfig/reader.go
+++ b/internal/platformconfig/reader.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// maxDuration is the largest time in nanoseconds that Milliseconds returns, with either sign.
+	// maxDuration bounds the durations, positive and negative, that Milliseconds returns.
 	maxDuration = time.Duration(1 << 62)
-	// maxExactInteger bounds the integers that a JSON number holds without rounding.
+	// maxExactInteger bounds the integers that a JSON number, which is parsed as a float64, holds exactly.
 	maxExactInteger = 1 << 53
 )
 
-// Milliseconds converts a number of milliseconds. One beyond what a duration holds becomes the nearest that it does,
-// and no number becomes 0.
+// Milliseconds converts a number of milliseconds to a duration. It returns at most maxDuration and at least
+// -maxDuration, and 0 for NaN.
 func Milliseconds(value float64) time.Duration {
 	nanoseconds := value * float64(time.Millisecond)
 	switch {
@@ -30,23 +30,23 @@
 	return time.Duration(nanoseconds)
 }
 
-// KeyError is a value of the configuration that cannot be used.
+// KeyError reports an invalid value in the configuration.
 type KeyError struct {
-	Key    string // path of the value, as settings.classes[0].name; empty: the whole file
+	Key    string // path of the value, such as settings.classes[0].name; empty: the whole file
 	Reason string
 }
 
-// Error returns it as key: reason.
+// Error returns the error as "key: reason".
 func (e *KeyError) Error() string { return e.Key + ": " + e.Reason }
 
-// reader takes values out of one JSON object. It keeps the first fault, which names the key.
+// reader reads the values of one JSON object by key. It keeps the first fault in err.
 type reader struct {
 	json   gjson.Result
-	prefix string // path of the object with a dot behind it; empty at the top level
+	prefix string // path of the object and a dot; empty: top level
 	err    error
 }
 
-// parseObject makes a reader of the object in text, which is at path.
+// parseObject returns a reader of a JSON object. path is the object's path in the configuration.
 func parseObject(text []byte, path string) *reader {
 	r := &reader{json: gjson.ParseBytes(text), prefix: path}
 	if !gjson.ValidBytes(text) {
@@ -60,7 +60,8 @@
 	return r
 }
 
-// get looks a key up. One that is absent or null gives the zero Result and is no fault.
+// get returns the value of a key, or the zero Result if the key is absent or null, which is no fault, or if the value
+// is invalid.
 func (r *reader) get(key, expected string, isValid func(gjson.Result) bool) gjson.Result {
 	value := r.json.Get(key)
 	if !value.Exists() || value.Type == gjson.Null {
@@ -93,7 +94,7 @@
 
 func (r *reader) integer(key string) int { return r.integerOr(key, 0) }
 
-// integerOr returns the default value where the key is absent.
+// integerOr returns the integer of a key, or the default value if the key is absent or invalid.
 func (r *reader) integerOr(key string, defaultValue int) int {
 	value := r.get(key, "a whole number", isInteger)
 	if !value.Exists() {
@@ -102,7 +103,7 @@
 	return int(value.Num)
 }
 
-func (r *reader) text(key string) string { return r.get(key, "a text", isString).String() }
+func (r *reader) text(key string) string { return r.get(key, "a string", isString).String() }
 
 func (r *reader) flag(key string) bool {
 	return r.get(key, "true or false", gjson.Result.IsBool).Bool()
@@ -113,10 +114,10 @@
 }
 
 func (r *reader) array(key string) []gjson.Result {
-	return r.get(key, "a list", gjson.Result.IsArray).Array()
+	return r.get(key, "an array", gjson.Result.IsArray).Array()
 }
 
-// list reads an array whose elements are all valid.
+// list converts the elements of an array, and records a fault for each that is invalid.
 func list[T any](
 	r *reader, key, expected string, isValid func(gjson.Result) bool, convert func(gjson.Result) T,
 ) []T {
@@ -143,24 +144,24 @@
 }
 
 func (r *reader) texts(key string) []string {
-	return list(r, key, "a text", isString, gjson.Result.String)
+	return list(r, key, "a string", isString, gjson.Result.String)
 }
 
-// word looks a text up in a table of the words that the key may have.
-func word[T any](r *reader, key string, table map[string]T) T {
+// enum returns the value that a table assigns to the string under a key. A string that is not in the table is a fault.
+func enum[T any](r *reader, key string, table map[string]T) T {
 	text := r.text(key)
 	value, known := table[text]
 	if !known {
-		r.fail(key, fmt.Sprintf("unknown word %q", text))
+		r.fail(key, fmt.Sprintf("unknown value %q", text))
 	}
 	return value
 }
 
-// elementOrZero returns an element of a list, or the zero value where the list is shorter.
-func elementOrZero[T any](list []T, index int) T {
+// elementOrZero returns the element with an index, or the zero value if there are fewer elements.
+func elementOrZero[T any](values []T, index int) T {
 	var zero T
-	if index < len(list) {
-		return list[index]
+	if index < len(values) {
+		return values[index]
 	}
 	return zero
 }
