--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -7,10 +7,10 @@
 	"sloequay/internal/policy"
 )
 
-// retryMark is the bit of a request's marks that says that the client has made it before.
+// retryMark is the bit of a request's marks that is set if the client has marked the request as a retry.
 const retryMark = 2
 
-// decodeRecord decodes one record. The names of the fields are the protocol's.
+// decodeRecord decodes one record. The field names in errors are those of the protocol.
 func decodeRecord(fields *reader) Record {
 	code := fields.u8("code")
 	if int(code) >= len(recordNames) {
@@ -50,7 +50,7 @@
 	return hello
 }
 
-// decodeEvent returns a policy.ClockEvent for a record that the policy needs nothing of but its time.
+// decodeEvent decodes an event. It returns a policy.ClockEvent for a record that no decision depends on.
 func decodeEvent(fields *reader, code uint8) policy.Event {
 	switch code {
 	case codeList:
@@ -74,7 +74,7 @@
 	return policy.ClockEvent{}
 }
 
-// skipUnused checks the fields of a record that no decision uses.
+// skipUnused decodes the fields of a record that no decision depends on, to check that they are valid.
 func skipUnused(fields *reader, code uint8) {
 	switch code {
 	case codeHeaders:
@@ -134,8 +134,8 @@
 	if fields.err != nil {
 		return list
 	}
-	if size := count * listEntrySize; size > int64(fields.left()) {
-		fields.fail(fields.offset(), "%d bytes left, expected %d for %d entries", fields.left(), size, count)
+	if size := count * listEntrySize; size > int64(fields.remaining()) {
+		fields.fail(fields.offset(), "%d bytes left, expected %d for %d entries", fields.remaining(), size, count)
 		return list
 	}
 	list.Endpoints = make([]policy.Endpoint, count)
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -10,16 +10,16 @@
 	"sloequay/internal/policy"
 )
 
-// reader takes the fields of one record in their order. It keeps the first fault; after it all fields are zero.
+// reader decodes the fields of one record in order. It keeps the first fault; all later fields are zero.
 type reader struct {
-	data     []byte // of the batch
-	start    int    // of the record
-	position int    // of the next field
-	name     string // of the record
+	data     []byte // records of the batch
+	start    int    // offset in data of the record
+	position int    // offset in data of the next field
+	name     string // of the record, for errors
 	err      error
 }
 
-// fail keeps a fault that is at an offset in the record, unless there is one already.
+// fail records a fault at an offset in the record, unless an earlier one is recorded.
 func (r *reader) fail(offset int, format string, args ...any) {
 	if r.err == nil {
 		r.err = fmt.Errorf("%s: byte %d: %w", r.name, offset, fmt.Errorf(format, args...))
@@ -29,16 +29,16 @@
 // offset returns the offset of the next field in the record.
 func (r *reader) offset() int { return r.position - r.start }
 
-// left returns how many bytes of the batch are left.
-func (r *reader) left() int { return len(r.data) - r.position }
+// remaining returns the number of bytes from the next field to the end of the batch.
+func (r *reader) remaining() int { return len(r.data) - r.position }
 
-// take returns the next bytes of the record, or nil where too few are left.
+// take returns the next size bytes, or nil if there are fewer or a fault is recorded.
 func (r *reader) take(size int, field string) []byte {
 	if r.err != nil {
 		return nil
 	}
-	if size > r.left() {
-		r.fail(r.offset(), "%d bytes left, expected %d for %s", r.left(), size, field)
+	if size > r.remaining() {
+		r.fail(r.offset(), "%d bytes left, expected %d for %s", r.remaining(), size, field)
 		return nil
 	}
 	taken := r.data[r.position : r.position+size]
@@ -78,7 +78,8 @@
 	return float64(math.Float32frombits(r.u32(field)))
 }
 
-// smallInteger takes an integer that is carried as a float32. One that is negative or too large becomes 0.
+// smallInteger decodes an integer that is encoded as a float32. It returns 0 if the value is negative, NaN or at least
+// 1<<31.
 func (r *reader) smallInteger(field string) int {
 	value := r.f32(field)
 	if value >= 0 && value < 1<<31 {
@@ -91,7 +92,7 @@
 	return platformconfig.Milliseconds(math.Float64frombits(r.u64(field)))
 }
 
-// endpoint takes an IPv4 address and a port.
+// endpoint decodes an IPv4 address and a port.
 func (r *reader) endpoint(field string) policy.EndpointID {
 	taken := r.take(6, field)
 	if taken == nil {
@@ -107,25 +108,25 @@
 	number := r.u16(field)
 	status, known := statuses[number]
 	if !known {
-		r.fail(offset, "outcome %d, expected a known one", number)
+		r.fail(offset, "unknown outcome %d", number)
 	}
 	return status
 }
 
-// load takes the figures of a load report.
+// load decodes the values of a load report.
 func (r *reader) load() []float64 {
-	const field, figureSize = "load", 4
+	const field, valueSize = "load", 4
 	count := int(r.u8(field))
 	if r.err != nil || count == 0 {
 		return nil
 	}
-	if r.left() < figureSize*count {
-		r.take(figureSize*count, field)
+	if r.remaining() < valueSize*count {
+		r.take(valueSize*count, field)
 		return nil
 	}
-	figures := make([]float64, count)
-	for i := range figures {
-		figures[i] = r.f32(field)
+	values := make([]float64, count)
+	for i := range values {
+		values[i] = r.f32(field)
 	}
-	return figures
+	return values
 }
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -9,33 +9,33 @@
 	"sloequay/internal/policy"
 )
 
-// Reply collects the actions that answer one batch.
+// Reply encodes the actions that answer one batch.
 type Reply struct {
 	frame []byte
-	count uint32 // of the actions
+	count uint32 // number of actions
 }
 
-// Reset starts the reply to the batch of number seq; the buffer is used again.
+// Reset begins the reply to the batch with the sequence number seq. It reuses the buffer.
 func (r *Reply) Reset(seq uint32) {
 	r.frame = append(r.frame[:0], make([]byte, replyHeaderSize)...)
 	binary.LittleEndian.PutUint32(r.frame[8:], seq)
 	r.count = 0
 }
 
-// Bytes returns the finished frame, valid until the next Reset.
+// Bytes returns the complete frame, which is valid until the next Reset.
 func (r *Reply) Bytes() []byte {
 	binary.LittleEndian.PutUint32(r.frame[0:], r.count)
 	binary.LittleEndian.PutUint32(r.frame[4:], uint32(len(r.frame)-countedHeaderSize))
 	return r.frame
 }
 
-// Fatal says that the decisions of an instance have failed.
+// Fatal appends a report that the policy engine of an instance has failed, with the reason.
 func (r *Reply) Fatal(instance uint32, reason string) {
 	r.begin(codeFatal, instance)
 	r.text(reason)
 }
 
-// Add appends one action of an instance.
+// Add appends an action of an instance.
 func (r *Reply) Add(instance uint32, action policy.Action) {
 	switch action := action.(type) {
 	case policy.SendAttempt:
@@ -76,7 +76,7 @@
 	r.flags(attempt.JoinFill, attempt.CachedOnly, attempt.BypassParent, attempt.Revalidate)
 }
 
-// log appends a line of the operators' report.
+// log appends a log line for the operators.
 func (r *Reply) log(instance uint32, line string) {
 	r.begin(codeLog, instance)
 	r.text(line)
@@ -100,14 +100,14 @@
 	r.frame = binary.LittleEndian.AppendUint16(r.frame, uint16(id))
 }
 
-// text appends a string, cut to the longest that the wire carries.
+// text appends a string after its length of 16 bits. It truncates a longer string.
 func (r *Reply) text(text string) {
 	text = text[:min(len(text), math.MaxUint16)]
 	r.frame = binary.LittleEndian.AppendUint16(r.frame, uint16(len(text)))
 	r.frame = append(r.frame, text...)
 }
 
-// flags appends one byte, the first flag in its lowest bit.
+// flags appends one byte of flags, the first in the lowest bit.
 func (r *Reply) flags(flags ...bool) {
 	var bits uint8
 	for i, isSet := range flags {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,8 +1,8 @@
-// Package simwire converts frames of the simulator's protocol to the events of package policy, and the policy's
-// actions to frames. It decides nothing.
+// Package simwire decodes the frames of the simulator's protocol to events of package policy, and encodes the policy's
+// actions to frames. It makes no decisions.
 //
-// The simulator sends batches of records and gets one reply to each. Numbers are little-endian; times are milliseconds
-// in a float64.
+// The simulator sends batches of records and gets one reply to each batch. Numbers are little-endian; times are
+// float64 values in milliseconds.
 package simwire
 
 import (
@@ -11,22 +11,22 @@
 	"sloequay/internal/policy"
 )
 
-// The codes of the records, and in their comments the names that the protocol gives them.
+// The codes of the records. Each comment begins with the protocol's name.
 const (
 	codeHello       = iota // HELLO: an instance starts
 	codeList               // BACKENDS_CHANGED: the list of endpoints
 	codeRequest            // CALL: a new request
 	codeHeaders            // HEADERS: a streamed response has begun
 	codeResponse           // ANSWER: an attempt has ended
-	codeClientGone         // CLIENT_GONE: a client has left
+	codeClientGone         // CLIENT_GONE: a client no longer waits for a request
 	codeTimer              // ELAPSED: a timer has fired
 	codeHealthCheck        // CHECK_RESULT: a health check has ended
-	codePeer               // WHISPER: a message of another proxy
+	codePeer               // WHISPER: a message from another proxy
 	codeDown               // DOWN: an instance has stopped
-	codePurge              // RECALLED: copies are out of date
+	codePurge              // RECALLED: an object or an object group is purged
 )
 
-// recordNames are the protocol's names of the records, by code.
+// recordNames maps the codes of records to the protocol's names.
 var recordNames = [...]string{
 	codeHello:       "HELLO",
 	codeList:        "BACKENDS_CHANGED",
@@ -41,11 +41,11 @@
 	codePurge:       "RECALLED",
 }
 
-// The codes of the actions, and in their comments the names that the protocol gives them.
+// The codes of the actions. Each comment begins with the protocol's name.
 const (
 	codeReject        = 65 // BUSY
 	codeFail          = 66 // SURRENDER
-	codeFatal         = 69 // FATAL: the decisions of an instance have failed
+	codeFatal         = 69 // FATAL: the policy engine of an instance has failed
 	codeSendAttempt   = 71 // GET
 	codeSetTimer      = 72 // DEFER
 	codeWatch         = 73 // TAIL
@@ -53,7 +53,7 @@
 	codeLog           = 76 // NOTE_DOWN
 )
 
-// statuses are the outcomes of an attempt or a health check, by their numbers on the wire.
+// statuses maps the numbers on the wire to the outcomes of attempts and health checks.
 var statuses = map[uint16]policy.Status{
 	200: policy.StatusOK,
 	204: policy.StatusMiss,
@@ -70,7 +70,7 @@
 const (
 	batchHeaderSize = 20
 	replyHeaderSize = 12
-	// countedHeaderSize is the part of either header that the frame's length includes.
+	// countedHeaderSize is the part of either header that counts towards the frame's length.
 	countedHeaderSize = 8
 	listEntrySize     = 23
 )
