--- a/internal/eventlog/async.go
+++ b/internal/eventlog/async.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// maxWaitingLines is how many lines wait for a reader that is slow: twenty seconds of MaxLinesPerSecond.
+// maxWaitingLines is the number of lines that are queued for a slow reader: 20 s at MaxLinesPerSecond.
 const maxWaitingLines = 20 * MaxLinesPerSecond
 
-// AsyncWriter passes lines on by a goroutine of its own, so that whoever logs never waits for the reader of the log.
+// AsyncWriter writes lines in a goroutine of its own, so that a slow reader of the log never blocks the caller.
 //
-// Bounds: at most maxWaitingLines wait; what comes beyond them is dropped.
+// Bounds: at most maxWaitingLines lines are queued; further lines are dropped.
 type AsyncWriter struct {
 	lines chan []byte
-	done  chan struct{} // closed once all was passed on after Close
+	done  chan struct{} // closed after Close, once all queued lines are written
 }
 
-// NewAsyncWriter starts to pass lines on to w.
+// NewAsyncWriter starts a goroutine that writes lines to w.
 func NewAsyncWriter(w io.Writer) *AsyncWriter {
 	a := &AsyncWriter{lines: make(chan []byte, maxWaitingLines), done: make(chan struct{})}
 	go func() {
 		defer close(a.done)
 		for line := range a.lines {
-			if line == nil { // the mark that Close left
+			if line == nil { // queued by Close
 				return
 			}
-			_, _ = w.Write(line) // a log that can't be written must not end the program
+			_, _ = w.Write(line) // a log that can't be written must not stop the process
 		}
 	}()
 	return a
 }
 
-// Write takes one line. It never waits and never fails.
+// Write queues one line. It never blocks and never fails.
 func (a *AsyncWriter) Write(line []byte) (int, error) {
 	select {
 	case a.lines <- append([]byte{}, line...):
@@ -40,16 +40,16 @@
 	return len(line), nil
 }
 
-// Close waits until all lines were passed on, for a time at most. What is written afterwards is dropped.
+// Close waits until all queued lines are written, or until the time limit. Lines written afterwards are dropped.
 func (a *AsyncWriter) Close(limit time.Duration) {
-	over := time.After(limit)
+	timeout := time.After(limit)
 	select {
 	case a.lines <- nil:
-	case <-over:
+	case <-timeout:
 		return
 	}
 	select {
 	case <-a.done:
-	case <-over:
+	case <-timeout:
 	}
 }
--- a/internal/eventlog/async_test.go
+++ b/internal/eventlog/async_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestAsyncWriterKeepsOrder: all lines come, in their order, before Close returns.
+// TestAsyncWriterKeepsOrder checks that all lines are written in order before Close returns, and none afterwards.
 func TestAsyncWriterKeepsOrder(t *testing.T) {
 	var got, want bytes.Buffer
 	a := NewAsyncWriter(&got)
@@ -16,19 +16,20 @@
 		line := fmt.Appendf(nil, "line %d\n", i)
 		want.Write(line)
 		if n, err := a.Write(line); n != len(line) || err != nil {
-			t.Fatalf("Write gave %d, %v", n, err)
+			t.Fatalf("Write: got %d, error %v; want the line's length and no error", n, err)
 		}
-		clear(line) // the caller uses it again
+		clear(line) // the caller may reuse the line
 	}
 	a.Close(time.Minute)
 	_, _ = a.Write([]byte("too late"))
 	if got.String() != want.String() {
-		t.Errorf("%d bytes came, want %d, the same", got.Len(), want.Len())
+		t.Errorf("output: got %d bytes, want the %d bytes that were written before Close", got.Len(), want.Len())
 	}
 }
 
-// TestAsyncWriterNeverWaits: nobody reads the log. Writing goes on, and Close gives up.
-func TestAsyncWriterNeverWaits(t *testing.T) {
+// TestAsyncWriterNeverBlocks checks that, if nobody reads the log, Write does not block and Close returns at its time
+// limit.
+func TestAsyncWriterNeverBlocks(t *testing.T) {
 	reader, writer := io.Pipe()
 	defer reader.Close()
 	a := NewAsyncWriter(writer)
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,6 +1,6 @@
-// Package eventlog writes the operators' log by zap: one event a line, a stable event word and then fields, as text
-// (event=endpoint-removed endpoint=c1) or JSON, and at most so many lines a second, with the count of what was left
-// out.
+// Package eventlog writes the operators' event log with zap, as text or JSON. Each line holds one event: its stable
+// name and then fields, in text such as event=endpoint-removed endpoint=c1. The number of lines per second is limited,
+// and the number of dropped lines is logged.
 package eventlog
 
 import (
@@ -15,10 +15,10 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// MaxLinesPerSecond is how many lines a second are written: a log must not be what fills a machine.
+// MaxLinesPerSecond limits the lines that are written, so that the log cannot fill up the machine.
 const MaxLinesPerSecond = 50
 
-// Events is every event word with its level. docs/on-call.md says what each means; a test compares the two.
+// Events maps the name of every event to its level. docs/on-call.md describes the events; a test compares the names.
 var Events = map[string]zapcore.Level{
 	"started":               zap.InfoLevel,
 	"draining":              zap.InfoLevel,
@@ -111,7 +111,7 @@
 	"snapshot-loaded":       zap.InfoLevel,
 }
 
-// Formats and levels that New takes.
+// The formats and levels that New accepts.
 var (
 	Formats = []string{"text", "json"}
 	Levels  = []string{"debug", "info", "warn", "error"}
@@ -119,20 +119,20 @@
 
 // Logger writes the log. It is not safe for concurrent use.
 type Logger struct {
-	zap     *zap.Logger
-	lines   int
-	dropped int
-	since   time.Duration
+	zap           *zap.Logger
+	linesInSecond int
+	dropped       int
+	secondStart   time.Duration
 }
 
-// New makes a logger that writes to output what is at a level or above it.
+// New returns a logger that writes the events of at least the given level to output.
 func New(output io.Writer, format, level string) (*Logger, error) {
 	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, fmt.Errorf("log level: %w", err)
 	}
 	cfg := zapcore.EncoderConfig{TimeKey: "time", LevelKey: "level", MessageKey: "event",
-		EncodeTime:  func(t time.Time, e zapcore.PrimitiveArrayEncoder) { e.AppendString(t.UTC().Format(timeForm)) },
+		EncodeTime:  func(t time.Time, e zapcore.PrimitiveArrayEncoder) { e.AppendString(t.UTC().Format(timeLayout)) },
 		EncodeLevel: zapcore.LowercaseLevelEncoder, EncodeDuration: zapcore.StringDurationEncoder}
 	var encoder zapcore.Encoder
 	switch format {
@@ -146,11 +146,12 @@
 	return &Logger{zap: zap.New(zapcore.NewCore(encoder, zapcore.AddSync(output), minLevel))}, nil
 }
 
-const timeForm = "2006-01-02T15:04:05.000000Z"
+const timeLayout = "2006-01-02T15:04:05.000000Z"
 
-// Event writes a line: a word of Events, then names with values.
+// Event writes one line: the name of an event in Events, and fields, which are alternating names and values. An unknown
+// event is logged as an error.
 func (l *Logger) Event(event string, fields ...any) {
-	if l.lines++; l.lines > MaxLinesPerSecond {
+	if l.linesInSecond++; l.linesInSecond > MaxLinesPerSecond {
 		l.dropped++
 		return
 	}
@@ -159,48 +160,48 @@
 		level = zap.ErrorLevel
 	}
 	if entry := l.zap.Check(level, event); entry != nil {
-		all := make([]zap.Field, 0, len(fields)/2)
+		zapFields := make([]zap.Field, 0, len(fields)/2)
 		for i := 0; i+1 < len(fields); i += 2 {
 			name, _ := fields[i].(string)
 			switch v := fields[i+1].(type) {
 			case error:
-				all = append(all, zap.String(name, v.Error()))
+				zapFields = append(zapFields, zap.String(name, v.Error()))
 			case time.Duration:
-				all = append(all, zap.Duration(name, v))
+				zapFields = append(zapFields, zap.Duration(name, v))
 			case fmt.Stringer:
-				all = append(all, zap.String(name, v.String()))
+				zapFields = append(zapFields, zap.String(name, v.String()))
 			default:
-				all = append(all, zap.Any(name, v))
+				zapFields = append(zapFields, zap.Any(name, v))
 			}
 		}
-		entry.Write(all...)
+		entry.Write(zapFields...)
 	}
 }
 
-// Tick begins a new second.
+// Tick starts a new count of lines once a second has passed or the clock went back, and logs how many were dropped.
 func (l *Logger) Tick(now time.Duration) {
-	if now-l.since < time.Second && now >= l.since {
+	if now-l.secondStart < time.Second && now >= l.secondStart {
 		return
 	}
 	dropped := l.dropped
-	l.since, l.lines, l.dropped = now, 0, 0
+	l.secondStart, l.linesInSecond, l.dropped = now, 0, 0
 	if dropped > 0 {
 		l.Event("log-rate-limited", "lines", dropped)
 	}
 }
 
-// textEncoder writes time, level and event and then name=value, quoted where it must be.
+// textEncoder encodes an entry as its time, level and event, followed by name=value fields, quoted if necessary.
 type textEncoder struct{ *zapcore.MapObjectEncoder }
 
-var pool = buffer.NewPool()
+var bufferPool = buffer.NewPool()
 
-// Clone gives an encoder with no fields of its own: none are ever added.
+// Clone returns an encoder without fields, because no context fields are ever added.
 func (e textEncoder) Clone() zapcore.Encoder { return textEncoder{zapcore.NewMapObjectEncoder()} }
 
-// EncodeEntry writes one line.
+// EncodeEntry returns an entry as one line.
 func (e textEncoder) EncodeEntry(entry zapcore.Entry, fields []zapcore.Field) (*buffer.Buffer, error) {
-	b := pool.Get()
-	b.AppendString(entry.Time.UTC().Format(timeForm))
+	b := bufferPool.Get()
+	b.AppendString(entry.Time.UTC().Format(timeLayout))
 	b.AppendString(" level=")
 	b.AppendString(entry.Level.String())
 	b.AppendString(" event=")
@@ -217,7 +218,8 @@
 	return b, nil
 }
 
-// quote puts what would not be read back as one word in quotes; nothing of what peers send can start a line.
+// quote returns a value in quotes unless it is one plain word. Line breaks are escaped, so that no text from a peer can
+// forge a line of the log.
 func quote(s string) string {
 	plain := s != ""
 	for _, r := range s {
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-func TestText(t *testing.T) {
+func TestTextFormat(t *testing.T) {
 	var b bytes.Buffer
 	l, err := New(&b, "text", "info")
 	if err != nil {
@@ -24,29 +24,30 @@
 	want := ` level=info event=endpoint-removed endpoint=c1 reason="" error="a \"b\"\nevent=forged" for=200ms n=3`
 	want += "\n"
 	if !strings.HasSuffix(line, want) {
-		t.Errorf("got %q, want it to end with %q", line, want)
+		t.Errorf("line: got %q, want it to end with %q", line, want)
 	}
-	if _, err := time.Parse(timeForm, strings.Fields(line)[0]); err != nil {
+	if _, err := time.Parse(timeLayout, strings.Fields(line)[0]); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestJSON(t *testing.T) {
+func TestJSONFormat(t *testing.T) {
 	var b bytes.Buffer
 	l, _ := New(&b, "json", "warn")
 	l.Event("endpoint-removed", "endpoint", "c1")
 	l.Event("upstream-connect-failed", "endpoint", "c1", "error", errors.New("refused"))
 	var got map[string]any
 	if err := json.Unmarshal(b.Bytes(), &got); err != nil {
-		t.Fatalf("%v in %q", err, b.String())
+		t.Fatalf("got error %v, want one JSON object in %q", err, b.String())
 	}
 	if got["event"] != "upstream-connect-failed" || got["level"] != "warn" || got["error"] != "refused" {
-		t.Errorf("got %v", got)
+		t.Errorf("got %v, want event upstream-connect-failed, level warn and error refused", got)
 	}
 }
 
-// TestLimit: a flood is cut, and the next second tells by how much.
-func TestLimit(t *testing.T) {
+// TestLineLimit checks that lines beyond the limit are dropped, and that the next second begins with a line that counts
+// them. It also checks that New rejects unknown formats and levels.
+func TestLineLimit(t *testing.T) {
 	var b bytes.Buffer
 	l, _ := New(&b, "text", "info")
 	l.Tick(time.Second)
@@ -54,25 +55,25 @@
 		l.Event("upstream-connect-failed")
 	}
 	if n := strings.Count(b.String(), "\n"); n != MaxLinesPerSecond {
-		t.Errorf("%d lines in a second, at most %d wanted", n, MaxLinesPerSecond)
+		t.Errorf("lines in one second: got %d, want %d", n, MaxLinesPerSecond)
 	}
 	l.Tick(2 * time.Second)
 	if !strings.HasSuffix(b.String(), "event=log-rate-limited lines=30\n") {
-		t.Errorf("the count of what was left out is missing: %q", b.String()[b.Len()-80:])
+		t.Errorf("last 80 bytes: got %q, want a log-rate-limited line that counts 30 lines", b.String()[b.Len()-80:])
 	}
 	for _, c := range [][2]string{{"xml", "info"}, {"text", "loud"}} {
 		if _, err := New(&b, c[0], c[1]); err == nil {
-			t.Errorf("format %s, level %s: no error", c[0], c[1])
+			t.Errorf("format %s, level %s: got no error, want one", c[0], c[1])
 		}
 	}
 }
 
 const (
-	endpointEventPrefix = "endpoint-" // the broker writes it with the kind of a change behind it
+	endpointEventPrefix = "endpoint-" // the broker appends the kind of the change
 	minEventsFound      = 55
 )
 
-// TestEventsAreDocumented compares the event words with docs/on-call.md, and with the words that the program uses.
+// TestEventsAreDocumented compares the names in Events with those in docs/on-call.md, and with those in the source.
 func TestEventsAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/on-call.md")
 	if err != nil {
@@ -84,12 +85,12 @@
 	}
 	for event := range Events {
 		if !documented[event] {
-			t.Errorf("docs/on-call.md does not list %s", event)
+			t.Errorf("docs/on-call.md does not list the event %s", event)
 		}
 	}
 	for event := range documented {
 		if _, ok := Events[event]; !ok {
-			t.Errorf("docs/on-call.md lists %s, which is never written", event)
+			t.Errorf("docs/on-call.md lists %s, which is not in Events", event)
 		}
 	}
 	used := regexp.MustCompile(`(?:Log|Event|log|LogEntry)[({]"([a-z-]+)"`)
@@ -111,7 +112,7 @@
 		t.Fatal(err)
 	}
 	if len(found) < minEventsFound {
-		t.Errorf("%d events are found in the code, expected %d: the pattern misses how they are written",
+		t.Errorf("events found in the source: got %d, want at least %d; the pattern misses some calls",
 			len(found), minEventsFound)
 	}
 }
