--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -100,8 +100,9 @@
 		{"an unterminated quote", "name 'a", `f:1: unterminated quote or escape`},
 		{"a zero byte", "name a\x00b", `f:1: line contains a zero byte`},
 		{"a missing file", "include nowhere.conf", `f:1: include: no file matches nowhere.conf`},
-		{"several errors", "opne 3\nwait x\nteam a {\n open x\n", "f:1: opne: unknown directive; similar directives: open\n" +
-			"f:2: wait: expected a duration of 1s to 10m, got \"x\"\nf:3: block team is not closed"},
+		{"several errors", "opne 3\nwait x\nteam a {\n open x\n",
+			"f:1: opne: unknown directive; similar directives: open\n" +
+				"f:2: wait: expected a duration of 1s to 10m, got \"x\"\nf:3: block team is not closed"},
 	} {
 		got := ""
 		if err := new(allKinds).section().Parse("f", []byte(c.text)); err != nil {
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -90,8 +90,8 @@
 		a    policy.Action
 		want *encoder
 	}{
-		{policy.SendAttempt{ID: 9, Endpoint: testEndpoint, Timeout: 2 * time.Millisecond, Source: testEndpoint, CacheRank: 3,
-			MaxAge: time.Millisecond, JoinFill: true, Revalidate: true},
+		{policy.SendAttempt{ID: 9, Endpoint: testEndpoint, Timeout: 2 * time.Millisecond, Source: testEndpoint,
+			CacheRank: 3, MaxAge: time.Millisecond, JoinFill: true, Revalidate: true},
 			newRecord(71, 5).u32(9).endpoint().f64(2).endpoint().u8(3).f64(1).u8(9)},
 		{policy.Reject{ID: 9, RetryAfter: time.Second}, newRecord(65, 5).u32(9).f64(1000)},
 		{policy.Fail{ID: 9}, newRecord(66, 5).u32(9)},
@@ -134,12 +134,14 @@
 			"HEADERS: byte 16: 4 bytes left"},
 		{"short health check", frame(1, newRecord(7, 5).endpoint().u16(521).f64(1).data),
 			"CHECK_RESULT: byte 21: 0 bytes left"},
-		{"short peer message", frame(1, newRecord(8, 5).u16(2).u16(3).text("hi").data), "WHISPER: byte 9: 2 bytes left"},
+		{"short peer message", frame(1, newRecord(8, 5).u16(2).u16(3).text("hi").data),
+			"WHISPER: byte 9: 2 bytes left"},
 		{"list count beyond the data", frame(1, newRecord(1, 5).u8(0).u64(1).u32(math.MaxUint32).data), "entries"},
 		{"load count beyond the data", frame(1, newRecord(7, 5).endpoint().u16(200).f64(1).u8(255).data), "load"},
 		{"settings size beyond the data", frame(1, newRecord(0, 5).u64(1).u32(math.MaxUint32).data), "HELLO"},
 		{"settings that are not JSON", frame(1, newRecord(0, 5).u64(1).u32(2).text("{,").data), "settings"},
-		{"unknown word", frame(1, newRecord(0, 5).u64(1).u32(37).text(`{"family-info":{"detail":"sometimes"}}`).data[:54]),
+		{"unknown word",
+			frame(1, newRecord(0, 5).u64(1).u32(37).text(`{"family-info":{"detail":"sometimes"}}`).data[:54]),
 			"settings"},
 	} {
 		var b Batch
