--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -54,7 +54,7 @@
 }
 
 // Check adds a check that runs after the section's directives have been set without an error. An error that it returns
-// is reported for the line that opens the section's block.
+// is reported for the line that opens the section's block, or for the first line of the file at the top level.
 func (s *Section) Check(check func() error) { s.checks = append(s.checks, check) }
 
 // Load reads a file and sets the section's directives from it. The error is of type Errors.
--- a/internal/eventlog/async.go
+++ b/internal/eventlog/async.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// maxWaitingLines is the number of lines that are queued for a slow reader: 20 s at MaxLinesPerSecond.
-const maxWaitingLines = 20 * MaxLinesPerSecond
+// maxQueuedLines limits the lines that are queued for a slow reader, to 20 s at MaxLinesPerSecond.
+const maxQueuedLines = 20 * MaxLinesPerSecond
 
 // AsyncWriter writes lines in a goroutine of its own, so that a slow reader of the log never blocks the caller.
 //
@@ -18,7 +18,7 @@
 
 // NewAsyncWriter starts a goroutine that writes lines to w.
 func NewAsyncWriter(w io.Writer) *AsyncWriter {
-	a := &AsyncWriter{lines: make(chan []byte, maxWaitingLines), done: make(chan struct{})}
+	a := &AsyncWriter{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go func() {
 		defer close(a.done)
 		for line := range a.lines {
--- a/internal/eventlog/async_test.go
+++ b/internal/eventlog/async_test.go
@@ -12,7 +12,7 @@
 func TestAsyncWriterKeepsOrder(t *testing.T) {
 	var got, want bytes.Buffer
 	a := NewAsyncWriter(&got)
-	for i := range maxWaitingLines - 1 {
+	for i := range maxQueuedLines - 1 {
 		line := fmt.Appendf(nil, "line %d\n", i)
 		want.Write(line)
 		if n, err := a.Write(line); n != len(line) || err != nil {
@@ -33,7 +33,7 @@
 	reader, writer := io.Pipe()
 	defer reader.Close()
 	a := NewAsyncWriter(writer)
-	for range 3 * maxWaitingLines {
+	for range 3 * maxQueuedLines {
 		_, _ = a.Write([]byte("line\n"))
 	}
 	a.Close(time.Millisecond)
--- a/internal/platformconfig/platformconfig.go
+++ b/internal/platformconfig/platformconfig.go
@@ -31,7 +31,7 @@
 	InitialList     gjson.Result  // earlier events of the endpoint list watch: {"no":LAST,"items":[...]}
 }
 
-// LongestDeadline returns the longest deadline of all classes, or defaultDeadline if no class has a deadline.
+// LongestDeadline returns the longest deadline of all classes, or a default if no class has a deadline.
 func (s *Settings) LongestDeadline() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range s.Policy.Classes {
@@ -92,7 +92,7 @@
 	return settings, nil
 }
 
-// readSettings reads everything except the site settings.
+// readSettings reads everything except the configuration of the policy.
 func readSettings(configuration *reader) *Settings {
 	settings := &Settings{}
 	settings.Name = configuration.text("name")
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -15,6 +15,7 @@
 	"sloequay/internal/policy/outlier"
 )
 
+// encoder appends fields in the wire format to data.
 type encoder struct{ data []byte }
 
 func (w *encoder) u8(v ...uint8) *encoder { w.data = append(w.data, v...); return w }
@@ -30,11 +31,15 @@
 	w.data = binary.LittleEndian.AppendUint64(w.data, v)
 	return w
 }
-func (w *encoder) f32(v float32) *encoder     { return w.u32(math.Float32bits(v)) }
-func (w *encoder) f64(v float64) *encoder     { return w.u64(math.Float64bits(v)) }
-func (w *encoder) endpoint() *encoder         { return w.u8(10, 1, 2, 3).u16(11200) }
-func (w *encoder) text(s string) *encoder     { w.data = append(w.data, s...); return w }
-func newRecord(code uint8, i uint32) *encoder { return new(encoder).u8(code).u32(i) }
+func (w *encoder) f32(v float32) *encoder { return w.u32(math.Float32bits(v)) }
+func (w *encoder) f64(v float64) *encoder { return w.u64(math.Float64bits(v)) }
+func (w *encoder) endpoint() *encoder     { return w.u8(10, 1, 2, 3).u16(11200) }
+func (w *encoder) text(s string) *encoder { w.data = append(w.data, s...); return w }
+
+// newRecord begins a record or an action of an instance.
+func newRecord(code uint8, instance uint32) *encoder { return new(encoder).u8(code).u32(instance) }
+
+// frame returns the frame of a batch with the time 1000 ms, the sequence number 3 and a count of records.
 func frame(count uint32, records []byte) []byte {
 	header := new(encoder).f64(1000).u32(uint32(len(records)) + 8).u32(count).u32(3)
 	return append(header.data, records...)
