--- a/internal/proxy/authenticator.go
+++ b/internal/proxy/authenticator.go
@@ -133,7 +133,7 @@
 
 // newCall returns the call that describes a request to the authenticator's state machine.
 func (a *authenticator) newCall(request *broker.Request) *identity.Call {
-	class := a.server.plan.platform.Control.Classes[request.Class]
+	class := a.server.plan.platform.Policy.Classes[request.Class]
 	call := &identity.Call{
 		Caller: request.Caller,
 		Token:  request.Token,
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -84,7 +84,7 @@
 // machineConfig combines the platform configuration with the settings in the block `peers`.
 func (f *fleet) machineConfig() bootstrap.Config {
 	plan := f.server.plan
-	control := plan.platform.Control
+	control := plan.platform.Policy
 	config := bootstrap.Config{
 		Name:        plan.platform.Name,
 		Incarnation: rand.Uint64(),
@@ -106,7 +106,7 @@
 	if peers := p.settings.Peers; peers != nil && peers.FleetSize > 0 {
 		return peers.FleetSize
 	}
-	return p.platform.Control.Instances
+	return p.platform.Policy.Instances
 }
 
 // programVersion returns the VCS revision of the build, or else its module version; empty if neither is known.
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -33,7 +33,7 @@
 // String summarizes the configuration in one line.
 func (p *Plan) String() string {
 	return fmt.Sprintf("the configuration of %s is valid: %d classes, %d endpoints",
-		p.platform.Name, len(p.platform.Control.Classes), p.initialEndpointCount)
+		p.platform.Name, len(p.platform.Policy.Classes), p.initialEndpointCount)
 }
 
 // Load reads and checks all files: the platform configuration and the proxy's own settings. settingsPath may be empty.
@@ -63,7 +63,7 @@
 
 // validate checks the proxy's own settings against the platform configuration.
 func (p *Plan) validate() error {
-	control := p.platform.Control
+	control := p.platform.Policy
 	if p.settings.UpstreamTLS != nil {
 		if err := p.settings.UpstreamTLS.checkZones(control.ZoneNames); err != nil {
 			return err
@@ -81,7 +81,7 @@
 
 // decodeInitialList decodes the initial events, which Load does so that `sloequay check` finds errors in them too.
 func (p *Plan) decodeInitialList() error {
-	control := p.platform.Control
+	control := p.platform.Policy
 	p.members, p.decoder.Source, p.firstCatalogueSource = p.settings.membershipTable()
 	p.decoder.Names = membership.Names{Zones: control.ZoneNames, Kinds: control.KindNames}
 	last, events, err := p.decoder.DecodeInitial(p.platform.InitialList)
@@ -96,7 +96,7 @@
 
 // descriptorDemand returns what the file descriptors are needed for.
 func (p *Plan) descriptorDemand() descriptors.Demand {
-	demand := descriptors.Demand{Total: p.platform.Sockets, DNS: p.settings.DNS != nil}
+	demand := descriptors.Demand{Total: p.platform.Descriptors, DNS: p.settings.DNS != nil}
 	if identity := p.settings.Identity; identity != nil && identity.tls != nil {
 		demand.MaxTLSConnections = identity.tls.MaxConnections
 	}
--- a/internal/proxy/pools.go
+++ b/internal/proxy/pools.go
@@ -28,7 +28,7 @@
 	if plan.settings.Services == nil {
 		return nil, nil
 	}
-	control := plan.platform.Control
+	control := plan.platform.Policy
 	return plan.settings.Services.newTable(plan.clock.Monotonic(), control.ZoneNames, control.KindNames)
 }
 
@@ -53,8 +53,8 @@
 		if i > 0 {
 			members, _, _ = s.plan.settings.membershipTable()
 		}
-		maxOpen := max(1, int(float64(platform.OpenCap)*share))
-		created, err := broker.New(platform.Control, platform.Seed+uint64(i), maxOpen, s.quotas, members)
+		maxOpen := max(1, int(float64(platform.MaxOpenRequests)*share))
+		created, err := broker.New(platform.Policy, platform.Seed+uint64(i), maxOpen, s.quotas, members)
 		if err != nil {
 			return err
 		}
@@ -67,7 +67,7 @@
 // createConnections creates the pool's upstream.Pool. It must be called after the loop has started.
 func (p *pool) createConnections(server *server) {
 	platform := server.plan.platform
-	control := platform.Control
+	control := platform.Policy
 	p.connections = &upstream.Pool{
 		Loop:           server.loop,
 		Emit:           p.publish,
@@ -79,7 +79,7 @@
 		AddressBlocked: p.broker.AddressBlocked,
 		Classes:        control.Classes,
 		DialTimeout:    platform.DialTimeout,
-		IdleTimeout:    platform.ConnIdle,
+		IdleTimeout:    platform.IdleTimeout,
 		Streams:        platform.Streams,
 		ChecksAllowed:  control.HealthChecks,
 		CancelAllowed:  control.MayCancel,
--- a/internal/proxy/services_settings.go
+++ b/internal/proxy/services_settings.go
@@ -39,8 +39,8 @@
 	section := &config.Section{}
 	section.Block("pool", true,
 		"endpoints with their own policy; the first pool serves requests of no service", s.poolSection)
-	section.Each("service", s.addService, "a service and its pool")
-	section.Each("rule", s.addRule, "assigns requests to a service; the first rule that matches applies")
+	section.Repeated("service", s.addService, "a service and its pool")
+	section.Repeated("rule", s.addRule, "assigns requests to a service; the first rule that matches applies")
 	section.Block("move", true, "a team that migrates to another pool in steps", s.migrationSection)
 	return section
 }
@@ -55,7 +55,7 @@
 	section := &config.Section{}
 	section.Number("part", &pool.Share, 0, 1,
 		"share of connections and of open requests; default: an equal part of what is left")
-	section.Each("boxes", func(words []string) error {
+	section.Repeated("boxes", func(words []string) error {
 		selector, err := parseSelector(words)
 		pool.selectors = append(pool.selectors, selector)
 		return err
