--- a/internal/cli/key_revoke.go
+++ b/internal/cli/key_revoke.go
@@ -31,7 +31,7 @@
 		return err
 	}
 	now := keys.system.Unix()
-	revocation := keydir.Revocation{What: kind, Name: name, Until: now + length}
+	revocation := keydir.Revocation{Kind: kind, Name: name, Until: now + length}
 	if err := keydir.Revoke(keys.directory, now, revocation); err != nil {
 		return err
 	}
--- a/internal/cli/token_verify.go
+++ b/internal/cli/token_verify.go
@@ -68,7 +68,7 @@
 func revocations(content keydir.Content) *identity.Revocations {
 	revoked := identity.NewRevocations(len(content.Revoked) + 1)
 	for _, revocation := range content.Revoked {
-		_ = revoked.Add(revocation.What, revocation.Name, revocation.Until) // there is a place for each
+		_ = revoked.Add(revocation.Kind, revocation.Name, revocation.Until) // there is a place for each
 	}
 	return revoked
 }
--- a/internal/frontend/dns/dns.go
+++ b/internal/frontend/dns/dns.go
@@ -67,7 +67,7 @@
 		byRequest: map[*broker.Request]*flight{},
 		pending:   map[string]*pendingQuery{},
 		clients:   connlimit.New(options.MaxConnections, tcpIdleTimeout),
-		unsigned:  identity.Caller{Front: "dns"},
+		unsigned:  identity.Caller{Frontend: "dns"},
 	}
 }
 
--- a/internal/frontend/dns/query.go
+++ b/internal/frontend/dns/query.go
@@ -27,9 +27,9 @@
 	transaction string        // its client, id and question: a retransmitted query has the same
 	receivedAt  time.Duration // when it may have come at the earliest
 	reply       func([]byte)
-	maxBytes    int          // of its answer
-	stream      *stream      // nil: it came by UDP
-	signed      *tsig.Signed // nil: it is not
+	maxBytes    int                  // of its answer
+	stream      *stream              // nil: it came by UDP
+	signed      *tsig.QuerySignature // nil: it is not
 }
 
 // status is an answer without a record.
--- a/internal/frontend/dns/response.go
+++ b/internal/frontend/dns/response.go
@@ -181,7 +181,7 @@
 	message.Compress = true
 	maxBytes := query.maxBytes
 	if query.signed != nil {
-		maxBytes -= query.signed.Size()
+		maxBytes -= query.signed.MaxSize()
 	}
 	packet, err := message.Pack()
 	if err == nil && len(packet) > maxBytes {
--- a/internal/frontend/rpc/rpc.go
+++ b/internal/frontend/rpc/rpc.go
@@ -67,7 +67,7 @@
 
 // Accept returns the handler of a new connection, or nil if the connection limit is reached.
 func (s *Server) Accept(remote net.Addr) eventloop.Handler {
-	return s.AcceptFrom(remote, identity.Caller{Front: "rpc"})
+	return s.AcceptFrom(remote, identity.Caller{Frontend: "rpc"})
 }
 
 // AcceptFrom is Accept for a caller that is identified in part already, such as by a TLS certificate.
--- a/internal/identity/audit.go
+++ b/internal/identity/audit.go
@@ -8,10 +8,10 @@
 // auditInterval is how often a subject gets a line.
 const auditInterval = time.Second
 
-// Audit decides which decisions are logged, so that a flood from one subject can't hide another's: each subject has
-// one line a second, with the number of decisions that were omitted. The number of subjects is bounded; the least
-// recently seen one is evicted. It is not safe for concurrent use.
-type Audit struct {
+// AuditLimiter decides which decisions are logged, so that a flood from one subject does not hide the decisions about
+// another: each subject gets one line a second, with the number of decisions that were omitted. The number of subjects
+// is bounded; the least recently seen one is evicted. It is not safe for concurrent use.
+type AuditLimiter struct {
 	maxSubjects int
 	bySubject   map[string]*list.Element
 	recent      *list.List // of *auditedSubject, the last met first
@@ -23,13 +23,13 @@
 	omitted  int // decisions since then
 }
 
-// NewAudit returns an audit that remembers at most maxSubjects.
-func NewAudit(maxSubjects int) *Audit {
-	return &Audit{maxSubjects: maxSubjects, bySubject: map[string]*list.Element{}, recent: list.New()}
+// NewAuditLimiter returns a limiter for at most maxSubjects subjects.
+func NewAuditLimiter(maxSubjects int) *AuditLimiter {
+	return &AuditLimiter{maxSubjects: maxSubjects, bySubject: map[string]*list.Element{}, recent: list.New()}
 }
 
 // ShouldLog reports whether a decision about a subject gets a line now, and how many of it had none since its last.
-func (a *Audit) ShouldLog(now time.Duration, subject string) (omitted int, ok bool) {
+func (a *AuditLimiter) ShouldLog(now time.Duration, subject string) (omitted int, ok bool) {
 	element := a.bySubject[subject]
 	if element == nil {
 		a.add(now, subject)
@@ -48,7 +48,7 @@
 }
 
 // add remembers a subject whose first line is logged now.
-func (a *Audit) add(now time.Duration, subject string) {
+func (a *AuditLimiter) add(now time.Duration, subject string) {
 	a.bySubject[subject] = a.recent.PushFront(&auditedSubject{subject: subject, loggedAt: now})
 	if a.recent.Len() > a.maxSubjects {
 		quietest := a.recent.Remove(a.recent.Back()).(*auditedSubject)
--- a/internal/identity/authenticator.go
+++ b/internal/identity/authenticator.go
@@ -40,23 +40,23 @@
 
 // Call is one request at the authenticator.
 type Call struct {
-	Caller *Caller
-	Token  string // empty: it has none
-	Access Access
-	Key    string        // idempotency key; empty: not keyed
-	Window time.Duration // how long repeats of the key may come
-	Data   any           // the user's own
+	Caller            *Caller
+	Token             string // empty: it has none
+	Access            Access
+	IdempotencyKey    string        // idempotency key; empty: not keyed
+	IdempotencyWindow time.Duration // how long repeats of the key may come
+	Data              any           // the user's own
 }
 
 // Outcome is the decision about a call.
 type Outcome struct {
-	Call    *Call
-	Reason  Reason
-	Tenant  string        // that the caller is of; empty: not known
-	Subject string        // empty: not known
-	KeyID   string        // of the key that signed the token; empty: none did
-	Rule    int           // of the tenant, from 0, that decided; -1: none did
-	Wait    time.Duration // with Busy and IdempotencyKeysFull: how long to stay away
+	Call       *Call
+	Reason     Reason
+	Tenant     string        // that the caller is of; empty: not known
+	Subject    string        // empty: not known
+	KeyID      string        // of the key that signed the token; empty: none did
+	Rule       int           // of the tenant, from 0, that decided; -1: none did
+	RetryAfter time.Duration // with Busy and IdempotencyKeysFull: how long to stay away
 }
 
 // SignatureJob is a signature to be checked by Verify, outside of the event loop. The result of Verify is passed to
@@ -89,7 +89,7 @@
 	clockOffset     time.Duration         // what the Unix clock is ahead of the times that are passed in
 
 	// Counts since the start, for the tests: signatures checked, cached tokens met, calls that were not allowed.
-	Checked, Hits, Rejected uint64
+	SignatureChecks, CacheHits, Rejected uint64
 }
 
 // NewAuthenticator returns an authenticator with no keys.
@@ -104,9 +104,9 @@
 	}
 }
 
-// SetOffset sets by how much the Unix clock, which tokens, keys and revocations go by, is ahead of the times that are
-// passed in, which budgets and windows go by.
-func (a *Authenticator) SetOffset(offset time.Duration) { a.clockOffset = offset }
+// SetClockOffset sets how far the Unix clock is ahead of the times that callers pass in. The Unix clock applies to
+// tokens, keys and revocations; the times passed in apply to budgets and idempotency windows.
+func (a *Authenticator) SetClockOffset(offset time.Duration) { a.clockOffset = offset }
 
 // SetKeys replaces the key set. Tokens of keys that stay are not checked again.
 func (a *Authenticator) SetKeys(keys *Keys) { a.keys = keys }
@@ -164,7 +164,7 @@
 
 // decideCached decides about a call with a cached token.
 func (a *Authenticator) decideCached(now time.Duration, call *Call, cached *verifiedToken) *Outcome {
-	a.Hits++
+	a.CacheHits++
 	a.cache.touch(cached)
 	unix := now + a.clockOffset
 	reason := a.config.Policy.check(unix, &cached.claims, a.keys, a.revoked, cached.wasValid)
@@ -196,7 +196,7 @@
 	}
 	a.waiting[hash] = append(a.waiting[hash], call)
 	a.waitingCalls++
-	a.Checked++
+	a.SignatureChecks++
 	return nil, &SignatureJob{Token: call.Token, Key: key, hash: hash}
 }
 
@@ -232,7 +232,7 @@
 // busy rejects a call whose signature can't be checked now.
 func (a *Authenticator) busy(call *Call, wait time.Duration) *Outcome {
 	a.Rejected++
-	return &Outcome{Call: call, Reason: Busy, Rule: noRule, Wait: wait}
+	return &Outcome{Call: call, Reason: Busy, Rule: noRule, RetryAfter: wait}
 }
 
 // SignatureChecked processes the result of a job and returns the outcomes of all calls that waited for it.
@@ -281,7 +281,7 @@
 		a.authorize(now, outcome, claims)
 	}
 	if outcome.Reason == IdempotencyKeysFull {
-		outcome.Wait = idempotencyKeysFullWait
+		outcome.RetryAfter = idempotencyKeysFullWait
 	}
 	if outcome.Reason != Allowed {
 		a.Rejected++
@@ -328,7 +328,7 @@
 	if outcome.Tenant == "" {
 		return false
 	}
-	mayBeRetry := outcome.Call.Key != "" && (outcome.Reason == Expired || outcome.Reason == RetiredKey)
+	mayBeRetry := outcome.Call.IdempotencyKey != "" && (outcome.Reason == Expired || outcome.Reason == RetiredKey)
 	return outcome.Reason == Allowed || mayBeRetry
 }
 
@@ -337,7 +337,7 @@
 func (a *Authenticator) authorize(now time.Duration, outcome *Outcome, claims *Claims) {
 	call := outcome.Call
 	access := call.Access
-	access.Front = call.Caller.Front
+	access.Frontend = call.Caller.Frontend
 	access.Site = call.Caller.Site
 	if claims != nil && claims.Site != "" {
 		access.Site = claims.Site
@@ -347,13 +347,13 @@
 	if decision.Reason != Allowed {
 		outcome.Reason = decision.Reason
 	}
-	if call.Key != "" {
+	if call.IdempotencyKey != "" {
 		outcome.Reason = a.idempotencyKeys.Admit(now, KeyedCall{
-			Key:     call.Key,
+			Key:     call.IdempotencyKey,
 			Subject: outcome.Subject,
 			Tenant:  outcome.Tenant,
 			Reason:  outcome.Reason,
-			Window:  call.Window,
+			Window:  call.IdempotencyWindow,
 		})
 	}
 }
--- a/internal/identity/authenticator_test.go
+++ b/internal/identity/authenticator_test.go
@@ -39,8 +39,8 @@
 		m.n = 0
 		g := newTestAuthenticator(t, k)
 		token := m.token(k, nil)
-		if o := call(g, start+1, &Call{Token: token, Access: charge}); o.Reason != Allowed || g.Checked != 1 {
-			t.Fatalf("%s: at first %v, %d checked", c.name, o.Reason, g.Checked)
+		if o := call(g, start+1, &Call{Token: token, Access: charge}); o.Reason != Allowed || g.SignatureChecks != 1 {
+			t.Fatalf("%s: at first %v, %d checked", c.name, o.Reason, g.SignatureChecks)
 		}
 		c.end(g)
 		if o := call(g, start+3+c.at, &Call{Token: token, Access: charge}); o.Reason != c.want {
@@ -57,7 +57,7 @@
 	soon := m.token(k, func(c *Claims) { c.Expires = start + time.Second })
 	other := m.token(k, func(c *Claims) { c.Subject = "s2" })
 	keyed := func(token, key string) *Call {
-		return &Call{Token: token, Key: key, Window: window, Access: charge}
+		return &Call{Token: token, IdempotencyKey: key, IdempotencyWindow: window, Access: charge}
 	}
 	g := newTestAuthenticator(t, k)
 	for _, c := range []struct {
@@ -101,7 +101,7 @@
 	k := m.key("k", EdDSA)
 	g := newTestAuthenticator(t, k)
 	good := m.token(k, nil)
-	flood, honest := &Caller{Front: "rpc"}, &Caller{Front: "rpc"}
+	flood, honest := &Caller{Frontend: "rpc"}, &Caller{Frontend: "rpc"}
 	checked := 0
 	for i := range 30_000 {
 		now := start + time.Duration(i)*100*time.Microsecond
@@ -137,7 +137,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		g := newTestAuthenticator(m.t, k)
 		g.config.MaxWaiting, g.cache.maxTokens = 4, 1
-		callers := []*Caller{{Front: "rpc"}, {Front: "dns"}}
+		callers := []*Caller{{Frontend: "rpc"}, {Frontend: "dns"}}
 		outcomes := map[*Call]int{}
 		jobs := map[string]*SignatureJob{}
 		calls := 0
--- a/internal/identity/benchmark_test.go
+++ b/internal/identity/benchmark_test.go
@@ -14,14 +14,14 @@
 	ed, es := m.key("ed", EdDSA), m.key("es", ES256)
 	ask := Access{Class: "lookup"}
 	b.Run("unsigned", func(b *testing.B) {
-		g, c := newTestAuthenticator(b, ed), &Caller{Front: "rpc"}
+		g, c := newTestAuthenticator(b, ed), &Caller{Frontend: "rpc"}
 		b.ReportAllocs()
 		for range b.N {
 			g.Authenticate(start+1, &Call{Caller: c, Access: ask})
 		}
 	})
 	b.Run("cached", func(b *testing.B) {
-		g, c := newTestAuthenticator(b, ed), &Caller{Front: "rpc"}
+		g, c := newTestAuthenticator(b, ed), &Caller{Frontend: "rpc"}
 		token := m.token(ed, nil)
 		call(g, start+1, &Call{Caller: c, Token: token, Access: ask})
 		b.ReportAllocs()
@@ -41,7 +41,7 @@
 		b.ResetTimer()
 		for i := range b.N {
 			now := start + time.Duration(i)*time.Millisecond // a call's budget is back by the next one
-			_, j := g.Authenticate(now, &Call{Caller: &Caller{Front: "rpc"}, Token: tokens[i%1000], Access: ask})
+			_, j := g.Authenticate(now, &Call{Caller: &Caller{Frontend: "rpc"}, Token: tokens[i%1000], Access: ask})
 			g.SignatureChecked(now, j, verifiedClaims("x", "s", "ed"), Allowed)
 		}
 	})
--- a/internal/identity/caller.go
+++ b/internal/identity/caller.go
@@ -16,7 +16,7 @@
 
 // Caller is a connection as the authenticator knows it. Its zero value is a new one.
 type Caller struct {
-	Front      string  // rpc, tls or dns
+	Frontend   string  // rpc, tls or dns
 	Thumbprint string  // of its client certificate; empty: it has none
 	Tenant     string  // that the certificate stands for; empty: none
 	Subject    string  // that the certificate stands for; empty: none
--- a/internal/identity/files/files.go
+++ b/internal/identity/files/files.go
@@ -107,8 +107,8 @@
 	*n = notifier{folders: n.folders}
 }
 
-// Folders returns the folders of files, each once. Empty paths are skipped.
-func Folders(paths ...string) []string {
+// Directories returns the distinct directories of files. Empty paths are skipped.
+func Directories(paths ...string) []string {
 	var folders []string
 	seen := map[string]bool{}
 	for _, path := range paths {
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -101,7 +101,7 @@
 // call takes a call to its outcome, checking the signature where that is asked for.
 func call(g *Authenticator, now time.Duration, c *Call) *Outcome {
 	if c.Caller == nil {
-		c.Caller = &Caller{Front: "rpc"}
+		c.Caller = &Caller{Frontend: "rpc"}
 	}
 	o, j := g.Authenticate(now, c)
 	if j != nil {
--- a/internal/identity/keydir/revoked.go
+++ b/internal/identity/keydir/revoked.go
@@ -13,7 +13,7 @@
 
 // Revocation is one line of the file of revocations.
 type Revocation struct {
-	What  identity.RevocationKind
+	Kind  identity.RevocationKind
 	Name  string
 	Until time.Duration // on the Unix clock
 }
@@ -32,7 +32,7 @@
 		if err != nil {
 			return err
 		}
-		revoked = append(revoked, Revocation{What: kind, Name: words[1], Until: until})
+		revoked = append(revoked, Revocation{Kind: kind, Name: words[1], Until: until})
 		return nil
 	})
 	if err != nil {
@@ -76,7 +76,7 @@
 	var text bytes.Buffer
 	for _, revocation := range append(revoked, added) {
 		if revocation.Until > now {
-			fmt.Fprintf(&text, "%v %s %s\n", revocation.What, revocation.Name, formatTime(revocation.Until))
+			fmt.Fprintf(&text, "%v %s %s\n", revocation.Kind, revocation.Name, formatTime(revocation.Until))
 		}
 	}
 	return atomicfile.Replace(filepath.Join(dir, revokedFile), text.Bytes(), publicMode)
--- a/internal/identity/keydir/stored_test.go
+++ b/internal/identity/keydir/stored_test.go
@@ -81,9 +81,9 @@
 				RetireAfter: storedAt + 26*time.Hour + 500*time.Millisecond},
 			{ID: "k2", Algorithm: "ES256", NotBefore: storedAt + time.Hour, SignFrom: storedAt + 2*time.Hour},
 		},
-		Revoked: []Revocation{{What: identity.RevokedToken, Name: "t9", Until: storedAt + time.Hour},
-			{What: identity.RevokedSubject, Name: "s1", Until: storedAt + 2*time.Hour},
-			{What: identity.RevokedKey, Name: "k0", Until: storedAt + 3*time.Hour}},
+		Revoked: []Revocation{{Kind: identity.RevokedToken, Name: "t9", Until: storedAt + time.Hour},
+			{Kind: identity.RevokedSubject, Name: "s1", Until: storedAt + 2*time.Hour},
+			{Kind: identity.RevokedKey, Name: "k0", Until: storedAt + 3*time.Hour}},
 		TSIG: []tsig.Key{{Name: "resolver.test.", Algorithm: "hmac-sha256", Tenant: "lanes", Subject: "dns1",
 			Secret: "nP8ELBmnFono96vU4ijzEqW38cww2dxO/jombmI6pYs="}},
 	}
--- a/internal/identity/rights.go
+++ b/internal/identity/rights.go
@@ -10,11 +10,11 @@
 
 // Access is what a caller wants to do.
 type Access struct {
-	Class  string
-	Front  string // rpc, tls or dns
-	Site   string // that the caller speaks from; empty: not known
-	Group  int    // -1: not told
-	Object uint64
+	Class    string
+	Frontend string // rpc, tls or dns
+	Site     string // that the caller speaks from; empty: not known
+	Group    int    // -1: not told
+	Object   uint64
 }
 
 // span is a range of numbers, ends included.
@@ -27,16 +27,16 @@
 
 // Rule allows or denies classes, within what the other fields name; an empty field names all.
 type Rule struct {
-	Deny    bool
-	Classes []string // anyClass: all
-	Fronts  []string
-	Sites   []string
-	Groups  []span
-	Objects []span
+	Deny      bool
+	Classes   []string // anyClass: all
+	Frontends []string
+	Sites     []string
+	Groups    []span
+	Objects   []span
 }
 
-// Fronts has the names of frontends that a rule may give.
-var Fronts = []string{"rpc", "tls", "dns"}
+// Frontends has the names of frontends that a rule may give.
+var Frontends = []string{"rpc", "tls", "dns"}
 
 // The bits that the numbers of rules have at most.
 const (
@@ -70,10 +70,10 @@
 func (r *Rule) limit(name, value string) (err error) {
 	switch name {
 	case "front":
-		if !slices.Contains(Fronts, value) {
-			return fmt.Errorf("front %q: expected one of %s", value, strings.Join(Fronts, ", "))
+		if !slices.Contains(Frontends, value) {
+			return fmt.Errorf("front %q: expected one of %s", value, strings.Join(Frontends, ", "))
 		}
-		r.Fronts = append(r.Fronts, value)
+		r.Frontends = append(r.Frontends, value)
 	case "site":
 		if value == "" {
 			return errors.New("site: expected a name")
@@ -107,7 +107,7 @@
 // request must not evade it by leaving out its group.
 func (r *Rule) covers(access Access) bool {
 	return (slices.Contains(r.Classes, access.Class) || slices.Contains(r.Classes, anyClass)) &&
-		(len(r.Fronts) == 0 || slices.Contains(r.Fronts, access.Front)) &&
+		(len(r.Frontends) == 0 || slices.Contains(r.Frontends, access.Frontend)) &&
 		r.coversSite(access.Site) &&
 		r.coversGroup(access.Group) &&
 		(len(r.Objects) == 0 || contains(r.Objects, access.Object))
--- a/internal/identity/rights_test.go
+++ b/internal/identity/rights_test.go
@@ -33,13 +33,13 @@
 			Access{Class: "lookup", Site: "north", Group: -1}, NoRight, 2},
 		{"a site that is not told may be the denied one", Access{Class: "lookup", Group: 3}, NoRight, 4},
 		{"denied by the object", Access{Class: "lookup", Site: "north", Object: 0xf7}, NoRight, 3},
-		{"all that it needs", Access{Class: "charge", Front: "tls", Site: "north", Group: 31}, Allowed, 1},
-		{"another front", Access{Class: "charge", Front: "dns", Site: "north", Group: 3}, NoRight, -1},
-		{"another site", Access{Class: "charge", Front: "rpc", Site: "east", Group: 3}, NoRight, -1},
-		{"a site that is not told allows nothing", Access{Class: "charge", Front: "rpc", Group: 3}, NoRight, -1},
-		{"beyond its groups", Access{Class: "charge", Front: "rpc", Site: "north", Group: 32}, NoRight, -1},
+		{"all that it needs", Access{Class: "charge", Frontend: "tls", Site: "north", Group: 31}, Allowed, 1},
+		{"another front", Access{Class: "charge", Frontend: "dns", Site: "north", Group: 3}, NoRight, -1},
+		{"another site", Access{Class: "charge", Frontend: "rpc", Site: "east", Group: 3}, NoRight, -1},
+		{"a site that is not told allows nothing", Access{Class: "charge", Frontend: "rpc", Group: 3}, NoRight, -1},
+		{"beyond its groups", Access{Class: "charge", Frontend: "rpc", Site: "north", Group: 32}, NoRight, -1},
 		{"a group that is not told allows nothing",
-			Access{Class: "charge", Front: "rpc", Site: "north", Group: -1}, NoRight, -1},
+			Access{Class: "charge", Frontend: "rpc", Site: "north", Group: -1}, NoRight, -1},
 	} {
 		if got := r.Authorize("a", c.ask); got != (Decision{c.want, c.rule}) {
 			t.Errorf("%s: %v by rule %d, want %v by %d", c.name, got.Reason, got.Rule, c.want, c.rule)
@@ -66,7 +66,7 @@
 		for range rapid.IntRange(0, 8).Draw(t, "rules") {
 			words := []string{rapid.SampledFrom(append(classes, "*")).Draw(t, "class")}
 			if rapid.Bool().Draw(t, "front") {
-				words = append(words, "front="+rapid.SampledFrom(Fronts).Draw(t, "which"))
+				words = append(words, "front="+rapid.SampledFrom(Frontends).Draw(t, "which"))
 			}
 			if rapid.Bool().Draw(t, "group") {
 				from, to := rapid.IntRange(0, 2).Draw(t, "from"), rapid.IntRange(2, 4).Draw(t, "to")
@@ -84,15 +84,15 @@
 			t.Fatal(err)
 		}
 		ask := Access{
-			Class: rapid.SampledFrom(classes).Draw(t, "asked"),
-			Front: rapid.SampledFrom(Fronts).Draw(t, "by"),
-			Group: rapid.IntRange(-1, 5).Draw(t, "in"),
+			Class:    rapid.SampledFrom(classes).Draw(t, "asked"),
+			Frontend: rapid.SampledFrom(Frontends).Draw(t, "by"),
+			Group:    rapid.IntRange(-1, 5).Draw(t, "in"),
 		}
 		allowed, denied := false, false
 		for i := range all {
 			r := &all[i]
 			class := slices.Contains(r.Classes, ask.Class) || slices.Contains(r.Classes, "*")
-			front := len(r.Fronts) == 0 || slices.Contains(r.Fronts, ask.Front)
+			front := len(r.Frontends) == 0 || slices.Contains(r.Frontends, ask.Frontend)
 			inGroup := ask.Group >= 0 && len(r.Groups) > 0 && r.Groups[0].has(uint64(ask.Group))
 			group := len(r.Groups) == 0 || inGroup || r.Deny && ask.Group < 0
 			if class && front && group {
--- a/internal/identity/source_test.go
+++ b/internal/identity/source_test.go
@@ -66,9 +66,9 @@
 	now := start
 	sources := NewSources(10)
 	here, there := netip.MustParseAddr("127.0.0.1"), netip.MustParseAddr("127.0.0.2")
-	flood := &Caller{Front: "rpc", Source: sources.Of(here)}
+	flood := &Caller{Frontend: "rpc", Source: sources.Of(here)}
 	good := m.token(ed, nil)
-	proven := &Caller{Front: "rpc", Source: sources.Of(here)}
+	proven := &Caller{Frontend: "rpc", Source: sources.Of(here)}
 	if o := call(g, now, &Call{Caller: proven, Token: good, Access: charge}); o.Reason != Allowed {
 		t.Fatalf("a good token: %v", o.Reason)
 	}
@@ -90,7 +90,7 @@
 	bought := 0
 	for i := range 400 {
 		now += 500 * time.Microsecond
-		c := &Caller{Front: "rpc", Source: sources.Of(here)}
+		c := &Caller{Frontend: "rpc", Source: sources.Of(here)}
 		if _, j := g.Authenticate(now, &Call{Caller: c, Token: badToken(good, 500_000+i), Access: charge}); j != nil {
 			bought++
 			claims, reason := Verify(j.Token, j.Key)
@@ -100,8 +100,8 @@
 	if bought > 12 {
 		t.Errorf("connecting anew 400 times bought %d signatures", bought)
 	}
-	again := &Caller{Front: "rpc", Source: sources.Of(here)}
-	elsewhere := &Caller{Front: "rpc", Source: sources.Of(there)}
+	again := &Caller{Frontend: "rpc", Source: sources.Of(here)}
+	elsewhere := &Caller{Frontend: "rpc", Source: sources.Of(there)}
 	for name, c := range map[string]struct {
 		caller *Caller
 		want   bool
--- a/internal/identity/tlsclient/tlsclient.go
+++ b/internal/identity/tlsclient/tlsclient.go
@@ -106,7 +106,7 @@
 func (d *Dialer) Watch(stop <-chan struct{}, reloaded func(error)) {
 	paths := d.config.Files()
 	fingerprint := func() string { return files.Fingerprint(paths...) }
-	files.Watch(stop, files.Folders(paths...), fingerprint, func() error {
+	files.Watch(stop, files.Directories(paths...), fingerprint, func() error {
 		err := d.Reload()
 		reloaded(err)
 		return err
--- a/internal/identity/tlslistener/tlslistener.go
+++ b/internal/identity/tlslistener/tlslistener.go
@@ -249,7 +249,7 @@
 
 // caller returns whom a connection is from, by its address and its certificate.
 func (l *Listener) caller(conn *tls.Conn) identity.Caller {
-	caller := identity.Caller{Front: "tls"}
+	caller := identity.Caller{Frontend: "tls"}
 	caller.Remote, _, _ = net.SplitHostPort(conn.RemoteAddr().String())
 	certificates := conn.ConnectionState().PeerCertificates
 	if len(certificates) == 0 {
--- a/internal/identity/token_test.go
+++ b/internal/identity/token_test.go
@@ -65,7 +65,7 @@
 		t.Errorf("for another audience: %v", o.Reason)
 	}
 	g = newTestAuthenticator(t, ed)
-	bound := &Caller{Front: "tls", Thumbprint: "abc"}
+	bound := &Caller{Frontend: "tls", Thumbprint: "abc"}
 	boundToken := m.token(ed, func(c *Claims) { c.Thumbprint = "abc" })
 	if o := call(g, now, &Call{Caller: bound, Token: boundToken, Access: charge}); o.Reason != Allowed {
 		t.Errorf("from the certificate that it is bound to: %v", o.Reason)
--- a/internal/identity/tsig/keys.go
+++ b/internal/identity/tsig/keys.go
@@ -52,7 +52,7 @@
 		if keys.byName[key.Name] != nil {
 			return nil, fmt.Errorf("key %s is there twice", key.Name)
 		}
-		caller := identity.Caller{Front: "dns", Tenant: key.Tenant, Subject: key.Subject}
+		caller := identity.Caller{Frontend: "dns", Tenant: key.Tenant, Subject: key.Subject}
 		keys.byName[key.Name] = &boundKey{Key: key, caller: caller}
 	}
 	return keys, nil
--- a/internal/identity/tsig/tsig.go
+++ b/internal/identity/tsig/tsig.go
@@ -13,8 +13,8 @@
 	"sloequay/internal/identity"
 )
 
-// ErrForm is returned for a misplaced or malformed TSIG record.
-var ErrForm = errors.New("a TSIG record that is not the last, not the only one, or not of class ANY")
+// ErrMalformed is returned for a misplaced or malformed TSIG record.
+var ErrMalformed = errors.New("a TSIG record that is not the last, not the only one, or not of class ANY")
 
 const (
 	// maxTimeSigned is the latest accepted time of a signature, in Unix seconds: as a Duration it does not overflow.
@@ -27,8 +27,8 @@
 	serverTimeBytes = 6
 )
 
-// Signed is what the signature of a query was found to be.
-type Signed struct {
+// QuerySignature is what the signature of a query was found to be.
+type QuerySignature struct {
 	Error  uint16    // 0, or dns.RcodeBadKey, RcodeBadSig, RcodeBadTime
 	key    *boundKey // nil: there is none for it
 	record *dns.TSIG
@@ -36,18 +36,18 @@
 
 // Check checks the signature of a query; it returns nil if there is none. skew bounds how far its time may be off,
 // whatever the query itself allows. Within that time a replayed query passes, so it must get the same answer.
-func (k *Keys) Check(packet []byte, message *dns.Msg, now, skew time.Duration) (*Signed, error) {
+func (k *Keys) Check(packet []byte, message *dns.Msg, now, skew time.Duration) (*QuerySignature, error) {
 	if hasMisplacedRecord(message) {
-		return nil, ErrForm
+		return nil, ErrMalformed
 	}
 	record := message.IsTsig()
 	if record == nil {
 		return nil, nil
 	}
 	if record.Hdr.Class != dns.ClassANY || record.Hdr.Ttl != 0 { // RFC 8945, section 4.2
-		return nil, ErrForm
+		return nil, ErrMalformed
 	}
-	signed := &Signed{record: record, key: k.get(record)}
+	signed := &QuerySignature{record: record, key: k.get(record)}
 	switch {
 	case signed.key == nil:
 		signed.Error = dns.RcodeBadKey
@@ -70,7 +70,7 @@
 }
 
 // verify reports whether the signature is that of the key.
-func (s *Signed) verify(packet []byte) bool {
+func (s *QuerySignature) verify(packet []byte) bool {
 	// The library writes into what it reads. It looks at the signature first, and then at the time by a clock of its
 	// own; isInTime decides about that.
 	err := dns.TsigVerify(slices.Clone(packet), s.key.Secret, "", false)
@@ -78,7 +78,7 @@
 }
 
 // isInTime reports whether the time of the signature is no further off than the query itself and skew allow.
-func (s *Signed) isInTime(now, skew time.Duration) bool {
+func (s *QuerySignature) isInTime(now, skew time.Duration) bool {
 	if s.record.TimeSigned > maxTimeSigned {
 		return false
 	}
@@ -88,17 +88,19 @@
 }
 
 // timeSigned returns when the query was signed, on the Unix clock.
-func (s *Signed) timeSigned() time.Duration { return time.Duration(s.record.TimeSigned) * time.Second }
+func (s *QuerySignature) timeSigned() time.Duration {
+	return time.Duration(s.record.TimeSigned) * time.Second
+}
 
 // Caller returns the caller that the key identifies.
-func (s *Signed) Caller() *identity.Caller { return &s.key.caller }
+func (s *QuerySignature) Caller() *identity.Caller { return &s.key.caller }
 
-// Size returns at most how many bytes Sign adds to a message.
-func (s *Signed) Size() int { return recordBytes + 2*len(s.record.Hdr.Name) }
+// MaxSize returns at most how many bytes Sign adds to a message.
+func (s *QuerySignature) MaxSize() int { return recordBytes + 2*len(s.record.Hdr.Name) }
 
 // Sign packs an answer with its signature: by the query's key, or with the error alone where there is no key for it
 // or its signature did not hold (RFC 8945, section 5.3.2).
-func (s *Signed) Sign(message *dns.Msg, now time.Duration) ([]byte, error) {
+func (s *QuerySignature) Sign(message *dns.Msg, now time.Duration) ([]byte, error) {
 	signedAt := now
 	if s.Error == dns.RcodeBadTime {
 		signedAt = s.timeSigned() // the client's, and ours beside it
--- a/internal/identity/tsig/tsig_test.go
+++ b/internal/identity/tsig/tsig_test.go
@@ -132,7 +132,7 @@
 	}
 	m.SetTsig("a.", dns.HmacSHA256, 300, 0)
 	m.SetEdns0(1232, false)
-	if _, err := keys(t).Check(nil, m, 0, skew); !errors.Is(err, ErrForm) {
+	if _, err := keys(t).Check(nil, m, 0, skew); !errors.Is(err, ErrMalformed) {
 		t.Errorf("a TSIG record before another: %v", err)
 	}
 }
--- a/internal/proxy/authenticator.go
+++ b/internal/proxy/authenticator.go
@@ -32,7 +32,7 @@
 	server        *server
 	settings      *identitySettings
 	machine       *identity.Authenticator
-	audit         *identity.Audit
+	audit         *identity.AuditLimiter
 	sources       *identity.Sources
 	jobs          chan *identity.SignatureJob
 	tsigKeys      *tsig.Keys            // of DNS
@@ -47,7 +47,7 @@
 		server:   server,
 		settings: settings,
 		machine:  identity.NewAuthenticator(settings.authenticator, settings.rights),
-		audit:    identity.NewAudit(maxAuditSubjects),
+		audit:    identity.NewAuditLimiter(maxAuditSubjects),
 		sources:  identity.NewSources(maxSources),
 		jobs:     make(chan *identity.SignatureJob, settings.authenticator.MaxWaiting),
 	}
@@ -143,8 +143,8 @@
 		call.Caller = &identity.Caller{}
 	}
 	if request.Key != "" {
-		call.Key = class.Name + " " + request.Key
-		call.Window = class.DedupWindow
+		call.IdempotencyKey = class.Name + " " + request.Key
+		call.IdempotencyWindow = class.DedupWindow
 	}
 	return call
 }
@@ -152,7 +152,7 @@
 // resolve passes a request on, or responds to it. An admitted request is its tenant's, whatever team it names.
 func (a *authenticator) resolve(outcome *identity.Outcome) {
 	request := outcome.Call.Data.(*broker.Request)
-	if outcome.Reason != identity.Allowed || outcome.Call.Key != "" {
+	if outcome.Reason != identity.Allowed || outcome.Call.IdempotencyKey != "" {
 		a.logDecision(outcome, request)
 	}
 	if request.Canceled {
@@ -167,7 +167,7 @@
 	case identity.Busy, identity.IdempotencyKeysFull:
 		request.Frontend.Respond(request, broker.Response{
 			Kind:       broker.ResponseRejected,
-			RetryAfter: outcome.Wait,
+			RetryAfter: outcome.RetryAfter,
 			Reason:     outcome.Reason.String(),
 		})
 	default:
@@ -189,7 +189,7 @@
 		return
 	}
 	a.server.log.Event("audit", "reason", outcome.Reason, "subject", subject, "tenant", outcome.Tenant,
-		"key", outcome.KeyID, "class", outcome.Call.Access.Class, "front", outcome.Call.Caller.Front,
+		"key", outcome.KeyID, "class", outcome.Call.Access.Class, "front", outcome.Call.Caller.Frontend,
 		"rule", outcome.Rule, "request", request.ID, "omitted", omitted)
 }
 
@@ -262,7 +262,7 @@
 		if revocation.Until <= a.server.clock.Unix() {
 			continue
 		}
-		if err := inForce.Add(revocation.What, revocation.Name, revocation.Until); err != nil {
+		if err := inForce.Add(revocation.Kind, revocation.Name, revocation.Until); err != nil {
 			return nil, err
 		}
 	}
@@ -282,7 +282,7 @@
 	if a.tls != nil {
 		paths := []string{a.settings.tls.Cert, a.settings.tls.Key, a.settings.tls.ClientCA}
 		fingerprint := func() string { return files.Fingerprint(paths...) }
-		go files.Watch(never, files.Folders(paths...), fingerprint, a.reloadCertificate)
+		go files.Watch(never, files.Directories(paths...), fingerprint, a.reloadCertificate)
 	}
 }
 
--- a/internal/proxy/housekeeping.go
+++ b/internal/proxy/housekeeping.go
@@ -24,7 +24,7 @@
 		pool.broker.SetOffset(s.unixClock.Offset())
 	}
 	if s.authenticator != nil {
-		s.authenticator.machine.SetOffset(s.unixClock.Offset())
+		s.authenticator.machine.SetClockOffset(s.unixClock.Offset())
 	}
 }
 
