--- a/internal/identity/keydir/jwk.go
+++ b/internal/identity/keydir/jwk.go
@@ -17,7 +17,7 @@
 	"sloequay/internal/identity"
 )
 
-// Values of a jwk.
+// Values of JWK members.
 const (
 	typeOKP      = "OKP"
 	curveEd25519 = "Ed25519"
@@ -27,11 +27,11 @@
 )
 
 const (
-	coordinateBytes   = 32 // of both curves
-	uncompressedPoint = 4  // the first byte of a point with both coordinates (SEC 1, section 2.3.3)
+	coordinateBytes   = 32 // size of a coordinate on both curves
+	uncompressedPoint = 4  // first byte of a point in uncompressed form (SEC 1, section 2.3.3)
 )
 
-// jwk is one key. Times are RFC 3339; absent: no such limit.
+// jwk is a key in JSON form. Times are RFC 3339; an absent time sets no limit.
 type jwk struct {
 	ID          string `json:"kid"`
 	Type        string `json:"kty"`
@@ -47,12 +47,12 @@
 	RetireAfter string `json:"retire_after,omitempty"`
 }
 
-// jwkSet is the file of keys.
+// jwkSet is the JSON form of the key file.
 type jwkSet struct {
 	Keys []jwk `json:"keys"`
 }
 
-// ParseKeys reads a JWK set. Errors name the key and the member.
+// ParseKeys parses a JWK set. An error about a key's members names the key and the member.
 func ParseKeys(text []byte) ([]identity.Key, error) {
 	var set jwkSet
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -60,10 +60,10 @@
 		return nil, fmt.Errorf("not a whole JWK set: %w", err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, errors.New("something follows the JWK set")
+		return nil, errors.New("unexpected data after the JWK set")
 	}
 	if len(set.Keys) == 0 {
-		return nil, errors.New("keys: there is none")
+		return nil, errors.New("keys: expected at least one key")
 	}
 	var keys []identity.Key
 	for i := range set.Keys {
@@ -79,7 +79,7 @@
 	return keys, nil
 }
 
-// WriteKeys replaces the key set.
+// WriteKeys replaces the key set of a directory.
 func WriteKeys(dir string, keys []identity.Key) error {
 	if _, err := identity.NewKeys(keys); err != nil {
 		return err
@@ -99,11 +99,11 @@
 	return atomicfile.Replace(filepath.Join(dir, keysFile), append(text, '\n'), publicMode)
 }
 
-// key returns the key that a member of a set stands for.
+// key converts the JWK to a key.
 func (j *jwk) key() (identity.Key, error) {
 	key := identity.Key{ID: j.ID, Algorithm: identity.Algorithm(j.Algorithm)}
 	if j.D != "" {
-		return key, errors.New("d: a private key has no place in this file")
+		return key, errors.New("d: a private key is not allowed in this file")
 	}
 	var err error
 	if key.Public, err = j.publicKey(); err != nil {
@@ -142,7 +142,7 @@
 		point := append(append([]byte{uncompressedPoint}, x...), y...)
 		public, err := ecdsa.ParseUncompressedPublicKey(elliptic.P256(), point)
 		if err != nil {
-			return nil, errors.New("x, y: no point of P-256")
+			return nil, errors.New("x, y: not a point on P-256")
 		}
 		return public, nil
 	}
@@ -150,7 +150,7 @@
 	return nil, fmt.Errorf("kty %.20q, crv %.20q, alg %.20q: %s", j.Type, j.Curve, j.Algorithm, expected)
 }
 
-// parseCoordinate reads a number of fixed length in base64url.
+// parseCoordinate decodes a fixed-length coordinate from base64url.
 func parseCoordinate(name, text string) ([]byte, error) {
 	number, err := base64.RawURLEncoding.DecodeString(text)
 	if err != nil || len(number) != coordinateBytes {
@@ -186,7 +186,7 @@
 		member.X = encode(coordinates[:coordinateBytes])
 		member.Y = encode(coordinates[coordinateBytes:])
 	default:
-		return member, fmt.Errorf("key %s: no public key", key.ID)
+		return member, fmt.Errorf("key %s: missing or unsupported public key", key.ID)
 	}
 	return member, nil
 }
--- a/internal/identity/keydir/keypair.go
+++ b/internal/identity/keydir/keypair.go
@@ -15,20 +15,20 @@
 	"sloequay/internal/identity"
 )
 
-// pemType is the type of the block with a private key (RFC 7468, section 10).
+// pemType is the type of a PEM block with a private key (RFC 7468, section 10).
 const pemType = "PRIVATE KEY"
 
-// privatePath is the file of a key's private half.
+// privatePath returns the path of a key's private key file.
 func privatePath(dir, id string) string { return filepath.Join(dir, privateDir, id+".pem") }
 
-// NewKeyPair makes a key pair: the public half is returned, the private one written for its owner alone. The key set
-// is not changed.
+// NewKeyPair generates a key pair. It writes the private key to a file that only its owner can access and returns the
+// public key. It does not change the key set.
 func NewKeyPair(dir, id string, algorithm identity.Algorithm) (identity.Key, error) {
 	key := identity.Key{ID: id, Algorithm: algorithm}
 	if err := identity.ValidID(id); err != nil {
 		return identity.Key{}, err
 	}
-	public, private, err := generate(algorithm)
+	public, private, err := generateKeyPair(algorithm)
 	if err != nil {
 		return key, err
 	}
@@ -42,14 +42,14 @@
 	}
 	path := privatePath(dir, id)
 	if _, err := os.Stat(path); err == nil {
-		return key, fmt.Errorf("%s is there already", path)
+		return key, fmt.Errorf("%s already exists", path)
 	}
 	text := pem.EncodeToMemory(&pem.Block{Type: pemType, Bytes: der})
 	return key, atomicfile.Replace(path, text, privateMode)
 }
 
-// generate returns both halves of a new key.
-func generate(algorithm identity.Algorithm) (public, private any, err error) {
+// generateKeyPair generates a key pair.
+func generateKeyPair(algorithm identity.Algorithm) (public, private any, err error) {
 	switch algorithm {
 	case identity.EdDSA:
 		return ed25519.GenerateKey(rand.Reader)
@@ -63,8 +63,8 @@
 	return nil, nil, fmt.Errorf("algorithm %q: expected %s or %s", algorithm, identity.EdDSA, identity.ES256)
 }
 
-// ReadPrivateKey reads the private half of a key, which must be that of the public one, and readable by its owner
-// alone. It returns an ed25519.PrivateKey or an *ecdsa.PrivateKey.
+// ReadPrivateKey reads the private key that belongs to a public key. Only the owner may have access to its file. It
+// returns an ed25519.PrivateKey or an *ecdsa.PrivateKey.
 func ReadPrivateKey(dir string, key *identity.Key) (any, error) {
 	path := privatePath(dir, key.ID)
 	if err := checkPrivate(path); err != nil {
@@ -76,20 +76,20 @@
 	}
 	block, _ := pem.Decode(text)
 	if block == nil {
-		return nil, fmt.Errorf("%s: no PEM", path)
+		return nil, fmt.Errorf("%s: no PEM block found", path)
 	}
 	private, err := x509.ParsePKCS8PrivateKey(block.Bytes)
 	if err != nil {
-		return nil, fmt.Errorf("%s: no PKCS#8 key", path)
+		return nil, fmt.Errorf("%s: not a valid PKCS#8 private key", path)
 	}
-	if !isPairOf(private, key) {
-		return nil, fmt.Errorf("%s: it is not the private half of key %s", path, key.ID)
+	if !matchesPublicKey(private, key) {
+		return nil, fmt.Errorf("%s: private key does not match the public key of %s", path, key.ID)
 	}
 	return private, nil
 }
 
-// isPairOf reports whether a private key is the private half of a key.
-func isPairOf(private any, key *identity.Key) bool {
+// matchesPublicKey reports whether a private key belongs to the public key of key.
+func matchesPublicKey(private any, key *identity.Key) bool {
 	switch private := private.(type) {
 	case ed25519.PrivateKey:
 		public, ok := key.Public.(ed25519.PublicKey)
--- a/internal/identity/keydir/revoked.go
+++ b/internal/identity/keydir/revoked.go
@@ -11,17 +11,17 @@
 	"sloequay/internal/identity"
 )
 
-// Revocation is one line of the file of revocations.
+// Revocation is one line of the revocation file.
 type Revocation struct {
 	Kind  identity.RevocationKind
 	Name  string
-	Until time.Duration // on the Unix clock
+	Until time.Duration // Unix time
 }
 
-// errRevocation says what a line of the file must be.
+// errRevocation describes the expected form of a line.
 var errRevocation = errors.New("expected token, subject or key, a name, and a time")
 
-// ParseRevoked reads revocations, one a line: token, subject or key, the name, and until when it holds.
+// ParseRevoked parses revocations, one per line: token, subject or key, its name, and the end of the revocation.
 func ParseRevoked(text []byte) (revoked []Revocation, err error) {
 	err = parseLines(text, func(words []string) error {
 		kind, ok := parseKind(words[0])
@@ -50,7 +50,7 @@
 	return 0, false
 }
 
-// readRevoked reads the revocations of a directory; without the file there are none.
+// readRevoked reads the revocations of a directory. A missing file counts as empty.
 func readRevoked(dir string) ([]Revocation, error) {
 	path := filepath.Join(dir, revokedFile)
 	text, err := readFile(path)
@@ -64,14 +64,14 @@
 	return revoked, nil
 }
 
-// Revoke adds a revocation, and drops those that have ended. now is on the Unix clock.
+// Revoke adds a revocation to the file and removes those that have ended. now is Unix time.
 func Revoke(dir string, now time.Duration, added Revocation) error {
 	revoked, err := readRevoked(dir)
 	if err != nil {
 		return err
 	}
 	if !isWord(added.Name) || added.Name == "" {
-		return fmt.Errorf("%q can't be revoked by name", added.Name)
+		return fmt.Errorf("cannot revoke %q: expected a name without blanks", added.Name)
 	}
 	var text bytes.Buffer
 	for _, revocation := range append(revoked, added) {
--- a/internal/identity/keydir/stored_test.go
+++ b/internal/identity/keydir/stored_test.go
@@ -18,8 +18,8 @@
 
 const storedAt = 1_790_000_000 * time.Second
 
-// storedDirectory copies the stored key directory, whose keys were made for this test alone, with the modes that it
-// needs: a checkout does not keep them.
+// storedDirectory copies the key directory in testdata, whose keys are used by this test only, and sets the required
+// file modes, which a checkout does not preserve.
 func storedDirectory(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -41,8 +41,8 @@
 	return dir
 }
 
-// publicText is a public key's bytes in hex.
-func publicText(t *testing.T, k *identity.Key) string {
+// publicKeyHex returns the bytes of a public key in hex.
+func publicKeyHex(t *testing.T, k *identity.Key) string {
 	t.Helper()
 	switch p := k.Public.(type) {
 	case ed25519.PublicKey:
@@ -54,11 +54,11 @@
 		}
 		return hex.EncodeToString(point)
 	}
-	t.Fatalf("key %s has no public key of a known type", k.ID)
+	t.Fatalf("key %s: got an unknown type of public key", k.ID)
 	return ""
 }
 
-// TestStoredKeys reads a key directory that an earlier build wrote, and compares every value with what was written.
+// TestStoredKeys reads a key directory that an earlier build wrote and compares every value with the written one.
 func TestStoredKeys(t *testing.T) {
 	content, err := Read(storedDirectory(t))
 	if err != nil {
@@ -66,7 +66,7 @@
 	}
 	var public []string
 	for i := range content.Keys {
-		public = append(public, publicText(t, &content.Keys[i]))
+		public = append(public, publicKeyHex(t, &content.Keys[i]))
 		content.Keys[i].Public = nil
 	}
 	wantPublic := []string{"4addd782f5a239afd0f68a3fe10a2bd03233e91e5d528d253ade42113eb6f965",
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestStoredKeysAreWrittenTheSame writes what was read again, and wants the same bytes in the files.
-func TestStoredKeysAreWrittenTheSame(t *testing.T) {
+// TestRewritingStoredKeysKeepsBytes checks that writing the stored content again yields the same bytes.
+func TestRewritingStoredKeysKeepsBytes(t *testing.T) {
 	dir := storedDirectory(t)
 	content, err := Read(dir)
 	if err != nil {
@@ -114,13 +114,13 @@
 		stored, _ := os.ReadFile(filepath.Join("testdata/keys", name))
 		written, err := os.ReadFile(filepath.Join(dir, name))
 		if diff := cmp.Diff(string(stored), string(written)); err != nil || diff != "" {
-			t.Errorf("%s: %v (-stored +written):\n%s", name, err, diff)
+			t.Errorf("%s: got error %v, difference (-stored +written):\n%s", name, err, diff)
 		}
 	}
 }
 
-// TestStoredTokens verifies tokens that an earlier build signed with the stored keys. The one by Ed25519, which
-// always signs alike, is signed anew as the same text.
+// TestStoredTokens verifies tokens that an earlier build signed with the stored keys. It signs them again and compares
+// the Ed25519 token, since Ed25519 signatures are deterministic.
 func TestStoredTokens(t *testing.T) {
 	dir := storedDirectory(t)
 	content, err := Read(dir)
@@ -137,8 +137,8 @@
 		claims, reason := identity.Verify(token, k)
 		if reason != identity.Allowed || claims.ID != "t1" || claims.Subject != "s2" || claims.Tenant != "lanes" ||
 			claims.Expires != storedAt+time.Hour {
-			t.Errorf("token of %s: %v, id %s, subject %s, tenant %s, until %v", k.ID, reason, claims.ID, claims.Subject,
-				claims.Tenant, claims.Expires)
+			t.Errorf("token of key %s: got %v, id %s, subject %s, tenant %s, expiry %v, want t1, s2, lanes, 1 h",
+				k.ID, reason, claims.ID, claims.Subject, claims.Tenant, claims.Expires)
 		}
 		private, err := ReadPrivateKey(dir, k)
 		if err != nil {
@@ -147,7 +147,7 @@
 		wanted := identity.Claims{ID: "t1", Subject: "s2", Tenant: "lanes", Expires: storedAt + time.Hour}
 		signed, err := identity.Sign(wanted, "doorman", k.Algorithm, k.ID, private)
 		if err != nil || k.Algorithm == identity.EdDSA && signed != token {
-			t.Errorf("signed by %s: %v, %s, want %s", k.ID, err, signed, token)
+			t.Errorf("signing with key %s: got error %v, token %s, want %s", k.ID, err, signed, token)
 		}
 	}
 }
--- a/internal/identity/keydir/tsig.go
+++ b/internal/identity/keydir/tsig.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	tsigWords       = 5  // of a line: name, algorithm, secret, tenant, subject
-	tsigSecretBytes = 32 // of a secret that AddTSIGKey makes
+	tsigFields      = 5  // per line: name, algorithm, secret, tenant, subject
+	tsigSecretBytes = 32 // size of a secret that AddTSIGKey generates
 )
 
-// errTSIGKey says what a line of the file must be.
+// errTSIGKey describes the expected form of a line.
 var errTSIGKey = errors.New("expected a name, an algorithm, a secret, a tenant and a subject")
 
-// ParseTSIG reads keys, one a line: name, algorithm, secret in base64, tenant, subject. An error never has a secret.
+// ParseTSIG parses TSIG keys, one per line: name, algorithm, secret in base64, tenant, subject. Errors never contain
+// secrets.
 func ParseTSIG(text []byte) (keys []tsig.Key, err error) {
 	err = parseLines(text, func(words []string) error {
-		if len(words) != tsigWords {
+		if len(words) != tsigFields {
 			return errTSIGKey
 		}
 		keys = append(keys, tsig.Key{
@@ -42,7 +43,8 @@
 	return keys, err
 }
 
-// readTSIG reads the secrets of a directory, which only their owner may read; without the file there are none.
+// readTSIG reads the TSIG keys of a directory, from a file that only its owner may access. A missing file counts as
+// empty.
 func readTSIG(dir string) ([]tsig.Key, error) {
 	path := filepath.Join(dir, tsigFile)
 	if err := checkPrivate(path); isMissing(err) {
@@ -61,7 +63,7 @@
 	return keys, nil
 }
 
-// AddTSIGKey adds a key to the file, with a secret that it makes. It returns the key with the secret.
+// AddTSIGKey generates a secret for a key, adds the key to the file, and returns the key with its secret.
 func AddTSIGKey(dir string, key tsig.Key) (tsig.Key, error) {
 	keys, err := readTSIG(dir)
 	if err != nil {
@@ -80,7 +82,7 @@
 	for _, line := range keys {
 		for _, word := range []string{line.Name, line.Tenant, line.Subject} {
 			if !isWord(word) {
-				return key, fmt.Errorf("%q has a blank", word)
+				return key, fmt.Errorf("%q must not contain blanks", word)
 			}
 		}
 		fmt.Fprintln(&text, line.Name, line.Algorithm, line.Secret, line.Tenant, line.Subject)
