--- a/internal/identity/files/files.go
+++ b/internal/identity/files/files.go
@@ -1,5 +1,5 @@
-// Package files watches files that operators replace while the program runs. File system notifications arrive at once
-// but may be lost; polling finds what they miss, such as a folder that did not exist for a while.
+// Package files watches files that operators replace while the program runs. File system notifications arrive promptly
+// but may be lost; polling detects what they miss, such as changes in a directory that did not exist for a while.
 package files
 
 import (
@@ -15,10 +15,10 @@
 
 const (
 	pollInterval = time.Second
-	settleTime   = 20 * time.Millisecond // after a notice: a writer may touch several files
+	settleTime   = 20 * time.Millisecond // delay after a notification, since a writer may change several files
 )
 
-// Fingerprint returns a text that changes when the size, modification time or mode of one of the files does. Empty
+// Fingerprint returns a string that changes when the size, modification time or mode of one of the files changes. Empty
 // paths and missing files are skipped.
 func Fingerprint(paths ...string) string {
 	fingerprint := ""
@@ -30,92 +30,92 @@
 	return fingerprint
 }
 
-// Watch calls changed when fingerprint returns another text than before, at the latest after pollInterval, until stop
-// is closed. If changed returns an error of the operating system, such as EIO, it is called again at the next poll,
-// since the files may not change again. folders are those with the files. Watch blocks.
-func Watch(stop <-chan struct{}, folders []string, fingerprint func() string, changed func() error) {
-	notices := newNotifier(folders)
-	defer notices.close()
+// Watch calls changed whenever the result of fingerprint changes, within pollInterval, until stop is closed. If changed
+// returns an operating system error such as EIO, Watch calls it again at the next poll, since the files may not change
+// again. directories are those that contain the files. Watch blocks.
+func Watch(stop <-chan struct{}, directories []string, fingerprint func() string, changed func() error) {
+	notifications := newNotifier(directories)
+	defer notifications.close()
 	poll := time.NewTicker(pollInterval)
 	defer poll.Stop()
 	last := fingerprint()
-	unread := false // the last change could not be read
-	notices.watchFolders()
+	retry := false // the last call of changed failed with an operating system error
+	notifications.watchDirectories()
 	for {
-		if current := fingerprint(); current != last || unread {
+		if current := fingerprint(); current != last || retry {
 			last = current
-			unread = isSystemError(changed())
+			retry = isSystemError(changed())
 		}
 		select {
 		case <-stop:
 			return
-		case err := <-notices.faults: // the poll finds what the system did not tell
-			if errors.Is(err, syscall.EAGAIN) { // Go's poller could not watch it: it would say so without end
-				notices.close()
+		case err := <-notifications.watchErrors: // polling detects unreported changes
+			if errors.Is(err, syscall.EAGAIN) { // Go's poller cannot watch it and would repeat the error
+				notifications.close()
 			}
-		case <-notices.events:
+		case <-notifications.events:
 			time.Sleep(settleTime)
 		case <-poll.C:
-			notices.watchFolders()
+			notifications.watchDirectories()
 		}
 	}
 }
 
-// isSystemError reports whether an error is one of the operating system, so that a retry may succeed.
+// isSystemError reports whether an error comes from the operating system, so that a retry may succeed.
 func isSystemError(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno)
 }
 
-// notifier receives file system notifications for folders. If there is no such service its channels are nil.
+// notifier receives file system notifications for directories. Its channels are nil if notifications are unavailable.
 type notifier struct {
-	folders []string
-	watcher *fsnotify.Watcher // nil: there is no such service
-	events  chan fsnotify.Event
-	faults  chan error
+	directories []string
+	watcher     *fsnotify.Watcher // nil if notifications are unavailable
+	events      chan fsnotify.Event
+	watchErrors chan error
 }
 
-func newNotifier(folders []string) *notifier {
+func newNotifier(directories []string) *notifier {
 	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
-		return &notifier{folders: folders}
+		return &notifier{directories: directories}
 	}
-	return &notifier{folders: folders, watcher: watcher, events: watcher.Events, faults: watcher.Errors}
+	return &notifier{directories: directories, watcher: watcher, events: watcher.Events, watchErrors: watcher.Errors}
 }
 
-// watchFolders subscribes to all folders again: one may have been deleted and made anew. Without a service it asks for
-// one again first, which the system may have lacked memory or descriptors for.
-func (n *notifier) watchFolders() {
+// watchDirectories subscribes to all directories again, since one may have been deleted and recreated. If notifications
+// are unavailable, it first tries to set them up again: the system may have lacked memory or descriptors before.
+func (n *notifier) watchDirectories() {
 	if n.watcher == nil {
-		*n = *newNotifier(n.folders)
+		*n = *newNotifier(n.directories)
 	}
 	if n.watcher == nil {
 		return
 	}
-	for _, folder := range n.folders {
-		if folder != "" {
-			_ = n.watcher.Add(folder) // the poll stands in for one that can't be watched
+	for _, directory := range n.directories {
+		if directory != "" {
+			_ = n.watcher.Add(directory) // polling covers a directory that cannot be watched
 		}
 	}
 }
 
-// close ends the service; watchFolders begins another.
+// close stops the notifications; watchDirectories sets them up again.
 func (n *notifier) close() {
 	if n.watcher != nil {
 		_ = n.watcher.Close()
 	}
-	*n = notifier{folders: n.folders}
+	*n = notifier{directories: n.directories}
 }
 
 // Directories returns the distinct directories of files. Empty paths are skipped.
 func Directories(paths ...string) []string {
-	var folders []string
+	var directories []string
 	seen := map[string]bool{}
 	for _, path := range paths {
-		if folder := filepath.Dir(path); path != "" && !seen[folder] {
-			seen[folder] = true
-			folders = append(folders, folder)
+		if directory := filepath.Dir(path); path != "" && !seen[directory] {
+			seen[directory] = true
+			directories = append(directories, directory)
 		}
 	}
-	return folders
+	return directories
 }
--- a/internal/identity/files/files_test.go
+++ b/internal/identity/files/files_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// TestWatchRetriesAfterDiskErrors: files have changed and can't be read for a moment. They are read again though they
-// do not change again; what is wrong in the files themselves waits for the next change.
+// TestWatchRetriesAfterDiskErrors checks that changed files that temporarily cannot be read are read again without
+// another change, while invalid content is not read again before the next change.
 func TestWatchRetriesAfterDiskErrors(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		err  error
-		want int // calls within the time
+		want int // calls within 4 poll intervals
 	}{
 		{"the disk fails once", fmt.Errorf("read: %w", syscall.EIO), 2},
-		{"the file is not sound", errors.New("line 3: expected a key"), 1},
+		{"the file is invalid", errors.New("line 3: expected a key"), 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -41,11 +41,11 @@
 					return nil
 				})
 			}()
-			time.Sleep(4 * pollInterval) // within which the calls are counted
+			time.Sleep(4 * pollInterval) // the period in which calls are counted
 			close(stop)
 			<-stopped
 			if len(calls) != c.want {
-				t.Errorf("%d calls, want %d", len(calls), c.want)
+				t.Errorf("got %d calls, want %d", len(calls), c.want)
 			}
 		})
 	}
--- a/internal/identity/tlslistener/faults.go
+++ b/internal/identity/tlslistener/faults.go
@@ -6,28 +6,29 @@
 )
 
 const (
-	// maxFaultSources bounds the sources whose faults are remembered; with one more all are forgotten.
-	maxFaultSources = 1024
-	// faultInterval is how often a source's faults are logged.
-	faultInterval = time.Minute
+	// maxErrorSources limits the sources whose last log times are kept. When another source exceeds the limit, all of
+	// them are cleared.
+	maxErrorSources = 1024
+	// errorLogInterval is the minimum time between two logged errors of a source.
+	errorLogInterval = time.Minute
 )
 
-// faultLimiter decides which faults of a source are logged, so that a flood of bad handshakes does not fill the log.
-// It may be used by many goroutines at once.
-type faultLimiter struct {
+// errorLogLimiter decides which connection errors of a source are logged, so that a flood of failed handshakes does not
+// fill the log. It is safe for concurrent use.
+type errorLogLimiter struct {
 	mu       sync.Mutex
 	loggedAt map[string]time.Time // by source
 }
 
-// shouldLog reports whether a fault of a source is logged.
-func (f *faultLimiter) shouldLog(now time.Time, source string) bool {
+// shouldLog reports whether to log an error of a source now.
+func (f *errorLogLimiter) shouldLog(now time.Time, source string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	last, known := f.loggedAt[source]
-	if len(f.loggedAt) >= maxFaultSources && !known {
+	if len(f.loggedAt) >= maxErrorSources && !known {
 		clear(f.loggedAt)
 	}
-	if known && now.Sub(last) < faultInterval {
+	if known && now.Sub(last) < errorLogInterval {
 		return false
 	}
 	f.loggedAt[source] = now
--- a/internal/identity/tlslistener/tlslistener.go
+++ b/internal/identity/tlslistener/tlslistener.go
@@ -1,7 +1,7 @@
-// Package tlslistener accepts clients by TLS 1.3 outside of the event loop. Handshakes run on goroutines, bounded in
-// number and time. Decrypted bytes reach the loop through a pair of sockets, so that the kernel's buffers apply
-// back-pressure in both directions and nothing is buffered here. Certificates and authorities can be replaced while
-// it runs.
+// Package tlslistener accepts TLS 1.3 clients outside the event loop. Handshakes run on goroutines, limited in number
+// and duration. Decrypted bytes reach the event loop through a socket pair, so that the kernel's buffers apply
+// backpressure in both directions and nothing is buffered here. Certificates and CA certificates can be replaced at
+// runtime.
 package tlslistener
 
 import (
@@ -21,51 +21,52 @@
 )
 
 const (
-	// maxTicketKeys is how many keys of session tickets are accepted: the newest makes new tickets.
+	// maxTicketKeys is the number of accepted session ticket keys. The newest one encrypts new tickets.
 	maxTicketKeys = 3
-	// minTicketKeyRotation is how long a key of session tickets is the newest at least.
+	// minTicketKeyRotation is the minimum interval between rotations of the session ticket key.
 	minTicketKeyRotation = time.Second
-	// acceptPause is how long a connection waits where the system has no descriptor or memory for it.
+	// acceptPause is the delay before a retry while the system lacks descriptors or memory.
 	acceptPause = 10 * time.Millisecond
 )
 
 var (
-	errTooManyHandshakes  = errors.New("too many handshakes at once")
-	errTooManyConnections = errors.New("all connections are busy")
+	errTooManyHandshakes  = errors.New("too many concurrent handshakes")
+	errTooManyConnections = errors.New("too many open connections")
 )
 
-// Config is the settings of a listener.
+// Config holds the settings of a listener.
 type Config struct {
 	Listen            string           // ip:port
-	Cert, Key         string           // files of our certificate, in PEM
-	ClientCA          string           // file of the authorities that sign clients; empty: clients show none
-	RequireClientCert bool             // whether a client must show a certificate
-	MaxHandshakes     int              // at once
-	HandshakeTimeout  time.Duration    // for one
-	MaxConnections    int              // at once
-	TicketKeyRotation time.Duration    // how often the key of session tickets changes
-	Now               func() time.Time // the Unix clock; nil: the system's
+	Cert, Key         string           // PEM files of the server certificate and its key
+	ClientCA          string           // file of the CAs of client certificates; empty: none are requested
+	RequireClientCert bool             // whether a client must present a certificate
+	MaxHandshakes     int              // concurrent ones
+	HandshakeTimeout  time.Duration    // for each handshake
+	MaxConnections    int              // open at the same time
+	TicketKeyRotation time.Duration    // interval of the session ticket key rotation
+	Now               func() time.Time // clock for checking certificates; nil: the system's
 }
 
-// ClientIdentity returns the tenant and subject of a client certificate's names; empty: none.
+// ClientIdentity returns the tenant and subject for the names of a client certificate, or empty strings if there are
+// none.
 type ClientIdentity func(names []string) (tenant, subject string)
 
-// Listener is a running listener.
+// Listener is a running TLS listener.
 type Listener struct {
-	config     Config
-	identify   ClientIdentity
-	adopt      func(conn net.Conn, caller identity.Caller) bool
-	log        func(event string, fields ...any)
-	socket     *socket.Listener
-	tlsConfig  atomic.Pointer[tls.Config]
-	handshakes chan struct{} // one place each
-	open       atomic.Int64  // connections
-	faults     faultLimiter
-	stop       chan struct{}
+	config          Config
+	identify        ClientIdentity
+	adopt           func(conn net.Conn, caller identity.Caller) bool
+	log             func(event string, fields ...any)
+	socket          *socket.Listener
+	tlsConfig       atomic.Pointer[tls.Config]
+	handshakes      chan struct{} // semaphore of the running handshakes
+	openConnections atomic.Int64  // accepted, including those in a handshake
+	errorLog        errorLogLimiter
+	stop            chan struct{}
 }
 
-// Open starts a listener. It blocks while the system has no memory or descriptor for that, for some seconds at most.
-// adopt passes a connection to the event loop and reports whether it was accepted; adopt, identify and log are called
+// Open starts a listener. It blocks while the system lacks memory or descriptors for it, for some seconds at most.
+// adopt passes a connection to the event loop and reports whether it was accepted. adopt, identify and log are called
 // on goroutines of the listener.
 func Open(
 	config Config,
@@ -79,7 +80,7 @@
 		adopt:      adopt,
 		log:        log,
 		handshakes: make(chan struct{}, config.MaxHandshakes),
-		faults:     faultLimiter{loggedAt: map[string]time.Time{}},
+		errorLog:   errorLogLimiter{loggedAt: map[string]time.Time{}},
 		stop:       make(chan struct{}),
 	}
 	if err := listener.Reload(); err != nil {
@@ -97,20 +98,20 @@
 	return listener, nil
 }
 
-// Close ends the listener; connections stay.
+// Close closes the listener. Open connections continue.
 func (l *Listener) Close() {
 	close(l.stop)
 	_ = l.socket.Close()
 }
 
-// Reload reads the files again. Handshakes that have begun use the old ones, and open connections continue. On an
-// error the old files stay in force.
+// Reload reads the files again. Handshakes in progress use the old configuration, and open connections continue. On an
+// error the old configuration stays in use.
 func (l *Listener) Reload() error {
 	next, err := Load(l.config)
 	if err != nil {
 		return err
 	}
-	// New ticket keys: a ticket that was issued under other authorities must not replace a certificate.
+	// New ticket keys: a ticket that was issued under other CAs must not be accepted in place of a client certificate.
 	next.SetSessionTicketKeys([][32]byte{newTicketKey()})
 	l.tlsConfig.Store(next)
 	return nil
@@ -121,9 +122,9 @@
 	return key
 }
 
-// rotateTicketKeys changes the key of session tickets until the listener is closed.
+// rotateTicketKeys rotates the session ticket keys until the listener is closed.
 func (l *Listener) rotateTicketKeys() {
-	var keys [][32]byte // of current, the newest first
+	var keys [][32]byte // keys of current, newest first
 	var current *tls.Config
 	tick := time.NewTicker(max(l.config.TicketKeyRotation, minTicketKeyRotation))
 	defer tick.Stop()
@@ -133,7 +134,7 @@
 			return
 		case <-tick.C:
 		}
-		if latest := l.tlsConfig.Load(); latest != current { // Reload has begun anew
+		if latest := l.tlsConfig.Load(); latest != current { // Reload has replaced the configuration
 			current = latest
 			keys = nil
 		}
@@ -146,12 +147,12 @@
 // accept accepts connections until the listener is closed.
 func (l *Listener) accept() {
 	for {
-		conn, err := l.next()
+		conn, err := l.acceptConnection()
 		if l.isClosed() {
 			return
 		}
 		if err != nil {
-			if l.faults.shouldLog(time.Now(), "") { // of no source: there is no connection
+			if l.errorLog.shouldLog(time.Now(), "") { // no source, since there is no connection
 				l.log("accept-failed", "error", err)
 			}
 			time.Sleep(acceptPause)
@@ -159,15 +160,15 @@
 		}
 		if err := l.reserve(); err != nil {
 			_ = conn.Close()
-			l.logFault(conn, err)
+			l.logHandshakeError(conn, err)
 			continue
 		}
 		go l.serve(conn)
 	}
 }
 
-// next accepts a connection. One that the system has no memory to watch for a moment is tried again.
-func (l *Listener) next() (net.Conn, error) {
+// acceptConnection accepts a connection. While the system lacks the memory to poll it, it retries after acceptPause.
+func (l *Listener) acceptConnection() (net.Conn, error) {
 	accepted, err := l.socket.Accept()
 	if err != nil {
 		return nil, err
@@ -192,39 +193,39 @@
 	}
 }
 
-// reserve reserves one of the places for handshakes and one for connections.
+// reserve takes a handshake slot and a connection slot. It returns an error if a limit is reached.
 func (l *Listener) reserve() error {
 	select {
 	case l.handshakes <- struct{}{}:
 	default:
 		return errTooManyHandshakes
 	}
-	if l.open.Add(1) > int64(l.config.MaxConnections) {
-		l.open.Add(-1)
+	if l.openConnections.Add(1) > int64(l.config.MaxConnections) {
+		l.openConnections.Add(-1)
 		<-l.handshakes
 		return errTooManyConnections
 	}
 	return nil
 }
 
-// serve does the handshake and then copies bytes in both directions until either side ends.
+// serve performs the handshake and then copies bytes in both directions until either side closes.
 func (l *Listener) serve(raw net.Conn) {
-	defer l.open.Add(-1)
+	defer l.openConnections.Add(-1)
 	conn := tls.Server(raw, l.tlsConfig.Load())
 	_ = raw.SetDeadline(time.Now().Add(l.config.HandshakeTimeout))
 	err := conn.Handshake()
 	<-l.handshakes
 	if err != nil {
 		_ = raw.Close()
-		l.logFault(raw, err)
+		l.logHandshakeError(raw, err)
 		return
 	}
 	_ = raw.SetDeadline(time.Time{})
 	caller := l.caller(conn)
-	ours, theirs, err := l.pair()
+	ours, theirs, err := l.bridgePair()
 	if err != nil {
 		_ = conn.Close()
-		l.logFault(raw, err)
+		l.logHandshakeError(raw, err)
 		return
 	}
 	if !l.adopt(theirs, caller) {
@@ -232,13 +233,13 @@
 		_ = conn.Close()
 		return
 	}
-	// When the client closes its side, the loop sees the end of its own socket and cancels what is open.
+	// When the client closes the connection, the event loop sees its socket closed and cancels the open requests.
 	bridge.Copy(conn, ours)
 }
 
-// pair makes the sockets that join a connection to the loop. The client may have sent a request by now, so what the
-// system lacks for a moment is waited for, as long as a handshake may take.
-func (l *Listener) pair() (ours, theirs net.Conn, err error) {
+// bridgePair creates the socket pair that joins a connection to the event loop. The client may already have sent a
+// request, so while the system lacks descriptors or memory, it retries for up to HandshakeTimeout.
+func (l *Listener) bridgePair() (ours, theirs net.Conn, err error) {
 	for began := time.Now(); ; time.Sleep(acceptPause) {
 		ours, theirs, err = bridge.Pair()
 		if !socket.IsLocal(err) || time.Since(began) > l.config.HandshakeTimeout {
@@ -247,7 +248,7 @@
 	}
 }
 
-// caller returns whom a connection is from, by its address and its certificate.
+// caller identifies the caller of a connection from its address and client certificate.
 func (l *Listener) caller(conn *tls.Conn) identity.Caller {
 	caller := identity.Caller{Frontend: "tls"}
 	caller.Remote, _, _ = net.SplitHostPort(conn.RemoteAddr().String())
@@ -265,10 +266,10 @@
 	return caller
 }
 
-// logFault logs a failed handshake, rate-limited for each source.
-func (l *Listener) logFault(conn net.Conn, fault error) {
+// logHandshakeError logs why a connection failed, rate-limited for each source.
+func (l *Listener) logHandshakeError(conn net.Conn, err error) {
 	host, _, _ := net.SplitHostPort(conn.RemoteAddr().String())
-	if l.faults.shouldLog(time.Now(), host) {
-		l.log("tls-handshake-failed", "from", host, "error", fmt.Sprintf("%.200s", fault.Error()))
+	if l.errorLog.shouldLog(time.Now(), host) {
+		l.log("tls-handshake-failed", "from", host, "error", fmt.Sprintf("%.200s", err.Error()))
 	}
 }
--- a/internal/identity/tlslistener/tlslistener_test.go
+++ b/internal/identity/tlslistener/tlslistener_test.go
@@ -15,8 +15,8 @@
 	"sloequay/internal/identity"
 )
 
-// opened starts a listener whose connections are answered with what they send.
-func opened(t testing.TB) (*Listener, *emulator.Authority, *tls.Config) {
+// openListener starts a listener that echoes what its connections send.
+func openListener(t testing.TB) (*Listener, *emulator.Authority, *tls.Config) {
 	t.Helper()
 	ca, err := emulator.NewAuthority(t.TempDir())
 	if err != nil {
@@ -36,7 +36,7 @@
 		MaxConnections:    1000,
 		TicketKeyRotation: time.Hour,
 	}
-	d, err := Open(config,
+	listener, err := Open(config,
 		func([]string) (string, string) { return "", "" },
 		func(conn net.Conn, _ identity.Caller) bool {
 			go func() {
@@ -48,13 +48,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(d.Close)
+	t.Cleanup(listener.Close)
 	roots := x509.NewCertPool()
 	roots.AddCert(ca.Cert)
-	return d, ca, &tls.Config{RootCAs: roots, ServerName: "doorman.test"}
+	return listener, ca, &tls.Config{RootCAs: roots, ServerName: "doorman.test"}
 }
 
-// TestLoad: files that do not fit, are not there, or that others can read are refused by name.
+// TestLoad checks that files that do not match, do not exist, or that others can read are rejected with their names.
 func TestLoad(t *testing.T) {
 	ca, err := emulator.NewAuthority(t.TempDir())
 	if err != nil {
@@ -77,30 +77,30 @@
 		cfg  Config
 		want string
 	}{
-		"sound":                  {Config{Cert: cert, Key: key, ClientCA: ca.File}, ""},
-		"another's key":          {Config{Cert: cert, Key: other}, "other-key.pem"},
-		"no file":                {Config{Cert: "/nowhere", Key: key}, "/nowhere"},
-		"a key others can read":  {Config{Cert: openCert, Key: open}, "others can read it"},
-		"no authority in a file": {Config{Cert: cert, Key: key, ClientCA: key}, "no certificate in it"},
+		"valid":                         {Config{Cert: cert, Key: key, ClientCA: ca.File}, ""},
+		"key of another certificate":    {Config{Cert: cert, Key: other}, "other-key.pem"},
+		"missing file":                  {Config{Cert: "/nowhere", Key: key}, "/nowhere"},
+		"key that others can read":      {Config{Cert: openCert, Key: open}, "others can read it"},
+		"CA file without a certificate": {Config{Cert: cert, Key: key, ClientCA: key}, "contains no certificate"},
 	} {
 		_, err := Load(c.cfg)
 		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %q", name, err, c.want)
+			t.Errorf("%s: got error %v, want %q", name, err, c.want)
 		}
 	}
 }
 
-// TestBackPressure: a side that does not read holds the other up, and nothing grows beyond the sockets' own buffers.
+// TestBackPressure checks that a side that does not read blocks the other, so that only the socket buffers fill up.
 func TestBackPressure(t *testing.T) {
-	d, _, cfg := opened(t)
-	conn, err := tls.Dial("tcp", d.socket.Address().String(), cfg)
+	listener, _, cfg := openListener(t)
+	conn, err := tls.Dial("tcp", listener.socket.Address().String(), cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	sent := 0
 	chunk := make([]byte, 64<<10)
-	for { // nobody reads the echo
+	for { // nothing reads the echo
 		_ = conn.SetWriteDeadline(time.Now().Add(500 * time.Millisecond))
 		n, err := conn.Write(chunk)
 		sent += n
@@ -108,14 +108,14 @@
 			break
 		}
 		if sent > 256<<20 {
-			t.Fatalf("%d MB went in with nobody reading", sent>>20)
+			t.Fatalf("got %d MB written without a reader, want writes to block", sent>>20)
 		}
 	}
 }
 
-// BenchmarkHandshake is a connection until its first byte is back: by plain TCP, by TLS new and resumed.
+// BenchmarkHandshake measures the time from dialing to the first echoed byte, with new and with resumed TLS sessions.
 func BenchmarkHandshake(b *testing.B) {
-	d, ca, cfg := opened(b)
+	listener, ca, cfg := openListener(b)
 	cert, key, err := ca.Make("client", "lane3.lanes.test")
 	if err != nil {
 		b.Fatal(err)
@@ -125,8 +125,8 @@
 		b.Fatal(err)
 	}
 	cfg.Certificates = []tls.Certificate{pair}
-	one := func(b *testing.B, c *tls.Config, resumed bool) {
-		conn, err := tls.Dial("tcp", d.socket.Address().String(), c)
+	connect := func(b *testing.B, c *tls.Config, resumed bool) {
+		conn, err := tls.Dial("tcp", listener.socket.Address().String(), c)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -142,25 +142,25 @@
 	b.Run("new", func(b *testing.B) {
 		b.ReportAllocs()
 		for range b.N {
-			one(b, cfg, false)
+			connect(b, cfg, false)
 		}
 	})
 	b.Run("resumed", func(b *testing.B) {
 		c := cfg.Clone()
 		c.ClientSessionCache = tls.NewLRUClientSessionCache(4)
-		one(b, c, false)
+		connect(b, c, false)
 		b.ReportAllocs()
 		b.ResetTimer()
 		for range b.N {
-			one(b, c, true)
+			connect(b, c, true)
 		}
 	})
 }
 
-// BenchmarkEcho is a small message there and back on a connection that stands: by the bare pair of sockets, and by
-// TLS and the pair behind it.
+// BenchmarkEcho measures the round trip of a small message on an open connection, over a socket pair alone and over TLS
+// with a socket pair behind it.
 func BenchmarkEcho(b *testing.B) {
-	d, _, cfg := opened(b)
+	listener, _, cfg := openListener(b)
 	run := func(conn net.Conn) func(*testing.B) {
 		return func(b *testing.B) {
 			buf := make([]byte, 300)
@@ -182,7 +182,7 @@
 	defer ours.Close()
 	go func() { _, _ = io.Copy(theirs, theirs) }()
 	b.Run("pair", run(ours))
-	conn, err := tls.Dial("tcp", d.socket.Address().String(), cfg)
+	conn, err := tls.Dial("tcp", listener.socket.Address().String(), cfg)
 	if err != nil {
 		b.Fatal(err)
 	}
