--- a/internal/identity/tsig/tsig_test.go
+++ b/internal/identity/tsig/tsig_test.go
@@ -26,7 +26,7 @@
 	return k
 }
 
-// query makes a query signed at a time; change may spoil what was packed.
+// query returns a packed query that is signed at a time, and its MAC. change may modify the packed query.
 func query(t testing.TB, name, algorithm, secret string, signed time.Duration, change func([]byte)) ([]byte, string) {
 	t.Helper()
 	m := new(dns.Msg).SetQuestion("n0.example.", dns.TypeTXT)
@@ -43,7 +43,7 @@
 	return out, mac
 }
 
-// TestCheck: each query's signature is found to be what it is, and the answer is signed as the RFC says.
+// TestCheck checks the result for each kind of signature, and that the answer is signed as RFC 8945 requires.
 func TestCheck(t *testing.T) {
 	now := time.Duration(time.Now().UnixNano())
 	other := base64.StdEncoding.EncodeToString([]byte(strings.Repeat("x", 32)))
@@ -53,18 +53,18 @@
 		change                       func([]byte)
 		want                         uint16
 	}{
-		{"sound", "lane-3.", dns.HmacSHA256, secret, now, nil, 0},
-		{"sound, in capitals", "LANE-3.", dns.HmacSHA256, secret, now, nil, 0},
-		{"an unknown key", "lane-4.", dns.HmacSHA256, secret, now, nil, dns.RcodeBadKey},
+		{"valid", "lane-3.", dns.HmacSHA256, secret, now, nil, 0},
+		{"valid, name in capitals", "LANE-3.", dns.HmacSHA256, secret, now, nil, 0},
+		{"unknown key", "lane-4.", dns.HmacSHA256, secret, now, nil, dns.RcodeBadKey},
 		{"another algorithm", "lane-3.", dns.HmacSHA512, secret, now, nil, dns.RcodeBadKey},
 		{"another secret", "lane-3.", dns.HmacSHA256, other, now, nil, dns.RcodeBadSig},
-		{"a question that was changed", "lane-3.", dns.HmacSHA256, secret, now, func(b []byte) { b[14] ^= 1 },
+		{"changed question", "lane-3.", dns.HmacSHA256, secret, now, func(b []byte) { b[14] ^= 1 },
 			dns.RcodeBadSig},
-		{"an hour old", "lane-3.", dns.HmacSHA256, secret, now - time.Hour, nil, dns.RcodeBadTime},
-		{"a day ahead", "lane-3.", dns.HmacSHA256, secret, now + 24*time.Hour, nil, dns.RcodeBadTime},
-		{"older than is allowed here, within its own fudge", "lane-3.", dns.HmacSHA256, secret,
+		{"one hour old", "lane-3.", dns.HmacSHA256, secret, now - time.Hour, nil, dns.RcodeBadTime},
+		{"one day ahead", "lane-3.", dns.HmacSHA256, secret, now + 24*time.Hour, nil, dns.RcodeBadTime},
+		{"older than skew, within its own fudge", "lane-3.", dns.HmacSHA256, secret,
 			now - 20*time.Second, nil, dns.RcodeBadTime},
-		{"a little old", "lane-3.", dns.HmacSHA256, secret, now - 4*time.Second, nil, 0},
+		{"4 s old, within skew", "lane-3.", dns.HmacSHA256, secret, now - 4*time.Second, nil, 0},
 	} {
 		packet, mac := query(t, c.key, c.algorithm, c.secret, c.at, c.change)
 		m := &dns.Msg{}
@@ -73,11 +73,11 @@
 		}
 		s, err := keys(t).Check(packet, m, now, skew)
 		if err != nil || s == nil || s.Error != c.want {
-			t.Errorf("%s: %+v, %v, want the error %d", c.name, s, err, c.want)
+			t.Errorf("%s: got %+v, error %v, want TSIG error %d", c.name, s, err, c.want)
 			continue
 		}
 		if s.Error == 0 && (s.Caller().Subject != "lane-3" || s.Caller().Tenant != "lanes") {
-			t.Errorf("%s: the caller is %+v", c.name, s.Caller())
+			t.Errorf("%s: got caller %+v, want lane-3 of lanes", c.name, s.Caller())
 		}
 		answer := new(dns.Msg).SetRcode(m, dns.RcodeSuccess)
 		out, err := s.Sign(answer, now)
@@ -90,62 +90,63 @@
 		}
 		tsig := back.IsTsig()
 		if tsig == nil || tsig.Error != c.want {
-			t.Errorf("%s: the answer has %v", c.name, tsig)
+			t.Errorf("%s: got the TSIG record %v in the answer, want one with the same error", c.name, tsig)
 			continue
 		}
 		err = dns.TsigVerify(out, c.secret, mac, false)
 		switch c.want {
 		case dns.RcodeBadKey, dns.RcodeBadSig:
 			if tsig.MAC != "" {
-				t.Errorf("%s: the answer is signed", c.name)
+				t.Errorf("%s: got a signed answer, want no MAC", c.name)
 			}
 		case dns.RcodeBadTime:
 			if tsig.OtherLen != 6 || err != nil && !errors.Is(err, dns.ErrTime) {
-				t.Errorf("%s: the answer has no time of ours, or is not signed: %v %v", c.name, tsig, err)
+				t.Errorf("%s: got TSIG record %v, error %v, want signed server time", c.name, tsig, err)
 			}
 		default:
 			if err != nil {
-				t.Errorf("%s: the answer's signature: %v", c.name, err)
+				t.Errorf("%s: signature of the answer: got error %v, want none", c.name, err)
 			}
 		}
 	}
 }
 
 func TestKeys(t *testing.T) {
-	sound := Key{"a.", "hmac-sha256", secret, "t", "s"}
+	valid := Key{"a.", "hmac-sha256", secret, "t", "s"}
 	for name, k := range map[string][]Key{
-		"a name":         {{".", "hmac-sha256", secret, "t", "s"}},
-		"an algorithm":   {{"a.", "hmac-md5", secret, "t", "s"}},
-		"a short secret": {{"a.", "hmac-sha256", "AAAA", "t", "s"}},
-		"no base64":      {{"a.", "hmac-sha256", "!", "t", "s"}},
-		"no tenant":      {{"a.", "hmac-sha256", secret, "", "s"}},
-		"twice":          {sound, {"A", "hmac-sha256", secret, "t", "s"}},
+		"root as the name":      {{".", "hmac-sha256", secret, "t", "s"}},
+		"unsupported algorithm": {{"a.", "hmac-md5", secret, "t", "s"}},
+		"short secret":          {{"a.", "hmac-sha256", "AAAA", "t", "s"}},
+		"secret not in base64":  {{"a.", "hmac-sha256", "!", "t", "s"}},
+		"no tenant":             {{"a.", "hmac-sha256", secret, "", "s"}},
+		"duplicate name":        {valid, {"A", "hmac-sha256", secret, "t", "s"}},
 	} {
 		_, err := New(k)
 		if err == nil || strings.Contains(err.Error(), secret) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want one without the secret", name, err)
 		}
 	}
 	m := new(dns.Msg).SetQuestion("n0.example.", dns.TypeTXT)
 	if s, err := keys(t).Check(nil, m, 0, skew); s != nil || err != nil {
-		t.Errorf("a query without a signature: %+v, %v", s, err)
+		t.Errorf("query without a signature: got %+v, error %v, want nil, nil", s, err)
 	}
 	m.SetTsig("a.", dns.HmacSHA256, 300, 0)
 	m.SetEdns0(1232, false)
 	if _, err := keys(t).Check(nil, m, 0, skew); !errors.Is(err, ErrMalformed) {
-		t.Errorf("a TSIG record before another: %v", err)
+		t.Errorf("TSIG record before another record: got error %v, want ErrMalformed", err)
 	}
 }
 
-// FuzzCheck: no message ends the program, and none but the sound one is taken; what is refused can be answered.
+// FuzzCheck checks that no message causes a panic, that only the validly signed query is accepted, and that rejected
+// queries can be answered.
 func FuzzCheck(f *testing.F) {
-	now := 1_800_000_000 * time.Second // the same in each process of the fuzzer
-	sound, _ := query(f, "lane-3.", dns.HmacSHA256, secret, now, nil)
-	f.Add(sound)
-	spoilt, _ := query(f, "lane-3.", dns.HmacSHA256, secret, now, func(b []byte) { b[len(b)-8] ^= 1 })
-	f.Add(spoilt)
+	now := 1_800_000_000 * time.Second // constant, so that it is the same in all processes of the fuzzer
+	valid, _ := query(f, "lane-3.", dns.HmacSHA256, secret, now, nil)
+	f.Add(valid)
+	invalid, _ := query(f, "lane-3.", dns.HmacSHA256, secret, now, func(b []byte) { b[len(b)-8] ^= 1 })
+	f.Add(invalid)
 	k, signed := keys(f), &dns.Msg{}
-	if err := signed.Unpack(sound); err != nil {
+	if err := signed.Unpack(valid); err != nil {
 		f.Fatal(err)
 	}
 	f.Fuzz(func(t *testing.T, packet []byte) {
@@ -157,17 +158,17 @@
 		if err != nil || s == nil {
 			return
 		}
-		// The message's id, the case of names and what stands behind the message are not signed. All that is asked
-		// is.
+		// The signature covers the whole question. It does not cover the message id, the case of names and data after
+		// the message.
 		sameQuestion := len(m.Question) == 1 && strings.EqualFold(m.Question[0].String(), signed.Question[0].String())
 		sameSignature := s.record.MAC == signed.IsTsig().MAC && s.record.TimeSigned == signed.IsTsig().TimeSigned
 		if s.Error == 0 && (!sameQuestion || !sameSignature || len(m.Answer)+len(m.Ns) > 0) {
-			t.Fatalf("taken: %x", packet)
+			t.Fatalf("packet %x: got no TSIG error, want one", packet)
 		}
 		if len(m.Question) == 1 {
 			_, err := s.Sign(new(dns.Msg).SetRcode(m, dns.RcodeNotAuth), now)
 			if err != nil && s.Error != dns.RcodeBadKey {
-				t.Fatalf("the answer can't be signed: %v", err)
+				t.Fatalf("signing the answer: got error %v, want none", err)
 			}
 		}
 	})
