--- a/internal/identity/audit.go
+++ b/internal/identity/audit.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// auditInterval is how often a subject gets a line.
+// auditInterval is the minimum time between two log lines of a subject.
 const auditInterval = time.Second
 
 // AuditLimiter decides which decisions are logged, so that a flood from one subject does not hide the decisions about
@@ -14,13 +14,13 @@
 type AuditLimiter struct {
 	maxSubjects int
 	bySubject   map[string]*list.Element
-	recent      *list.List // of *auditedSubject, the last met first
+	recent      *list.List // of *auditedSubject, most recently seen first
 }
 
 type auditedSubject struct {
 	subject  string
 	loggedAt time.Duration
-	omitted  int // decisions since then
+	omitted  int // decisions since then that were not logged
 }
 
 // NewAuditLimiter returns a limiter for at most maxSubjects subjects.
@@ -28,7 +28,8 @@
 	return &AuditLimiter{maxSubjects: maxSubjects, bySubject: map[string]*list.Element{}, recent: list.New()}
 }
 
-// ShouldLog reports whether a decision about a subject gets a line now, and how many of it had none since its last.
+// ShouldLog reports whether to log a decision about a subject now, and how many decisions about it were omitted since
+// the last one that was logged.
 func (a *AuditLimiter) ShouldLog(now time.Duration, subject string) (omitted int, ok bool) {
 	element := a.bySubject[subject]
 	if element == nil {
@@ -47,11 +48,11 @@
 	return omitted, true
 }
 
-// add remembers a subject whose first line is logged now.
+// add adds a subject whose first line is logged now.
 func (a *AuditLimiter) add(now time.Duration, subject string) {
 	a.bySubject[subject] = a.recent.PushFront(&auditedSubject{subject: subject, loggedAt: now})
 	if a.recent.Len() > a.maxSubjects {
-		quietest := a.recent.Remove(a.recent.Back()).(*auditedSubject)
-		delete(a.bySubject, quietest.subject)
+		evicted := a.recent.Remove(a.recent.Back()).(*auditedSubject)
+		delete(a.bySubject, evicted.subject)
 	}
 }
--- a/internal/identity/authenticator.go
+++ b/internal/identity/authenticator.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	// queueFullWait is the Retry-After while too many calls wait for a signature check.
+	// queueFullWait is the Retry-After sent while too many calls wait for a signature check.
 	queueFullWait = time.Second
-	// idempotencyKeysFullWait is the Retry-After while no more idempotency keys can be remembered.
+	// idempotencyKeysFullWait is the Retry-After sent while the limit on idempotency keys is reached.
 	idempotencyKeysFullWait = time.Second
 )
 
-// AuthenticatorConfig bounds an Authenticator.
+// AuthenticatorConfig holds the token policy and the limits of an Authenticator.
 type AuthenticatorConfig struct {
 	Policy              Policy
-	MaxCachedTokens     int     // verified tokens that are remembered
-	MaxWaiting          int     // requests that wait for a signature to be checked
-	ChecksPerSecond     float64 // signatures checked a second, in all
-	ChecksPerConnection float64 // signatures checked a second for one connection
-	ChecksPerSource     float64 // signatures checked a second for all connections from one source
-	MaxIdempotencyKeys  int     // idempotency keys that are remembered
-	MaxRevocations      int     // revocations that are held
+	MaxCachedTokens     int     // verified tokens kept in the cache
+	MaxWaiting          int     // calls waiting for a signature check
+	ChecksPerSecond     float64 // signature checks per second in total
+	ChecksPerConnection float64 // uncached tokens processed per second from one connection
+	ChecksPerSource     float64 // uncached tokens processed per second from all connections of one source
+	MaxIdempotencyKeys  int     // idempotency keys within their windows
+	MaxRevocations      int     // unexpired revocations
 }
 
-// Defaults returns the bounds in force where the settings say nothing.
+// Defaults returns the configuration that applies where the settings specify nothing.
 func Defaults() AuthenticatorConfig {
 	return AuthenticatorConfig{
 		Policy:              Policy{Skew: 5 * time.Second},
@@ -38,44 +38,44 @@
 	}
 }
 
-// Call is one request at the authenticator.
+// Call is one request to authenticate.
 type Call struct {
 	Caller            *Caller
-	Token             string // empty: it has none
+	Token             string // empty if it has none
 	Access            Access
-	IdempotencyKey    string        // idempotency key; empty: not keyed
-	IdempotencyWindow time.Duration // how long repeats of the key may come
-	Data              any           // the user's own
+	IdempotencyKey    string        // empty if it has none
+	IdempotencyWindow time.Duration // how long retries with the key are accepted
+	Data              any           // opaque to the authenticator
 }
 
-// Outcome is the decision about a call.
+// Outcome is the decision on a call.
 type Outcome struct {
 	Call       *Call
 	Reason     Reason
-	Tenant     string        // that the caller is of; empty: not known
-	Subject    string        // empty: not known
-	KeyID      string        // of the key that signed the token; empty: none did
-	Rule       int           // of the tenant, from 0, that decided; -1: none did
-	RetryAfter time.Duration // with Busy and IdempotencyKeysFull: how long to stay away
+	Tenant     string        // of the caller; empty if unknown
+	Subject    string        // of the caller; empty if unknown
+	KeyID      string        // of the key that signed the token; empty without a verified token
+	Rule       int           // index of the tenant's rule that decided; -1 if none did
+	RetryAfter time.Duration // set with Busy and IdempotencyKeysFull
 }
 
-// SignatureJob is a signature to be checked by Verify, outside of the event loop. The result of Verify is passed to
-// Authenticator.SignatureChecked.
+// SignatureJob is a token whose signature must be checked with Verify, outside the event loop. Pass the result of
+// Verify to Authenticator.SignatureChecked.
 type SignatureJob struct {
 	Token string
 	Key   *Key
 	hash  tokenHash
 }
 
-// tokenHash identifies a token by its complete text.
+// tokenHash is the hash of a complete token.
 type tokenHash [sha256.Size]byte
 
-// Authenticator identifies callers and decides whether they may do what they request. It caches tokens whose
-// signature was verified, and has others verified within budgets, so that a flood of bad tokens uses up the budget of
-// its sender's connection first.
+// Authenticator authenticates callers and authorizes their requests. It caches tokens whose signature was verified and
+// has other tokens verified within budgets, so that a flood of invalid tokens uses up the budget of its sender's
+// connection first.
 //
-// Invariants: at most one SignatureJob is out for a token; what is remembered and what waits is bounded; every Call
-// gets exactly one Outcome. It is not safe for concurrent use.
+// Invariants: at most one SignatureJob is pending for a token; the number of cached tokens, idempotency keys,
+// revocations and waiting calls is bounded; every Call gets exactly one Outcome. It is not safe for concurrent use.
 type Authenticator struct {
 	config          AuthenticatorConfig
 	rights          *Rights
@@ -83,16 +83,16 @@
 	revoked         *Revocations
 	idempotencyKeys *IdempotencyKeys
 	cache           *tokenCache
-	waiting         map[tokenHash][]*Call // for the result of a SignatureJob
-	waitingCalls    int                   // in all of waiting
-	checks          tokenBucket           // of config.ChecksPerSecond
-	clockOffset     time.Duration         // what the Unix clock is ahead of the times that are passed in
+	waiting         map[tokenHash][]*Call // calls that wait for the result of a SignatureJob
+	waitingCalls    int                   // total number of calls in waiting
+	checks          tokenBucket           // limits all signature checks to config.ChecksPerSecond
+	clockOffset     time.Duration         // how far the Unix clock is ahead of the times passed in
 
-	// Counts since the start, for the tests: signatures checked, cached tokens met, calls that were not allowed.
+	// Counters for tests: signature checks started, cache hits, and calls that were not allowed.
 	SignatureChecks, CacheHits, Rejected uint64
 }
 
-// NewAuthenticator returns an authenticator with no keys.
+// NewAuthenticator returns an authenticator without keys.
 func NewAuthenticator(config AuthenticatorConfig, rights *Rights) *Authenticator {
 	return &Authenticator{
 		config:          config,
@@ -108,26 +108,26 @@
 // tokens, keys and revocations; the times passed in apply to budgets and idempotency windows.
 func (a *Authenticator) SetClockOffset(offset time.Duration) { a.clockOffset = offset }
 
-// SetKeys replaces the key set. Tokens of keys that stay are not checked again.
+// SetKeys replaces the key set. Cached tokens of keys that remain in the set are not verified again.
 func (a *Authenticator) SetKeys(keys *Keys) { a.keys = keys }
 
-// Keys returns the key set in force.
+// Keys returns the current key set.
 func (a *Authenticator) Keys() *Keys { return a.keys }
 
 // SetRights replaces the rights.
 func (a *Authenticator) SetRights(rights *Rights) { a.rights = rights }
 
-// SetRevocations replaces the list of what was revoked.
+// SetRevocations replaces the revocation list.
 func (a *Authenticator) SetRevocations(revoked *Revocations) { a.revoked = revoked }
 
-// Revocations returns the list of what was revoked.
+// Revocations returns the current revocation list.
 func (a *Authenticator) Revocations() *Revocations { return a.revoked }
 
-// Waiting returns the number of calls that wait for a signature.
+// Waiting returns the number of calls that wait for a signature check.
 func (a *Authenticator) Waiting() int { return a.waitingCalls }
 
-// Authenticate starts the decision about a call. It returns the outcome, or a job whose result decides it, or neither
-// if the call waits for a job that was returned before.
+// Authenticate starts the decision on a call. It returns the outcome, or a job whose result decides the call, or
+// neither if the call waits for a job that was returned earlier.
 func (a *Authenticator) Authenticate(now time.Duration, call *Call) (*Outcome, *SignatureJob) {
 	a.revoked.Expire(now + a.clockOffset)
 	if call.Token == "" {
@@ -137,7 +137,7 @@
 	if cached := a.cachedToken(hash); cached != nil {
 		return a.decideCached(now, call, cached), nil
 	}
-	if calls, isOut := a.waiting[hash]; isOut {
+	if calls, isPending := a.waiting[hash]; isPending {
 		if a.waitingCalls >= a.config.MaxWaiting {
 			return a.busy(call, queueFullWait), nil
 		}
@@ -148,7 +148,7 @@
 	return a.startCheck(now, call, hash)
 }
 
-// cachedToken returns a cached token, or nil. A token whose key is no longer in the key set is removed.
+// cachedToken returns a cached token, or nil. It removes a token whose key is no longer in the key set.
 func (a *Authenticator) cachedToken(hash tokenHash) *verifiedToken {
 	cached := a.cache.get(hash)
 	if cached == nil {
@@ -162,7 +162,7 @@
 	return cached
 }
 
-// decideCached decides about a call with a cached token.
+// decideCached decides on a call with a cached token.
 func (a *Authenticator) decideCached(now time.Duration, call *Call, cached *verifiedToken) *Outcome {
 	a.CacheHits++
 	a.cache.touch(cached)
@@ -172,12 +172,12 @@
 	return a.decide(now, call, &cached.claims, reason)
 }
 
-// startCheck has the signature of an unknown token checked, if its caller's budgets and its header allow it.
+// startCheck returns a job for an uncached token if the budgets and the token's header allow it.
 func (a *Authenticator) startCheck(now time.Duration, call *Call, hash tokenHash) (*Outcome, *SignatureJob) {
-	// From here on a token costs more than a look-up, even if it is malformed: the budgets are charged before it is
-	// parsed.
+	// From here on a token costs more than a cache lookup, even if it is malformed, so the budgets are charged before
+	// it is parsed.
 	if wait, ok := a.chargeCaller(now, call.Caller); !ok {
-		call.Caller.rejectedForBudget(now)
+		call.Caller.recordBudgetRejection(now)
 		return a.busy(call, wait), nil
 	}
 	id, algorithm, reason := ParseHeader(call.Token)
@@ -200,8 +200,8 @@
 	return nil, &SignatureJob{Token: call.Token, Key: key, hash: hash}
 }
 
-// checkKey returns why a key can't verify a token. A retired key can: its token may belong to a retry of an admitted
-// request.
+// checkKey returns the reason why a key cannot be used to verify a token, or Allowed. A retired key can be used, since
+// its token may belong to a retry of an admitted request.
 func (a *Authenticator) checkKey(now time.Duration, key *Key, id string, algorithm Algorithm) Reason {
 	unix := now + a.clockOffset
 	switch {
@@ -217,8 +217,8 @@
 	return Allowed
 }
 
-// chargeCaller charges one token that is not cached to the budgets of the caller's connection and its source. If one
-// is used up it returns the Retry-After.
+// chargeCaller charges one uncached token to the budgets of the caller's connection and its source. If one of them is
+// used up, it returns the Retry-After and false.
 func (a *Authenticator) chargeCaller(now time.Duration, caller *Caller) (wait time.Duration, ok bool) {
 	if wait, ok := caller.budget.take(now, a.config.ChecksPerConnection); !ok {
 		return wait, false
@@ -229,7 +229,7 @@
 	return 0, true
 }
 
-// busy rejects a call whose signature can't be checked now.
+// busy rejects a call whose signature cannot be checked now.
 func (a *Authenticator) busy(call *Call, wait time.Duration) *Outcome {
 	a.Rejected++
 	return &Outcome{Call: call, Reason: Busy, Rule: noRule, RetryAfter: wait}
@@ -249,18 +249,18 @@
 	}
 	for _, call := range calls {
 		if reason != Allowed {
-			call.Caller.badSignature()
+			call.Caller.recordInvalidSignature()
 			outcomes = append(outcomes, a.decide(now, call, nil, reason))
 			continue
 		}
-		call.Caller.goodSignature()
+		call.Caller.recordValidSignature()
 		outcomes = append(outcomes, a.decide(now, call, &claims, validity))
 	}
 	return outcomes
 }
 
-// Expire drops expired entries. Of the cached tokens it examines only the maxTokens least recently used; the others
-// are found when they are used.
+// Expire removes expired idempotency keys, revocations and cached tokens. It examines only the maxTokens least recently
+// used cached tokens; the expiry of the others is noticed when they are used.
 func (a *Authenticator) Expire(now time.Duration, maxTokens int) {
 	a.idempotencyKeys.expire(now)
 	unix := now + a.clockOffset
@@ -268,8 +268,8 @@
 	a.cache.expire(unix-a.config.Policy.Skew, maxTokens)
 }
 
-// decide combines the caller's identity, its rights and the rule for idempotency keys. claims are those of a verified
-// token, or nil; reason reports whether they are valid now.
+// decide combines the caller's identity, its rights and the check of its idempotency key. claims are those of a
+// verified token, or nil; reason is the result of checking the token.
 func (a *Authenticator) decide(now time.Duration, call *Call, claims *Claims, reason Reason) *Outcome {
 	outcome := &Outcome{Call: call, Reason: reason, Rule: noRule}
 	if claims != nil {
@@ -286,13 +286,13 @@
 	if outcome.Reason != Allowed {
 		a.Rejected++
 	} else if claims != nil || call.Caller.Tenant != "" {
-		call.Caller.admittedByCredential()
+		call.Caller.recordAdmission()
 	}
 	return outcome
 }
 
-// identifyByToken sets the caller's identity from its token, and checks that the token is bound to no other
-// certificate than the connection's.
+// identifyByToken sets the caller's identity from its token. If the token is bound to a client certificate, it must be
+// the certificate of the connection.
 func identifyByToken(outcome *Outcome, claims *Claims) {
 	outcome.Tenant = claims.Tenant
 	outcome.Subject = claims.Subject
@@ -303,8 +303,8 @@
 	}
 }
 
-// identifyUnsigned sets the identity of a caller without a token from its certificate, or from the tenant of unsigned
-// callers.
+// identifyUnsigned sets the identity of a caller without a token from its certificate or TSIG key, or else to the
+// tenant of unsigned callers.
 func (a *Authenticator) identifyUnsigned(now time.Duration, outcome *Outcome) {
 	caller := outcome.Call.Caller
 	if caller.Tenant != "" {
@@ -322,8 +322,8 @@
 	}
 }
 
-// mayBeAuthorized reports whether the rights decide about a call. A keyed call may be a retry of one that was
-// admitted before its token or key ended.
+// mayBeAuthorized reports whether the rights apply to a call. A call with an idempotency key may be a retry of one that
+// was admitted before its token expired or the signing key retired.
 func mayBeAuthorized(outcome *Outcome) bool {
 	if outcome.Tenant == "" {
 		return false
@@ -332,8 +332,8 @@
 	return outcome.Reason == Allowed || mayBeRetry
 }
 
-// authorize decides whether the caller's tenant may do what it wants, and whether the idempotency key is the
-// caller's.
+// authorize decides whether the rights of the tenant allow the access, and whether the idempotency key belongs to the
+// caller.
 func (a *Authenticator) authorize(now time.Duration, outcome *Outcome, claims *Claims) {
 	call := outcome.Call
 	access := call.Access
--- a/internal/identity/benchmark_test.go
+++ b/internal/identity/benchmark_test.go
@@ -8,45 +8,45 @@
 	"time"
 )
 
-// BenchmarkAuthenticate is what the gate costs a request.
+// BenchmarkAuthenticate measures the cost of authenticating and authorizing a request.
 func BenchmarkAuthenticate(b *testing.B) {
-	m := newMaker(b)
-	ed, es := m.key("ed", EdDSA), m.key("es", ES256)
-	ask := Access{Class: "lookup"}
+	issuer := newTokenIssuer(b)
+	ed, es := issuer.key("ed", EdDSA), issuer.key("es", ES256)
+	access := Access{Class: "lookup"}
 	b.Run("unsigned", func(b *testing.B) {
-		g, c := newTestAuthenticator(b, ed), &Caller{Frontend: "rpc"}
+		a, c := newTestAuthenticator(b, ed), &Caller{Frontend: "rpc"}
 		b.ReportAllocs()
 		for range b.N {
-			g.Authenticate(start+1, &Call{Caller: c, Access: ask})
+			a.Authenticate(start+1, &Call{Caller: c, Access: access})
 		}
 	})
 	b.Run("cached", func(b *testing.B) {
-		g, c := newTestAuthenticator(b, ed), &Caller{Frontend: "rpc"}
-		token := m.token(ed, nil)
-		call(g, start+1, &Call{Caller: c, Token: token, Access: ask})
+		a, c := newTestAuthenticator(b, ed), &Caller{Frontend: "rpc"}
+		token := issuer.token(ed, nil)
+		call(a, start+1, &Call{Caller: c, Token: token, Access: access})
 		b.ReportAllocs()
 		for range b.N {
-			g.Authenticate(start+1, &Call{Caller: c, Token: token, Access: ask})
+			a.Authenticate(start+1, &Call{Caller: c, Token: token, Access: access})
 		}
 	})
-	b.Run("new, on the loop", func(b *testing.B) {
-		g := newTestAuthenticator(b, ed)
-		g.config.ChecksPerSecond, g.config.ChecksPerConnection = 1e12, 1e12
+	b.Run("new, event loop part", func(b *testing.B) {
+		a := newTestAuthenticator(b, ed)
+		a.config.ChecksPerSecond, a.config.ChecksPerConnection = 1e12, 1e12
 		tokens := make([]string, 1000)
 		for i := range tokens {
-			tokens[i] = m.token(ed, nil)
+			tokens[i] = issuer.token(ed, nil)
 		}
-		g.cache.maxTokens = 1
+		a.cache.maxTokens = 1
 		b.ReportAllocs()
 		b.ResetTimer()
 		for i := range b.N {
-			now := start + time.Duration(i)*time.Millisecond // a call's budget is back by the next one
-			_, j := g.Authenticate(now, &Call{Caller: &Caller{Frontend: "rpc"}, Token: tokens[i%1000], Access: ask})
-			g.SignatureChecked(now, j, verifiedClaims("x", "s", "ed"), Allowed)
+			now := start + time.Duration(i)*time.Millisecond // refills the budget for the next call
+			_, j := a.Authenticate(now, &Call{Caller: &Caller{Frontend: "rpc"}, Token: tokens[i%1000], Access: access})
+			a.SignatureChecked(now, j, verifiedClaims("x", "s", "ed"), Allowed)
 		}
 	})
 	for _, k := range []Key{ed, es} {
-		token := m.token(k, nil)
+		token := issuer.token(k, nil)
 		b.Run("verify/"+string(k.Algorithm), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
@@ -71,7 +71,7 @@
 		b.ReportAllocs()
 		b.ResetTimer()
 		for range b.N {
-			r.Authorize("t7777", ask)
+			r.Authorize("t7777", access)
 		}
 	})
 	b.Run("revoked/100000", func(b *testing.B) {
@@ -87,11 +87,11 @@
 	})
 }
 
-// BenchmarkMemory is what 100,000 remembered tokens of as many subjects, as many idempotency keys, and as many
-// revocations hold.
+// BenchmarkMemory measures the heap size of 100,000 cached tokens with distinct subjects, 100,000 idempotency keys and
+// 100,000 revocations.
 func BenchmarkMemory(b *testing.B) {
-	m := newMaker(b)
-	k := m.key("k", EdDSA)
+	issuer := newTokenIssuer(b)
+	k := issuer.key("k", EdDSA)
 	heap := func() uint64 {
 		var s runtime.MemStats
 		runtime.GC()
@@ -100,16 +100,16 @@
 	}
 	for range b.N {
 		before := heap()
-		g := newTestAuthenticator(b, k)
+		a := newTestAuthenticator(b, k)
 		for i := range 100_000 {
 			c := verifiedClaims(fmt.Sprint("token-", i), fmt.Sprint("subject-", i), "k")
-			g.cache.add(&verifiedToken{hash: sha256.Sum256([]byte(c.ID)), claims: c, key: g.keys.Get("k")})
-			g.idempotencyKeys.Admit(start, KeyedCall{
+			a.cache.add(&verifiedToken{hash: sha256.Sum256([]byte(c.ID)), claims: c, key: a.keys.Get("k")})
+			a.idempotencyKeys.Admit(start, KeyedCall{
 				Key: fmt.Sprint("charge ", i), Subject: c.Subject, Tenant: "lanes", Window: 3 * time.Second,
 			})
-			_ = g.revoked.Add(RevokedToken, fmt.Sprint("gone-", i), start+time.Hour)
+			_ = a.revoked.Add(RevokedToken, fmt.Sprint("gone-", i), start+time.Hour)
 		}
 		b.ReportMetric(float64(heap()-before)/(1<<20), "MB")
-		runtime.KeepAlive(g)
+		runtime.KeepAlive(a)
 	}
 }
--- a/internal/identity/caller.go
+++ b/internal/identity/caller.go
@@ -3,104 +3,105 @@
 import "time"
 
 const (
-	// pacedAfterRejections is how many calls of a caller are rejected for lack of budget before its messages are
-	// paced: handled a few at a time on the frontend's tick, so that a flood causes no rounds of the event loop.
+	// pacedAfterRejections is the number of a caller's calls that are rejected for lack of budget before its messages
+	// are paced, that is, handled a few at a time on the frontend's tick, so that a flood causes no rounds of the
+	// event loop.
 	pacedAfterRejections = 32
 	maxRejections        = 4 * pacedAfterRejections
-	// rejectionMemory is how long rejections are remembered after the last of them.
-	rejectionMemory = time.Second
+	// rejectionRetention is how long rejections are counted after the latest one.
+	rejectionRetention = time.Second
 )
 
-// maxBadSignatures bounds how far bad signatures lower a budget.
-const maxBadSignatures = 100
+// maxInvalidSignatures limits how far invalid signatures reduce a budget.
+const maxInvalidSignatures = 100
 
-// Caller is a connection as the authenticator knows it. Its zero value is a new one.
+// Caller holds what the authenticator knows about a connection. The zero value is a new connection.
 type Caller struct {
 	Frontend   string  // rpc, tls or dns
-	Thumbprint string  // of its client certificate; empty: it has none
-	Tenant     string  // that the certificate stands for; empty: none
-	Subject    string  // that the certificate stands for; empty: none
-	Site       string  // that it calls from; empty: not known
-	Remote     string  // the host that it is known to call from; empty: its connection's
-	Source     *Source // where it calls from; nil: not told
-
-	budget     checkBudget
-	rejections recentRejections // for want of a budget
-	proven     bool             // something of it was admitted by a credential
+	Thumbprint string  // of its client certificate, SHA-256 in base64url; empty if it has none
+	Tenant     string  // that its credential identifies; empty if none
+	Subject    string  // that its credential identifies; empty if none
+	Site       string  // that it calls from; empty if unknown
+	Remote     string  // host that it calls from; empty: the remote address of its connection
+	Source     *Source // shared by the callers at one address or network; nil if unknown
+
+	budget        checkBudget
+	rejections    recentRejections // for lack of budget
+	authenticated bool             // a credential has admitted one of its calls
 }
 
-// Paced reports whether the caller's messages must be paced: too many of its calls were rejected for lack of budget,
-// or, until one of its calls has been admitted by a credential, too many of its source's calls.
+// Paced reports whether the caller's messages must be paced because too many of its calls were rejected for lack of
+// budget. Until a credential has admitted one of its calls, the rejections of its source count as well.
 func (c *Caller) Paced(now time.Duration) bool {
-	if c.rejections.since(now) >= pacedAfterRejections {
+	if c.rejections.countAt(now) >= pacedAfterRejections {
 		return true
 	}
-	return !c.proven && c.Source != nil && c.Source.rejections.since(now) >= pacedAfterRejections
+	return !c.authenticated && c.Source != nil && c.Source.rejections.countAt(now) >= pacedAfterRejections
 }
 
-// rejectedForBudget counts a call that was rejected for want of a budget.
-func (c *Caller) rejectedForBudget(now time.Duration) {
+// recordBudgetRejection counts a call that was rejected for lack of budget.
+func (c *Caller) recordBudgetRejection(now time.Duration) {
 	c.rejections.add(now)
 	if c.Source != nil {
 		c.Source.rejections.add(now)
 	}
 }
 
-// admittedByCredential records that a call was allowed by a token or a certificate.
-func (c *Caller) admittedByCredential() {
-	c.proven = true
-	c.rejections.ease()
+// recordAdmission records that a token, certificate or TSIG key has admitted a call.
+func (c *Caller) recordAdmission() {
+	c.authenticated = true
+	c.rejections.decrement()
 }
 
-// goodSignature records that a signature of the caller was verified.
-func (c *Caller) goodSignature() {
+// recordValidSignature restores part of the budgets after a valid signature.
+func (c *Caller) recordValidSignature() {
 	c.budget.raise()
 	if c.Source != nil {
 		c.Source.budget.raise()
 	}
 }
 
-// badSignature records that a signature of the caller was invalid.
-func (c *Caller) badSignature() {
+// recordInvalidSignature reduces the budgets after an invalid signature.
+func (c *Caller) recordInvalidSignature() {
 	c.budget.lower()
 	if c.Source != nil {
 		c.Source.budget.lower()
 	}
 }
 
-// checkBudget is how many tokens of a connection or a source may be looked at closely.
+// checkBudget limits the rate at which uncached tokens of a connection or a source are parsed and verified.
 type checkBudget struct {
-	bucket        tokenBucket
-	badSignatures int // lately; each lowers the rate
+	bucket            tokenBucket
+	invalidSignatures int // recent ones; each reduces the rate
 }
 
-// take charges one check to the budget, or returns the Retry-After.
+// take charges one check to the budget. If the budget is used up, it returns the Retry-After and false.
 func (b *checkBudget) take(now time.Duration, perSecond float64) (wait time.Duration, ok bool) {
-	return b.bucket.take(now, perSecond/float64(1+b.badSignatures))
+	return b.bucket.take(now, perSecond/float64(1+b.invalidSignatures))
 }
 
-func (b *checkBudget) raise() { b.badSignatures /= 2 }
+func (b *checkBudget) raise() { b.invalidSignatures /= 2 }
 
-func (b *checkBudget) lower() { b.badSignatures = min(b.badSignatures+1, maxBadSignatures) }
+func (b *checkBudget) lower() { b.invalidSignatures = min(b.invalidSignatures+1, maxInvalidSignatures) }
 
-// recentRejections counts calls that were rejected for want of a budget.
+// recentRejections counts the calls that were recently rejected for lack of budget.
 type recentRejections struct {
 	count  int
 	lastAt time.Duration
 }
 
 func (r *recentRejections) add(now time.Duration) {
-	r.count = min(r.since(now)+1, maxRejections)
+	r.count = min(r.countAt(now)+1, maxRejections)
 	r.lastAt = now
 }
 
-// since returns the count at a time, which may be a little before the last rejection: both are of one round.
-func (r *recentRejections) since(now time.Duration) int {
-	if now-r.lastAt > rejectionMemory {
+// countAt returns the count at a time. now may be slightly before the latest rejection of the same event loop round.
+func (r *recentRejections) countAt(now time.Duration) int {
+	if now-r.lastAt > rejectionRetention {
 		return 0
 	}
 	return r.count
 }
 
-// ease lowers the count after a call that was allowed.
-func (r *recentRejections) ease() { r.count = max(0, r.count-1) }
+// decrement lowers the count by one after an allowed call.
+func (r *recentRejections) decrement() { r.count = max(0, r.count-1) }
--- a/internal/identity/idempotency_test.go
+++ b/internal/identity/idempotency_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestIdempotencyKeysFull: when it is full new keyed work is refused, and what is out keeps its key.
+// TestIdempotencyKeysFull checks that a full set rejects new keys, and that admitted keys stay until their window ends.
 func TestIdempotencyKeysFull(t *testing.T) {
 	k := NewIdempotencyKeys(2)
 	for i, c := range []struct {
@@ -27,13 +27,13 @@
 	} {
 		call := KeyedCall{Key: c.key, Subject: c.subject, Tenant: "x", Reason: Allowed, Window: time.Second}
 		if got := k.Admit(start+c.at, call); got != c.want {
-			t.Errorf("step %d: %v, want %v", i, got, c.want)
+			t.Errorf("step %d: got %v, want %v", i, got, c.want)
 		}
 	}
 }
 
-// TestIdempotencyKeyHasOneOwner: over random requests, a key belongs to one subject from its admission to the end of
-// its window.
+// TestIdempotencyKeyHasOneOwner checks over random requests that a key belongs to one subject from its admission to the
+// end of its window.
 func TestIdempotencyKeyHasOneOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k := NewIdempotencyKeys(4)
@@ -67,13 +67,13 @@
 				want = IdempotencyKeysFull
 			}
 			if got != want {
-				t.Fatalf("key %s by %s with %v: %v, want %v", key, subject, reason, got, want)
+				t.Fatalf("key %s of subject %s with reason %v: got %v, want %v", key, subject, reason, got, want)
 			}
 			if !owned && got == Allowed {
 				owners[key] = owner{subject, now + time.Second}
 			}
 			if k.Len() > 4 {
-				t.Fatalf("%d keys held", k.Len())
+				t.Fatalf("got %d keys, want at most 4", k.Len())
 			}
 		}
 	})
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -13,45 +13,47 @@
 
 const start = 1_800_000_000 * time.Second
 
-// maker makes keys and tokens.
-type maker struct {
-	t    testing.TB
-	keys map[string]any
-	n    int
+// tokenIssuer generates keys and signs tokens with them.
+type tokenIssuer struct {
+	t      testing.TB
+	keys   map[string]any
+	tokens int
 }
 
-func newMaker(t testing.TB) *maker { return &maker{t: t, keys: map[string]any{}} }
+func newTokenIssuer(t testing.TB) *tokenIssuer { return &tokenIssuer{t: t, keys: map[string]any{}} }
 
-func (m *maker) key(id string, a Algorithm) Key {
-	m.t.Helper()
+func (issuer *tokenIssuer) key(id string, a Algorithm) Key {
+	issuer.t.Helper()
 	k := Key{ID: id, Algorithm: a}
 	if a == EdDSA {
 		public, private, err := ed25519.GenerateKey(rand.Reader)
 		if err != nil {
-			m.t.Fatal(err)
+			issuer.t.Fatal(err)
 		}
-		k.Public, m.keys[id] = public, private
+		k.Public, issuer.keys[id] = public, private
 		return k
 	}
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		m.t.Fatal(err)
+		issuer.t.Fatal(err)
 	}
-	k.Public, m.keys[id] = &private.PublicKey, private
+	k.Public, issuer.keys[id] = &private.PublicKey, private
 	return k
 }
 
-// token signs claims; what is not told is that of a sound one of subject s1 of lanes, for an hour.
-func (m *maker) token(k Key, change func(*Claims)) string {
-	m.t.Helper()
-	m.n++
-	c := Claims{ID: fmt.Sprint("t", m.n), Subject: "s1", Tenant: "lanes", Issued: start, Expires: start + time.Hour}
+// token signs a token of subject s1 of tenant lanes that is valid for an hour, unless change sets other claims.
+func (issuer *tokenIssuer) token(k Key, change func(*Claims)) string {
+	issuer.t.Helper()
+	issuer.tokens++
+	c := Claims{
+		ID: fmt.Sprint("t", issuer.tokens), Subject: "s1", Tenant: "lanes", Issued: start, Expires: start + time.Hour,
+	}
 	if change != nil {
 		change(&c)
 	}
-	text, err := Sign(c, "doorman", k.Algorithm, k.ID, m.keys[k.ID])
+	text, err := Sign(c, "doorman", k.Algorithm, k.ID, issuer.keys[k.ID])
 	if err != nil {
-		m.t.Fatal(err)
+		issuer.t.Fatal(err)
 	}
 	return text
 }
@@ -89,37 +91,37 @@
 	return s
 }
 
-// newTestAuthenticator makes an authenticator with keys and the rights of testRights.
+// newTestAuthenticator returns an authenticator with keys and the rights of testRights.
 func newTestAuthenticator(t testing.TB, keys ...Key) *Authenticator {
 	cfg := Defaults()
 	cfg.Policy.Audience = "doorman"
-	g := NewAuthenticator(cfg, testRights(t, "open"))
-	g.SetKeys(keySet(t, keys...))
-	return g
+	a := NewAuthenticator(cfg, testRights(t, "open"))
+	a.SetKeys(keySet(t, keys...))
+	return a
 }
 
-// call takes a call to its outcome, checking the signature where that is asked for.
-func call(g *Authenticator, now time.Duration, c *Call) *Outcome {
+// call returns the outcome of a call. It runs the signature job, if there is one.
+func call(a *Authenticator, now time.Duration, c *Call) *Outcome {
 	if c.Caller == nil {
 		c.Caller = &Caller{Frontend: "rpc"}
 	}
-	o, j := g.Authenticate(now, c)
+	o, j := a.Authenticate(now, c)
 	if j != nil {
 		claims, reason := Verify(j.Token, j.Key)
-		o = g.SignatureChecked(now, j, claims, reason)[0]
+		o = a.SignatureChecked(now, j, claims, reason)[0]
 	}
 	return o
 }
 
-// badToken is a token like a good one whose signature does not hold; each number has one of its own.
-func badToken(good string, number int) string {
+// invalidToken returns a copy of a valid token with an invalid signature, a different one for each number.
+func invalidToken(good string, number int) string {
 	return fmt.Sprintf("%s%06d", good[:len(good)-6], number)
 }
 
-// charge is the access that most tests ask for.
+// charge is the access that most tests request.
 var charge = Access{Class: "charge"}
 
-// verifiedClaims are the claims of a sound token of a subject, as Verify returns them.
+// verifiedClaims returns the claims of a valid token of a subject, as Verify does.
 func verifiedClaims(id, subject, keyID string) Claims {
 	return Claims{
 		ID:       id,
--- a/internal/identity/keys.go
+++ b/internal/identity/keys.go
@@ -10,10 +10,11 @@
 	"time"
 )
 
-// Algorithm is how a key signs, by its name in JWS (RFC 7518, RFC 8037). No other is accepted, and "none" is none.
+// Algorithm is a signature algorithm by its JWS name (RFC 7518, RFC 8037). Other algorithms, such as "none", are not
+// accepted.
 type Algorithm string
 
-// The algorithms.
+// The accepted algorithms.
 const (
 	EdDSA Algorithm = "EdDSA"
 	ES256 Algorithm = "ES256"
@@ -24,17 +25,17 @@
 
 // The states of a key.
 const (
-	KeyPending  KeyState = iota // published, and not accepted yet
-	KeySigning                  // accepted, and new tokens are signed by it
-	KeyAccepted                 // accepted, and no new tokens are signed by it
-	KeyRetired                  // not accepted any more
+	KeyPending  KeyState = iota // published but not accepted yet
+	KeySigning                  // accepted; new tokens are signed with it
+	KeyAccepted                 // accepted; no new tokens are signed with it
+	KeyRetired                  // no longer accepted
 )
 
-// String returns the word that operators read.
+// String returns the state's name in the output for operators.
 func (s KeyState) String() string { return [...]string{"coming", "signing", "accepted", "retired"}[s] }
 
-// Key is a public key with its times, on the Unix clock. It is accepted from NotBefore until RetireAfter, and new
-// tokens are signed by it from SignFrom until SignUntil. A zero end is none.
+// Key is a public key with its validity times in Unix time. It is accepted from NotBefore until RetireAfter, and new
+// tokens are signed with it from SignFrom until SignUntil. A zero RetireAfter or SignUntil means no end.
 type Key struct {
 	ID          string
 	Algorithm   Algorithm
@@ -45,7 +46,7 @@
 	RetireAfter time.Duration
 }
 
-// State returns the key's state at a time.
+// State returns the key's state at a Unix time.
 func (k *Key) State(now time.Duration) KeyState {
 	switch {
 	case k.RetireAfter > 0 && now >= k.RetireAfter:
@@ -58,10 +59,10 @@
 	return KeyAccepted
 }
 
-// keyThumbprint identifies a key by its bytes, independently of its id.
+// keyThumbprint identifies a public key by its bytes, independently of its id.
 type keyThumbprint [sha256.Size]byte
 
-// thumbprint returns the key's thumbprint, or an error if it is no public key of its algorithm.
+// thumbprint returns the key's thumbprint, or an error if Public is not a public key for the key's algorithm.
 func (k *Key) thumbprint() (keyThumbprint, error) {
 	switch public := k.Public.(type) {
 	case ed25519.PublicKey:
@@ -74,32 +75,32 @@
 			return sha256.Sum256(append([]byte("P-256 "), point...)), err
 		}
 	}
-	return keyThumbprint{}, fmt.Errorf("key %q: no public key for %q", k.ID, k.Algorithm)
+	return keyThumbprint{}, fmt.Errorf("key %q: no public key for algorithm %q", k.ID, k.Algorithm)
 }
 
-// samePublicKey reports whether two keys have the same public half; without both of them they have not.
+// samePublicKey reports whether two keys have the same public key. It returns false if one of them is nil.
 func samePublicKey(a, b *Key) bool {
 	if a == nil || b == nil {
 		return false
 	}
-	ofA, errA := a.thumbprint()
-	ofB, errB := b.thumbprint()
-	return errA == nil && errB == nil && ofA == ofB
+	thumbprintA, errA := a.thumbprint()
+	thumbprintB, errB := b.thumbprint()
+	return errA == nil && errB == nil && thumbprintA == thumbprintB
 }
 
-// maxIDBytes is the longest id of a key.
+// maxIDBytes is the maximum length of a key id.
 const maxIDBytes = 64
 
-// ValidID returns an error unless a text can name a key: a plain word, so that nothing is ever looked up by what it
-// might mean as a path.
+// ValidID returns an error unless a text is a valid key id. Ids have no path separators and no "..", so that an id used
+// in a file name cannot refer to another directory.
 func ValidID(id string) error {
 	ok := id != "" && len(id) <= maxIDBytes
 	for i := range len(id) {
 		c := id[i]
 		isLetter := c|0x20 >= 'a' && c|0x20 <= 'z'
 		isDigit := c >= '0' && c <= '9'
-		isMark := c == '-' || c == '_' || c == '.'
-		ok = ok && (isLetter || isDigit || isMark && i > 0)
+		isPunctuation := c == '-' || c == '_' || c == '.'
+		ok = ok && (isLetter || isDigit || isPunctuation && i > 0)
 	}
 	if !ok || strings.Contains(id, "..") {
 		const expected = "expected up to 64 letters, digits, hyphens, underscores and dots"
--- a/internal/identity/keys_test.go
+++ b/internal/identity/keys_test.go
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-// TestRotations: over random rotations, at every instant each token that was signed by the signer of its time and has
-// not outlived the overlap is taken, and none of a retired key is.
+// TestRotations checks over random rotations that each token, signed with the signer of its time, has an accepted key
+// throughout its lifetime, and that no key is accepted after its end.
 func TestRotations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rotation := Rotation{Publish: 2 * time.Second, Accept: 3 * time.Second, Overlap: 30 * time.Second}
-		const life = 20 * time.Second
+		const lifetime = 20 * time.Second
 		keys := []*Key{{ID: "k0", Algorithm: EdDSA}}
 		now := start
 		next := now
@@ -38,50 +38,50 @@
 				k := &Key{ID: fmt.Sprint("k", len(keys)), Algorithm: EdDSA}
 				rotation.Rotate(now, k, keys)
 				keys = append(keys, k)
-				next = now + rotation.Publish + rotation.Accept // one at a time
+				next = now + rotation.Publish + rotation.Accept // one rotation at a time
 			}
 			signer := state(now).Signer(now)
 			if signer == nil {
-				t.Fatalf("nothing signs at %v", now-start)
+				t.Fatalf("signer at %v: got none, want one", now-start)
 			}
 			tokens = append(tokens, signed{signer, now})
 			for _, s := range tokens {
 				st := s.key.State(now)
-				if now-s.at < life && (st == KeyPending || st == KeyRetired) {
-					t.Fatalf("a token of %v ago, by %s, meets a key that is %v", now-s.at, s.key.ID, st)
+				if now-s.at < lifetime && (st == KeyPending || st == KeyRetired) {
+					t.Fatalf("token signed %v ago: got key %s %v, want signing or accepted", now-s.at, s.key.ID, st)
 				}
 				if s.key.RetireAfter > 0 && now >= s.key.RetireAfter && st != KeyRetired {
-					t.Fatalf("%s is %v after its end", s.key.ID, st)
+					t.Fatalf("key %s after its end: got state %v, want retired", s.key.ID, st)
 				}
 			}
 		}
 	})
 }
 
-// TestReplaceKeys: a set with anything wrong in it is not taken, and a known id never gets other bytes.
+// TestReplaceKeys checks that Replace rejects an invalid set and a different key under a known id.
 func TestReplaceKeys(t *testing.T) {
-	m := newMaker(t)
-	a, b := m.key("a", EdDSA), m.key("b", ES256)
+	issuer := newTokenIssuer(t)
+	a, b := issuer.key("a", EdDSA), issuer.key("b", ES256)
 	set := keySet(t, a, b)
-	other := m.key("a", EdDSA)
+	other := issuer.key("a", EdDSA)
 	early := b
 	early.NotBefore, early.RetireAfter = 5, 4
-	confused := a
-	confused.Algorithm = ES256
+	wrongAlgorithm := a
+	wrongAlgorithm.Algorithm = ES256
 	for name, keys := range map[string][]Key{
-		"other bytes under a known id": {other, b},
-		"an id twice":                  {a, a},
-		"an id with a path":            {{ID: "../a", Algorithm: EdDSA, Public: a.Public}},
-		"no key":                       {{ID: "x", Algorithm: EdDSA}},
-		"a key of the other kind":      {confused},
-		"retired before it is taken":   {early},
+		"another key under a known id":  {other, b},
+		"duplicate id":                  {a, a},
+		"id with a path":                {{ID: "../a", Algorithm: EdDSA, Public: a.Public}},
+		"no public key":                 {{ID: "x", Algorithm: EdDSA}},
+		"key of another algorithm":      {wrongAlgorithm},
+		"retired before it is accepted": {early},
 	} {
 		if _, err := set.Replace(keys); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: got no error, want one", name)
 		}
 	}
-	next, err := set.Replace([]Key{b, m.key("c", EdDSA)})
+	next, err := set.Replace([]Key{b, issuer.key("c", EdDSA)})
 	if err != nil || next.Get("a") != nil || next.Get("c") == nil {
-		t.Errorf("a sound set: %v", err)
+		t.Errorf("replacing a by c in a valid set: got error %v, want c and no a", err)
 	}
 }
--- a/internal/identity/keyset.go
+++ b/internal/identity/keyset.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// MaxKeys bounds a key set.
+// MaxKeys is the maximum size of a key set.
 const MaxKeys = 1024
 
-// Keys is a set of keys, by id. It does not change: Replace makes the next one. Nil is a set without keys.
+// Keys is an immutable set of keys by id. Replace returns a new set. A nil *Keys is an empty set.
 type Keys struct {
 	byID        map[string]*Key
 	thumbprints map[string]keyThumbprint // by id
 	ids         []string                 // sorted
 }
 
-// NewKeys returns a set. All keys must be sound, with ids of their own.
+// NewKeys returns a set of keys. All keys must be valid and have distinct ids.
 func NewKeys(all []Key) (*Keys, error) {
 	if len(all) > MaxKeys {
-		return nil, fmt.Errorf("%d keys, at most %d are held", len(all), MaxKeys)
+		return nil, fmt.Errorf("got %d keys, want at most %d", len(all), MaxKeys)
 	}
 	set := &Keys{byID: map[string]*Key{}, thumbprints: map[string]keyThumbprint{}}
 	for _, key := range all {
@@ -32,7 +32,7 @@
 	return set, nil
 }
 
-// add puts a key at the end of the set.
+// add validates a key and adds it to the set. The caller sorts the ids.
 func (k *Keys) add(key *Key) error {
 	if err := ValidID(key.ID); err != nil {
 		return err
@@ -42,9 +42,9 @@
 	case err != nil:
 		return err
 	case k.byID[key.ID] != nil:
-		return fmt.Errorf("key %s is there twice", key.ID)
+		return fmt.Errorf("duplicate key id %s", key.ID)
 	case key.RetireAfter > 0 && key.RetireAfter <= key.NotBefore:
-		return fmt.Errorf("key %s retires before it is taken", key.ID)
+		return fmt.Errorf("key %s retires before it is accepted", key.ID)
 	}
 	k.byID[key.ID] = key
 	k.thumbprints[key.ID] = thumbprint
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// Replace returns the set of new keys, unless an id of the old ones has other bytes there: a key never changes under
-// its id.
+// Replace returns a set of new keys. It returns an error if the public key of an id in both sets differs, since the key
+// of an id must never change.
 func (k *Keys) Replace(all []Key) (*Keys, error) {
 	next, err := NewKeys(all)
 	if err != nil || k == nil {
@@ -61,13 +61,13 @@
 	}
 	for _, id := range next.ids {
 		if old, known := k.thumbprints[id]; known && old != next.thumbprints[id] {
-			return nil, fmt.Errorf("key %s has other bytes than before; a new key needs a new id", id)
+			return nil, fmt.Errorf("key %s has a different public key than before; a new key needs a new id", id)
 		}
 	}
 	return next, nil
 }
 
-// Get returns the key of an id, or nil.
+// Get returns the key with an id, or nil.
 func (k *Keys) Get(id string) *Key {
 	if k == nil {
 		return nil
@@ -75,7 +75,7 @@
 	return k.byID[id]
 }
 
-// All returns all keys by id.
+// All returns all keys, sorted by id.
 func (k *Keys) All() []*Key {
 	if k == nil {
 		return nil
@@ -87,8 +87,8 @@
 	return all
 }
 
-// Signer returns the key that new tokens are signed by: of those in the state KeySigning the one that began last;
-// nil: none is in it.
+// Signer returns the key to sign new tokens with: of the keys in the state KeySigning the one with the latest SignFrom.
+// It returns nil if there is none.
 func (k *Keys) Signer(now time.Duration) *Key {
 	var signer *Key
 	for _, key := range k.All() {
@@ -99,20 +99,20 @@
 	return signer
 }
 
-// Rotation is the times of a rotation.
+// Rotation holds the durations of the phases of a key rotation.
 type Rotation struct {
-	Publish time.Duration // from now until the new key is accepted, when every reader must have it
-	Accept  time.Duration // from then until it signs
-	Overlap time.Duration // from then until the old one retires: as long as the longest token lives
+	Publish time.Duration // from publication until the new key is accepted, by when every reader must have it
+	Accept  time.Duration // from acceptance until the new key signs
+	Overlap time.Duration // from then until the old key retires; as long as the longest lifetime of a token
 }
 
-// Rotate sets the times of the next key, and brings those of the present signers to their ends.
-func (r Rotation) Rotate(now time.Duration, next *Key, present []*Key) {
+// Rotate sets the times of the next key, and the times when the current keys stop signing and retire.
+func (r Rotation) Rotate(now time.Duration, next *Key, current []*Key) {
 	next.NotBefore = now + r.Publish
 	next.SignFrom = next.NotBefore + r.Accept
-	for _, key := range present {
-		endsBefore := key.SignUntil > 0 && key.SignUntil <= next.SignFrom
-		if key.State(now) == KeyRetired || endsBefore {
+	for _, key := range current {
+		stopsBefore := key.SignUntil > 0 && key.SignUntil <= next.SignFrom
+		if key.State(now) == KeyRetired || stopsBefore {
 			continue
 		}
 		key.SignUntil = next.SignFrom
--- a/internal/identity/reason.go
+++ b/internal/identity/reason.go
@@ -1,27 +1,27 @@
 package identity
 
-// Reason is why a caller was denied. Its words are those of the log, of the audit and of the answer to the caller.
+// Reason is why a call was denied. Its names appear in the log, in the audit and in the response to the caller.
 type Reason uint8
 
 // The reasons.
 const (
 	Allowed             Reason = iota
-	NoRight                    // no rule of its tenant allows it, or one denies it
-	UnknownTenant              // there are no rules for its tenant
-	Unsigned                   // it has no token, and unsigned callers have no tenant
-	Malformed                  // what it has is no token of the form that is accepted
-	UnknownKey                 // no key has that id
-	WrongAlgorithm             // the token's algorithm is not the key's
-	BadSignature               // the signature is not that of the key
+	NoRight                    // no rule of the caller's tenant allows the request, or one denies it
+	UnknownTenant              // the tenant has no rules
+	Unsigned                   // the call has no token, and no tenant is configured for unsigned callers
+	Malformed                  // the token is not in an accepted form
+	UnknownKey                 // no key in the set has the token's key id
+	WrongAlgorithm             // the token's algorithm is not that of the key
+	BadSignature               // the signature does not verify with the key
 	NotYetValid                // the token or its key is not valid yet
-	Expired                    // the token is not valid any more
-	RetiredKey                 // its key is not
+	Expired                    // the token has expired
+	RetiredKey                 // the token's key has retired
 	Revoked                    // the token, its subject or its key was revoked
-	WrongAudience              // the token is for others
-	WrongCertificate           // the token is bound to another client certificate, or to one where there is none
+	WrongAudience              // the token is for another audience
+	WrongCertificate           // the token is bound to a client certificate that the connection does not have
 	KeyInUse                   // the request's idempotency key belongs to another subject
-	IdempotencyKeysFull        // no more idempotency keys can be remembered
-	Busy                       // too many signatures to check; later it may be allowed
+	IdempotencyKeysFull        // the limit on idempotency keys is reached
+	Busy                       // too many signatures to check; a later retry may be allowed
 	reasonCount
 )
 
@@ -45,5 +45,5 @@
 	Busy:                "busy",
 }
 
-// String returns the word.
+// String returns the reason's name.
 func (r Reason) String() string { return reasonNames[r] }
--- a/internal/identity/revocations.go
+++ b/internal/identity/revocations.go
@@ -7,33 +7,32 @@
 	"sloequay/internal/expiry"
 )
 
-// RevocationKind is what a revocation names.
+// RevocationKind is the kind of thing that a revocation names.
 type RevocationKind uint8
 
-// What can be revoked.
+// The kinds of revocations.
 const (
-	RevokedToken   RevocationKind = iota // one token, by its id
+	RevokedToken   RevocationKind = iota // a token, by its id
 	RevokedSubject                       // all tokens of a subject
-	RevokedKey                           // all tokens that a key has signed
+	RevokedKey                           // all tokens signed by a key
 )
 
-// String returns the word that operators read.
+// String returns the kind's name in the revocation file.
 func (k RevocationKind) String() string { return [...]string{"token", "subject", "key"}[k] }
 
-// revocation is one entry.
+// revocation is an entry of Revocations.
 type revocation struct {
 	kind RevocationKind
 	name string
 }
 
-// Revocations is a list of revocations, each kept until the last token that it names has expired. It is bounded:
-// adding one to a full list is an error, since a revocation must not be lost silently. It is not safe for concurrent
-// use.
+// Revocations is a list of revocations, each kept until the last token that it names has expired. The list is bounded:
+// adding to a full list is an error, since a revocation must not be lost silently. It is not safe for concurrent use.
 //
-// Invariant: an entry is in force from Add until its time, and is dropped by the first Expire after that.
+// Invariant: an entry is in force from Add until its end, and is removed by the first Expire at or after its end.
 type Revocations struct{ entries *expiry.Set[revocation] }
 
-// NewRevocations returns an empty list for at most limit entries.
+// NewRevocations returns an empty list that holds at most limit entries.
 func NewRevocations(limit int) *Revocations {
 	return &Revocations{entries: expiry.New[revocation](limit)}
 }
@@ -41,15 +40,15 @@
 // Len returns the number of entries.
 func (r *Revocations) Len() int { return r.entries.Len() }
 
-// Add adds an entry until a time on the Unix clock. It never shortens an entry.
+// Add adds an entry that ends at the Unix time until. It never shortens an existing entry.
 func (r *Revocations) Add(kind RevocationKind, name string, until time.Duration) error {
 	if !r.entries.Put(revocation{kind, name}, until) {
-		return fmt.Errorf("%d revocations are held, the most there may be", r.Len())
+		return fmt.Errorf("limit of %d revocations reached", r.Len())
 	}
 	return nil
 }
 
-// Has reports whether something is revoked.
+// Has reports whether the token, subject or key with a name is revoked.
 func (r *Revocations) Has(now time.Duration, kind RevocationKind, name string) bool {
 	if r == nil || r.Len() == 0 {
 		return false
@@ -65,5 +64,5 @@
 		r.Has(now, RevokedToken, claims.ID)
 }
 
-// Expire drops the entries whose time has come, without examining the others.
+// Expire removes the entries that have ended, without examining the others.
 func (r *Revocations) Expire(now time.Duration) { r.entries.DropBefore(now + 1) }
--- a/internal/identity/revocations_test.go
+++ b/internal/identity/revocations_test.go
@@ -8,18 +8,19 @@
 	"pgregory.net/rapid"
 )
 
-// TestRevocationsAgainstAMap compares random revocations with a map that is walked, and with the bound.
-func TestRevocationsAgainstAMap(t *testing.T) {
+// TestRevocationsMatchReferenceMap compares random revocations with a bounded map that is searched linearly for expired
+// entries.
+func TestRevocationsMatchReferenceMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewRevocations(5)
-		plain := map[revocation]time.Duration{}
+		reference := map[revocation]time.Duration{}
 		now := start
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond
 			r.Expire(now)
-			for k, until := range plain {
+			for k, until := range reference {
 				if until <= now {
-					delete(plain, k)
+					delete(reference, k)
 				}
 			}
 			k := revocation{
@@ -27,18 +28,18 @@
 				name: fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "name")),
 			}
 			until := now + time.Duration(rapid.IntRange(1, 5000).Draw(t, "for"))*time.Millisecond
-			_, known := plain[k]
-			if err := r.Add(k.kind, k.name, until); (err == nil) != (known || len(plain) < 5) {
-				t.Fatalf("adding to %d: %v", len(plain), err)
+			_, known := reference[k]
+			if err := r.Add(k.kind, k.name, until); (err == nil) != (known || len(reference) < 5) {
+				t.Fatalf("adding to %d entries, at most 5: got error %v, want another result", len(reference), err)
 			} else if err == nil {
-				plain[k] = max(plain[k], until)
+				reference[k] = max(reference[k], until)
 			}
-			if r.Len() != len(plain) {
-				t.Fatalf("%d entries, want %d", r.Len(), len(plain))
+			if r.Len() != len(reference) {
+				t.Fatalf("got %d entries, want %d", r.Len(), len(reference))
 			}
-			for k := range plain {
+			for k := range reference {
 				if !r.Has(now, k.kind, k.name) {
-					t.Fatalf("%v %s is not revoked", k.kind, k.name)
+					t.Fatalf("%v %s: got not revoked, want revoked", k.kind, k.name)
 				}
 			}
 		}
--- a/internal/identity/rights.go
+++ b/internal/identity/rights.go
@@ -8,66 +8,66 @@
 	"strings"
 )
 
-// Access is what a caller wants to do.
+// Access describes the request that a caller wants to make.
 type Access struct {
 	Class    string
 	Frontend string // rpc, tls or dns
-	Site     string // that the caller speaks from; empty: not known
-	Group    int    // -1: not told
+	Site     string // that the caller calls from; empty if unknown
+	Group    int    // -1 if unknown
 	Object   uint64
 }
 
-// span is a range of numbers, ends included.
+// span is an inclusive range of numbers.
 type span struct{ from, to uint64 }
 
 func (s span) has(number uint64) bool { return number >= s.from && number <= s.to }
 
-// anyClass is what a rule names that is for all classes.
+// anyClass in a rule matches all classes.
 const anyClass = "*"
 
-// Rule allows or denies classes, within what the other fields name; an empty field names all.
+// Rule allows or denies requests of classes. The other fields restrict it; an empty field matches all values.
 type Rule struct {
 	Deny      bool
-	Classes   []string // anyClass: all
+	Classes   []string // anyClass matches all
 	Frontends []string
 	Sites     []string
 	Groups    []span
 	Objects   []span
 }
 
-// Frontends has the names of frontends that a rule may give.
+// Frontends lists the frontends that a rule may name.
 var Frontends = []string{"rpc", "tls", "dns"}
 
-// The bits that the numbers of rules have at most.
+// Maximum size in bits of the numbers in rules.
 const (
 	groupBits  = 30
 	objectBits = 64
 )
 
-// ParseRule reads a rule's words: classes, and front=, site=, group= and object= with values joined by commas. Groups
-// are numbers or ranges as 0-31, objects 16 hex digits or ranges of them.
+// ParseRule parses a rule's words: classes, and front=, site=, group= and object= with comma-separated values. Groups
+// are decimal numbers or ranges such as 0-31; objects are hexadecimal numbers of up to 16 digits, or ranges of them.
 func ParseRule(deny bool, words []string) (Rule, error) {
 	rule := Rule{Deny: deny}
 	for _, word := range words {
-		name, values, isLimit := strings.Cut(word, "=")
-		if !isLimit {
+		name, values, isRestriction := strings.Cut(word, "=")
+		if !isRestriction {
 			rule.Classes = append(rule.Classes, word)
 			continue
 		}
 		for _, value := range strings.Split(values, ",") {
-			if err := rule.limit(name, value); err != nil {
+			if err := rule.addRestriction(name, value); err != nil {
 				return rule, err
 			}
 		}
 	}
 	if len(rule.Classes) == 0 {
-		return rule, errors.New("expected at least one class, or * for all")
+		return rule, errors.New("expected at least one class, or * for all classes")
 	}
 	return rule, nil
 }
 
-// limit adds a value to what the rule names.
-func (r *Rule) limit(name, value string) (err error) {
+// addRestriction adds a value to one of the rule's restrictions.
+func (r *Rule) addRestriction(name, value string) (err error) {
 	switch name {
 	case "front":
 		if !slices.Contains(Frontends, value) {
@@ -89,7 +89,7 @@
 	return err
 }
 
-// appendSpan reads a number or a range of a base.
+// appendSpan parses a number or a range in a base and appends it.
 func appendSpan(spans []span, text string, base, bits int) ([]span, error) {
 	fromText, toText, isRange := strings.Cut(text, "-")
 	if !isRange {
@@ -103,8 +103,8 @@
 	return append(spans, span{from, to}), nil
 }
 
-// covers reports whether a rule applies to an access. A deny also applies where site or group are not known: a
-// request must not evade it by leaving out its group.
+// covers reports whether a rule applies to an access. A deny rule also applies if the site or group is unknown, so that
+// a request cannot evade it by omitting its group.
 func (r *Rule) covers(access Access) bool {
 	return (slices.Contains(r.Classes, access.Class) || slices.Contains(r.Classes, anyClass)) &&
 		(len(r.Frontends) == 0 || slices.Contains(r.Frontends, access.Frontend)) &&
@@ -131,22 +131,22 @@
 	return slices.ContainsFunc(spans, func(s span) bool { return s.has(number) })
 }
 
-// Tenant is a team's rules.
+// Tenant holds the rules of a team.
 type Tenant struct {
 	Name  string
 	Rules []Rule
 
-	byClass map[string][]int // places in Rules of those that name a class
-	forAll  []int            // places of those that name all classes
+	byClass       map[string][]int // indexes in Rules of the rules that name a class
+	anyClassRules []int            // indexes in Rules of the rules for all classes
 }
 
-// index finds the rules of each class.
+// index fills byClass and anyClassRules.
 func (t *Tenant) index() {
 	t.byClass = map[string][]int{}
 	for i := range t.Rules {
 		classes := t.Rules[i].Classes
 		if slices.Contains(classes, anyClass) {
-			t.forAll = append(t.forAll, i)
+			t.anyClassRules = append(t.anyClassRules, i)
 			continue
 		}
 		for _, class := range classes {
@@ -155,24 +155,24 @@
 	}
 }
 
-// Rights is the rules of all tenants. It is immutable: a change of the settings makes another.
+// Rights holds the rules of all tenants. It is immutable: a change of the settings creates new Rights.
 type Rights struct {
 	tenants  map[string]*Tenant
-	unsigned string // the tenant of callers without a token; empty: they are denied
+	unsigned string // tenant of callers without a token; empty if they are denied
 }
 
-// NewRights returns the rights of tenants; unsigned names the one of callers without a token.
+// NewRights returns the rights of tenants. unsigned names the tenant of callers without a token; it may be empty.
 func NewRights(tenants []Tenant, unsigned string) (*Rights, error) {
 	rights := &Rights{tenants: map[string]*Tenant{}, unsigned: unsigned}
 	for _, tenant := range tenants {
 		if rights.tenants[tenant.Name] != nil {
-			return nil, fmt.Errorf("the tenant %s is named twice", tenant.Name)
+			return nil, fmt.Errorf("tenant %s is defined twice", tenant.Name)
 		}
 		tenant.index()
 		rights.tenants[tenant.Name] = &tenant
 	}
 	if unsigned != "" && rights.tenants[unsigned] == nil {
-		return nil, fmt.Errorf("unsigned callers are of the tenant %s, which is not there", unsigned)
+		return nil, fmt.Errorf("unsigned callers belong to tenant %s, which is not defined", unsigned)
 	}
 	return rights, nil
 }
@@ -180,33 +180,33 @@
 // Unsigned returns the tenant of callers without a token, and whether there is one.
 func (r *Rights) Unsigned() (tenant string, ok bool) { return r.unsigned, r.unsigned != "" }
 
-// noRule is the place of the rule where none decided.
+// noRule is the rule index of a decision that no rule made.
 const noRule = -1
 
-// Decision is an explained answer.
+// Decision is an authorization decision with the rule that made it.
 type Decision struct {
 	Reason Reason
-	Rule   int // of the tenant, from 0, that decided; -1: none did
+	Rule   int // index of the tenant's rule that decided; -1 if none did
 }
 
-// Authorize decides whether a tenant may do what it wants. It looks only at the rules that name the class.
+// Authorize decides whether a tenant has the right to an access. It evaluates only the rules that apply to the class.
 func (r *Rights) Authorize(tenantName string, access Access) Decision {
 	tenant := r.tenants[tenantName]
 	if tenant == nil {
 		return Decision{UnknownTenant, noRule}
 	}
 	allowedBy := noRule
-	for _, places := range [2][]int{tenant.byClass[access.Class], tenant.forAll} {
-		for _, place := range places {
-			rule := &tenant.Rules[place]
+	for _, indexes := range [2][]int{tenant.byClass[access.Class], tenant.anyClassRules} {
+		for _, index := range indexes {
+			rule := &tenant.Rules[index]
 			if !rule.covers(access) {
 				continue
 			}
 			if rule.Deny {
-				return Decision{NoRight, place}
+				return Decision{NoRight, index}
 			}
 			if allowedBy == noRule {
-				allowedBy = place
+				allowedBy = index
 			}
 		}
 	}
--- a/internal/identity/source.go
+++ b/internal/identity/source.go
@@ -5,21 +5,21 @@
 	"net/netip"
 )
 
-// Source is the origin of callers: an IPv4 address, or an IPv6 network, in which one host can have any number of
-// addresses. All connections of a source share a budget, so that a client gains nothing by reconnecting.
+// Source is the origin of callers: an IPv4 address, or an IPv6 /64 network, since one host can use any number of
+// addresses in its network. All connections of a source share a budget, so that a client gains nothing by reconnecting.
 type Source struct {
 	budget     checkBudget
-	rejections recentRejections // for want of a budget
+	rejections recentRejections // for lack of budget
 }
 
-// Sources remembers the most recently seen sources.
+// Sources is an LRU cache of sources.
 //
-// Invariant: there are at most maxSources; the least recently seen one is evicted. Open connections keep their
+// Invariant: there are at most maxSources sources; the least recently used one is evicted. Open connections keep their
 // Source.
 type Sources struct {
 	maxSources int
 	byPrefix   map[netip.Prefix]*list.Element
-	recent     *list.List // of *knownSource, the last met first
+	recent     *list.List // of *knownSource, most recently used first
 }
 
 type knownSource struct {
@@ -27,7 +27,7 @@
 	source *Source
 }
 
-// NewSources returns an empty set for at most maxSources, and one at least.
+// NewSources returns an empty cache for at most maxSources sources. Values below 1 count as 1.
 func NewSources(maxSources int) *Sources {
 	return &Sources{
 		maxSources: max(1, maxSources),
@@ -36,11 +36,11 @@
 	}
 }
 
-// sourceBits is the part of an IPv6 address that tells sources apart: the rest is a host's own to choose (RFC 4291,
-// 2.5.1).
+// sourceBits is the prefix length in bits of an IPv6 source: a host chooses the rest of its address itself (RFC 4291,
+// section 2.5.1).
 const sourceBits = 64
 
-// Of returns the source of an address.
+// Of returns the source of an address, and adds it if it is not cached.
 func (s *Sources) Of(address netip.Addr) *Source {
 	prefix := sourcePrefix(address)
 	if element := s.byPrefix[prefix]; element != nil {
@@ -50,14 +50,14 @@
 	added := &knownSource{prefix: prefix, source: &Source{}}
 	s.byPrefix[prefix] = s.recent.PushFront(added)
 	if s.recent.Len() > s.maxSources {
-		last := s.recent.Back()
-		delete(s.byPrefix, last.Value.(*knownSource).prefix)
-		s.recent.Remove(last)
+		oldest := s.recent.Back()
+		delete(s.byPrefix, oldest.Value.(*knownSource).prefix)
+		s.recent.Remove(oldest)
 	}
 	return added.source
 }
 
-// sourcePrefix returns the addresses that are one source with an address. Those that are no address are one source.
+// sourcePrefix returns the prefix that identifies the source of an address. All invalid addresses are one source.
 func sourcePrefix(address netip.Addr) netip.Prefix {
 	address = address.Unmap().WithZone("")
 	bits := address.BitLen()
@@ -71,5 +71,5 @@
 	return prefix
 }
 
-// Len returns the number of sources that are remembered.
+// Len returns the number of cached sources.
 func (s *Sources) Len() int { return s.recent.Len() }
--- a/internal/identity/source_test.go
+++ b/internal/identity/source_test.go
@@ -9,15 +9,15 @@
 	"pgregory.net/rapid"
 )
 
-// TestSources: an address is one source, and so is an IPv6 network of 64 bits; the number held is bounded, and the
-// source that was met longest ago makes way. The plain model is a list in the order of meeting.
-func TestSources(t *testing.T) {
+// TestSourcesMatchReferenceList compares random lookups with a list in order of use: an IPv4 address is one source, and
+// so is an IPv6 /64 network; the number of sources is bounded, and the least recently used one is evicted.
+func TestSourcesMatchReferenceList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maxSources := rapid.IntRange(1, 8).Draw(t, "sources")
 		s := NewSources(maxSources)
-		var order []string // the newest last
-		of := map[string]*Source{}
-		for range rapid.IntRange(1, 200).Draw(t, "meetings") {
+		var order []string // most recently used last
+		sourceByName := map[string]*Source{}
+		for range rapid.IntRange(1, 200).Draw(t, "lookups") {
 			n := rapid.IntRange(0, 11).Draw(t, "host")
 			name, address := fmt.Sprint(n), netip.Addr{}
 			switch {
@@ -28,101 +28,106 @@
 				}
 			case n < 11:
 				a := [16]byte{0x20, 1, 7: byte(n)}
-				a[15] = rapid.Byte().Draw(t, "the host's own part")
+				a[15] = rapid.Byte().Draw(t, "interface identifier")
 				address = netip.AddrFrom16(a)
 			}
 			got := s.Of(address)
 			for i, o := range order {
 				if o == name {
-					if got != of[name] {
-						t.Fatalf("%v is another source than before", address)
+					if got != sourceByName[name] {
+						t.Fatalf("%v: got another source than before, want the same", address)
 					}
 					order = append(order[:i], order[i+1:]...)
 					break
 				}
 			}
-			order, of[name] = append(order, name), got
+			order, sourceByName[name] = append(order, name), got
 			if len(order) > maxSources {
 				order = order[1:]
 			}
 			for _, o := range order {
-				if o != name && of[o] == got {
-					t.Fatalf("%v is the same source as %s", address, o)
+				if o != name && sourceByName[o] == got {
+					t.Fatalf("%v: got the source of host %s, want another", address, o)
 				}
 			}
 			if s.Len() != len(order) {
-				t.Fatalf("%d sources held, want %d", s.Len(), len(order))
+				t.Fatalf("got %d sources, want %d", s.Len(), len(order))
 			}
 		}
 	})
 }
 
-// TestPaced: a flood of bad tokens has its connection paced, and a new connection from there until something of it is
-// admitted; not others; and a second after it ends all is as before.
-func TestPaced(t *testing.T) {
-	m := newMaker(t)
-	ed := m.key("k1", EdDSA)
-	g := newTestAuthenticator(t, ed)
+// TestFloodIsPaced checks that a flood of invalid tokens causes pacing of its connection, and of each new connection
+// from the same source until one of its calls is admitted, but not of others, and that the pacing ends one second after
+// the flood.
+func TestFloodIsPaced(t *testing.T) {
+	issuer := newTokenIssuer(t)
+	ed := issuer.key("k1", EdDSA)
+	a := newTestAuthenticator(t, ed)
 	now := start
 	sources := NewSources(10)
 	here, there := netip.MustParseAddr("127.0.0.1"), netip.MustParseAddr("127.0.0.2")
 	flood := &Caller{Frontend: "rpc", Source: sources.Of(here)}
-	good := m.token(ed, nil)
-	proven := &Caller{Frontend: "rpc", Source: sources.Of(here)}
-	if o := call(g, now, &Call{Caller: proven, Token: good, Access: charge}); o.Reason != Allowed {
-		t.Fatalf("a good token: %v", o.Reason)
+	good := issuer.token(ed, nil)
+	admitted := &Caller{Frontend: "rpc", Source: sources.Of(here)}
+	if o := call(a, now, &Call{Caller: admitted, Token: good, Access: charge}); o.Reason != Allowed {
+		t.Fatalf("valid token: got %v, want allowed", o.Reason)
 	}
 	jobs, busy := 0, 0
 	for i := range 2000 {
 		now += 100 * time.Microsecond
-		o, j := g.Authenticate(now, &Call{Caller: flood, Token: badToken(good, i), Access: charge})
+		o, j := a.Authenticate(now, &Call{Caller: flood, Token: invalidToken(good, i), Access: charge})
 		if j != nil {
 			jobs++
 			claims, reason := Verify(j.Token, j.Key)
-			g.SignatureChecked(now, j, claims, reason)
+			a.SignatureChecked(now, j, claims, reason)
 		} else if o.Reason == Busy {
 			busy++
 		}
 	}
 	if jobs > 2*newBucketTokens || busy < 1900 {
-		t.Errorf("%d signatures of the flood were checked, %d held off", jobs, busy)
+		t.Errorf("flood: got %d signatures checked and %d calls busy, want fewer checks or more busy", jobs, busy)
 	}
-	bought := 0
+	checksAfterReconnect := 0
 	for i := range 400 {
 		now += 500 * time.Microsecond
 		c := &Caller{Frontend: "rpc", Source: sources.Of(here)}
-		if _, j := g.Authenticate(now, &Call{Caller: c, Token: badToken(good, 500_000+i), Access: charge}); j != nil {
-			bought++
+		if _, j := a.Authenticate(now, &Call{
+			Caller: c, Token: invalidToken(good, 500_000+i), Access: charge,
+		}); j != nil {
+			checksAfterReconnect++
 			claims, reason := Verify(j.Token, j.Key)
-			g.SignatureChecked(now, j, claims, reason)
+			a.SignatureChecked(now, j, claims, reason)
 		}
 	}
-	if bought > 12 {
-		t.Errorf("connecting anew 400 times bought %d signatures", bought)
+	if checksAfterReconnect > 12 {
+		t.Errorf("signatures checked over 400 new connections: got %d, want at most 12", checksAfterReconnect)
 	}
-	again := &Caller{Frontend: "rpc", Source: sources.Of(here)}
+	reconnected := &Caller{Frontend: "rpc", Source: sources.Of(here)}
 	elsewhere := &Caller{Frontend: "rpc", Source: sources.Of(there)}
 	for name, c := range map[string]struct {
 		caller *Caller
 		want   bool
 	}{
-		"the flood":                    {flood, true},
-		"a new connection from there":  {again, true},
-		"one that was admitted before": {proven, false},
-		"another source":               {elsewhere, false},
+		"flooding connection":                 {flood, true},
+		"new connection from there":           {reconnected, true},
+		"connection that was admitted before": {admitted, false},
+		"connection from another source":      {elsewhere, false},
 	} {
 		if c.caller.Paced(now) != c.want {
-			t.Errorf("%s: paced %v, want %v", name, !c.want, c.want)
+			t.Errorf("%s: got paced %v, want %v", name, !c.want, c.want)
 		}
 	}
-	if o := call(g, now, &Call{Caller: again, Token: good, Access: charge}); o.Reason != Allowed || again.Paced(now) {
-		t.Errorf("a remembered token on the new connection: %v, still paced %v", o.Reason, again.Paced(now))
+	if o := call(a, now, &Call{Caller: reconnected, Token: good, Access: charge}); o.Reason != Allowed ||
+		reconnected.Paced(now) {
+		t.Errorf("cached token on the new connection: got %v, paced %v; want allowed, not paced", o.Reason,
+			reconnected.Paced(now))
 	}
 	if !flood.Paced(now - time.Millisecond) {
-		t.Error("within a round that began before its last call the flood is not paced")
+		t.Error("flood at the start of the round of its last call: got not paced, want paced")
 	}
-	if now += rejectionMemory + time.Millisecond; flood.Paced(now) {
-		t.Error("the flood is paced for longer than it is remembered")
+	if now += rejectionRetention + time.Millisecond; flood.Paced(now) {
+		t.Error("flood after rejectionRetention: got paced, want not paced")
 	}
 }
 
--- a/internal/identity/token.go
+++ b/internal/identity/token.go
@@ -9,37 +9,37 @@
 	"github.com/golang-jwt/jwt/v5"
 )
 
-// What a token may have at most, in bytes.
+// Size limits of tokens in bytes.
 const (
-	MaxTokenBytes = 4096 // of a token that is looked at
+	MaxTokenBytes = 4096 // longer tokens are not parsed
 
 	maxSubjectBytes = 256
 	maxTenantBytes  = 256
 	maxTokenIDBytes = 128
 )
 
-// Members of a token's header (RFC 7515, section 4.1).
+// Header parameters of a token (RFC 7515, section 4.1).
 const (
 	headerKeyID     = "kid"
 	headerAlgorithm = "alg"
 	headerCritical  = "crit"
 )
 
-// Claims is what a verified token says. Times are on the Unix clock.
+// Claims holds the claims of a verified token. Times are Unix time.
 type Claims struct {
 	ID         string
 	Subject    string
 	Tenant     string
-	KeyID      string        // of the key that signed it
-	Site       string        // that its subject calls from; empty: not told
-	Thumbprint string        // of the client certificate that it is bound to (RFC 8705); empty: to none
-	NotBefore  time.Duration // 0: not told
+	KeyID      string        // of the key that signed the token
+	Site       string        // that the subject calls from; empty if absent
+	Thumbprint string        // of the client certificate that the token is bound to (RFC 8705); empty if none
+	NotBefore  time.Duration // 0 if absent
 	Expires    time.Duration
-	Issued     time.Duration // 0: not told
+	Issued     time.Duration // 0 if absent
 	audience   []string
 }
 
-// tokenBody is a token's claims in JSON.
+// tokenBody is the JSON form of a token's claims.
 type tokenBody struct {
 	jwt.RegisteredClaims
 	Tenant       string `json:"tenant"`
@@ -49,15 +49,15 @@
 	} `json:"cnf,omitzero"`
 }
 
-// Policy is the requirements on tokens besides a valid signature.
+// Policy holds the requirements on tokens besides a valid signature.
 type Policy struct {
-	Audience    string        // that tokens must be for; empty: any
-	Skew        time.Duration // of the callers' clocks, either way
-	MaxLifetime time.Duration // a token may be valid for so long at most; 0: any time
+	Audience    string        // that tokens must name; empty: any
+	Skew        time.Duration // tolerated clock difference in either direction
+	MaxLifetime time.Duration // longest validity period of a token; 0: unlimited
 }
 
-// ParseHeader reads a token's key id and algorithm without checking its signature: it says which key to look for and
-// nothing more.
+// ParseHeader returns a token's key id and algorithm without checking its signature. The result may be used only to
+// look up the key.
 func ParseHeader(token string) (keyID string, algorithm Algorithm, reason Reason) {
 	if token == "" {
 		return "", "", Unsigned
@@ -81,11 +81,11 @@
 	return id, "", WrongAlgorithm
 }
 
-// Verify verifies a token's signature with a key and returns its claims. It is expensive, uses nothing but its
-// arguments, and may run on any goroutine. Policy.Check decides whether the claims are valid at a time.
+// Verify verifies a token's signature with a key and returns its claims. It is expensive, uses only its arguments, and
+// may run on any goroutine. Policy.Check decides whether the claims are valid at a time.
 func Verify(token string, key *Key) (Claims, Reason) {
 	var body tokenBody
-	// The algorithm is the key's, whatever the token says.
+	// The key determines the algorithm, whatever the token's header says.
 	methods := jwt.WithValidMethods([]string{string(key.Algorithm)})
 	parser := jwt.NewParser(methods, jwt.WithoutClaimsValidation())
 	_, err := parser.ParseWithClaims(token, &body, func(*jwt.Token) (any, error) { return key.Public, nil })
@@ -109,7 +109,7 @@
 	}, Allowed
 }
 
-// isComplete reports whether a token says all that it must, within the bounds.
+// isComplete reports whether a token has all required claims within the size limits.
 func (b *tokenBody) isComplete() bool {
 	return b.Subject != "" && len(b.Subject) <= maxSubjectBytes &&
 		b.ID != "" && len(b.ID) <= maxTokenIDBytes &&
@@ -117,7 +117,7 @@
 		sinceEpoch(b.ExpiresAt) > 0
 }
 
-// sinceEpoch returns a date on the Unix clock; 0: there is none.
+// sinceEpoch returns a date as Unix time, or 0 if there is none.
 func sinceEpoch(date *jwt.NumericDate) time.Duration {
 	if date == nil {
 		return 0
@@ -125,7 +125,7 @@
 	return time.Duration(date.UnixNano())
 }
 
-// numericDate is the reverse of sinceEpoch.
+// numericDate is the inverse of sinceEpoch.
 func numericDate(sinceEpoch time.Duration) *jwt.NumericDate {
 	if sinceEpoch <= 0 {
 		return nil
@@ -133,12 +133,14 @@
 	return jwt.NewNumericDate(time.Unix(0, int64(sinceEpoch)))
 }
 
-// Check decides whether claims are valid at a time: by their own times and audience, their key and the revocations.
+// Check decides whether claims are valid at a time, by their validity period, audience, key and the revocations. now is
+// Unix time.
 func (p *Policy) Check(now time.Duration, claims *Claims, keys *Keys, revoked *Revocations) Reason {
 	return p.check(now, claims, keys, revoked, false)
 }
 
-// check is Check; wasValid says that key and token were valid before, which setting the clock back must not undo.
+// check implements Check. wasValid says that key and token have been valid before; they do not become pending again
+// when the clock is set back.
 func (p *Policy) check(now time.Duration, claims *Claims, keys *Keys, revoked *Revocations, wasValid bool) Reason {
 	key := keys.Get(claims.KeyID)
 	switch {
@@ -162,7 +164,8 @@
 	return Allowed
 }
 
-// Sign makes a token; key is an ed25519.PrivateKey or an *ecdsa.PrivateKey, of the algorithm and the id.
+// Sign returns a signed token. key is the private key with the id keyID, an ed25519.PrivateKey for EdDSA or an
+// *ecdsa.PrivateKey for ES256.
 func Sign(claims Claims, audience string, algorithm Algorithm, keyID string, key any) (string, error) {
 	var method jwt.SigningMethod
 	switch algorithm {
@@ -171,7 +174,7 @@
 	case ES256:
 		method = jwt.SigningMethodES256
 	default:
-		return "", errors.New("no such algorithm: " + string(algorithm))
+		return "", errors.New("unknown algorithm: " + string(algorithm))
 	}
 	body := tokenBody{Tenant: claims.Tenant, Site: claims.Site}
 	body.ID = claims.ID
@@ -191,7 +194,7 @@
 // ParseUnverified returns a token's header and claims without verifying its signature.
 func ParseUnverified(token string) (header, claims map[string]any, err error) {
 	if len(token) > MaxTokenBytes {
-		return nil, nil, errors.New("the token is too long")
+		return nil, nil, errors.New("token exceeds the maximum length")
 	}
 	body := jwt.MapClaims{}
 	parsed, _, err := jwt.NewParser().ParseUnverified(token, body)
--- a/internal/identity/tokenbucket.go
+++ b/internal/identity/tokenbucket.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// newBucketTokens is the initial level: a client must not gain a burst by reconnecting.
+// newBucketTokens is the maximum initial level, so that a client does not gain a full burst by reconnecting.
 const newBucketTokens = 32
 
-// tokenBucket is a rate limit with a burst of one second's tokens, and one token at least.
+// tokenBucket is a rate limiter with a burst of one second's tokens, but at least one token.
 type tokenBucket struct {
 	tokens  float64
 	updated time.Duration // 0: never
 }
 
-// take takes one token, or returns how long to wait until there is one.
+// take takes one token. If there is none, it returns how long to wait for one and false.
 func (b *tokenBucket) take(now time.Duration, perSecond float64) (wait time.Duration, ok bool) {
 	if b.updated == 0 {
 		b.tokens = min(perSecond, newBucketTokens)
--- a/internal/identity/tokencache.go
+++ b/internal/identity/tokencache.go
@@ -9,18 +9,18 @@
 type verifiedToken struct {
 	hash     tokenHash
 	claims   Claims
-	key      *Key // whose signature it is
-	wasValid bool // it was found valid at some time
+	key      *Key // that verified the signature
+	wasValid bool // the policy has found it valid at some time
 	element  *list.Element
 }
 
 // tokenCache is an LRU cache of verified tokens.
 //
-// Invariant: there are at most maxTokens; the least recently used one is evicted.
+// Invariant: there are at most maxTokens tokens; the least recently used one is evicted.
 type tokenCache struct {
 	maxTokens int
 	byHash    map[tokenHash]*verifiedToken
-	recent    *list.List // of *verifiedToken, the last met first
+	recent    *list.List // of *verifiedToken, most recently used first
 }
 
 func newTokenCache(maxTokens int) *tokenCache {
@@ -51,14 +51,14 @@
 	c.recent.Remove(token.element)
 }
 
-// expire removes those of the maxLooks least recently used tokens that had expired by a time on the Unix clock.
-func (c *tokenCache) expire(endedBy time.Duration, maxLooks int) {
+// expire examines the maxExamined least recently used tokens and removes those that had expired by a Unix time.
+func (c *tokenCache) expire(expiredBy time.Duration, maxExamined int) {
 	element := c.recent.Back()
-	for ; element != nil && maxLooks > 0; maxLooks-- {
-		before := element.Prev()
-		if token := element.Value.(*verifiedToken); endedBy >= token.claims.Expires {
+	for ; element != nil && maxExamined > 0; maxExamined-- {
+		previous := element.Prev()
+		if token := element.Value.(*verifiedToken); expiredBy >= token.claims.Expires {
 			c.remove(token)
 		}
-		element = before
+		element = previous
 	}
 }
