--- a/internal/identity/files/files_test.go
+++ b/internal/identity/files/files_test.go
@@ -22,7 +22,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			calls := make(chan bool, 100)
-			signature := "first"
+			fingerprint := "first"
 			stop, stopped := make(chan struct{}), make(chan struct{})
 			go func() {
 				defer close(stopped)
@@ -32,7 +32,7 @@
 					if reads > 1 {
 						return "changed"
 					}
-					return signature
+					return fingerprint
 				}, func() error {
 					calls <- true
 					if len(calls) == 1 {
--- a/internal/identity/keydir/keydir_test.go
+++ b/internal/identity/keydir/keydir_test.go
@@ -120,7 +120,7 @@
 		"invalid time": {strings.Replace(string(valid), `"not_before": "2`, `"not_before": "x`, 1), 0o644,
 			"not_before"},
 		"trailing data":     {string(valid) + "{}", 0o644, "unexpected data after"},
-		"no point of P-256": {strings.Replace(string(valid), `"y": "`, `"y": "A`, 1), 0o644, "y: expected 32 bytes"},
+		"wrong length of y": {strings.Replace(string(valid), `"y": "`, `"y": "A`, 1), 0o644, "y: expected 32 bytes"},
 	} {
 		if err := os.Remove(path); err != nil {
 			t.Fatal(err)
--- a/internal/identity/keys_test.go
+++ b/internal/identity/keys_test.go
@@ -23,7 +23,7 @@
 			at  time.Duration
 		}
 		var tokens []signed
-		state := func(now time.Duration) *Keys {
+		keysAt := func(now time.Duration) *Keys {
 			s := &Keys{byID: map[string]*Key{}}
 			for _, k := range keys {
 				s.byID[k.ID] = k
@@ -40,18 +40,18 @@
 				keys = append(keys, k)
 				next = now + rotation.Publish + rotation.Accept // one rotation at a time
 			}
-			signer := state(now).Signer(now)
+			signer := keysAt(now).Signer(now)
 			if signer == nil {
 				t.Fatalf("signer at %v: got none, want one", now-start)
 			}
 			tokens = append(tokens, signed{signer, now})
 			for _, s := range tokens {
-				st := s.key.State(now)
-				if now-s.at < lifetime && (st == KeyPending || st == KeyRetired) {
-					t.Fatalf("token signed %v ago: got key %s %v, want signing or accepted", now-s.at, s.key.ID, st)
+				state := s.key.State(now)
+				if now-s.at < lifetime && (state == KeyPending || state == KeyRetired) {
+					t.Fatalf("token signed %v ago: got key %s %v, want signing or accepted", now-s.at, s.key.ID, state)
 				}
-				if s.key.RetireAfter > 0 && now >= s.key.RetireAfter && st != KeyRetired {
-					t.Fatalf("key %s after its end: got state %v, want retired", s.key.ID, st)
+				if s.key.RetireAfter > 0 && now >= s.key.RetireAfter && state != KeyRetired {
+					t.Fatalf("key %s after its end: got state %v, want retired", s.key.ID, state)
 				}
 			}
 		}
--- a/internal/identity/keyset.go
+++ b/internal/identity/keyset.go
@@ -101,7 +101,7 @@
 
 // Rotation holds the durations of the phases of a key rotation.
 type Rotation struct {
-	Publish time.Duration // from publication until the new key is accepted, by when every reader must have it
+	Publish time.Duration // from publication until the new key is accepted; every reader must have it by then
 	Accept  time.Duration // from acceptance until the new key signs
 	Overlap time.Duration // from then until the old key retires; as long as the longest lifetime of a token
 }
--- a/internal/identity/rights.go
+++ b/internal/identity/rights.go
@@ -12,7 +12,7 @@
 type Access struct {
 	Class    string
 	Frontend string // rpc, tls or dns
-	Site     string // that the caller calls from; empty if unknown
+	Site     string // where the caller calls from; empty if unknown
 	Group    int    // -1 if unknown
 	Object   uint64
 }
--- a/internal/identity/source_test.go
+++ b/internal/identity/source_test.go
@@ -86,7 +86,7 @@
 		}
 	}
 	if jobs > 2*newBucketTokens || busy < 1900 {
-		t.Errorf("flood: got %d signatures checked and %d calls busy, want fewer checks or more busy", jobs, busy)
+		t.Errorf("flood: got %d signature checks, %d busy calls, want at most 64, at least 1900", jobs, busy)
 	}
 	checksAfterReconnect := 0
 	for i := range 400 {
--- a/internal/identity/tlslistener/faults.go
+++ b/internal/identity/tlslistener/faults.go
@@ -21,16 +21,16 @@
 }
 
 // shouldLog reports whether to log an error of a source now.
-func (f *errorLogLimiter) shouldLog(now time.Time, source string) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	last, known := f.loggedAt[source]
-	if len(f.loggedAt) >= maxErrorSources && !known {
-		clear(f.loggedAt)
+func (l *errorLogLimiter) shouldLog(now time.Time, source string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	last, known := l.loggedAt[source]
+	if len(l.loggedAt) >= maxErrorSources && !known {
+		clear(l.loggedAt)
 	}
 	if known && now.Sub(last) < errorLogInterval {
 		return false
 	}
-	f.loggedAt[source] = now
+	l.loggedAt[source] = now
 	return true
 }
--- a/internal/identity/tsig/tsig.go
+++ b/internal/identity/tsig/tsig.go
@@ -73,7 +73,7 @@
 // verify reports whether the signature verifies with the key.
 func (s *QuerySignature) verify(packet []byte) bool {
 	// TsigVerify modifies its input, so it gets a copy. It checks the signature first, and then the time by the system
-	// clock. isTimeValid decides about the time instead.
+	// clock. isTimeValid checks the time instead.
 	err := dns.TsigVerify(slices.Clone(packet), s.key.Secret, "", false)
 	return err == nil || errors.Is(err, dns.ErrTime)
 }
--- a/internal/identity/tsig/tsig_test.go
+++ b/internal/identity/tsig/tsig_test.go
@@ -158,7 +158,7 @@
 		if err != nil || s == nil {
 			return
 		}
-		// The signature covers the whole question. It does not cover the message id, the case of names and data after
+		// The signature covers the whole question. It covers neither the message id, the case of names nor data after
 		// the message.
 		sameQuestion := len(m.Question) == 1 && strings.EqualFold(m.Question[0].String(), signed.Question[0].String())
 		sameSignature := s.record.MAC == signed.IsTsig().MAC && s.record.TimeSigned == signed.IsTsig().TimeSigned
