--- a/internal/frontend/dns/dns.go
+++ b/internal/frontend/dns/dns.go
@@ -67,7 +67,7 @@
 		byRequest:      map[*broker.Request]*flight{},
 		pending:        map[string]*pendingQuery{},
 		clients:        connlimit.New(options.MaxConnections, tcpIdleTimeout),
-		unsignedCaller: identity.Caller{Front: "dns"},
+		unsignedCaller: identity.Caller{Frontend: "dns"},
 	}
 }
 
--- a/internal/frontend/dns/query.go
+++ b/internal/frontend/dns/query.go
@@ -27,9 +27,9 @@
 	transaction string        // the client's address, id and question, which a retransmitted query repeats
 	receivedAt  time.Duration // the earliest time at which it may have arrived
 	reply       func([]byte)
-	maxBytes    int          // limit on the size of its answer
-	stream      *stream      // nil: it arrived over UDP
-	signed      *tsig.Signed // nil: the query is not signed
+	maxBytes    int                  // limit on the size of its answer
+	stream      *stream              // nil: it arrived over UDP
+	signed      *tsig.QuerySignature // nil: the query is not signed
 }
 
 // status is an answer without records.
