--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,7 +1,8 @@
-// Package cli is the command line of sloequay. It stands apart from cmd/sloequay so that the tests can run it in a
-// process of their own, under the system-call filter of the platform.
+// Package cli implements the command line of sloequay. It is separate from cmd/sloequay so that tests can run it in a
+// separate process, under the platform's system-call filter.
 //
-// Each command has a file with the struct of its flags, a function that builds the command and the work that it does.
+// Each command has its own file, with a struct for its flags, a function that builds the command, and the function that
+// runs it.
 package cli
 
 import (
@@ -14,7 +15,7 @@
 	"sloequay/internal/clock"
 )
 
-// Main runs the command that the process's arguments name. It exits with 1 after an error.
+// Main runs the command that the process's arguments name. On an error, it exits with status 1.
 func Main() {
 	if err := rootCommand(os.Stdout, clock.NewSystem()).Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "sloequay:", err)
@@ -22,7 +23,7 @@
 	}
 }
 
-// rootCommand is the command line. All that it runs goes by one clock.
+// rootCommand returns the command line. All commands use the same clock.
 func rootCommand(out io.Writer, system *clock.System) *cobra.Command {
 	root := &cobra.Command{
 		Use:               "sloequay",
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -9,29 +9,29 @@
 	"sloequay/internal/clock"
 )
 
-// TestCommandsExplainThemselves: each command says what it does, with an example.
-func TestCommandsExplainThemselves(t *testing.T) {
+// TestCommandsHaveHelp checks that each command has a short description, and each but the root an example.
+func TestCommandsHaveHelp(t *testing.T) {
 	var check func(command *cobra.Command)
 	check = func(command *cobra.Command) {
 		if command.Short == "" {
-			t.Errorf("%s says not what it does", command.CommandPath())
+			t.Errorf("%s: got no short description, want one", command.CommandPath())
 		}
 		if command.HasParent() && command.Example == "" {
-			t.Errorf("%s has no example", command.CommandPath())
+			t.Errorf("%s: got no example, want one", command.CommandPath())
 		}
-		for _, below := range command.Commands() {
-			check(below)
+		for _, subcommand := range command.Commands() {
+			check(subcommand)
 		}
 	}
 	check(rootCommand(io.Discard, clock.NewSystem()))
 }
 
-// TestEarlierNames: commands and flags of earlier releases do what those that have taken their place do.
-func TestEarlierNames(t *testing.T) {
+// TestDeprecatedNames checks that commands and flags of earlier releases act like those that have replaced them.
+func TestDeprecatedNames(t *testing.T) {
 	cases := map[string]struct {
 		args    []string
-		command string // that is run
-		flag    string // whose value counts
+		command string // the command that is run
+		flag    string // the flag that must have the value
 		value   string
 	}{
 		"command boxes":   {[]string{"boxes", "--wait", "3s"}, "endpoints", "wait", "3s"},
@@ -42,13 +42,13 @@
 		t.Run(name, func(t *testing.T) {
 			command, args, err := rootCommand(io.Discard, clock.NewSystem()).Find(example.args)
 			if err != nil || command.Name() != example.command {
-				t.Fatalf("got the command %q, %v, want %q", command.Name(), err, example.command)
+				t.Fatalf("got command %q, error %v, want command %q", command.Name(), err, example.command)
 			}
 			if err := command.ParseFlags(args); err != nil {
 				t.Fatal(err)
 			}
 			if got := command.Flags().Lookup(example.flag).Value.String(); got != example.value {
-				t.Errorf("--%s is %q, want %q", example.flag, got, example.value)
+				t.Errorf("--%s: got %q, want %q", example.flag, got, example.value)
 			}
 		})
 	}
--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -15,24 +15,24 @@
 )
 
 var (
-	errNoPlan      = errors.New("either a plan's file or --draw")
-	errCheckFailed = errors.New("not all held")
+	errNoPlan      = errors.New("expected either the file of a plan or --draw")
+	errCheckFailed = errors.New("at least one check failed")
 )
 
-// drillOptions are the flags of `sloequay drill`.
+// drillOptions holds the flags of `sloequay drill`.
 type drillOptions struct {
 	seed      uint64
-	proxies   int // 0: the plan's number
+	proxies   int // 0: as many as the plan says
 	reportDir string
 	draw      bool
 }
 
-// drillCommand is `sloequay drill`.
+// drillCommand returns the command `sloequay drill`.
 func drillCommand(out io.Writer) *cobra.Command {
 	var options drillOptions
 	command := &cobra.Command{
 		Use:   "drill [FILE]",
-		Short: "Start many proxies with faults between them by a plan, and say what held",
+		Short: "Run many proxies through the faults of a plan, and check the plan's invariants",
 		Example: "  sloequay drill deploy/drill/cold-start.conf --proxies 30 --report /tmp/report\n" +
 			"  sloequay drill --draw --seed 7",
 		Args: cobra.MaximumNArgs(1),
@@ -45,17 +45,17 @@
 		},
 	}
 	flags := command.Flags()
-	flags.Uint64Var(&options.seed, "seed", 1, "of everything that is drawn by lot")
-	flags.IntVar(&options.proxies, "proxies", 0, "processes to start, instead of the plan's number")
-	flags.IntVar(&options.proxies, "doormans", 0, "the name of --proxies in earlier releases")
+	flags.Uint64Var(&options.seed, "seed", 1, "seed of all random choices")
+	flags.IntVar(&options.proxies, "proxies", 0, "number of proxies to start, instead of the plan's")
+	flags.IntVar(&options.proxies, "doormans", 0, "former name of --proxies")
 	_ = flags.MarkHidden("doormans")
-	flags.StringVar(&options.reportDir, "report", "", "folder for the logs of all processes and the time line as plots")
+	flags.StringVar(&options.reportDir, "report", "", "directory for the logs of all processes and the timeline plots")
 	flags.BoolVar(&options.draw, "draw", false,
-		"draw the plan by the seed; it is printed first, so that it can be saved")
+		"generate a random plan from the seed, and print it first so that it can be saved")
 	return command
 }
 
-// plan loads the plan that the arguments name, or draws and prints one.
+// plan loads the plan that the arguments name, or generates and prints a random one.
 func (options drillOptions) plan(out io.Writer, args []string) (*drill.Plan, error) {
 	var plan *drill.Plan
 	var err error
@@ -78,7 +78,7 @@
 	return plan, nil
 }
 
-// runDrill plays a plan and prints what had to hold and did.
+// runDrill runs a plan and prints the outcome of its checks.
 func runDrill(out io.Writer, plan *drill.Plan, options drillOptions) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// printChecks prints what had to hold as a table.
+// printChecks prints the outcome of each check as a table.
 func printChecks(out io.Writer, result *drill.Result) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "\nHELD\tWHAT\tFOUND")
@@ -126,7 +126,7 @@
 	return table.Flush()
 }
 
-// writeTimeline writes the time line into the report's folder and has it drawn.
+// writeTimeline writes the timeline into the report directory, and plots it.
 func writeTimeline(out io.Writer, result *drill.Result, self, dir string) error {
 	if err := os.WriteFile(filepath.Join(dir, "timeline.json"), result.Timeline().JSON(), 0o600); err != nil {
 		return err
@@ -136,14 +136,14 @@
 	return nil
 }
 
-// drawTimeline has the command chart, which is built beside this one, draw the time line. It is a program of its own
-// since its library would add to the memory of each proxy.
+// drawTimeline plots the timeline with the command chart, which is expected beside this executable. It is a separate
+// program because its plot library would add to the memory of each proxy.
 func drawTimeline(out io.Writer, program, dir string) {
 	if _, err := os.Stat(program); err != nil {
-		fmt.Fprintf(out, "the time line is not drawn, as %s is not built: go run ./cmd/chart %s\n", program, dir)
+		fmt.Fprintf(out, "the timeline is not plotted: %s is missing; run: go run ./cmd/chart %s\n", program, dir)
 		return
 	}
 	if text, err := exec.Command(program, dir).CombinedOutput(); err != nil {
-		fmt.Fprintf(out, "the time line is not drawn: %v: %s", err, text)
+		fmt.Fprintf(out, "the timeline is not plotted: %v: %s", err, text)
 	}
 }
--- a/internal/cli/endpoints.go
+++ b/internal/cli/endpoints.go
@@ -9,19 +9,19 @@
 	"sloequay/internal/proxy"
 )
 
-// endpointsOptions are the flags of `sloequay endpoints`.
+// endpointsOptions holds the flags of `sloequay endpoints`.
 type endpointsOptions struct {
 	files fileOptions
 	fetch proxy.EndpointsOptions
 }
 
-// endpointsCommand is `sloequay endpoints`.
+// endpointsCommand returns the command `sloequay endpoints`.
 func endpointsCommand(out io.Writer, system *clock.System) *cobra.Command {
 	var options endpointsOptions
 	command := &cobra.Command{
 		Use:     "endpoints",
-		Aliases: []string{"boxes"}, // its name in earlier releases
-		Short:   "Ask the sources of endpoints once and print the merged view",
+		Aliases: []string{"boxes"}, // name in earlier releases
+		Short:   "Poll each source of endpoints once and print the merged view",
 		Example: "  sloequay endpoints --config config.json --conf deploy/sloequay.conf --wait 5s",
 		Args:    cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
@@ -34,6 +34,6 @@
 	}
 	options.files.addFlags(command)
 	command.Flags().DurationVar(&options.fetch.Wait, "wait", proxy.DefaultEndpointsWait,
-		"how long the sources are given")
+		"timeout for each source")
 	return command
 }
--- a/internal/cli/files.go
+++ b/internal/cli/files.go
@@ -10,38 +10,38 @@
 	"sloequay/internal/proxy"
 )
 
-// fileOptions are the flags that name the two files of a proxy.
+// fileOptions holds the flags that name the two configuration files of a proxy.
 type fileOptions struct {
-	config   string // the platform's configuration
-	settings string // ours; empty: all that is in them is off
+	configPath   string // the platform configuration
+	settingsPath string // the proxy's own settings; empty: all that they configure is off
 }
 
-// addFlags adds them to a command.
+// addFlags adds the flags to a command.
 func (options *fileOptions) addFlags(command *cobra.Command) {
-	command.Flags().StringVar(&options.config, "config", os.Getenv("BALANCER_CONFIG"),
-		"the platform's configuration; $BALANCER_CONFIG without it")
-	addSettingsFlag(command, &options.settings)
+	command.Flags().StringVar(&options.configPath, "config", os.Getenv("BALANCER_CONFIG"),
+		"file of the platform configuration; default: $BALANCER_CONFIG")
+	addSettingsFlag(command, &options.settingsPath)
 }
 
-// load reads both files.
+// load reads and checks both files.
 func (options *fileOptions) load(system *clock.System) (*proxy.Plan, error) {
-	return proxy.Load(system, options.config, options.settings)
+	return proxy.Load(system, options.configPath, options.settingsPath)
 }
 
-// addSettingsFlag adds the flag that names our settings.
+// addSettingsFlag adds the flag that names the file of the proxy's own settings.
 func addSettingsFlag(command *cobra.Command, path *string) {
 	command.Flags().StringVar(path, "conf", "",
-		"our settings, as deploy/sloequay.conf; without it all that is in them is off")
+		"file of the proxy's own settings, such as deploy/sloequay.conf; default: all that it configures is off")
 }
 
-// movedFlags are flags of earlier releases, by the block of our settings that has taken their place.
-var movedFlags = map[string]string{"contracts": "contracts", "dns": "dns", "catalog": "catalogue"}
+// replacedFlags maps each flag of earlier releases to the block of the settings that has replaced it.
+var replacedFlags = map[string]string{"contracts": "contracts", "dns": "dns", "catalog": "catalogue"}
 
-// addMovedFlags has a command that is given such a flag say where its settings are now.
-func addMovedFlags(command *cobra.Command) {
-	for flag, block := range movedFlags {
+// addReplacedFlags adds the replaced flags, hidden, to a command. Each returns an error that names the block to use.
+func addReplacedFlags(command *cobra.Command) {
+	for flag, block := range replacedFlags {
 		command.Flags().Func(flag, "", func(string) error {
-			return fmt.Errorf("its settings stand in the block %q of the file that --conf names now; "+
+			return fmt.Errorf("replaced by the block %q in the file that --conf names; "+
 				"deploy/sloequay.conf has an example", block)
 		})
 		_ = command.Flags().MarkHidden(flag)
--- a/internal/cli/key.go
+++ b/internal/cli/key.go
@@ -17,30 +17,30 @@
 	"sloequay/internal/identity/keydir"
 )
 
-// keyEnvironment is what the commands below `key` and `token` share.
+// keyEnvironment holds what the subcommands of `key` and `token` share.
 type keyEnvironment struct {
 	out       io.Writer
 	system    *clock.System
-	directory string // of the keys
+	directory string // directory of the keys
 }
 
-// keyCommand is `sloequay key`, with its commands.
+// keyCommand returns the command `sloequay key` with its subcommands.
 func keyCommand(out io.Writer, system *clock.System) *cobra.Command {
 	keys := &keyEnvironment{out: out, system: system}
-	return keys.group("key", "Keys that tokens are signed by",
+	return keys.groupCommand("key", "Manage the keys that sign tokens",
 		keys.newCommand(), keys.listCommand(), keys.rotateCommand(), keys.retireCommand(), keys.revokeCommand(),
 		keys.tsigCommand())
 }
 
-// group is a command that has others below it, all of which work on one directory.
-func (keys *keyEnvironment) group(use, short string, commands ...*cobra.Command) *cobra.Command {
+// groupCommand returns a command with subcommands that share the flag --dir.
+func (keys *keyEnvironment) groupCommand(use, short string, commands ...*cobra.Command) *cobra.Command {
 	command := &cobra.Command{Use: use, Short: short, Example: "  sloequay " + use + " --help"}
 	command.PersistentFlags().StringVar(&keys.directory, "dir", "keys", "directory of the keys")
 	command.AddCommand(commands...)
 	return command
 }
 
-// load reads the keys of the directory, which must go together.
+// load reads the keys of the directory, and checks that they form a valid set.
 func (keys *keyEnvironment) load() (*identity.Keys, []identity.Key, error) {
 	content, err := keydir.Read(keys.directory)
 	if err != nil {
@@ -50,15 +50,15 @@
 	return set, content.Keys, err
 }
 
-// store writes the keys and prints them.
+// store writes the keys to the directory and prints them.
 func (keys *keyEnvironment) store(list []identity.Key, now time.Duration) error {
 	if err := keydir.WriteKeys(keys.directory, list); err != nil {
 		return err
 	}
-	return writeKeys(keys.out, list, now)
+	return printKeys(keys.out, list, now)
 }
 
-// listCommand is `sloequay key list`.
+// listCommand returns the command `sloequay key list`.
 func (keys *keyEnvironment) listCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "list",
@@ -70,13 +70,13 @@
 			if err != nil {
 				return err
 			}
-			return writeKeys(keys.out, list, keys.system.Unix())
+			return printKeys(keys.out, list, keys.system.Unix())
 		},
 	}
 }
 
-// writeKeys prints keys as a table, and leaves them in the order in which they come into force.
-func writeKeys(out io.Writer, list []identity.Key, now time.Duration) error {
+// printKeys prints keys as a table. It sorts list by the time from which the keys are accepted.
+func printKeys(out io.Writer, list []identity.Key, now time.Duration) error {
 	slices.SortFunc(list, func(one, other identity.Key) int { return cmp.Compare(one.NotBefore, other.NotBefore) })
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "KEY\tALGORITHM\tSTATE\tTAKEN FROM\tSIGNS FROM\tSIGNS UNTIL\tRETIRES")
@@ -89,7 +89,7 @@
 	return table.Flush()
 }
 
-// formatUnix writes a time on the Unix clock; zero is none.
+// formatUnix formats a Unix time. Zero stands for no time and gives "-".
 func formatUnix(at time.Duration) string {
 	if at == 0 {
 		return "-"
@@ -97,12 +97,12 @@
 	return time.Unix(0, int64(at)).UTC().Format(time.RFC3339)
 }
 
-// randomIDBytes is how many random bytes an id has that the operator does not give.
+// randomIDBytes is the number of random bytes in a generated id.
 const randomIDBytes = 6
 
-// randomID draws an id.
+// randomID returns a random id with a prefix.
 func randomID(prefix string) string {
 	random := make([]byte, randomIDBytes)
-	_, _ = rand.Read(random) // it never fails
+	_, _ = rand.Read(random) // never fails
 	return prefix + hex.EncodeToString(random)
 }
--- a/internal/cli/key_new.go
+++ b/internal/cli/key_new.go
@@ -11,23 +11,24 @@
 	"sloequay/internal/identity/keydir"
 )
 
-// errKeysExist is returned for a first key where there are keys.
+// errKeysExist is returned by `sloequay key new` if the directory already has keys.
 var errKeysExist = errors.New(
-	"there are keys already: rotate brings a new one without refusing what the old one signed")
+	"there are keys already: use `key rotate`, which adds a key and keeps tokens of the old one valid for a while")
 
-// newKeyOptions are the flags of the commands that make a key.
+// newKeyOptions holds the flags of the commands that create a key.
 type newKeyOptions struct {
-	id        string // empty: drawn
+	id        string // empty: random
 	algorithm string
 }
 
-// addFlags adds them to a command.
+// addFlags adds the flags to a command.
 func (options *newKeyOptions) addFlags(command *cobra.Command) {
-	command.Flags().StringVar(&options.id, "id", "", "the new key's id; drawn without it")
-	command.Flags().StringVar(&options.algorithm, "algorithm", string(identity.EdDSA), "EdDSA or ES256")
+	command.Flags().StringVar(&options.id, "id", "", "id of the new key; default: random")
+	command.Flags().StringVar(&options.algorithm, "algorithm", string(identity.EdDSA),
+		"signature algorithm: EdDSA or ES256")
 }
 
-// create makes a key in a directory.
+// create creates a key pair, and writes its private key to the directory.
 func (options *newKeyOptions) create(directory string) (identity.Key, error) {
 	id := options.id
 	if id == "" {
@@ -36,12 +37,12 @@
 	return keydir.NewKeyPair(directory, id, identity.Algorithm(options.algorithm))
 }
 
-// newCommand is `sloequay key new`.
+// newCommand returns the command `sloequay key new`.
 func (keys *keyEnvironment) newCommand() *cobra.Command {
 	var options newKeyOptions
 	command := &cobra.Command{
 		Use:     "new",
-		Short:   "Make the first key, in force at once",
+		Short:   "Create the first key, which is in force at once",
 		Example: "  sloequay key new --dir keys --id k1",
 		Args:    cobra.NoArgs,
 		RunE:    func(*cobra.Command, []string) error { return keys.createFirst(options) },
@@ -50,13 +51,13 @@
 	return command
 }
 
-// createFirst makes the first key of a directory, and the directory where it is not there.
+// createFirst creates the first key of a directory, and the directory itself if it does not exist.
 func (keys *keyEnvironment) createFirst(options newKeyOptions) error {
-	_, present, err := keys.load()
+	_, existing, err := keys.load()
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
-	if err == nil && len(present) > 0 {
+	if err == nil && len(existing) > 0 {
 		return errKeysExist
 	}
 	if err := os.MkdirAll(keys.directory, 0o755); err != nil {
--- a/internal/cli/key_retire.go
+++ b/internal/cli/key_retire.go
@@ -9,18 +9,19 @@
 	"sloequay/internal/identity"
 )
 
-// retireCommand is `sloequay key retire`.
+// retireCommand returns the command `sloequay key retire`.
 func (keys *keyEnvironment) retireCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "retire ID",
-		Short:   "Have a key taken no more, from now on",
+		Short:   "Retire a key: tokens that it signed are refused from now on",
 		Example: "  sloequay key retire k1 --dir keys",
 		Args:    cobra.ExactArgs(1),
 		RunE:    func(_ *cobra.Command, args []string) error { return keys.retire(args[0]) },
 	}
 }
 
-// retire ends a key's life now; one that is not in force yet never will be.
+// retire retires a key now. A key that is not accepted yet retires 1 ns after its NotBefore, the earliest time that a
+// key set allows, and so is never used.
 func (keys *keyEnvironment) retire(id string) error {
 	_, list, err := keys.load()
 	if err != nil {
--- a/internal/cli/key_revoke.go
+++ b/internal/cli/key_revoke.go
@@ -10,37 +10,38 @@
 	"sloequay/internal/identity/keydir"
 )
 
-// revokeCommand is `sloequay key revoke`.
+// revokeCommand returns the command `sloequay key revoke`.
 func (keys *keyEnvironment) revokeCommand() *cobra.Command {
-	var length time.Duration
+	var lifetime time.Duration
 	command := &cobra.Command{
 		Use:     "revoke token|subject|key NAME",
-		Short:   "Refuse a token, all of a subject, or all that a key signed",
+		Short:   "Revoke a token, all tokens of a subject, or all tokens that a key signed",
 		Example: "  sloequay key revoke subject lane-2 --dir keys --for 24h",
 		Args:    cobra.ExactArgs(2),
-		RunE:    func(_ *cobra.Command, args []string) error { return keys.revoke(args[0], args[1], length) },
+		RunE:    func(_ *cobra.Command, args []string) error { return keys.revoke(args[0], args[1], lifetime) },
 	}
-	command.Flags().DurationVar(&length, "for", 31*24*time.Hour, "how long: no token that it names may live longer")
+	command.Flags().DurationVar(&lifetime, "for", 31*24*time.Hour,
+		"how long the revocation lasts; no covered token may be valid for longer")
 	return command
 }
 
-// revoke writes a revocation of so long from now.
-func (keys *keyEnvironment) revoke(kindName, name string, length time.Duration) error {
+// revoke adds a revocation that lasts for lifetime from now.
+func (keys *keyEnvironment) revoke(kindName, name string, lifetime time.Duration) error {
 	kind, err := parseRevocationKind(kindName)
 	if err != nil {
 		return err
 	}
 	now := keys.system.Unix()
-	revocation := keydir.Revocation{What: kind, Name: name, Until: now + length}
+	revocation := keydir.Revocation{What: kind, Name: name, Until: now + lifetime}
 	if err := keydir.Revoke(keys.directory, now, revocation); err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(keys.out, "%s %s is revoked for %v; running proxies take it over within a second\n",
-		kindName, name, length)
+	_, err = fmt.Fprintf(keys.out, "%s %s is revoked for %v; running proxies apply this within a second\n",
+		kindName, name, lifetime)
 	return err
 }
 
-// parseRevocationKind reads the operator's word for what is revoked.
+// parseRevocationKind returns the kind of revocation that an argument names.
 func parseRevocationKind(text string) (identity.RevocationKind, error) {
 	for kind := identity.RevokedToken; kind <= identity.RevokedKey; kind++ {
 		if kind.String() == text {
--- a/internal/cli/key_rotate.go
+++ b/internal/cli/key_rotate.go
@@ -9,21 +9,21 @@
 	"sloequay/internal/identity"
 )
 
-// retiredKeyRetention is how long a retired key is listed still; nobody asks for it later.
+// retiredKeyRetention is how long a retired key stays listed. After that, nobody is expected to ask for it.
 const retiredKeyRetention = 30 * 24 * time.Hour
 
-// rotateKeyOptions are the flags of `sloequay key rotate`.
+// rotateKeyOptions holds the flags of `sloequay key rotate`.
 type rotateKeyOptions struct {
 	key      newKeyOptions
 	rotation identity.Rotation
 }
 
-// rotateCommand is `sloequay key rotate`.
+// rotateCommand returns the command `sloequay key rotate`.
 func (keys *keyEnvironment) rotateCommand() *cobra.Command {
 	var options rotateKeyOptions
 	command := &cobra.Command{
 		Use:     "rotate",
-		Short:   "Bring the next key: published, accepted, signing; the old one retires after the overlap",
+		Short:   "Add the next key: published, then accepted, then signing; the old one retires after the overlap",
 		Example: "  sloequay key rotate --dir keys --publish 1m --accept 1m --overlap 24h",
 		Args:    cobra.NoArgs,
 		RunE:    func(*cobra.Command, []string) error { return keys.rotate(options) },
@@ -31,14 +31,15 @@
 	options.key.addFlags(command)
 	flags := command.Flags()
 	flags.DurationVar(&options.rotation.Publish, "publish", time.Minute,
-		"until the new key is taken: every reader must have the file by then")
-	flags.DurationVar(&options.rotation.Accept, "accept", time.Minute, "from then until it signs")
+		"time until the new key is accepted: every reader must have the file by then")
+	flags.DurationVar(&options.rotation.Accept, "accept", time.Minute, "time from then until it signs")
 	flags.DurationVar(&options.rotation.Overlap, "overlap", 24*time.Hour,
-		"from then until the old one retires: no token may live longer")
+		"time from then until the old key retires: no token may be valid for longer")
 	return command
 }
 
-// rotate adds the next key, brings the signing ones to their ends, and drops what has long been retired.
+// rotate adds the next key, schedules the end of the existing ones, and deletes keys that retired longer than
+// retiredKeyRetention ago.
 func (keys *keyEnvironment) rotate(options rotateKeyOptions) error {
 	_, list, err := keys.load()
 	if err != nil {
@@ -49,11 +50,11 @@
 	if err != nil {
 		return err
 	}
-	present := make([]*identity.Key, 0, len(list))
+	existing := make([]*identity.Key, 0, len(list))
 	for i := range list {
-		present = append(present, &list[i])
+		existing = append(existing, &list[i])
 	}
-	options.rotation.Rotate(now, &next, present)
+	options.rotation.Rotate(now, &next, existing)
 	list = slices.DeleteFunc(append(list, next), func(key identity.Key) bool {
 		return key.RetireAfter > 0 && now-key.RetireAfter > retiredKeyRetention
 	})
--- a/internal/cli/query.go
+++ b/internal/cli/query.go
@@ -11,40 +11,41 @@
 	"sloequay/internal/proxy/admin"
 )
 
-// errNoControl is returned where the settings name no socket of the running proxy.
-var errNoControl = errors.New("the settings have no `control` by which a running proxy could be asked")
+// errNoAdminSocket is returned if the settings do not name the operators' socket of the running proxy.
+var errNoAdminSocket = errors.New(
+	"the settings have no directive `control`, which names the socket on which to query a running proxy")
 
-// stateCommand is `sloequay state`.
+// stateCommand returns the command `sloequay state`.
 func stateCommand(out io.Writer, system *clock.System) *cobra.Command {
 	return queryCommand(out, system, "state",
-		"Ask the running proxy how much it holds: clients, requests, timers, endpoints, connections")
+		"Print how many objects the running proxy holds: clients, requests, timers, endpoints, connections")
 }
 
-// peersCommand is `sloequay peers`.
+// peersCommand returns the command `sloequay peers`.
 func peersCommand(out io.Writer, system *clock.System) *cobra.Command {
 	return queryCommand(out, system, "peers",
-		"Ask the running proxy which others are alive, which lists it holds, and whether it polls for them")
+		"Print which peers of the running proxy are alive, which lists it holds, and whether it polls for them")
 }
 
-// queryCommand is a command that puts one query, its own name, to the running proxy.
+// queryCommand returns a command that sends its own name as a query to the running proxy.
 func queryCommand(out io.Writer, system *clock.System, query, short string) *cobra.Command {
-	var settings string
+	var settingsPath string
 	command := &cobra.Command{
 		Use:     query,
 		Short:   short,
 		Example: "  sloequay " + query + " --conf deploy/sloequay.conf",
 		Args:    cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			read, err := proxy.ReadSettings(system, settings)
+			settings, err := proxy.ReadSettings(system, settingsPath)
 			if err != nil {
 				return err
 			}
-			if read.AdminSocket == "" {
-				return errNoControl
+			if settings.AdminSocket == "" {
+				return errNoAdminSocket
 			}
-			return admin.Query(out, read.AdminSocket, query)
+			return admin.Query(out, settings.AdminSocket, query)
 		},
 	}
-	addSettingsFlag(command, &settings)
+	addSettingsFlag(command, &settingsPath)
 	return command
 }
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -11,17 +11,17 @@
 	"sloequay/internal/proxy"
 )
 
-// maxLogFlush is how long the end of the program waits for the reader of its log.
-const maxLogFlush = 200 * time.Millisecond
+// logFlushTimeout is how long the command waits at its end for log lines that are not yet written.
+const logFlushTimeout = 200 * time.Millisecond
 
-// serveOptions are the flags of `sloequay serve`.
+// serveOptions holds the flags of `sloequay serve`.
 type serveOptions struct {
 	files     fileOptions
 	logFormat string
 	logLevel  string
 }
 
-// serveCommand is `sloequay serve`.
+// serveCommand returns the command `sloequay serve`.
 func serveCommand(system *clock.System) *cobra.Command {
 	var options serveOptions
 	command := &cobra.Command{
@@ -32,23 +32,23 @@
 		RunE:    func(*cobra.Command, []string) error { return serve(system, options) },
 	}
 	options.files.addFlags(command)
-	addMovedFlags(command)
-	command.Flags().StringVar(&options.logFormat, "log-format", "text", "form of the log: text or json")
+	addReplacedFlags(command)
+	command.Flags().StringVar(&options.logFormat, "log-format", "text", "log format: text or json")
 	command.Flags().StringVar(&options.logLevel, "log-level", "info",
-		"least level that is logged: debug, info, warn, error")
+		"minimum level that is logged: debug, info, warn or error")
 	return command
 }
 
-// serve runs the proxy until it has been told to end and has answered what was open.
+// serve runs the proxy until it has been told to shut down and has answered the open requests.
 func serve(system *clock.System, options serveOptions) error {
 	signals := proxy.ReceiveSignals()
 	plan, err := options.files.load(system)
 	if err != nil {
 		return err
 	}
-	lines := eventlog.NewAsyncWriter(os.Stderr)
-	defer lines.Close(maxLogFlush)
-	log, err := eventlog.New(lines, options.logFormat, options.logLevel)
+	logWriter := eventlog.NewAsyncWriter(os.Stderr)
+	defer logWriter.Close(logFlushTimeout)
+	log, err := eventlog.New(logWriter, options.logFormat, options.logLevel)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/token.go
+++ b/internal/cli/token.go
@@ -11,23 +11,24 @@
 	"sloequay/internal/identity"
 )
 
-// tokenCommand is `sloequay token`, with its commands.
+// tokenCommand returns the command `sloequay token` with its subcommands.
 func tokenCommand(out io.Writer, system *clock.System) *cobra.Command {
 	keys := &keyEnvironment{out: out, system: system}
-	return keys.group("token", "Tokens that callers show", keys.signCommand(), keys.showCommand(), keys.verifyCommand())
+	return keys.groupCommand("token", "Sign, show and verify the tokens of callers",
+		keys.signCommand(), keys.showCommand(), keys.verifyCommand())
 }
 
-// shownToken is what a token says, as `sloequay token show` prints it.
+// shownToken is the content of a token as `sloequay token show` prints it.
 type shownToken struct {
 	Claims map[string]any `json:"claims"`
 	Header map[string]any `json:"header"`
 }
 
-// showCommand is `sloequay token show`.
+// showCommand returns the command `sloequay token show`.
 func (keys *keyEnvironment) showCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "show TOKEN",
-		Short:   "Print what a token says, its signature unchecked",
+		Short:   "Print the content of a token without checking its signature",
 		Example: "  sloequay token show TOKEN",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
--- a/internal/cli/token_sign.go
+++ b/internal/cli/token_sign.go
@@ -12,39 +12,39 @@
 )
 
 var (
-	errNoSigner = errors.New("no key signs now")
-	errNoCaller = errors.New("--subject and --tenant are needed")
+	errNoSigningKey     = errors.New("no key signs now")
+	errIncompleteClaims = errors.New("--subject and --tenant are required")
 )
 
-// signOptions are the flags of `sloequay token sign`.
+// signOptions holds the flags of `sloequay token sign`.
 type signOptions struct {
 	claims   identity.Claims
 	audience string
 	lifetime time.Duration
 }
 
-// signCommand is `sloequay token sign`.
+// signCommand returns the command `sloequay token sign`.
 func (keys *keyEnvironment) signCommand() *cobra.Command {
 	var options signOptions
 	command := &cobra.Command{
 		Use:     "sign",
-		Short:   "Make a token",
+		Short:   "Sign a new token",
 		Example: "  sloequay token sign --dir keys --subject lane-1 --tenant lanes --life 1h",
 		Args:    cobra.NoArgs,
 		RunE:    func(*cobra.Command, []string) error { return keys.sign(options) },
 	}
 	flags := command.Flags()
-	flags.StringVar(&options.claims.Subject, "subject", "", "who calls")
-	flags.StringVar(&options.claims.Tenant, "tenant", "", "of which tenant")
-	flags.StringVar(&options.claims.Site, "site", "", "from which site it calls")
+	flags.StringVar(&options.claims.Subject, "subject", "", "subject of the token: the caller")
+	flags.StringVar(&options.claims.Tenant, "tenant", "", "tenant of the caller")
+	flags.StringVar(&options.claims.Site, "site", "", "site from which the subject calls")
 	flags.StringVar(&options.claims.Thumbprint, "certificate", "",
-		"thumbprint of the client certificate that it is bound to (x5t#S256)")
-	flags.StringVar(&options.audience, "audience", "", "for whom it is")
-	flags.DurationVar(&options.lifetime, "life", time.Hour, "how long it is valid")
+		"thumbprint of the client certificate to which the token is bound (x5t#S256)")
+	flags.StringVar(&options.audience, "audience", "", "audience of the token")
+	flags.DurationVar(&options.lifetime, "life", time.Hour, "how long the token is valid")
 	return command
 }
 
-// sign makes a token by the key that signs now, and prints it.
+// sign signs a token with the current signing key, and prints it.
 func (keys *keyEnvironment) sign(options signOptions) error {
 	set, _, err := keys.load()
 	if err != nil {
@@ -53,7 +53,7 @@
 	now := keys.system.Unix()
 	key := set.Signer(now)
 	if key == nil {
-		return errNoSigner
+		return errNoSigningKey
 	}
 	private, err := keydir.ReadPrivateKey(keys.directory, key)
 	if err != nil {
@@ -61,7 +61,7 @@
 	}
 	claims := options.claims
 	if claims.Subject == "" || claims.Tenant == "" {
-		return errNoCaller
+		return errIncompleteClaims
 	}
 	claims.ID = randomID("t")
 	claims.Issued = now
--- a/internal/cli/token_verify.go
+++ b/internal/cli/token_verify.go
@@ -10,21 +10,21 @@
 	"sloequay/internal/identity/keydir"
 )
 
-// verifyCommand is `sloequay token verify`.
+// verifyCommand returns the command `sloequay token verify`.
 func (keys *keyEnvironment) verifyCommand() *cobra.Command {
 	var audience string
 	command := &cobra.Command{
 		Use:     "verify TOKEN",
-		Short:   "Say whether a proxy would take a token now, and why not",
+		Short:   "Check whether a proxy would accept a token now, and say why not",
 		Example: "  sloequay token verify TOKEN --dir keys",
 		Args:    cobra.ExactArgs(1),
 		RunE:    func(_ *cobra.Command, args []string) error { return keys.verify(args[0], audience) },
 	}
-	command.Flags().StringVar(&audience, "audience", "", "for whom it must be")
+	command.Flags().StringVar(&audience, "audience", "", "audience that the token must name; default: any")
 	return command
 }
 
-// verify prints whose token it is, or fails by the reason for which a proxy would deny it.
+// verify prints whose token it is, or returns an error with the reason for which a proxy would deny it.
 func (keys *keyEnvironment) verify(token, audience string) error {
 	content, err := keydir.Read(keys.directory)
 	if err != nil {
@@ -38,7 +38,7 @@
 	claims, reason := checkSignature(set, token)
 	if reason == identity.Allowed {
 		policy := identity.Policy{Audience: audience}
-		reason = policy.Check(now, &claims, set, revocations(content))
+		reason = policy.Check(now, &claims, set, newRevocations(content))
 	}
 	if reason != identity.Allowed {
 		return fmt.Errorf("refused: %v", reason)
@@ -48,7 +48,7 @@
 	return err
 }
 
-// checkSignature returns what a token says if the key that it names has signed it.
+// checkSignature returns the claims of a token if the key that it names has signed it, or else the reason to deny it.
 func checkSignature(set *identity.Keys, token string) (identity.Claims, identity.Reason) {
 	keyID, algorithm, reason := identity.ParseHeader(token)
 	if reason != identity.Allowed {
@@ -64,11 +64,11 @@
 	return identity.Verify(token, key)
 }
 
-// revocations are those of a directory.
-func revocations(content keydir.Content) *identity.Revocations {
+// newRevocations returns the revocations of a directory of keys.
+func newRevocations(content keydir.Content) *identity.Revocations {
 	revoked := identity.NewRevocations(len(content.Revoked) + 1)
 	for _, revocation := range content.Revoked {
-		_ = revoked.Add(revocation.What, revocation.Name, revocation.Until) // there is a place for each
+		_ = revoked.Add(revocation.What, revocation.Name, revocation.Until) // cannot fail: there is room for all
 	}
 	return revoked
 }
--- a/internal/cli/try.go
+++ b/internal/cli/try.go
@@ -12,28 +12,28 @@
 	"github.com/spf13/cobra"
 )
 
-// tryOptions are the flags of `sloequay try`.
+// tryOptions holds the flags of `sloequay try`.
 type tryOptions struct {
 	keep bool
 }
 
-// tryCommand is `sloequay try`.
+// tryCommand returns the command `sloequay try`.
 func tryCommand(out io.Writer) *cobra.Command {
 	var options tryOptions
 	command := &cobra.Command{
 		Use:     "try",
-		Short:   "Run a proxy on emulators for all that it talks to, and show what it does",
+		Short:   "Run a proxy for a few seconds with emulated endpoints, clients and Consul, and show what it does",
 		Example: "  sloequay try --keep",
 		Args:    cobra.NoArgs,
 		RunE:    func(*cobra.Command, []string) error { return runTry(out, options) },
 	}
 	command.Flags().BoolVar(&options.keep, "keep", false,
-		"leave all of it running, with the addresses printed, until it is interrupted")
+		"keep everything running afterwards until interrupted, and print the addresses")
 	return command
 }
 
-// runTry plays a few seconds of a proxy's life: an endpoint that drains, one that dies, and an outage of the catalogue,
-// under requests by both frontends.
+// runTry runs a short scenario under requests by both frontends: an endpoint drains, another is killed, and the
+// catalogue fails for a while.
 func runTry(out io.Writer, options tryOptions) (err error) {
 	var environment tryEnvironment
 	defer func() { err = errors.Join(err, environment.close()) }()
@@ -51,10 +51,10 @@
 	return waitForInterrupt(&environment)
 }
 
-// printAddresses prints what an operator can do with what is left running.
+// printAddresses prints the addresses of the running processes, as commands to try where possible.
 func printAddresses(out io.Writer, environment *tryEnvironment) {
 	dnsHost, dnsPort, _ := net.SplitHostPort(environment.dnsAddress)
-	fmt.Fprintln(out, "\nIt is left running; interrupt to end it.")
+	fmt.Fprintln(out, "\nProxy and emulators keep running; interrupt to stop them.")
 	fmt.Fprintf(out, "  endpoints %s endpoints --config %s --conf %s\n",
 		os.Args[0], environment.configPath(), environment.settingsPath())
 	fmt.Fprintf(out, "  proxy     %s\n", environment.address)
@@ -62,7 +62,7 @@
 	fmt.Fprintf(out, "  catalogue curl http://%s/v1/health/service/cache\n", environment.agents[0].Address())
 }
 
-// waitForInterrupt returns once the operator has interrupted the command, or the proxy has ended.
+// waitForInterrupt returns when the operator interrupts the command, or the proxy exits.
 func waitForInterrupt(environment *tryEnvironment) error {
 	interrupted := make(chan os.Signal, 1)
 	signal.Notify(interrupted, syscall.SIGINT, syscall.SIGTERM)
@@ -70,7 +70,7 @@
 	case <-interrupted:
 		return nil
 	case err := <-environment.exited:
-		environment.exited <- err // for close
+		environment.exited <- err // for close, which reads it again
 		return err
 	}
 }
--- a/internal/cli/try_environment.go
+++ b/internal/cli/try_environment.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	tryZone      = "endpoints.try." // of the DNS frontend
-	tryAgents    = 2                // of the emulated Consul
-	tryWaitLimit = 5 * time.Second
-	tryWaitPoll  = 10 * time.Millisecond
+	tryZone         = "endpoints.try." // zone of the DNS frontend
+	tryAgents       = 2                // number of agents of the emulated Consul
+	tryWaitTimeout  = 5 * time.Second
+	tryPollInterval = 10 * time.Millisecond
 )
 
-// tryEndpoint is one emulated endpoint, as the catalogue has it.
+// tryEndpoint describes an emulated endpoint as it is registered in the catalogue.
 type tryEndpoint struct {
 	id      string
 	service string
@@ -42,7 +42,7 @@
 	{"o1", "archive", "origin", "hub"},
 }
 
-// tryConfig is the platform's configuration of the proxy.
+// tryConfig is the platform configuration of the proxy.
 type tryConfig struct {
 	Name     string          `json:"name"`
 	Listen   string          `json:"listen"`
@@ -51,14 +51,15 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// tryLimits is the configuration's block of what the process may use.
+// tryLimits is the block of the platform configuration with the resource limits of the process.
 type tryLimits struct {
 	Cores    int `json:"cores"`
 	MemoryMB int `json:"memory_mb"`
 	Sockets  int `json:"sockets"`
 }
 
-// trySettings are our settings: the DNS frontend's address and zone, and the two agents of the catalogue.
+// trySettings is the format of the proxy's own settings. Its operands are the address and zone of the DNS frontend, and
+// the addresses of the two Consul agents.
 const trySettings = `dns {
     listen %s
     zone %s
@@ -77,17 +78,17 @@
 }
 `
 
-// tryEnvironment is a proxy with emulators for all that it talks to. The proxy is this program's own `serve`, as a
-// process of its own.
+// tryEnvironment is a proxy with emulated endpoints and an emulated Consul. The proxy runs in a separate process, which
+// is this executable's command `serve`.
 type tryEnvironment struct {
 	endpoints  *emulator.Endpoints
 	cluster    *consul.Cluster
 	agents     []*consul.Agent
-	address    string // of the platform's frontend
-	dnsAddress string
-	dir        string // of the files
+	address    string // of the RPC frontend
+	dnsAddress string // of the DNS frontend
+	dir        string // of the configuration files and the log
 	proxy      *exec.Cmd
-	exited     chan error // takes the process's end
+	exited     chan error // receives the result of Wait when the process exits
 }
 
 func (environment *tryEnvironment) configPath() string {
@@ -100,7 +101,7 @@
 
 func (environment *tryEnvironment) logPath() string { return filepath.Join(environment.dir, "log") }
 
-// start starts the emulators and the proxy, and waits until that is ready.
+// start starts the emulators and the proxy, and waits until the proxy is ready.
 func (environment *tryEnvironment) start() error {
 	if err := environment.startEmulators(); err != nil {
 		return err
@@ -111,10 +112,10 @@
 	if err := environment.startProxy(); err != nil {
 		return err
 	}
-	return environment.awaitReady()
+	return environment.waitUntilReady()
 }
 
-// startEmulators starts the endpoints and the Consul that lists them.
+// startEmulators starts the endpoints and the Consul in which they are registered.
 func (environment *tryEnvironment) startEmulators() error {
 	environment.endpoints = emulator.NewEndpoints(emulator.CachingResponder("o1"))
 	environment.cluster = consul.NewCluster()
@@ -123,13 +124,13 @@
 		if err != nil {
 			return err
 		}
-		at := listener.Addr().(*net.TCPAddr)
+		address := listener.Addr().(*net.TCPAddr)
 		environment.cluster.Put(consul.Instance{
 			Node:    "node-" + endpoint.id,
 			Service: endpoint.service,
 			ID:      endpoint.id,
-			Address: at.IP.String(),
-			Port:    at.Port,
+			Address: address.IP.String(),
+			Port:    address.Port,
 			Meta:    map[string]string{"site": endpoint.site, "class": endpoint.class},
 			Weights: consul.Weights{Passing: 8, Warning: 1},
 		})
@@ -144,13 +145,13 @@
 	return nil
 }
 
-// writeFiles finds addresses for the proxy to listen on, and writes its configuration and settings.
+// writeFiles picks free addresses for the proxy to listen on, and writes its platform configuration and settings.
 func (environment *tryEnvironment) writeFiles() error {
 	var err error
-	if environment.address, err = vacantAddress(); err != nil {
+	if environment.address, err = freeAddress(); err != nil {
 		return err
 	}
-	if environment.dnsAddress, err = vacantAddress(); err != nil {
+	if environment.dnsAddress, err = freeAddress(); err != nil {
 		return err
 	}
 	if environment.dir, err = os.MkdirTemp("", "sloequay-try-"); err != nil {
@@ -174,12 +175,12 @@
 	return os.WriteFile(environment.settingsPath(), []byte(settings), 0o600)
 }
 
-// vacantAddressAttempts is how many ports are tried.
-const vacantAddressAttempts = 20
+// freeAddressAttempts is the maximum number of ports that freeAddress tries.
+const freeAddressAttempts = 20
 
-// vacantAddress finds a loopback address that is free for both TCP and UDP.
-func vacantAddress() (string, error) {
-	for range vacantAddressAttempts {
+// freeAddress returns a loopback address whose port is free for both TCP and UDP.
+func freeAddress() (string, error) {
+	for range freeAddressAttempts {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return "", err
@@ -191,10 +192,10 @@
 			return address, nil
 		}
 	}
-	return "", errors.New("no free port on loopback")
+	return "", errors.New("found no loopback port that is free for both TCP and UDP")
 }
 
-// startProxy starts the process, with its log in a file.
+// startProxy starts the proxy process, with its log in a file.
 func (environment *tryEnvironment) startProxy() error {
 	self, err := os.Executable()
 	if err != nil {
@@ -216,21 +217,21 @@
 	return nil
 }
 
-// awaitReady waits until the proxy answers and knows all endpoints.
-func (environment *tryEnvironment) awaitReady() error {
-	for deadline := time.Now().Add(tryWaitLimit); ; time.Sleep(tryWaitPoll) {
+// waitUntilReady waits until the proxy reports that it is ready and has added all endpoints.
+func (environment *tryEnvironment) waitUntilReady() error {
+	for deadline := time.Now().Add(tryWaitTimeout); ; time.Sleep(tryPollInterval) {
 		log, _ := os.ReadFile(environment.logPath())
 		added := bytes.Count(log, []byte("event=endpoint-added"))
 		if emulator.Ready(environment.address) && added >= len(tryEndpoints) {
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("the proxy was not ready within %v; its log:\n%s", tryWaitLimit, log)
+			return fmt.Errorf("the proxy was not ready within %v; its log:\n%s", tryWaitTimeout, log)
 		}
 	}
 }
 
-// close ends all of it: the proxy first, as an operator would.
+// close stops everything, the proxy first as an operator would, and removes the files.
 func (environment *tryEnvironment) close() error {
 	err := environment.stopProxy()
 	for _, agent := range environment.agents {
@@ -245,7 +246,7 @@
 	return err
 }
 
-// stopProxy tells the proxy to end, and kills it if it does not.
+// stopProxy shuts the proxy down by SIGTERM, and kills it if it does not exit within tryWaitTimeout.
 func (environment *tryEnvironment) stopProxy() error {
 	if environment.proxy == nil {
 		return nil
@@ -254,8 +255,8 @@
 	select {
 	case err := <-environment.exited:
 		return err
-	case <-time.After(tryWaitLimit):
+	case <-time.After(tryWaitTimeout):
 		_ = environment.proxy.Process.Kill()
-		return errors.New("the proxy did not end by itself")
+		return errors.New("the proxy did not exit in time after SIGTERM and was killed")
 	}
 }
--- a/internal/cli/try_timeline.go
+++ b/internal/cli/try_timeline.go
@@ -14,35 +14,35 @@
 )
 
 const (
-	tryLength      = 7500 * time.Millisecond
+	tryDuration    = 7500 * time.Millisecond
 	tryRowInterval = 500 * time.Millisecond
 	tryRounding    = 10 * time.Microsecond
 )
 
-// tryTimeline plays the scenario and prints what happens.
+// tryTimeline runs the scenario and prints what happens.
 type tryTimeline struct {
 	out         io.Writer
 	environment *tryEnvironment
 	stats       trafficStats
-	began       time.Time
+	startedAt   time.Time
 	marks       tryMarks
 }
 
-// tryMarks are times of the scenario that the summary measures from.
+// tryMarks holds the times in the scenario from which the delays in the summary are computed.
 type tryMarks struct {
-	drained       time.Time // the catalogue had c1 in maintenance
+	drained       time.Time // the catalogue showed c1 in maintenance
 	lastUseOfC1   time.Time // before it was back in service
-	critical      time.Time // the catalogue had c2 as critical
-	catalogueBack time.Time
+	critical      time.Time // the catalogue showed c2 as critical
+	catalogueBack time.Time // the catalogue answered again
 }
 
-// tryStep is one thing that happens in the scenario.
+// tryStep is one step of the scenario.
 type tryStep struct {
-	at time.Duration // after its start
+	at time.Duration // since the start of the scenario
 	do func()
 }
 
-// steps are the scenario, in the order of time.
+// steps returns the steps of the scenario, in the order of their times.
 func (timeline *tryTimeline) steps() []tryStep {
 	return []tryStep{
 		{1500 * time.Millisecond, timeline.drainC1},
@@ -54,7 +54,7 @@
 }
 
 func (timeline *tryTimeline) drainC1() {
-	timeline.announce("c1 drains: the catalogue has it in maintenance")
+	timeline.announce("c1 drains: the catalogue shows it in maintenance")
 	cluster := timeline.environment.cluster
 	cluster.Mark("cache", "c1", "maintenance")
 	timeline.marks.drained = cluster.Written("c1")
@@ -66,7 +66,7 @@
 }
 
 func (timeline *tryTimeline) markC2Critical() {
-	timeline.announce("its check finds that: critical")
+	timeline.announce("the health check of c2 turns critical")
 	cluster := timeline.environment.cluster
 	cluster.Mark("cache", "c2", consul.Critical)
 	timeline.marks.critical = cluster.Written("c2")
@@ -90,16 +90,16 @@
 	timeline.marks.catalogueBack = time.Now()
 }
 
-// announce prints a step.
+// announce prints a step with its time.
 func (timeline *tryTimeline) announce(text string) {
-	fmt.Fprintf(timeline.out, "%5.1f s  -- %s\n", time.Since(timeline.began).Seconds(), text)
+	fmt.Fprintf(timeline.out, "%5.1f s  -- %s\n", time.Since(timeline.startedAt).Seconds(), text)
 }
 
-// play sends requests by both frontends while the steps are done, and prints the time line and a summary.
+// play sends requests to both frontends while it carries out the steps, and prints a timeline and a summary.
 func (timeline *tryTimeline) play() error {
 	fmt.Fprintln(timeline.out, "             by RPC            by DNS\n"+
 		"    time  srvd rjct fail   srvd rjct fail   attempts by endpoint")
-	timeline.began = time.Now()
+	timeline.startedAt = time.Now()
 	stop := make(chan struct{})
 	ended := make(chan error, int(tryFrontends))
 	var traffic sync.WaitGroup
@@ -114,15 +114,16 @@
 	return timeline.printSummary()
 }
 
-// playSteps does each step at its time and prints a row in each interval. It ends early when traffic fails.
+// playSteps carries out each step at its time and prints a row every tryRowInterval. It returns early if the traffic
+// fails.
 func (timeline *tryTimeline) playSteps(trafficEnded <-chan error) error {
 	steps := timeline.steps()
-	rowBegan := timeline.began
-	for end := timeline.began.Add(tryLength); time.Now().Before(end); {
-		rowEnds := rowBegan.Add(tryRowInterval)
-		wake := rowEnds
+	rowStart := timeline.startedAt
+	for end := timeline.startedAt.Add(tryDuration); time.Now().Before(end); {
+		rowEnd := rowStart.Add(tryRowInterval)
+		wake := rowEnd
 		if len(steps) > 0 {
-			if due := timeline.began.Add(steps[0].at); due.Before(wake) {
+			if due := timeline.startedAt.Add(steps[0].at); due.Before(wake) {
 				wake = due
 			}
 		}
@@ -134,18 +135,18 @@
 			}
 			continue
 		}
-		if len(steps) > 0 && !time.Now().Before(timeline.began.Add(steps[0].at)) {
+		if len(steps) > 0 && !time.Now().Before(timeline.startedAt.Add(steps[0].at)) {
 			steps[0].do()
 			steps = steps[1:]
 			continue
 		}
-		timeline.printRow(rowBegan)
-		rowBegan = rowEnds
+		timeline.printRow(rowStart)
+		rowStart = rowEnd
 	}
 	return nil
 }
 
-// printRow prints what came since the last row, and which endpoints were sent attempts.
+// printRow prints the outcomes since the last row, and the number of attempts per endpoint.
 func (timeline *tryTimeline) printRow(since time.Time) {
 	counts := timeline.stats.takeRow()
 	attempts := map[string]int{}
@@ -159,44 +160,44 @@
 		used = append(used, fmt.Sprintf("%s %d", endpoint, count))
 	}
 	slices.Sort(used)
-	fmt.Fprintf(timeline.out, "%5.1f s  %4d %4d %4d   %4d %4d %4d   %s\n", time.Since(timeline.began).Seconds(),
+	fmt.Fprintf(timeline.out, "%5.1f s  %4d %4d %4d   %4d %4d %4d   %s\n", time.Since(timeline.startedAt).Seconds(),
 		counts[byRPC][served], counts[byRPC][rejected], counts[byRPC][failed],
 		counts[byDNS][served], counts[byDNS][rejected], counts[byDNS][failed], strings.Join(used, ", "))
 }
 
-// printSummary prints how requests fared, and how fast the proxy followed the catalogue.
+// printSummary prints the outcomes and latencies of all requests, and how fast the proxy followed the catalogue.
 func (timeline *tryTimeline) printSummary() error {
 	stats := &timeline.stats
 	if !stats.sortLatencies() {
-		return errors.New("nothing was served")
+		return errors.New("no request was served")
 	}
 	fmt.Fprintf(timeline.out,
-		"\nserved %d, rejected %d, failed %d; half of the answers within %v, 99 of 100 within %v\n",
+		"\nserved %d, rejected %d, failed %d; latency of served requests: median %v, 99th percentile %v\n",
 		stats.totals[served], stats.totals[rejected], stats.totals[failed], stats.quantile(0.5), stats.quantile(0.99))
 	marks := &timeline.marks
 	fmt.Fprintf(timeline.out,
-		"last send to c1: %v after its drain (1 s allowed); in use again %v after the catalogue's return\n",
+		"last send to c1: %v after its drain (limit 1 s); in use again %v after the catalogue was back\n",
 		delay(marks.lastUseOfC1, marks.drained),
 		delay(timeline.firstUse("c1", marks.catalogueBack), marks.catalogueBack))
-	fmt.Fprintf(timeline.out, "last send to c2: %v after it was marked critical (1 s allowed)\n",
+	fmt.Fprintf(timeline.out, "last send to c2: %v after it was marked critical (limit 1 s)\n",
 		delay(timeline.lastUse("c2"), marks.critical))
 	return nil
 }
 
-// delay is how long after a mark something was; never negative.
+// delay returns the time from mark to at, or 0 if at is before mark.
 func delay(at, mark time.Time) time.Duration { return roundTime(max(0, at.Sub(mark))) }
 
-// roundTime rounds a time for print.
+// roundTime rounds a duration for output.
 func roundTime(span time.Duration) time.Duration { return span.Round(tryRounding) }
 
-// attempts are those that endpoints have read and that fit, in the order in which they came.
-func (timeline *tryTimeline) attempts(fits func(*emulator.ReceivedRequest) bool) []*emulator.ReceivedRequest {
-	return timeline.environment.endpoints.Received(func(line *emulator.ReceivedRequest) bool {
-		return line.Word == "ASK" && fits(line)
+// attempts returns the attempts that endpoints have received and that match, in order of arrival.
+func (timeline *tryTimeline) attempts(match func(*emulator.ReceivedRequest) bool) []*emulator.ReceivedRequest {
+	return timeline.environment.endpoints.Received(func(request *emulator.ReceivedRequest) bool {
+		return request.Word == "ASK" && match(request)
 	})
 }
 
-// lastUse is when an endpoint was last sent an attempt, or named as the source of a fill; zero: never.
+// lastUse returns when an endpoint last received an attempt or was named as the source of a fill; zero means never.
 func (timeline *tryTimeline) lastUse(endpoint string) time.Time {
 	attempts := timeline.attempts(func(attempt *emulator.ReceivedRequest) bool {
 		return attempt.Endpoint == endpoint || attempt.Fields["via"] == endpoint
@@ -207,7 +208,7 @@
 	return attempts[len(attempts)-1].At
 }
 
-// firstUse is when an endpoint was first sent an attempt after a time; zero: never.
+// firstUse returns when an endpoint first received an attempt after the given time; zero means never.
 func (timeline *tryTimeline) firstUse(endpoint string, after time.Time) time.Time {
 	attempts := timeline.attempts(func(attempt *emulator.ReceivedRequest) bool {
 		return attempt.Endpoint == endpoint && attempt.At.After(after)
--- a/internal/cli/try_traffic.go
+++ b/internal/cli/try_traffic.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	tryObjects       = 400
-	tryRPCInterval   = 10 * time.Millisecond
-	tryDNSInterval   = 50 * time.Millisecond
-	tryRPCSilence    = 200 * time.Millisecond // after which a stopped client takes what is open for lost
-	tryDNSLimit      = 3 * time.Second
-	tryZipfExponent  = 1.1
-	tryZipfOffset    = 8
-	tryObjectRAM     = "20"
-	overloadedStatus = "Overloaded" // of an answer by RPC
+	tryObjects        = 400
+	tryRPCInterval    = 10 * time.Millisecond
+	tryDNSInterval    = 50 * time.Millisecond
+	tryRPCIdleTimeout = 200 * time.Millisecond // after the stop, open requests then count as failed
+	tryDNSTimeout     = 3 * time.Second
+	tryZipfExponent   = 1.1
+	tryZipfOffset     = 8
+	tryObjectSizeKB   = "20"
+	overloadedStatus  = "Overloaded" // error of an RPC reply to a rejected request
 )
 
-// tryFrontend is the frontend that a request went to.
+// tryFrontend is the frontend to which a request was sent.
 type tryFrontend int
 
 const (
@@ -35,7 +35,7 @@
 	tryFrontends
 )
 
-// tryOutcome is what became of a request.
+// tryOutcome is the outcome of a request.
 type tryOutcome int
 
 const (
@@ -45,18 +45,18 @@
 	tryOutcomes
 )
 
-// tryCounts are requests by frontend and outcome.
+// tryCounts holds numbers of requests by frontend and outcome.
 type tryCounts [tryFrontends][tryOutcomes]int
 
-// trafficStats counts what becomes of requests. It is safe for concurrent use.
+// trafficStats counts the outcomes of requests. Its methods count and takeRow are safe for concurrent use.
 type trafficStats struct {
 	mu        sync.Mutex
 	row       tryCounts // since the last takeRow
 	totals    [tryOutcomes]int
-	latencies []time.Duration // of what was served
+	latencies []time.Duration // of served requests
 }
 
-// count adds the end of a request.
+// count records the outcome of a request.
 func (stats *trafficStats) count(frontend tryFrontend, outcome tryOutcome, latency time.Duration) {
 	stats.mu.Lock()
 	defer stats.mu.Unlock()
@@ -67,7 +67,7 @@
 	}
 }
 
-// takeRow returns what was counted since its last call.
+// takeRow returns the counts since the last call.
 func (stats *trafficStats) takeRow() tryCounts {
 	stats.mu.Lock()
 	defer stats.mu.Unlock()
@@ -82,13 +82,14 @@
 	return len(stats.latencies) > 0
 }
 
-// quantile is the latency that a share of what was served has kept.
+// quantile returns the latency that a share of the served requests did not exceed. The latencies must be sorted.
 func (stats *trafficStats) quantile(share float64) time.Duration {
 	index := int(share * float64(len(stats.latencies)))
 	return roundTime(stats.latencies[min(len(stats.latencies)-1, index)])
 }
 
-// rpcTraffic is requests by the platform's frontend, and when those that are open were sent.
+// rpcTraffic sends requests to the RPC frontend and counts their outcomes. sentAt holds the send times of open requests
+// by their ids.
 type rpcTraffic struct {
 	client *emulator.Client
 	stats  *trafficStats
@@ -96,7 +97,7 @@
 	sentAt map[uint64]time.Time
 }
 
-// sendRequests sends until stop is closed, and returns once all are answered or given up.
+// sendRequests sends RPC requests until stop is closed, and returns when the outcomes of all are counted.
 func sendRequests(address string, stats *trafficStats, stop <-chan struct{}) error {
 	client, err := emulator.Dial(address)
 	if err != nil {
@@ -110,38 +111,38 @@
 	return traffic.receive(stop)
 }
 
-// send sends a request at each tick, until stop is closed or the connection is.
+// send sends a request every tryRPCInterval, until stop or the connection is closed.
 func (traffic *rpcTraffic) send(stop <-chan struct{}) {
 	objects := rand.NewZipf(rand.New(rand.NewSource(1)), tryZipfExponent, tryZipfOffset, tryObjects-1)
-	tick := time.NewTicker(tryRPCInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(tryRPCInterval)
+	defer ticker.Stop()
 	for id := uint64(1); ; id++ {
 		select {
 		case <-stop:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		traffic.mu.Lock()
 		traffic.sentAt[id] = time.Now()
 		traffic.mu.Unlock()
-		fields := map[string]string{"item": fmt.Sprintf("%016x", objects.Uint64()+1), "ram": tryObjectRAM}
+		fields := map[string]string{"item": fmt.Sprintf("%016x", objects.Uint64()+1), "ram": tryObjectSizeKB}
 		if traffic.client.Send(emulator.Request(id, "lookup", fields, "")) != nil {
 			return
 		}
 	}
 }
 
-// receive counts answers until stop is closed and nothing has come for tryRPCSilence.
+// receive counts replies until stop is closed and no reply has arrived for tryRPCIdleTimeout.
 func (traffic *rpcTraffic) receive(stop <-chan struct{}) error {
 	for {
-		reply, err := traffic.client.Read(tryRPCSilence)
+		reply, err := traffic.client.Read(tryRPCIdleTimeout)
 		if err == nil {
-			traffic.answered(reply)
+			traffic.countReply(reply)
 			continue
 		}
 		select {
 		case <-stop:
-			traffic.abandon()
+			traffic.countUnanswered()
 			return nil
 		default:
 		}
@@ -152,8 +153,8 @@
 	}
 }
 
-// answered counts an answer.
-func (traffic *rpcTraffic) answered(reply emulator.Reply) {
+// countReply counts the outcome and latency of the request that a reply answers.
+func (traffic *rpcTraffic) countReply(reply emulator.Reply) {
 	traffic.mu.Lock()
 	latency := time.Since(traffic.sentAt[reply.ID])
 	delete(traffic.sentAt, reply.ID)
@@ -168,8 +169,8 @@
 	traffic.stats.count(byRPC, outcome, latency)
 }
 
-// abandon counts what was never answered.
-func (traffic *rpcTraffic) abandon() {
+// countUnanswered counts the open requests as failed.
+func (traffic *rpcTraffic) countUnanswered() {
 	traffic.mu.Lock()
 	defer traffic.mu.Unlock()
 	for range traffic.sentAt {
@@ -177,7 +178,7 @@
 	}
 }
 
-// sendQueries asks by DNS, one query after another, until stop is closed.
+// sendQueries sends DNS queries, one after another, until stop is closed.
 func sendQueries(address string, stats *trafficStats, stop <-chan struct{}) error {
 	conn, err := net.Dial("udp", address)
 	if err != nil {
@@ -186,13 +187,13 @@
 	defer conn.Close()
 	client := &dns.Conn{Conn: conn}
 	objects := rand.New(rand.NewSource(2))
-	tick := time.NewTicker(tryDNSInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(tryDNSInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-stop:
 			return nil
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		name := fmt.Sprintf("n0.%016x.lookup._.%s", objects.Intn(tryObjects)+1, tryZone)
 		sentAt := time.Now()
@@ -201,9 +202,9 @@
 	}
 }
 
-// query asks for the service records of a name.
+// query asks for the SRV records of a name and returns the outcome.
 func query(client *dns.Conn, name string, sentAt time.Time) tryOutcome {
-	_ = client.SetDeadline(sentAt.Add(tryDNSLimit))
+	_ = client.SetDeadline(sentAt.Add(tryDNSTimeout))
 	if client.WriteMsg(new(dns.Msg).SetQuestion(name, dns.TypeSRV)) != nil {
 		return failed
 	}
