--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,6 @@
-// Command adapter runs the policy engines of many proxies on the simulator's wire: batches on standard input, one reply
-// to each on standard output. It decides nothing.
+// Command adapter connects the policy engines of many proxies to the simulator. It reads batches of events from
+// standard input, and writes one reply with the engines' actions per batch to standard output. It makes no decisions
+// itself.
 package main
 
 import (
@@ -13,7 +14,7 @@
 	"sloequay/internal/simwire"
 )
 
-// inputBufferSize is in bytes.
+// inputBufferSize is the size of the buffer for standard input, in bytes.
 const inputBufferSize = 1 << 20
 
 func main() {
@@ -23,10 +24,10 @@
 	}
 }
 
-// engines are the policy engines by instance.
+// engines holds the policy engine of each running instance, by the number of the instance.
 type engines map[uint32]*policy.Engine
 
-// run answers batches until the input ends.
+// run replies to batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	input := bufio.NewReaderSize(in, inputBufferSize)
 	instances := engines{}
@@ -50,7 +51,7 @@
 	}
 }
 
-// handleBatch hands each record of a batch to its instance and collects the actions.
+// handleBatch applies each record of a batch to its instance and appends the resulting actions to reply.
 func (e engines) handleBatch(batch *simwire.Batch, reply *simwire.Reply) error {
 	for {
 		record, err := batch.Next()
@@ -75,7 +76,8 @@
 	}
 }
 
-// handleEvent passes one event on. A panic of an engine becomes a FATAL of its instance, which handles nothing more.
+// handleEvent passes an event to the engine of its instance. If the engine panics, the reply gets a FATAL record for
+// the instance, and the engine is removed, so that later events of the instance are ignored.
 func (e engines) handleEvent(batch *simwire.Batch, record simwire.Record, reply *simwire.Reply) {
 	engine := e[record.Instance]
 	if engine == nil {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -26,7 +26,7 @@
 		[]byte{1}, u32(i), []byte{2}, u64(1), u32(4), entry(1, 1, 0), entry(2, 1, 0), entry(3, 0, 1), entry(4, 0, 2))
 }
 
-func call(i, txn uint32) []byte {
+func request(i, txn uint32) []byte {
 	return join([]byte{2}, u32(i), u32(txn), make([]byte, 4), u64(uint64(txn)), f64(2000), make([]byte, 13))
 }
 
@@ -35,7 +35,7 @@
 	return join(f64(now), u32(uint32(len(body))+8), u32(uint32(n)), u32(seq), body)
 }
 
-func play(t *testing.T, in ...[]byte) []byte {
+func runAdapter(t *testing.T, in ...[]byte) []byte {
 	t.Helper()
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(join(in...)), &out); err != nil {
@@ -44,7 +44,8 @@
 	return out.Bytes()
 }
 
-// actions strips the reply headers, so that the actions of a batch can be compared with those of two.
+// actions returns the output without the reply headers, so that the actions of different sequences of batches can be
+// compared.
 func actions(t *testing.T, out []byte) []byte {
 	t.Helper()
 	var all []byte
@@ -57,47 +58,49 @@
 }
 
 func TestInstancesShareNothing(t *testing.T) {
-	together := play(t, batch(1000, 1, 4, hello(1), hello(2)),
-		batch(1002, 2, 1, call(1, 7)), batch(1004, 3, 1, call(2, 7)))
-	one := play(t, batch(1000, 1, 2, hello(1)), batch(1002, 2, 1, call(1, 7)))
-	two := play(t, batch(1000, 1, 2, hello(2)), batch(1004, 2, 1, call(2, 7)))
-	mixed, apart := actions(t, together), join(actions(t, one), actions(t, two))
-	if len(mixed) < 2*39 || len(mixed) != len(apart) {
-		t.Fatalf("%d bytes of actions together, %d apart", len(mixed), len(apart))
+	together := runAdapter(t, batch(1000, 1, 4, hello(1), hello(2)),
+		batch(1002, 2, 1, request(1, 7)), batch(1004, 3, 1, request(2, 7)))
+	one := runAdapter(t, batch(1000, 1, 2, hello(1)), batch(1002, 2, 1, request(1, 7)))
+	two := runAdapter(t, batch(1000, 1, 2, hello(2)), batch(1004, 2, 1, request(2, 7)))
+	shared, separate := actions(t, together), join(actions(t, one), actions(t, two))
+	if len(shared) < 2*39 || len(shared) != len(separate) {
+		t.Fatalf("instances in one process: got %d bytes of actions, want %d as in two processes",
+			len(shared), len(separate))
 	}
-	for _, get := range [][]byte{one[len(one)-39:], two[len(two)-39:]} {
-		if !bytes.Contains(mixed, get) {
-			t.Errorf("the send %x is missing when both instances share a process", get)
+	// The last 39 bytes of each output are its send action.
+	for _, send := range [][]byte{one[len(one)-39:], two[len(two)-39:]} {
+		if !bytes.Contains(shared, send) {
+			t.Errorf("instances in one process: the send action %x is missing", send)
 		}
 	}
 }
 
 func TestSameInputSameBytes(t *testing.T) {
-	in := join(batch(1000, 1, 2, hello(1)), batch(1002, 2, 2, call(1, 7), call(1, 8)))
-	if !bytes.Equal(play(t, in), play(t, in)) {
-		t.Error("the same input gave other bytes")
+	in := join(batch(1000, 1, 2, hello(1)), batch(1002, 2, 2, request(1, 7), request(1, 8)))
+	if !bytes.Equal(runAdapter(t, in), runAdapter(t, in)) {
+		t.Error("two runs on the same input: got different outputs, want equal ones")
 	}
 }
 
 func TestUnknownInstanceIsIgnored(t *testing.T) {
-	if got := actions(t, play(t, batch(1000, 1, 1, call(5, 7)))); len(got) != 0 {
-		t.Errorf("actions for an instance that was never started: %x", got)
+	if got := actions(t, runAdapter(t, batch(1000, 1, 1, request(5, 7)))); len(got) != 0 {
+		t.Errorf("instance that was never started: got actions %x, want none", got)
 	}
 	down := join([]byte{9}, u32(1))
-	got := actions(t, play(t, batch(1000, 1, 4, hello(1), down, call(1, 7))))
+	got := actions(t, runAdapter(t, batch(1000, 1, 4, hello(1), down, request(1, 7))))
 	if bytes.Contains(got, []byte{71, 1, 0, 0, 0}) {
-		t.Errorf("a stopped instance acted: %x", got)
+		t.Errorf("stopped instance: got actions %x, want no send action", got)
 	}
 }
 
 func TestBadInput(t *testing.T) {
 	err := run(bytes.NewReader(batch(1000, 1, 1, []byte{44, 0, 0, 0, 0})), &bytes.Buffer{})
 	if err == nil || !strings.Contains(err.Error(), "code 44") {
-		t.Errorf("unknown code: %v", err)
+		t.Errorf("unknown code: got error %v, want one with \"code 44\"", err)
 	}
 	noClasses := join([]byte{0}, u32(1), u64(1), u32(2), []byte("{}"))
 	err = run(bytes.NewReader(batch(1000, 1, 1, noClasses)), &bytes.Buffer{})
 	if err == nil || !strings.Contains(err.Error(), "Classes") {
-		t.Errorf("settings without a class: %v", err)
+		t.Errorf("settings without a class: got error %v, want one with \"Classes\"", err)
 	}
 }
--- a/cmd/chart/main.go
+++ b/cmd/chart/main.go
@@ -1,4 +1,4 @@
-// Command chart draws the time line that `sloequay drill --report DIR` leaves: from DIR/timeline.json it makes
+// Command chart plots the timeline that `sloequay drill --report DIR` writes: it reads DIR/timeline.json and writes
 // DIR/timeline.svg.
 package main
 
@@ -13,7 +13,7 @@
 	"sloequay/internal/drill/chart"
 )
 
-// The files in a report's folder.
+// The files in the report directory.
 const (
 	timelineFile = "timeline.json"
 	chartFile    = "timeline.svg"
@@ -28,10 +28,10 @@
 
 func run(args []string) error {
 	if len(args) != 1 {
-		return errors.New("expected the folder of a report")
+		return errors.New("expected one argument: the report directory")
 	}
-	folder := args[0]
-	text, err := os.ReadFile(filepath.Join(folder, timelineFile))
+	directory := args[0]
+	text, err := os.ReadFile(filepath.Join(directory, timelineFile))
 	if err != nil {
 		return err
 	}
@@ -43,5 +43,5 @@
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(filepath.Join(folder, chartFile), svg, 0o600)
+	return os.WriteFile(filepath.Join(directory, chartFile), svg, 0o600)
 }
