--- a/tools/lintgate/findings.go
+++ b/tools/lintgate/findings.go
@@ -9,28 +9,28 @@
 	"path/filepath"
 )
 
-// Finding is one thing that a linter says of a package.
+// Finding is one finding of a linter.
 type Finding struct {
-	Entry   Entry // the package and the linter
-	File    string
+	Entry   Entry  // the package with the finding, and the linter
+	File    string // relative to the module root
 	Line    int
 	Rule    string
 	Message string
 }
 
-// String returns the finding as compilers write theirs.
+// String returns the finding in the form of a compiler error.
 func (finding Finding) String() string {
 	return fmt.Sprintf("%s:%d: %s (%s %s)",
 		finding.File, finding.Line, finding.Message, finding.Entry.Linter, finding.Rule)
 }
 
-// OutsideError is returned for a finding in a file that is not below the module's root.
-type OutsideError struct {
+// OutsideModuleError is returned for a file or directory that is not below the module root.
+type OutsideModuleError struct {
 	File string
 }
 
 // Error names the file.
-func (err *OutsideError) Error() string { return err.File + " is outside the module" }
+func (err *OutsideModuleError) Error() string { return err.File + " is outside the module" }
 
 // staticcheckLine is one line of staticcheck's output with -f json.
 type staticcheckLine struct {
@@ -54,7 +54,7 @@
 	}
 }
 
-// readStaticcheck reads staticcheck's output.
+// readStaticcheck parses the output of staticcheck.
 func readStaticcheck(output []byte, root string) ([]Finding, error) {
 	return readLines(output, root, func(line staticcheckLine) Finding {
 		return Finding{
@@ -64,7 +64,7 @@
 	})
 }
 
-// readRevive reads revive's output.
+// readRevive parses the output of revive.
 func readRevive(output []byte, root string) ([]Finding, error) {
 	return readLines(output, root, func(line reviveLine) Finding {
 		start := line.Position.Start
@@ -75,8 +75,9 @@
 	})
 }
 
-// readLines reads JSON values to the end and puts each finding with the directory of its file.
-func readLines[Line any](output []byte, root string, finding func(Line) Finding) ([]Finding, error) {
+// readLines decodes JSON values until the end of the output and converts each to a finding. It makes the path of the
+// finding relative to root and sets the directory of its entry.
+func readLines[Line any](output []byte, root string, convert func(Line) Finding) ([]Finding, error) {
 	var findings []Finding
 	decoder := json.NewDecoder(bytes.NewReader(output))
 	for {
@@ -86,25 +87,25 @@
 			return findings, nil
 		}
 		if err != nil {
-			return nil, fmt.Errorf("output of the linter: %w", err)
+			return nil, fmt.Errorf("cannot parse the output of the linter: %w", err)
 		}
-		found := finding(line)
-		if found.File, err = relative(root, found.File); err != nil {
+		finding := convert(line)
+		if finding.File, err = relativePath(root, finding.File); err != nil {
 			return nil, err
 		}
-		found.Entry.Directory = filepath.ToSlash(filepath.Dir(found.File))
-		findings = append(findings, found)
+		finding.Entry.Directory = filepath.ToSlash(filepath.Dir(finding.File))
+		findings = append(findings, finding)
 	}
 }
 
-// relative returns a file's path from the root of the module.
-func relative(root, file string) (string, error) {
+// relativePath returns the path of a file relative to the module root.
+func relativePath(root, file string) (string, error) {
 	if !filepath.IsAbs(file) {
 		file = filepath.Join(root, file)
 	}
 	within, err := filepath.Rel(root, file)
 	if err != nil || !filepath.IsLocal(within) {
-		return "", &OutsideError{File: file}
+		return "", &OutsideModuleError{File: file}
 	}
 	return within, nil
 }
--- a/tools/lintgate/lintgate_test.go
+++ b/tools/lintgate/lintgate_test.go
@@ -12,21 +12,21 @@
 	got, err := parsePending("# not done\n\nbroker revive\n  peer/link staticcheck\n", known)
 	want := []Entry{{"broker", "revive"}, {"peer/link", "staticcheck"}}
 	if diff := cmp.Diff(want, got); err != nil || diff != "" {
-		t.Errorf("%v\n%s", err, diff)
+		t.Errorf("valid list: error %v, entries (-want +got):\n%s", err, diff)
 	}
 	cases := map[string]string{
-		"no linter":      "broker",
-		"three fields":   "broker revive staticcheck",
-		"another linter": "broker vet",
-		"no clean path":  "./broker revive",
-		"listed twice":   "broker revive\nbroker revive",
+		"one field":       "broker",
+		"three fields":    "broker revive staticcheck",
+		"unknown linter":  "broker vet",
+		"path not clean":  "./broker revive",
+		"duplicate entry": "broker revive\nbroker revive",
 	}
 	for name, text := range cases {
 		t.Run(name, func(t *testing.T) {
 			list, err := parsePending(text, known)
 			var malformed *MalformedLineError
 			if !errors.As(err, &malformed) {
-				t.Errorf("got %v, %v", list, err)
+				t.Errorf("got list %v, error %v, want a MalformedLineError", list, err)
 			}
 		})
 	}
@@ -37,21 +37,21 @@
 		`"line":3,"column":1},"message":"no"}`+"\n"), "/m")
 	want := []Finding{{Entry{"peer/link", "staticcheck"}, "peer/link/a.go", 3, "S1", "no"}}
 	if diff := cmp.Diff(want, static); err != nil || diff != "" {
-		t.Errorf("staticcheck: %v\n%s", err, diff)
+		t.Errorf("staticcheck: error %v, findings (-want +got):\n%s", err, diff)
 	}
 	revive, err := readRevive([]byte(`{"RuleName":"exported","Failure":"no",`+
 		`"Position":{"Start":{"Filename":"peer/b.go","Line":4}}}`+"\n"), "/m")
 	want = []Finding{{Entry{"peer", "revive"}, "peer/b.go", 4, "exported", "no"}}
 	if diff := cmp.Diff(want, revive); err != nil || diff != "" {
-		t.Errorf("revive: %v\n%s", err, diff)
+		t.Errorf("revive: error %v, findings (-want +got):\n%s", err, diff)
 	}
 	if findings, err := readRevive([]byte("panic"), "/m"); err == nil {
-		t.Errorf("no JSON: got %v", findings)
+		t.Errorf("invalid JSON: got findings %v and no error, want an error", findings)
 	}
 	_, err = readStaticcheck([]byte(`{"location":{"file":"/other/a.go"}}`), "/m")
-	var outside *OutsideError
+	var outside *OutsideModuleError
 	if !errors.As(err, &outside) {
-		t.Errorf("another module: got %v", err)
+		t.Errorf("file outside the module: got error %v, want an OutsideModuleError", err)
 	}
 }
 
@@ -59,23 +59,23 @@
 	directories := []string{"broker", "peer", "peer/link"}
 	long := Finding{Entry: Entry{"broker", "revive"}, File: "broker/a.go", Rule: "line-length-limit"}
 	broken := Finding{Entry: Entry{"broker", "staticcheck"}, File: "broker/a.go", Rule: "compile"}
-	unread := Finding{Entry: Entry{"broker", "revive"}, File: "broker/a.go"}
+	noRule := Finding{Entry: Entry{"broker", "revive"}, File: "broker/a.go"}
 	cases := map[string]struct {
 		findings []Finding
 		pending  []Entry
 		want     []error
 	}{
-		"clean":               {nil, nil, nil},
-		"pending":             {[]Finding{long}, []Entry{long.Entry}, nil},
-		"not pending":         {[]Finding{long}, nil, []error{&NotCleanError{long}}},
-		"pending by another":  {[]Finding{long, broken}, []Entry{long.Entry}, []error{&NotCleanError{broken}}},
-		"does not compile":    {[]Finding{broken}, []Entry{broken.Entry}, []error{&NotCleanError{broken}}},
-		"can not be read":     {[]Finding{unread}, []Entry{unread.Entry}, []error{&NotCleanError{unread}}},
-		"pending and clean":   {nil, []Entry{{"peer", "revive"}}, []error{&CleanEntryError{Entry{"peer", "revive"}}}},
-		"pending and missing": {nil, []Entry{{"gone", "revive"}}, []error{&NoPackageError{Entry{"gone", "revive"}}}},
-		"the one above it": {
+		"clean":                {nil, nil, nil},
+		"pending":              {[]Finding{long}, []Entry{long.Entry}, nil},
+		"not pending":          {[]Finding{long}, nil, []error{&FindingError{long}}},
+		"other linter pending": {[]Finding{long, broken}, []Entry{long.Entry}, []error{&FindingError{broken}}},
+		"does not compile":     {[]Finding{broken}, []Entry{broken.Entry}, []error{&FindingError{broken}}},
+		"no rule":              {[]Finding{noRule}, []Entry{noRule.Entry}, []error{&FindingError{noRule}}},
+		"pending and clean":    {nil, []Entry{{"peer", "revive"}}, []error{&StaleEntryError{Entry{"peer", "revive"}}}},
+		"pending and missing":  {nil, []Entry{{"gone", "revive"}}, []error{&NoPackageError{Entry{"gone", "revive"}}}},
+		"one of two entries is stale": {
 			[]Finding{long}, []Entry{long.Entry, {"peer/link", "revive"}},
-			[]error{&CleanEntryError{Entry{"peer/link", "revive"}}},
+			[]error{&StaleEntryError{Entry{"peer/link", "revive"}}},
 		},
 	}
 	for name, example := range cases {
--- a/tools/lintgate/main.go
+++ b/tools/lintgate/main.go
@@ -1,8 +1,8 @@
-// Lintgate runs staticcheck and revive on all packages of the module. Packages that are not clean yet are listed in
-// .ci/lint-pending.txt, one "DIRECTORY LINTER" a line. All others have to be clean, and a listed one that is clean, or
-// that does not exist, fails as well, so that the list can only shrink. It is called in the root of the module.
+// Lintgate runs staticcheck and revive on all packages of the module. It fails if a linter has findings in a package,
+// unless .ci/lint-pending.txt lists the package and the linter, one "DIRECTORY LINTER" per line. It also fails if a
+// listed package is clean or does not exist, so that the list can only shrink. It must run in the root of the module.
 //
-// With -print it prints the lines that the list needs now.
+// With -print, it prints the list that matches the current findings instead.
 package main
 
 import (
@@ -19,11 +19,11 @@
 
 const pendingFile = ".ci/lint-pending.txt"
 
-// linter is one tool and how its output is read.
+// linter describes how to run a linter and how to read its output.
 type linter struct {
 	name      string
 	arguments []string
-	findings  int // the exit status by which the tool says that it has findings
+	findings  int // exit status of the tool if it has findings
 	read      func(output []byte, root string) ([]Finding, error)
 }
 
@@ -40,7 +40,7 @@
 	},
 }
 
-// LinterError is returned for a linter that could not do its work.
+// LinterError is returned if a linter could not be run or its output could not be used.
 type LinterError struct {
 	Linter string
 	Cause  error
@@ -52,23 +52,23 @@
 // Unwrap returns the cause.
 func (err *LinterError) Unwrap() error { return err.Cause }
 
-// StatusError is returned for a linter whose exit status does not go with its findings.
-type StatusError struct {
+// ExitStatusError is returned if the exit status of a linter contradicts the number of its findings.
+type ExitStatusError struct {
 	Findings int
 	Status   int
 }
 
-// Error says what does not go together.
-func (err *StatusError) Error() string {
-	return fmt.Sprintf("%d findings, and exit status %d", err.Findings, err.Status)
+// Error returns the number of findings and the exit status.
+func (err *ExitStatusError) Error() string {
+	return fmt.Sprintf("got %d findings, but exit status %d", err.Findings, err.Status)
 }
 
 func main() {
-	onlyPrint := flag.Bool("print", false, "print the lines that the list needs now")
+	onlyPrint := flag.Bool("print", false, "print the list that matches the current findings, and check nothing")
 	flag.Parse()
 	action := check
 	if *onlyPrint {
-		action = printNeeded
+		action = printPendingList
 	}
 	if err := action(os.Stdout); err != nil {
 		fmt.Fprintf(os.Stderr, "lintgate: %v\n", err)
@@ -76,7 +76,7 @@
 	}
 }
 
-// check judges the findings by the list.
+// check compares the findings with the list.
 func check(writer io.Writer) error {
 	text, err := os.ReadFile(pendingFile)
 	if err != nil {
@@ -99,14 +99,14 @@
 		return err
 	}
 	if problems := decide(findings, pending, directories); len(problems) > 0 {
-		return fmt.Errorf("by %s:\n%w", pendingFile, errors.Join(problems...))
+		return fmt.Errorf("findings and %s do not match:\n%w", pendingFile, errors.Join(problems...))
 	}
 	fmt.Fprintf(writer, "lintgate: ok, %d lines pending\n", len(pending))
 	return nil
 }
 
-// printNeeded prints the list that would pass now.
-func printNeeded(writer io.Writer) error {
+// printPendingList prints the list with which check would pass.
+func printPendingList(writer io.Writer) error {
 	root, err := os.Getwd()
 	if err != nil {
 		return err
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// packageDirectories returns the module's root and the directories of its packages, relative to it.
+// packageDirectories returns the module root and the directories of its packages relative to the root.
 func packageDirectories() (root string, directories []string, err error) {
 	if root, err = os.Getwd(); err != nil {
 		return "", nil, err
@@ -136,7 +136,7 @@
 		return "", nil, fmt.Errorf("go list: %w", err)
 	}
 	for line := range strings.Lines(string(output)) {
-		directory, err := relative(root, strings.TrimSpace(line))
+		directory, err := relativePath(root, strings.TrimSpace(line))
 		if err != nil {
 			return "", nil, err
 		}
@@ -145,7 +145,7 @@
 	return root, directories, nil
 }
 
-// lint runs all linters, one after another, and returns what they find.
+// lint runs all linters, one after another, and returns their findings.
 func lint(root string) ([]Finding, error) {
 	var all []Finding
 	for _, tool := range linters {
@@ -158,7 +158,7 @@
 	return all, nil
 }
 
-// run runs one linter. An exit status that does not go with its findings is an error.
+// run runs one linter and returns its findings. It returns an error if the exit status contradicts them.
 func (tool linter) run(root string) ([]Finding, error) {
 	command := exec.Command("go", tool.arguments...)
 	command.Stderr = os.Stderr
@@ -172,7 +172,7 @@
 		return nil, err
 	}
 	if (runErr != nil) != (len(findings) > 0) {
-		return nil, &StatusError{Findings: len(findings), Status: command.ProcessState.ExitCode()}
+		return nil, &ExitStatusError{Findings: len(findings), Status: command.ProcessState.ExitCode()}
 	}
 	return findings, nil
 }
--- a/tools/lintgate/pending.go
+++ b/tools/lintgate/pending.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// Entry is a package that a linter does not find clean yet.
+// Entry is a line of the list of pending packages: a package in which a linter still has findings.
 type Entry struct {
-	Directory string // relative to the module
+	Directory string // relative to the module root
 	Linter    string
 }
 
-// String returns the entry as the list writes it.
+// String returns the entry in the form of a line of the list.
 func (entry Entry) String() string { return entry.Directory + " " + entry.Linter }
 
 // MalformedLineError is returned for a line of the list that is not of the form "DIRECTORY LINTER".
@@ -25,10 +25,10 @@
 
 // Error says which line is malformed and why.
 func (err *MalformedLineError) Error() string {
-	return fmt.Sprintf("line %d: %s: %q, want: DIRECTORY LINTER", err.Line, err.Reason, err.Text)
+	return fmt.Sprintf("line %d: %s: got %q, want DIRECTORY LINTER", err.Line, err.Reason, err.Text)
 }
 
-// parsePending reads the list. Empty lines and lines that start with # are passed over.
+// parsePending parses the list. It ignores empty lines and lines that start with #.
 func parsePending(text string, linters []string) ([]Entry, error) {
 	var list []Entry
 	for index, line := range strings.Split(text, "\n") {
@@ -40,13 +40,13 @@
 		reason := ""
 		switch {
 		case len(fields) != 2:
-			reason = "not two fields"
+			reason = "wrong number of fields"
 		case path.Clean(fields[0]) != fields[0]:
-			reason = "no clean path"
+			reason = "path is not clean"
 		case !slices.Contains(linters, fields[1]):
-			reason = "no such linter"
+			reason = "unknown linter"
 		case slices.Contains(list, Entry{Directory: fields[0], Linter: fields[1]}):
-			reason = "listed twice"
+			reason = "duplicate entry"
 		}
 		if reason != "" {
 			return nil, &MalformedLineError{Line: index + 1, Text: line, Reason: reason}
