--- a/tools/testgate/known.go
+++ b/tools/testgate/known.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// maxKnown is how many known failures the list may hold.
-const maxKnown = 3
+// maxKnownFailures is the maximum number of known failures in the list.
+const maxKnownFailures = 3
 
-// The keys of an entry, each of which it has once.
+// The keys of an entry. An entry has each of them exactly once.
 const (
 	keyTest    = "test"
 	keyCommand = "command"
@@ -21,101 +21,103 @@
 
 var entryKeys = []string{keyTest, keyCommand, keySeed, keySeen, keyIssue}
 
-// testName is a test as the list writes it: the package relative to the module, a dot, the test and its subtests.
+// testName matches a test in the form of the list: the package relative to the module, a dot, and the test with its
+// subtests.
 var testName = regexp.MustCompile(`^(\S+?)\.((?:Test|Fuzz|Example)\S*)$`)
 
-// Test names one test, or one subtest, of the module.
+// Test identifies a test or subtest of the module.
 type Test struct {
-	Package string // relative to the module
-	Name    string // with its subtests, as go test prints it
+	Package string // path relative to the module
+	Name    string // including subtests, as go test prints it
 }
 
-// String returns the test as the list writes it.
+// String returns the test in the form of the list.
 func (test Test) String() string { return test.Package + "." + test.Name }
 
-// Known is one entry of the list: a test that may fail.
-type Known struct {
+// KnownFailure is one entry of the list: a test that is allowed to fail.
+type KnownFailure struct {
 	Test    Test
-	Command string // by which the failure was seen
-	Seed    string // that the command was run with; "none" of a test that takes none
-	Seen    string // what the test said
-	Issue   string // where the failure is followed
+	Command string // command with which the failure was seen
+	Seed    string // seed of that command; "none" if the test takes none
+	Seen    string // message of the test
+	Issue   string // issue in which the failure is tracked
 }
 
-// String returns the entry in one line.
-func (known Known) String() string {
+// String returns the entry as one line.
+func (known KnownFailure) String() string {
 	return fmt.Sprintf("%s: %s (issue %s; %s; seed %s)", known.Test, known.Seen, known.Issue, known.Command, known.Seed)
 }
 
-// MalformedEntryError is returned for an entry that has not each key once, with a value that can be used.
+// MalformedEntryError is returned for an entry that does not have each key exactly once with a valid value, and for an
+// entry whose test is already listed.
 type MalformedEntryError struct {
 	File   string
-	Line   int // of the key; the entry's first where a key is missing
+	Line   int // line of the key; if the key is missing, first line of the entry
 	Key    string
 	Reason string
 }
 
-// Error says which key of which line is malformed and why.
+// Error says which key on which line is malformed and why.
 func (err *MalformedEntryError) Error() string {
 	return fmt.Sprintf("%s:%d: %s: %s", err.File, err.Line, err.Key, err.Reason)
 }
 
-// TooManyEntriesError is returned for a list with more entries than it may hold.
+// TooManyEntriesError is returned for a list with more than maxKnownFailures entries.
 type TooManyEntriesError struct {
 	File    string
 	Entries int
 }
 
-// Error says how many entries there are and how many there may be.
+// Error returns the number of entries and the maximum.
 func (err *TooManyEntriesError) Error() string {
-	return fmt.Sprintf("%s: %d known failures are listed, at most %d may be", err.File, err.Entries, maxKnown)
+	return fmt.Sprintf("%s: got %d known failures, want at most %d", err.File, err.Entries, maxKnownFailures)
 }
 
-// value is what one line of an entry says.
+// value is the value on one line of an entry.
 type value struct {
 	text string
 	line int
 }
 
-// entry is the lines of one entry, by their keys.
+// entry holds the values of one entry by their keys.
 type entry struct {
-	line   int // of its first key
+	line   int // line of its first key
 	values map[string]value
 }
 
-// parseKnown reads the list: entries of one "KEY: VALUE" a line, with an empty line between two entries.
-func parseKnown(file, text string) ([]Known, error) {
+// parseKnownFailures parses the list. An entry has one "KEY: VALUE" per line; empty lines separate entries.
+func parseKnownFailures(file, text string) ([]KnownFailure, error) {
 	entries, err := parseEntries(file, text)
 	if err != nil {
 		return nil, err
 	}
-	var list []Known
-	for _, read := range entries {
-		known, err := read.known(file)
+	var list []KnownFailure
+	for _, parsed := range entries {
+		known, err := parsed.knownFailure(file)
 		if err != nil {
 			return nil, err
 		}
-		sameTest := func(other Known) bool { return other.Test == known.Test }
+		sameTest := func(other KnownFailure) bool { return other.Test == known.Test }
 		if slices.ContainsFunc(list, sameTest) {
-			line := read.values[keyTest].line
+			line := parsed.values[keyTest].line
 			return nil, &MalformedEntryError{File: file, Line: line, Key: keyTest, Reason: "the test is listed twice"}
 		}
 		list = append(list, known)
 	}
-	if len(list) > maxKnown {
+	if len(list) > maxKnownFailures {
 		return nil, &TooManyEntriesError{File: file, Entries: len(list)}
 	}
 	return list, nil
 }
 
-// parseEntries divides the list into entries.
+// parseEntries splits the list into entries.
 func parseEntries(file, text string) ([]entry, error) {
 	var entries []entry
-	within := false
+	inEntry := false
 	for index, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
 		if line == "" {
-			within = false
+			inEntry = false
 			continue
 		}
 		number := index + 1
@@ -124,45 +126,45 @@
 			return &MalformedEntryError{File: file, Line: number, Key: key, Reason: reason}
 		}
 		if !found || !slices.Contains(entryKeys, key) {
-			return nil, malformed("no key of an entry, which are " + strings.Join(entryKeys, ", "))
+			return nil, malformed("unknown key, expected one of " + strings.Join(entryKeys, ", "))
 		}
-		if !within {
+		if !inEntry {
 			entries = append(entries, entry{line: number, values: map[string]value{}})
-			within = true
+			inEntry = true
 		}
 		last := entries[len(entries)-1]
-		if _, twice := last.values[key]; twice {
-			return nil, malformed("the entry has it twice; an empty line ends an entry")
+		if _, isDuplicate := last.values[key]; isDuplicate {
+			return nil, malformed("the key occurs twice in the entry; entries are separated by an empty line")
 		}
 		last.values[key] = value{text: strings.TrimSpace(rest), line: number}
 	}
 	return entries, nil
 }
 
-// known returns the entry as a known failure.
-func (read entry) known(file string) (Known, error) {
-	malformed := func(line int, key, reason string) (Known, error) {
-		return Known{}, &MalformedEntryError{File: file, Line: line, Key: key, Reason: reason}
+// knownFailure checks the entry and returns it as a known failure.
+func (e entry) knownFailure(file string) (KnownFailure, error) {
+	malformed := func(line int, key, reason string) (KnownFailure, error) {
+		return KnownFailure{}, &MalformedEntryError{File: file, Line: line, Key: key, Reason: reason}
 	}
 	for _, key := range entryKeys {
-		got, found := read.values[key]
+		got, found := e.values[key]
 		if !found {
-			return malformed(read.line, key, "the entry has no such line")
+			return malformed(e.line, key, "the entry lacks this key")
 		}
 		if got.text == "" {
-			return malformed(got.line, key, "no value")
+			return malformed(got.line, key, "the value is empty")
 		}
 	}
-	test := read.values[keyTest]
+	test := e.values[keyTest]
 	match := testName.FindStringSubmatch(test.text)
 	if match == nil {
 		return malformed(test.line, keyTest, fmt.Sprintf("expected package.TestName, got %q", test.text))
 	}
-	return Known{
+	return KnownFailure{
 		Test:    Test{Package: match[1], Name: match[2]},
-		Command: read.values[keyCommand].text,
-		Seed:    read.values[keySeed].text,
-		Seen:    read.values[keySeen].text,
-		Issue:   read.values[keyIssue].text,
+		Command: e.values[keyCommand].text,
+		Seed:    e.values[keySeed].text,
+		Seen:    e.values[keySeen].text,
+		Issue:   e.values[keyIssue].text,
 	}, nil
 }
--- a/tools/testgate/known_test.go
+++ b/tools/testgate/known_test.go
@@ -8,20 +8,20 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// entryOf is the text of a sound entry for a test.
-func entryOf(test string) string {
+// entryText returns a valid entry for a test.
+func entryText(test string) string {
 	return "test: " + test + "\ncommand: go test ./p\nseed: 7\nseen: late\nissue: #4\n"
 }
 
-func TestParseKnown(t *testing.T) {
+func TestParseKnownFailures(t *testing.T) {
 	text := "\n test:  peer/link.TestCut \ncommand: go test -run 'TestCut$' ./internal/peer/link\nseed: none\n" +
 		"seen: late: 1.2 s, want 1 s\nissue: #4\n\n\n" +
 		"issue: none\nseen: slow\nseed: 12\ncommand: go test ./test\ntest: test.TestDays/a.TestB/c,d\n\n"
-	got, err := parseKnown("LIST", text)
+	got, err := parseKnownFailures("LIST", text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []Known{
+	want := []KnownFailure{
 		{
 			Test: Test{Package: "peer/link", Name: "TestCut"}, Command: "go test -run 'TestCut$' ./internal/peer/link",
 			Seed: "none", Seen: "late: 1.2 s, want 1 s", Issue: "#4",
@@ -36,10 +36,10 @@
 	}
 }
 
-func TestParseKnownMalformed(t *testing.T) {
+func TestParseMalformedEntries(t *testing.T) {
 	without := func(key string) string {
 		var lines []string
-		for line := range strings.Lines(entryOf("broker.TestA")) {
+		for line := range strings.Lines(entryText("broker.TestA")) {
 			if !strings.HasPrefix(line, key+":") {
 				lines = append(lines, line)
 			}
@@ -53,58 +53,58 @@
 	}{
 		"no command":         {without("command"), 1, "command"},
 		"no seed":            {without("seed"), 1, "seed"},
-		"nothing seen":       {without("seen"), 1, "seen"},
-		"no issue":           {entryOf("a.TestA") + "\n" + without("issue"), 7, "issue"},
+		"no seen":            {without("seen"), 1, "seen"},
+		"no issue":           {entryText("a.TestA") + "\n" + without("issue"), 7, "issue"},
 		"no test":            {without("test"), 1, "test"},
-		"empty value":        {strings.Replace(entryOf("broker.TestA"), "late", "", 1), 4, "seen"},
-		"empty test":         {entryOf(""), 1, "test"},
-		"no package":         {entryOf("TestA"), 1, "test"},
-		"no name of a test":  {entryOf("broker"), 1, "test"},
-		"helper":             {entryOf("broker.helper"), 1, "test"},
-		"space in name":      {entryOf("broker.Test A"), 1, "test"},
-		"two tests":          {entryOf("broker.TestA, broker.TestB"), 1, "test"},
-		"benchmark":          {entryOf("broker.BenchmarkA"), 1, "test"},
-		"listed twice":       {entryOf("broker.TestA") + "\n" + entryOf("broker.TestA"), 7, "test"},
-		"key twice":          {"test: a.TestB\n" + entryOf("broker.TestA"), 2, "test"},
-		"no empty line":      {entryOf("a.TestA") + entryOf("a.TestB"), 6, "test"},
-		"empty line inside":  {strings.Replace(entryOf("a.TestA"), "seed", "\nseed", 1), 1, "seed"},
-		"another key":        {entryOf("a.TestA") + "cause: none\n", 6, "cause"},
-		"comment":            {"# " + entryOf("broker.TestA"), 1, "# test"},
+		"empty value":        {strings.Replace(entryText("broker.TestA"), "late", "", 1), 4, "seen"},
+		"empty test":         {entryText(""), 1, "test"},
+		"no package":         {entryText("TestA"), 1, "test"},
+		"no test name":       {entryText("broker"), 1, "test"},
+		"no test function":   {entryText("broker.helper"), 1, "test"},
+		"space in name":      {entryText("broker.Test A"), 1, "test"},
+		"two tests":          {entryText("broker.TestA, broker.TestB"), 1, "test"},
+		"benchmark":          {entryText("broker.BenchmarkA"), 1, "test"},
+		"listed twice":       {entryText("broker.TestA") + "\n" + entryText("broker.TestA"), 7, "test"},
+		"key twice":          {"test: a.TestB\n" + entryText("broker.TestA"), 2, "test"},
+		"no empty line":      {entryText("a.TestA") + entryText("a.TestB"), 6, "test"},
+		"empty line inside":  {strings.Replace(entryText("a.TestA"), "seed", "\nseed", 1), 1, "seed"},
+		"unknown key":        {entryText("a.TestA") + "cause: none\n", 6, "cause"},
+		"comment":            {"# " + entryText("broker.TestA"), 1, "# test"},
 		"line without a key": {"broker.TestA", 1, "broker.TestA"},
-		"an older form":      {"broker.TestA, cause, #1", 1, "broker.TestA, cause, #1"},
+		"one-line entry":     {"broker.TestA, cause, #1", 1, "broker.TestA, cause, #1"},
 	}
 	for name, example := range cases {
 		t.Run(name, func(t *testing.T) {
-			list, err := parseKnown("LIST", example.text)
+			list, err := parseKnownFailures("LIST", example.text)
 			var malformed *MalformedEntryError
 			if !errors.As(err, &malformed) {
-				t.Fatalf("got %v, %v, want a malformed entry", list, err)
+				t.Fatalf("got list %v, error %v, want a MalformedEntryError", list, err)
 			}
 			got := MalformedEntryError{File: malformed.File, Line: malformed.Line, Key: malformed.Key}
 			want := MalformedEntryError{File: "LIST", Line: example.line, Key: example.key}
 			if got != want || malformed.Reason == "" {
-				t.Errorf("got %v, want LIST:%d: %s and a reason", err, example.line, example.key)
+				t.Errorf("got error %v, want LIST:%d: %s and a reason", err, example.line, example.key)
 			}
 		})
 	}
 }
 
 func TestMalformedEntryError(t *testing.T) {
-	_, err := parseKnown("LIST", entryOf("helper"))
+	_, err := parseKnownFailures("LIST", entryText("helper"))
 	want := `LIST:1: test: expected package.TestName, got "helper"`
 	if err == nil || err.Error() != want {
-		t.Errorf("got %v, want %s", err, want)
+		t.Errorf("got error %v, want %s", err, want)
 	}
 }
 
-func TestParseKnownTooMany(t *testing.T) {
-	three := entryOf("a.TestA") + "\n" + entryOf("a.TestB") + "\n" + entryOf("a.TestC")
-	if list, err := parseKnown("LIST", three); err != nil || len(list) != 3 {
-		t.Errorf("three entries: got %v, %v", list, err)
+func TestParseTooManyEntries(t *testing.T) {
+	three := entryText("a.TestA") + "\n" + entryText("a.TestB") + "\n" + entryText("a.TestC")
+	if list, err := parseKnownFailures("LIST", three); err != nil || len(list) != 3 {
+		t.Errorf("three entries: got list %v, error %v, want three entries and no error", list, err)
 	}
-	_, err := parseKnown("LIST", three+"\n"+entryOf("a.TestD"))
-	var many *TooManyEntriesError
-	if !errors.As(err, &many) || many.Entries != 4 {
-		t.Errorf("four entries: got %v", err)
+	_, err := parseKnownFailures("LIST", three+"\n"+entryText("a.TestD"))
+	var tooMany *TooManyEntriesError
+	if !errors.As(err, &tooMany) || tooMany.Entries != 4 {
+		t.Errorf("four entries: got error %v, want a TooManyEntriesError with 4 entries", err)
 	}
 }
--- a/tools/testgate/main.go
+++ b/tools/testgate/main.go
@@ -1,17 +1,17 @@
-// Testgate runs all tests of the module and passes over exactly the failures that KNOWN-RED.txt lists. It is called in
-// the root of the module. Without that file it runs the plain command of the README.
+// Testgate runs all tests of the module and tolerates exactly the failures that KNOWN-RED.txt lists. It must run in the
+// root of the module. Without that file, it only runs "go test -count=1 ./...".
 //
-// The file has at most three entries, each of five lines, with an empty line between two of them:
+// The file has at most three entries, separated by empty lines. Each entry has five lines:
 //
 //	test: PACKAGE.TestName/sub, with the package relative to the module
-//	command: by which the failure was seen
-//	seed: that the command was run with, or none
-//	seen: what the test said
-//	issue: where the failure is followed
+//	command: command with which the failure was seen
+//	seed: seed of that command, or none
+//	seen: message of the test
+//	issue: issue in which the failure is tracked
 //
-// A listed test does not stand for its subtests. A test counts as failed by its listed subtests alone if it wrote
-// nothing by t.Log or t.Error; a bare t.Fail of such a test is not seen. A panic is passed over only if it was in a
-// listed test and kept no other test from running.
+// An entry for a test does not cover its subtests. The failure of a test is attributed to its listed subtests alone if
+// the test itself wrote nothing by t.Log or t.Error; a bare t.Fail of such a test goes unnoticed. A panic is tolerated
+// only if it occurred in a listed test and kept no other test from running to its end.
 package main
 
 import (
@@ -29,15 +29,15 @@
 
 const listFile = "KNOWN-RED.txt"
 
-// topLevel is a test as "go test -list" prints it. Benchmarks are not run and not counted.
-var topLevel = regexp.MustCompile(`^(Test|Fuzz|Example)\S*$`)
+// topLevelTest matches a test in the output of "go test -list". Benchmarks do not match, as they are not run.
+var topLevelTest = regexp.MustCompile(`^(Test|Fuzz|Example)\S*$`)
 
-// NotPassedError ends a run that has problems.
+// NotPassedError is returned for a run with problems.
 type NotPassedError struct {
 	Problems []error
 }
 
-// Error names all problems, one a line.
+// Error lists all problems, one per line.
 func (err *NotPassedError) Error() string {
 	return fmt.Sprintf("%d problems:\n%s", len(err.Problems), errors.Join(err.Problems...))
 }
@@ -52,16 +52,16 @@
 	}
 }
 
-// run reads the list, runs the tests and judges them.
+// run reads the list, runs the tests and reports the verdict.
 func run(writer io.Writer) error {
 	text, err := os.ReadFile(listFile)
 	if errors.Is(err, fs.ErrNotExist) {
-		return plain(writer)
+		return runAll(writer)
 	}
 	if err != nil {
 		return err
 	}
-	list, err := parseKnown(listFile, string(text))
+	list, err := parseKnownFailures(listFile, string(text))
 	if err != nil {
 		return err
 	}
@@ -83,15 +83,15 @@
 	return report(writer, verdict)
 }
 
-// plain runs the tests without a list.
-func plain(writer io.Writer) error {
+// runAll runs the tests without a list of known failures.
+func runAll(writer io.Writer) error {
 	command := exec.Command("go", "test", "-count=1", "./...")
 	command.Stdout, command.Stderr = writer, os.Stderr
 	return command.Run()
 }
 
 // listTests returns the top-level tests of all packages that the list names.
-func listTests(list []Known) ([]Test, error) {
+func listTests(list []KnownFailure) ([]Test, error) {
 	var tests []Test
 	listed := map[string]bool{}
 	for _, known := range list {
@@ -102,10 +102,10 @@
 		listed[directory] = true
 		output, err := exec.Command("go", "test", "-list", ".", "./"+directory).CombinedOutput()
 		if err != nil {
-			return nil, fmt.Errorf("%s: no tests can be listed in %s: %w\n%s", listFile, directory, err, output)
+			return nil, fmt.Errorf("%s: cannot list the tests of %s: %w\n%s", listFile, directory, err, output)
 		}
 		for line := range strings.Lines(string(output)) {
-			if name := strings.TrimSpace(line); topLevel.MatchString(name) {
+			if name := strings.TrimSpace(line); topLevelTest.MatchString(name) {
 				tests = append(tests, Test{Package: directory, Name: name})
 			}
 		}
@@ -113,7 +113,7 @@
 	return tests, nil
 }
 
-// runTests runs all tests, prints what go test prints, and returns the events and whether go test failed.
+// runTests runs all tests, prints their output like go test, and returns the events and whether go test failed.
 func runTests(writer io.Writer) (events []Event, failed bool, err error) {
 	command := exec.Command("go", "test", "-count=1", "-json", "./...")
 	command.Stderr = os.Stderr
@@ -133,7 +133,7 @@
 	return events, waitErr != nil, readErr
 }
 
-// readEvents reads events to the end and shows each.
+// readEvents reads events until the end of the input and prints each.
 func readEvents(reader io.Reader, out *printer) ([]Event, error) {
 	var events []Event
 	decoder := json.NewDecoder(bufio.NewReader(reader))
@@ -141,25 +141,25 @@
 		var event Event
 		err := decoder.Decode(&event)
 		if errors.Is(err, io.EOF) {
-			out.rest()
+			out.flushUnfinished()
 			return events, nil
 		}
 		if err != nil {
-			_, _ = io.Copy(io.Discard, reader) // so that go test can end
-			return events, fmt.Errorf("events of go test: %w", err)
+			_, _ = io.Copy(io.Discard, reader) // so that go test can exit
+			return events, fmt.Errorf("cannot read the events of go test: %w", err)
 		}
 		out.show(event)
 		events = append(events, event)
 	}
 }
 
-// report prints what was passed over and returns what was not.
+// report prints the listed tests with their outcomes, and returns the problems as an error.
 func report(writer io.Writer, verdict Verdict) error {
-	for _, known := range verdict.PassedOver {
-		fmt.Fprintf(writer, "known red, passed over: %v\n", known)
+	for _, known := range verdict.Tolerated {
+		fmt.Fprintf(writer, "known failure, tolerated: %v\n", known)
 	}
 	for _, known := range verdict.Recovered {
-		fmt.Fprintf(writer, "known red, did not fail this time: %v\n", known)
+		fmt.Fprintf(writer, "known failure, did not fail this time: %v\n", known)
 	}
 	if len(verdict.Problems) > 0 {
 		return &NotPassedError{Problems: verdict.Problems}
