--- a/internal/cli/contracts.go
+++ b/internal/cli/contracts.go
@@ -36,7 +36,7 @@
 	}
 	addSettingsFlag(command, &options.settingsPath)
 	command.Flags().Bool("check", false, "report over-committed budgets; the default action")
-	command.Flags().BoolVar(&options.show, "show", false, "print the usage of the contracts, from the running proxy")
+	command.Flags().BoolVar(&options.show, "show", false, "print the usage of the contracts in the running proxy")
 	command.Flags().BoolVar(&options.explain, "explain", false,
 		"print the budgets that apply to TEAM CLASS, and what is left of them")
 	command.Flags().StringVar(&options.service, "service", "", "with --explain: the service of the request")
--- a/internal/cli/try_traffic.go
+++ b/internal/cli/try_traffic.go
@@ -18,7 +18,7 @@
 	tryObjects        = 400
 	tryRPCInterval    = 10 * time.Millisecond
 	tryDNSInterval    = 50 * time.Millisecond
-	tryRPCIdleTimeout = 200 * time.Millisecond // after the stop, open requests then count as failed
+	tryRPCIdleTimeout = 200 * time.Millisecond // read timeout; after the stop, it ends the wait for replies
 	tryDNSTimeout     = 3 * time.Second
 	tryZipfExponent   = 1.1
 	tryZipfOffset     = 8
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -8,11 +8,11 @@
 	"github.com/spf13/cobra"
 )
 
-// versionCommand is `sloequay version`.
+// versionCommand returns the command `sloequay version`.
 func versionCommand(out io.Writer) *cobra.Command {
 	return &cobra.Command{
 		Use:     "version",
-		Short:   "Print what was built",
+		Short:   "Print the version of this build",
 		Example: "  sloequay version",
 		Args:    cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
@@ -22,7 +22,7 @@
 	}
 }
 
-// version is the commit that was built, where the build knows it.
+// version returns the module version, the commit and the Go version of the build, as far as the build records them.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/tools/testgate/verdict.go
+++ b/tools/testgate/verdict.go
@@ -9,7 +9,7 @@
 )
 
 // testLogLine matches a line that t.Error, t.Log or a similar method wrote. The events do not distinguish them, so a
-// failed test that wrote such a line is considered to have failed itself.
+// failed test that wrote such a line is considered to have failed by itself, not only through its subtests.
 var testLogLine = regexp.MustCompile(`^\s+\S+\.go:\d+: `)
 
 // Event is one line of the output of "go test -json".
