--- a/test/last_moment_test.go
+++ b/test/last_moment_test.go
@@ -12,31 +12,35 @@
 	"sloequay/internal/emulator"
 )
 
-// The protocol's figures for a planned restart, and what the clients of TestRequestsUpToTheKill do with them.
+// The limits that the protocol sets for a planned restart, and the parameters of the clients in
+// TestRequestsUpToTheKill.
 const (
-	// excusedAfterTerm is how long after SIGTERM a request may come that the kill may find unanswered.
-	excusedAfterTerm = 700 * time.Millisecond
-	// longestKillDelay and the longest deadline, the shorter of them, are from excusedAfterTerm to the earliest kill.
-	longestKillDelay = 3 * time.Second
-	// crossing is within how much of a close a request crosses it, and is sent again once.
-	crossing = 50 * time.Millisecond
-	// maxOpenOfClient is how many requests a connection carries.
-	maxOpenOfClient = 32
-	// lastMoment is how long before the kill a client that reads nothing begins to send what it may have open still.
-	lastMoment = 120 * time.Millisecond
-	// sendInterval is between two requests.
+	// excusedAfterSIGTERM is how long after SIGTERM the proxy may still receive requests that are unanswered when it is
+	// killed.
+	excusedAfterSIGTERM = 700 * time.Millisecond
+	// maxDrainTime bounds the time from excusedAfterSIGTERM to the earliest kill, which is the longest deadline of the
+	// classes if that is shorter.
+	maxDrainTime = 3 * time.Second
+	// crossingWindow is how long before the connection closes a request counts as crossing the close. Its client sends
+	// it once more.
+	crossingWindow = 50 * time.Millisecond
+	// maxOpenPerConnection is how many requests may be open on a connection.
+	maxOpenPerConnection = 32
+	// nonReaderSendLead is how long before the kill a client that reads nothing starts to send as many requests as it
+	// may still open.
+	nonReaderSendLead = 120 * time.Millisecond
+	// sendInterval is the time between two requests.
 	sendInterval = 5 * time.Millisecond
-	// silentEvery is the number of requests of which one goes to an endpoint that does not answer, so that the
-	// connection is never idle.
+	// silentEvery is the interval, in requests, at which one is for silentObject, so that the connection is never idle.
 	silentEvery = 16
-	// silentEnd is how long before the kill all requests begin to be such.
-	silentEnd = 200 * time.Millisecond
-	// slowPause is what a slow reader waits after each answer.
-	slowPause = 30 * time.Millisecond
-	// maxUnreadBodies and unreadBodyBytes are more than the sockets between client and proxy hold.
+	// silentBeforeKill is how long before the kill all further requests are for silentObject.
+	silentBeforeKill = 200 * time.Millisecond
+	// slowReadPause is how long a slow reader waits after each answer.
+	slowReadPause = 30 * time.Millisecond
+	// maxUnreadBodies bodies of unreadBodyBytes exceed the socket buffers between client and proxy.
 	maxUnreadBodies = 14
 	unreadBodyBytes = 240000
-	// silentObject is one that no endpoint answers, largeObject one of unreadBodyBytes.
+	// silentObject is an object for which endpoints never answer; largeObject has a body of unreadBodyBytes.
 	silentObject = "00000000000000bb"
 	largeObject  = "00000000000000cc"
 )
@@ -50,33 +54,34 @@
 	readsNothing readingPace = "reads nothing until the kill"
 )
 
-// lastMomentCase is a client that goes on sending on one connection after SIGTERM, up to the kill.
+// lastMomentCase describes a client that keeps sending on one connection after SIGTERM until the proxy is killed.
 type lastMomentCase struct {
 	deadline time.Duration // of all classes
 	pace     readingPace
-	// hasUnread has it begin with answers that are more than the system takes, so that they lie in the proxy.
+	// hasUnread makes the client first request more than the socket buffers hold, so that answers are queued in the
+	// proxy.
 	hasUnread bool
-	// isHeld has a request of before SIGTERM open at the kill.
-	isHeld bool
+	// hasOpenRequest keeps a request from before SIGTERM open until the kill.
+	hasOpenRequest bool
 }
 
 func (c lastMomentCase) name() string {
 	name := fmt.Sprintf("deadline %v, the client %s", c.deadline, c.pace)
 	if c.hasUnread {
-		name += ", answers lie in the proxy"
+		name += ", answers are queued in the proxy"
 	}
-	if c.isHeld {
+	if c.hasOpenRequest {
 		name += ", a request is open at the kill"
 	}
 	return name
 }
 
-// killDelay is how long after SIGTERM the earliest kill comes.
+// killDelay returns the time from SIGTERM to the earliest kill.
 func (c lastMomentCase) killDelay() time.Duration {
-	return min(c.deadline, longestKillDelay) + excusedAfterTerm
+	return min(c.deadline, maxDrainTime) + excusedAfterSIGTERM
 }
 
-// unreadBodies is how many large answers the client begins with.
+// unreadBodies returns how many large bodies the client requests first.
 func (c lastMomentCase) unreadBodies() int {
 	if c.hasUnread {
 		return maxUnreadBodies
@@ -84,42 +89,42 @@
 	return 0
 }
 
-// The ends of a request for its client.
+// The outcomes of a request as its client sees them.
 const (
 	endServed     = "served"
 	endRejected   = "rejected"
 	endFailed     = "failed"
-	endCrossed    = "crossed a close"
-	endNotWritten = "could not be written"
-	endCut        = "closed over it"
-	endNothing    = "nothing at the kill"
+	endCrossed    = "crossed the close"
+	endNotWritten = "not written"
+	endClosed     = "connection closed without an answer"
+	endUnanswered = "unanswered at the kill"
 )
 
-// sentRequest is a request of a lastMomentClient, with times since SIGTERM.
+// sentRequest is a request of a lastMomentClient. Its times are relative to SIGTERM.
 type sentRequest struct {
 	id         uint64
 	sentAt     time.Duration
 	answeredAt time.Duration
 	writeErr   error
-	end        string // empty: it has none yet
+	end        string // one of the outcomes above; empty: open
 }
 
-// lastMomentClient sends on one connection up to the kill, and notes what becomes of each request.
+// lastMomentClient sends requests on one connection until the kill and records the outcome of each.
 type lastMomentClient struct {
 	*client
-	c     lastMomentCase
-	watch *emulator.EndWatch
-	began time.Time // SIGTERM
+	scenario lastMomentCase
+	endWatch *emulator.EndWatch
+	epoch    time.Time // when SIGTERM was sent
 
 	mu   sync.Mutex
 	sent []*sentRequest
 	open int
 }
 
-// askFor sends one request for an object.
-func (l *lastMomentClient) askFor(object string, limit time.Duration) {
+// sendRequest sends a request for an object.
+func (l *lastMomentClient) sendRequest(object string, limit time.Duration) {
 	l.mu.Lock()
-	request := &sentRequest{id: uint64(len(l.sent) + 1), sentAt: time.Since(l.began)}
+	request := &sentRequest{id: uint64(len(l.sent) + 1), sentAt: time.Since(l.epoch)}
 	l.sent = append(l.sent, request)
 	l.open++
 	l.mu.Unlock()
@@ -131,57 +136,58 @@
 	request.writeErr = err
 }
 
-// mayAsk reports whether the client has room for one more request on a connection that is not known to be closed.
-func (l *lastMomentClient) mayAsk() bool {
+// canSend reports whether the client may open one more request and has not seen the connection close more than
+// crossingWindow ago.
+func (l *lastMomentClient) canSend() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	endedAt := l.watch.SeenAt()
-	isUp := endedAt.IsZero() || time.Since(endedAt) < crossing
-	return isUp && l.open < maxOpenOfClient
+	endedAt := l.endWatch.SeenAt()
+	isOpen := endedAt.IsZero() || time.Since(endedAt) < crossingWindow
+	return isOpen && l.open < maxOpenPerConnection
 }
 
-// run asks up to the kill.
+// run sends requests until the kill.
 func (l *lastMomentClient) run() {
-	killAt := l.began.Add(l.c.killDelay())
-	next := l.began.Add(excusedAfterTerm - crossing)
-	if l.c.pace == readsNothing {
-		next = killAt.Add(-lastMoment)
+	killAt := l.epoch.Add(l.scenario.killDelay())
+	next := l.epoch.Add(excusedAfterSIGTERM - crossingWindow)
+	if l.scenario.pace == readsNothing {
+		next = killAt.Add(-nonReaderSendLead)
 	}
 	for count := 1; next.Before(killAt); count++ {
 		time.Sleep(time.Until(next))
 		next = next.Add(sendInterval)
-		if !l.mayAsk() {
+		if !l.canSend() {
 			continue
 		}
 		object := hexID(count)
-		if count%silentEvery == 0 || time.Until(killAt) < silentEnd {
+		if count%silentEvery == 0 || time.Until(killAt) < silentBeforeKill {
 			object = silentObject
 		}
-		l.askFor(object, l.c.deadline)
+		l.sendRequest(object, l.scenario.deadline)
 	}
 }
 
-// readAnswers takes answers until the connection ends.
+// readAnswers reads answers until the connection ends.
 func (l *lastMomentClient) readAnswers() {
 	for {
 		answer, err := l.protocol.Read(waitLimit)
 		if err != nil {
 			return
 		}
-		l.note(answer)
-		if l.c.pace == readsSlowly {
-			time.Sleep(slowPause)
+		l.recordAnswer(answer)
+		if l.scenario.pace == readsSlowly {
+			time.Sleep(slowReadPause)
 		}
 	}
 }
 
-// note ends the request that an answer is for.
-func (l *lastMomentClient) note(answer reply) {
+// recordAnswer records the outcome of the request that an answer belongs to.
+func (l *lastMomentClient) recordAnswer(answer reply) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.open--
 	request := l.sent[answer.ID-1]
-	request.answeredAt = time.Since(l.began)
+	request.answeredAt = time.Since(l.epoch)
 	switch answer.Error {
 	case "":
 		request.end = endServed
@@ -192,11 +198,11 @@
 	}
 }
 
-// settle says of each request without an answer how it ended; killedAt is since SIGTERM.
-func (l *lastMomentClient) settle(killedAt time.Duration) {
+// resolveUnanswered sets the outcome of each request without an answer. killedAt is relative to SIGTERM.
+func (l *lastMomentClient) resolveUnanswered(killedAt time.Duration) {
 	closedAt := killedAt
-	if endedAt := l.watch.SeenAt(); !endedAt.IsZero() {
-		closedAt = endedAt.Sub(l.began)
+	if endedAt := l.endWatch.SeenAt(); !endedAt.IsZero() {
+		closedAt = endedAt.Sub(l.epoch)
 	}
 	for _, request := range l.sent {
 		switch {
@@ -204,24 +210,26 @@
 		case request.writeErr != nil:
 			request.end = endNotWritten
 		case closedAt >= killedAt:
-			request.end = endNothing
-		case closedAt-request.sentAt < crossing:
+			request.end = endUnanswered
+		case closedAt-request.sentAt < crossingWindow:
 			request.end = endCrossed
 		default:
-			request.end = endCut
+			request.end = endClosed
 		}
 	}
 }
 
-// late is the requests that came too late for the kill to be their excuse.
-func (l *lastMomentClient) late() []*sentRequest {
-	return slices.DeleteFunc(slices.Clone(l.sent), func(r *sentRequest) bool { return r.sentAt <= excusedAfterTerm })
+// lateRequests returns the requests sent so late that the kill does not excuse a missing answer.
+func (l *lastMomentClient) lateRequests() []*sentRequest {
+	return slices.DeleteFunc(slices.Clone(l.sent), func(r *sentRequest) bool { return r.sentAt <= excusedAfterSIGTERM })
 }
 
-// describe counts requests by their ends, with when the first and the last of each was sent before the kill.
-func describe(requests []*sentRequest, killedAt time.Duration) string {
+// summarize counts requests by outcome and gives, for each outcome, how long before the kill the first and the last
+// request were sent.
+func summarize(requests []*sentRequest, killedAt time.Duration) string {
 	var ends []string
-	for _, end := range []string{endServed, endRejected, endFailed, endCrossed, endNotWritten, endCut, endNothing} {
+	for _, end := range []string{endServed, endRejected, endFailed, endCrossed, endNotWritten, endClosed,
+		endUnanswered} {
 		var first, last time.Duration
 		count := 0
 		for _, r := range requests {
@@ -241,8 +249,8 @@
 	return strings.Join(ends, ", ")
 }
 
-// playLastMoment plays a case, and gives its client and when the kill came.
-func playLastMoment(t *testing.T, c lastMomentCase) (bed *testbed, l *lastMomentClient, killedAt time.Duration) {
+// runLastMomentCase runs a case and returns its client and the time from SIGTERM to the kill.
+func runLastMomentCase(t *testing.T, c lastMomentCase) (bed *testbed, l *lastMomentClient, killedAt time.Duration) {
 	t.Helper()
 	large := strings.Repeat("x", unreadBodyBytes)
 	bed = newTestbed(t, func(attempt *receivedRequest) {
@@ -257,120 +265,123 @@
 	bed.setDeadlines(int(c.deadline.Milliseconds()))
 	bed.start()
 	inner := bed.dialSmallBuffer()
-	l = &lastMomentClient{client: inner, c: c, watch: emulator.WatchEnd(inner.conn.(*net.TCPConn)), began: time.Now()}
-	if c.isHeld {
-		l.askFor(silentObject, time.Minute)
+	l = &lastMomentClient{client: inner, scenario: c, endWatch: emulator.WatchEnd(inner.conn.(*net.TCPConn)),
+		epoch: time.Now()}
+	if c.hasOpenRequest {
+		l.sendRequest(silentObject, time.Minute)
 	}
 	for range c.unreadBodies() {
-		l.askFor(largeObject, time.Minute)
+		l.sendRequest(largeObject, time.Minute)
 	}
 	first := len(l.sent)
-	bed.waitUntil("the first requests are with the endpoints", func() bool { return len(bed.attempts()) >= first })
-	l.setBegan(bed.terminate())
-	var playing sync.WaitGroup
+	bed.waitUntil("endpoints have read the first requests", func() bool { return len(bed.attempts()) >= first })
+	l.setEpoch(bed.terminate())
+	var running sync.WaitGroup
 	if c.pace != readsNothing {
-		playing.Go(l.readAnswers)
+		running.Go(l.readAnswers)
 	}
-	playing.Go(l.run)
-	time.Sleep(time.Until(l.began.Add(c.killDelay())))
-	killedAt = time.Since(l.began)
+	running.Go(l.run)
+	time.Sleep(time.Until(l.epoch.Add(c.killDelay())))
+	killedAt = time.Since(l.epoch)
 	bed.kill()
 	if c.pace == readsNothing {
-		playing.Go(l.readAnswers)
+		running.Go(l.readAnswers)
 	}
-	playing.Wait()
-	l.settle(killedAt)
+	running.Wait()
+	l.resolveUnanswered(killedAt)
 	return bed, l, killedAt
 }
 
-// setBegan has the times of requests count from SIGTERM; those that were sent before have times below 0.
-func (l *lastMomentClient) setBegan(began time.Time) {
+// setEpoch makes the times of requests relative to SIGTERM. Requests sent before SIGTERM then have negative times.
+func (l *lastMomentClient) setEpoch(epoch time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, request := range l.sent {
-		request.sentAt -= began.Sub(l.began)
+		request.sentAt -= epoch.Sub(l.epoch)
 	}
-	l.began = began
+	l.epoch = epoch
 }
 
-// stoodBehindUnread reports whether the kill found large answers that the client had not read: not all of them came
-// whole, or the client still read some when the kill had come.
-func (l *lastMomentClient) stoodBehindUnread(killedAt time.Duration) bool {
-	if !l.c.hasUnread || l.c.pace == readsAtOnce {
+// isBlockedByUnread reports whether, at the kill, the client had yet to read some of the large answers.
+func (l *lastMomentClient) isBlockedByUnread(killedAt time.Duration) bool {
+	if !l.scenario.hasUnread || l.scenario.pace == readsAtOnce {
 		return false
 	}
 	served := 0
-	for _, request := range l.sent[:len(l.sent)-len(l.ofAfterTerm())] {
+	for _, request := range l.sent[:len(l.sent)-len(l.sentAfterSIGTERM())] {
 		if request.end == endServed && request.answeredAt < killedAt {
 			served++
 		}
 	}
-	return served < l.c.unreadBodies()
+	return served < l.scenario.unreadBodies()
 }
 
-// ofAfterTerm is the requests that were sent after SIGTERM.
-func (l *lastMomentClient) ofAfterTerm() []*sentRequest {
+// sentAfterSIGTERM returns the requests that were sent after SIGTERM.
+func (l *lastMomentClient) sentAfterSIGTERM() []*sentRequest {
 	return slices.DeleteFunc(slices.Clone(l.sent), func(r *sentRequest) bool { return r.sentAt <= 0 })
 }
 
-// checkLate holds what the protocol page says of the requests that the kill does not excuse. One may go without an
-// answer that crosses a close, or that was never written whole, as then it was never taken; one that comes in the last
-// 50 ms on a connection which an excused request holds open (docs/questions.md); and one whose answer stands behind
-// others that its client does not read (docs/questions.md), of which nothing may have run.
+// checkLate checks that each late request was answered. The exceptions that the protocol allows are:
+//   - a request that crosses a close, or was not written completely and hence never accepted;
+//   - a request in the last 50 ms on a connection that an excused request keeps open (docs/questions.md);
+//   - a request whose answer is queued behind answers that the client does not read (docs/questions.md). No endpoint
+//     may have received an attempt of it.
 func checkLate(t *testing.T, bed *testbed, l *lastMomentClient, killedAt time.Duration) {
 	t.Helper()
-	isBehind := l.stoodBehindUnread(killedAt)
-	for _, request := range l.late() {
+	isBlocked := l.isBlockedByUnread(killedAt)
+	for _, request := range l.lateRequests() {
 		beforeKill := killedAt - request.sentAt
 		switch {
-		case request.end == endCut, request.end == endNothing && !isBehind && (!l.c.isHeld || beforeKill >= crossing):
+		case request.end == endClosed, request.end == endUnanswered && !isBlocked &&
+			(!l.scenario.hasOpenRequest || beforeKill >= crossingWindow):
 			t.Errorf("request %d, sent %v before the kill: %s", request.id, beforeKill, request.end)
-		case request.end == endNothing && isBehind && len(bed.attemptsOf(request.id)) > 0:
-			t.Errorf("request %d, sent %v before the kill, went to an endpoint, want it rejected at once", request.id,
+		case request.end == endUnanswered && isBlocked && len(bed.attemptsOfRequest(request.id)) > 0:
+			t.Errorf("request %d, sent %v before the kill: an endpoint received it, want it rejected at once", request.id,
 				beforeKill)
 		}
 	}
 }
 
-// attemptsOf gives the attempts of one request, by its number.
-func (bed *testbed) attemptsOf(id uint64) []*receivedRequest {
+// attemptsOfRequest returns the attempts that endpoints have read for the request with an id.
+func (bed *testbed) attemptsOfRequest(id uint64) []*receivedRequest {
 	return bed.received(func(line *receivedRequest) bool {
 		return line.Word == "ASK" && line.Fields["nth"] == fmt.Sprint(id)
 	})
 }
 
-// TestRequestsUpToTheKill has clients go on by an open connection after SIGTERM up to the earliest kill, longer than
-// the page's clients do, and holds what becomes of each request that came too late for the kill to excuse it. The
-// connection is closed before, unless something holds it: nothing that a reading client sends is lost.
+// TestRequestsUpToTheKill has clients send requests on an open connection from SIGTERM until the earliest kill, longer
+// than the protocol's clients do, and checks the outcome of each request that the kill does not excuse. The proxy must
+// close the connection before the kill unless a request or unread answers keep it open: no request of a client that
+// reads its answers is lost.
 func TestRequestsUpToTheKill(t *testing.T) {
 	for _, c := range lastMomentCases() {
 		t.Run(c.name(), func(t *testing.T) {
 			t.Parallel()
-			bed, l, killedAt := playLastMoment(t, c)
-			t.Logf("killed %v after SIGTERM, behind unread answers: %v; late: %s", killedAt.Round(time.Millisecond),
-				l.stoodBehindUnread(killedAt), describe(l.late(), killedAt))
+			bed, l, killedAt := runLastMomentCase(t, c)
+			t.Logf("killed %v after SIGTERM; blocked by unread answers: %v; late requests: %s",
+				killedAt.Round(time.Millisecond), l.isBlockedByUnread(killedAt), summarize(l.lateRequests(), killedAt))
 			checkLate(t, bed, l, killedAt)
-			closedAt := l.watch.SeenAt()
-			isClosedBefore := !closedAt.IsZero() && closedAt.Sub(l.began) < killedAt
-			if want := !c.isHeld && !l.stoodBehindUnread(killedAt); isClosedBefore != want {
-				t.Errorf("the connection was closed before the kill: %v, want %v", isClosedBefore, want)
+			closedAt := l.endWatch.SeenAt()
+			closedBeforeKill := !closedAt.IsZero() && closedAt.Sub(l.epoch) < killedAt
+			if want := !c.hasOpenRequest && !l.isBlockedByUnread(killedAt); closedBeforeKill != want {
+				t.Errorf("connection closed before the kill: got %v, want %v", closedBeforeKill, want)
 			}
-			if c.pace == readsNothing && l.stoodBehindUnread(killedAt) != c.hasUnread {
-				t.Errorf("answers lay in the proxy at the kill: %v, want %v", !c.hasUnread, c.hasUnread)
+			if c.pace == readsNothing && l.isBlockedByUnread(killedAt) != c.hasUnread {
+				t.Errorf("answers queued in the proxy at the kill: got %v, want %v", !c.hasUnread, c.hasUnread)
 			}
 		})
 	}
 }
 
-// lastMomentCases is each deadline with each pace, with and without answers in the proxy. Where the longest deadline is
-// beyond what the platform waits for, a request may be open at the kill.
+// lastMomentCases combines each deadline with each reading pace, with and without answers queued in the proxy. A
+// deadline longer than maxDrainTime is also combined with a request that is open at the kill.
 func lastMomentCases() (cases []lastMomentCase) {
 	for _, deadline := range []time.Duration{600 * time.Millisecond, 2 * time.Second, 6 * time.Second} {
 		for _, pace := range []readingPace{readsAtOnce, readsSlowly, readsNothing} {
 			for _, hasUnread := range []bool{false, true} {
 				c := lastMomentCase{deadline: deadline, pace: pace, hasUnread: hasUnread}
 				cases = append(cases, c)
-				if c.isHeld = true; deadline > longestKillDelay {
+				if c.hasOpenRequest = true; deadline > maxDrainTime {
 					cases = append(cases, c)
 				}
 			}
@@ -379,9 +390,9 @@
 	return cases
 }
 
-// TestCloseWaitsForDelivery guards against answers that are lost with a close: the system had taken them from a proxy
-// that drains, which closed the connection; the client, who had yet to read them and so could not see the close, sent
-// one more request, and the system dropped them by the reset that it answered.
+// TestCloseWaitsForDelivery guards against answers that are lost when a draining proxy closes a connection. The kernel
+// had accepted the answers, but the client had not read them yet and so could not see the close. When it sent one more
+// request, the kernel answered with a reset and dropped them.
 func TestCloseWaitsForDelivery(t *testing.T) {
 	body := strings.Repeat("x", 60000)
 	bed := newTestbed(t, func(attempt *receivedRequest) { attempt.Answer("ACK", "tag=t1", body) })
@@ -394,6 +405,6 @@
 	client.send(request(2, "footage", map[string]string{"nth": "1"}, ""))
 	time.Sleep(100 * time.Millisecond) // for the reset, if one comes
 	if answer := client.mustRead(); answer.Body != body {
-		t.Errorf("%d bytes came, want %d", len(answer.Body), len(body))
+		t.Errorf("body: got %d bytes, want %d", len(answer.Body), len(body))
 	}
 }
--- a/test/listeners_test.go
+++ b/test/listeners_test.go
@@ -16,17 +16,17 @@
 	"sloequay/internal/emulator"
 )
 
-// The system may have no memory, for a moment, to watch a connection (epoll_ctl). These tests say what callers may
-// expect meanwhile and afterwards, at each listener of the program.
+// The kernel may temporarily lack the memory to watch a connection (epoll_ctl fails with ENOMEM). These tests check how
+// each listener of the program treats its callers meanwhile and afterwards.
 
-// startWatches is at least how many watches the program adds until all its listeners are open; refusedTogether is how
-// many in a row are refused in one run. Their order differs a little from run to run.
+// minStartWatches is a lower bound of the watches that the program adds until all its listeners are open.
+// refusedPerRun is how many consecutive ones fail in one run. Their order varies slightly between runs.
 const (
-	startWatches    = 28
-	refusedTogether = 3
+	minStartWatches = 28
+	refusedPerRun   = 3
 )
 
-// listenersTestbed has every listener of the program open.
+// listenersTestbed is a testbed with every listener of the program enabled.
 type listenersTestbed struct {
 	*tlsTestbed
 	adminSocket string
@@ -34,9 +34,9 @@
 
 func newListenersTestbed(t *testing.T) *listenersTestbed {
 	t.Helper()
-	secure := &tlsTestbed{testbed: newTestbed(t, nil), authority: newAuthority(t)}
-	secure.enableTLS("unsigned staff")
-	bed := &listenersTestbed{tlsTestbed: secure, adminSocket: socketPath(t)}
+	tlsBed := &tlsTestbed{testbed: newTestbed(t, nil), authority: newAuthority(t)}
+	tlsBed.enableTLS("unsigned staff")
+	bed := &listenersTestbed{tlsTestbed: tlsBed, adminSocket: socketPath(t)}
 	bed.enableDNS("")
 	bed.addSettings("control " + bed.adminSocket)
 	keyFile := filepath.Join(t.TempDir(), "peers.key")
@@ -45,14 +45,14 @@
 	return bed
 }
 
-// entryPoint is one way into the program.
+// entryPoint is one of the program's listeners and a way to call it.
 type entryPoint struct {
 	name string
-	// connect connects, without waiting for the program. The function that it gives goes on from there: it asks, and
-	// says what is wrong with the answer.
-	connect func(bed *listenersTestbed) (ask func() error, err error)
-	// mayAskAgain is whether a caller has lost nothing with its connection: it has sent nothing that counts.
-	mayAskAgain bool
+	// connect connects without waiting for the program to accept. The returned function sends a request on the
+	// connection and returns an error unless the answer is correct.
+	connect func(bed *listenersTestbed) (probe func() error, err error)
+	// canRetry is whether a caller can safely retry after it loses its connection, as it has sent no request yet.
+	canRetry bool
 }
 
 var entryPoints = []entryPoint{
@@ -67,11 +67,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return func() error { return askLookup(conn) }, nil
+	return func() error { return sendLookup(conn) }, nil
 }
 
-// askLookup asks for an object, and says what is wrong with the answer.
-func askLookup(c *emulator.Client) error {
+// sendLookup looks up an object and returns an error unless the request is served.
+func sendLookup(c *emulator.Client) error {
 	defer c.Conn.Close()
 	if err := c.Send(request(1, "lookup", nil, "")); err != nil {
 		return err
@@ -109,7 +109,7 @@
 		return nil, err
 	}
 	config := bed.clientConfig("lane3.lanes.test")
-	return func() error { return askLookup(emulator.NewClient(tls.Client(raw, config))) }, nil
+	return func() error { return sendLookup(emulator.NewClient(tls.Client(raw, config))) }, nil
 }
 
 func connectOperator(bed *listenersTestbed) (func() error, error) {
@@ -125,75 +125,75 @@
 		}
 		text, err := io.ReadAll(conn)
 		if err == nil && !strings.HasPrefix(string(text), "clients ") {
-			err = fmt.Errorf("answer %q", text)
+			err = fmt.Errorf("got answer %q, want one that begins with \"clients \"", text)
 		}
 		return err
 	}, nil
 }
 
-// ask connects and asks.
-func (e *entryPoint) ask(bed *listenersTestbed) error {
-	ask, err := e.connect(bed)
+// probe connects and sends a request.
+func (e *entryPoint) probe(bed *listenersTestbed) error {
+	probe, err := e.connect(bed)
 	if err != nil {
 		return err
 	}
-	return ask()
+	return probe()
 }
 
-// TestListenersSurviveRefusedWatches: the system refuses to watch a connection that was accepted, for a moment. Where
-// its caller may have sent a request, it is served all the same; where not, the log says why it was closed. Who comes
-// afterwards is served.
+// TestListenersSurviveRefusedWatches temporarily fails the watch of an accepted connection. A caller that may already
+// have sent a request is served nevertheless; any other is served or the log says why its connection was closed. Later
+// callers are served.
 func TestListenersSurviveRefusedWatches(t *testing.T) {
 	t.Parallel()
 	for _, entry := range entryPoints {
 		t.Run(entry.name, func(t *testing.T) {
 			t.Parallel()
 			bed := newListenersTestbed(t)
-			watches := newRefusal(bed.testbed, "epoll_ctl_add")
-			bed.startWithFaults(watches.fault("ENOMEM"))
-			if err := entry.ask(bed); err != nil {
-				t.Fatalf("before the fault: %v, want an answer", err)
+			watches := newSwitchableFault(bed.testbed, "epoll_ctl_add")
+			bed.startWithFaults(watches.spec("ENOMEM"))
+			if err := entry.probe(bed); err != nil {
+				t.Fatalf("caller before the fault: got error %v, want an answer", err)
 			}
-			watches.begin("")
-			ask, err := entry.connect(bed)
+			watches.enable("")
+			probe, err := entry.connect(bed)
 			if err != nil {
 				t.Fatal(err)
 			}
-			watches.wait(1)
-			watches.end()
-			if err := ask(); err != nil {
-				if !entry.mayAskAgain {
-					t.Errorf("the caller that was refused: %v, want an answer", err)
+			watches.waitCount(1)
+			watches.disable()
+			if err := probe(); err != nil {
+				if !entry.canRetry {
+					t.Errorf("caller whose watch was refused: got error %v, want an answer", err)
 				}
 				bed.waitLogMatches("event=accept-failed .*cannot allocate memory")
 			}
-			if err := entry.ask(bed); err != nil {
-				t.Errorf("a caller that came afterwards: %v, want an answer", err)
+			if err := entry.probe(bed); err != nil {
+				t.Errorf("caller after the fault: got error %v, want an answer", err)
 			}
 		})
 	}
 }
 
-// TestListenersOpenDespiteRefusedWatches: the system refuses some of the watches that the start needs. Each listener
-// that the settings name is open all the same.
+// TestListenersOpenDespiteRefusedWatches fails some of the watches that the program adds at its start. All configured
+// listeners must open nevertheless.
 func TestListenersOpenDespiteRefusedWatches(t *testing.T) {
 	t.Parallel()
-	for n := 1; n <= startWatches; n += refusedTogether {
+	for n := 1; n <= minStartWatches; n += refusedPerRun {
 		t.Run(fmt.Sprint("watch ", n), func(t *testing.T) {
 			t.Parallel()
 			bed := newListenersTestbed(t)
-			bed.startWithFaults(fmt.Sprintf("epoll_ctl_add=ENOMEM@%d-%d", n, n+refusedTogether-1))
-			bed.waitUntil("all are refused", func() bool {
-				_ = entryPoints[0].ask(bed) // adds further ones
-				return bed.timesLogged(injectedFailureText("epoll_ctl_add")) == refusedTogether
+			bed.startWithFaults(fmt.Sprintf("epoll_ctl_add=ENOMEM@%d-%d", n, n+refusedPerRun-1))
+			bed.waitUntil("all injected failures have occurred", func() bool {
+				_ = entryPoints[0].probe(bed) // each connection adds watches
+				return bed.timesLogged(injectedFailureText("epoll_ctl_add")) == refusedPerRun
 			})
 			for _, entry := range entryPoints {
-				if err := entry.ask(bed); err != nil {
-					t.Errorf("%s: %v, want an answer", entry.name, err)
+				if err := entry.probe(bed); err != nil {
+					t.Errorf("%s: got error %v, want an answer", entry.name, err)
 				}
 			}
 			if bed.logged("peer-transport-failed") {
-				t.Error("the transport to the peers is not open")
+				t.Error("the peer transport failed to open")
 			}
 		})
 	}
--- a/test/pages/capacity_test.go
+++ b/test/pages/capacity_test.go
@@ -12,17 +12,18 @@
 	"testing"
 )
 
-// fileHeading and constantRow are how docs/CAPACITY.md names a file, and below it each constant with its value.
+// fileHeading and constantRow match the headings of docs/CAPACITY.md, which name files, and the table rows below them,
+// which name the constants of the file with their values.
 var (
 	fileHeading = regexp.MustCompile("^### `([^`]+)`$")
 	constantRow = regexp.MustCompile("^\\| `(\\w+)` \\| `([^`]+)` \\|")
 )
 
-// TestCapacityValues: each constant of docs/CAPACITY.md has the value in its file that the page gives.
+// TestCapacityValues checks that each constant in docs/CAPACITY.md has the value in its file that the page states.
 func TestCapacityValues(t *testing.T) {
-	path, found := "", 0
+	path, rowCount := "", 0
 	values := map[string]string{}
-	for number, line := range strings.Split(read(t, "docs/CAPACITY.md"), "\n") {
+	for number, line := range strings.Split(readPage(t, "docs/CAPACITY.md"), "\n") {
 		if heading := fileHeading.FindStringSubmatch(line); heading != nil {
 			path = heading[1]
 			values = constantValues(t, path)
@@ -32,21 +33,21 @@
 		if row == nil {
 			continue
 		}
-		found++
+		rowCount++
 		if got := values[row[1]]; got != row[2] {
-			t.Errorf("docs/CAPACITY.md: line %d: %s is %q in %s, not %q", number+1, row[1], got, path, row[2])
+			t.Errorf("docs/CAPACITY.md: line %d: %s: got %q in %s, want %q as on the page", number+1, row[1], got, path, row[2])
 		}
 	}
-	if found < 80 {
-		t.Errorf("%d constants found: the page names hardly any, or is not understood", found)
+	if rowCount < 80 {
+		t.Errorf("docs/CAPACITY.md: found %d constants, want at least 80; was the page parsed?", rowCount)
 	}
 }
 
-// constantValues is the expressions that a file gives its constants and variables, by their names.
+// constantValues returns the expressions of a file's constants and variables, by name.
 func constantValues(t *testing.T, path string) map[string]string {
 	t.Helper()
-	files := token.NewFileSet()
-	parsed, err := parser.ParseFile(files, filepath.Join(root, path), nil, parser.SkipObjectResolution)
+	fileSet := token.NewFileSet()
+	parsed, err := parser.ParseFile(fileSet, filepath.Join(root, path), nil, parser.SkipObjectResolution)
 	if err != nil {
 		t.Fatalf("docs/CAPACITY.md: %v", err)
 	}
@@ -63,7 +64,7 @@
 			}
 			for i, name := range value.Names {
 				var text bytes.Buffer
-				if err := printer.Fprint(&text, files, value.Values[i]); err != nil {
+				if err := printer.Fprint(&text, fileSet, value.Values[i]); err != nil {
 					t.Fatal(err)
 				}
 				values[name.Name] = text.String()
--- a/test/pages/layers_test.go
+++ b/test/pages/layers_test.go
@@ -13,8 +13,8 @@
 
 const module = "sloequay/internal/"
 
-// layers are those of docs/ARCHITECTURE.md, from the top: a package imports its own layer and what stands below it.
-// Folders below a package that is named are of its layer, where they are not named themselves.
+// layers are the layers of docs/ARCHITECTURE.md, from the top. A package may import only packages of its own layer and
+// of those below it. A package in a subdirectory belongs to the layer of its parent unless it is listed itself.
 var layers = [][]string{
 	{"cli"},
 	{"proxy", "drill"},
@@ -29,21 +29,21 @@
 		"atomicfile"},
 }
 
-// ioPackages are of the standard library, and not for what decides: its caller does the I/O.
+// ioPackages are packages of the standard library that pure packages must not import, as their callers do the I/O.
 var ioPackages = []string{"os", "net", "net/http", "os/exec", "os/signal", "syscall"}
 
-// assemblyDecisions are the packages that decide among those of the assembly.
-var assemblyDecisions = []string{"proxy/readiness", "proxy/deferral", "proxy/descriptors"}
+// pureAssemblyPackages are the pure packages among those that assemble the proxy.
+var pureAssemblyPackages = []string{"proxy/readiness", "proxy/deferral", "proxy/descriptors"}
 
-// decides says whether a package decides and does no I/O: what stands in the layers of the broker and below it, but
-// for the last layer, and what the sources and the assembly have decided by.
-func decides(name string) bool {
+// isPure reports whether a package only makes decisions and must do no I/O. These are the packages in the layer of the
+// broker and in the one below, those below membership/consul, and the pureAssemblyPackages.
+func isPure(name string) bool {
 	layer := layerOf(name)
 	return layer == len(layers)-2 || layer == len(layers)-3 || strings.HasPrefix(name, "membership/consul/") ||
-		slices.Contains(assemblyDecisions, name)
+		slices.Contains(pureAssemblyPackages, name)
 }
 
-// layerOf is the place of a package's layer; -1: it has none.
+// layerOf returns the index of a package's layer, or -1 if it has none.
 func layerOf(name string) int {
 	for ; ; name = filepath.Dir(name) {
 		for i, layer := range layers {
@@ -57,10 +57,10 @@
 	}
 }
 
-// TestLayers: packages import what docs/ARCHITECTURE.md draws below them, and what decides does no I/O and asks no
-// clock.
+// TestLayers checks that packages import only what docs/ARCHITECTURE.md draws in their own layer or below, and that
+// pure packages neither do I/O nor read the clock.
 func TestLayers(t *testing.T) {
-	looked := 0
+	checkedFiles := 0
 	err := filepath.WalkDir(filepath.Join(root, "internal"), func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || !isProgram(path) {
 			return err
@@ -73,21 +73,21 @@
 		if err != nil {
 			return err
 		}
-		looked++
+		checkedFiles++
 		own := layerOf(name)
 		if own < 0 {
-			t.Errorf("%s is in no layer", name)
+			t.Errorf("package %s is in no layer", name)
 		}
 		for _, spec := range parsed.Imports {
 			imported, err := strconv.Unquote(spec.Path.Value)
 			if err != nil {
 				return err
 			}
-			if below, ours := strings.CutPrefix(imported, module); ours && layerOf(below) < own {
-				t.Errorf("%s imports %s, which stands above it", path, below)
+			if importedName, ours := strings.CutPrefix(imported, module); ours && layerOf(importedName) < own {
+				t.Errorf("%s imports %s, which is in a layer above it", path, importedName)
 			}
-			if decides(name) && slices.Contains(ioPackages, imported) {
-				t.Errorf("%s decides, and imports %s", path, imported)
+			if isPure(name) && slices.Contains(ioPackages, imported) {
+				t.Errorf("%s belongs to a pure package, but imports %s", path, imported)
 			}
 		}
 		return nil
@@ -95,14 +95,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if looked < 100 {
-		t.Errorf("%d files looked at", looked)
+	if checkedFiles < 100 {
+		t.Errorf("checked %d files, want at least 100", checkedFiles)
 	}
 	c := &checker{root: root}
 	for _, name := range append(slices.Clone(layers[len(layers)-3]), layers[len(layers)-2]...) {
 		if text := c.text(filepath.Join("internal", name), isProgram); strings.Contains(text, "time.Now(") ||
 			strings.Contains(text, "time.Since(") {
-			t.Errorf("%s decides, and asks the clock", name)
+			t.Errorf("package %s must be pure, but reads the clock", name)
 		}
 	}
 }
--- a/test/pages/names_test.go
+++ b/test/pages/names_test.go
@@ -12,12 +12,12 @@
 	"testing"
 )
 
-// TestArchitecture: each file and each function, method and type that docs/ARCHITECTURE.md names is there, and names
-// stand behind the file that declares them.
+// TestArchitecture checks that the files and identifiers that docs/ARCHITECTURE.md names exist, and that each
+// identifier follows the file that declares it.
 func TestArchitecture(t *testing.T) {
-	text := read(t, "docs/ARCHITECTURE.md")
+	text := readPage(t, "docs/ARCHITECTURE.md")
 	c := &checker{root: root, declared: map[string]map[string]bool{}}
-	for _, fault := range c.page(text, true) {
+	for _, fault := range c.checkPage(text, true) {
 		t.Errorf("docs/ARCHITECTURE.md: %s", fault)
 	}
 	names := 0
@@ -25,17 +25,17 @@
 		names += len(declared)
 	}
 	if len(c.declared) < 10 || names < 100 {
-		t.Errorf("%d files looked at with %d declarations: the page names hardly anything, or is not understood",
+		t.Errorf("docs/ARCHITECTURE.md: checked %d files with %d declarations, want at least 10 and 100",
 			len(c.declared), names)
 	}
 }
 
-// TestPackagesAreDrawn: docs/ARCHITECTURE.md names each package by its folder's last word at the least.
-func TestPackagesAreDrawn(t *testing.T) {
-	text := read(t, "docs/ARCHITECTURE.md")
-	drawn := map[string]bool{}
+// TestPackagesAreNamed checks that docs/ARCHITECTURE.md names each package, at least by the last element of its path.
+func TestPackagesAreNamed(t *testing.T) {
+	text := readPage(t, "docs/ARCHITECTURE.md")
+	words := map[string]bool{}
 	for _, word := range regexp.MustCompile(`[a-z]+`).FindAllString(text, -1) {
-		drawn[word] = true
+		words[word] = true
 	}
 	found := 0
 	err := filepath.WalkDir(filepath.Join(root, "internal"), func(path string, d fs.DirEntry, err error) error {
@@ -45,7 +45,7 @@
 		if files, _ := filepath.Glob(filepath.Join(path, "*.go")); len(files) == 0 {
 			return nil
 		}
-		if found++; !drawn[d.Name()] {
+		if found++; !words[d.Name()] {
 			t.Errorf("docs/ARCHITECTURE.md does not name the package in %s", path)
 		}
 		return nil
@@ -54,24 +54,24 @@
 		t.Fatal(err)
 	}
 	if found < 40 {
-		t.Errorf("%d packages found", found)
+		t.Errorf("found %d packages, want at least 40", found)
 	}
 }
 
-// TestEventsHaveTheirWriters: each event of docs/on-call.md is a string in a package that its section names, whole or
-// as the two parts that a prefix and a kind make.
-func TestEventsHaveTheirWriters(t *testing.T) {
+// TestEventsAreWritten checks that each log event in docs/on-call.md is a string in a package that its section names,
+// either as a whole or as a prefix and a kind.
+func TestEventsAreWritten(t *testing.T) {
 	c := &checker{root: root}
 	event := regexp.MustCompile("(?m)^\\| `([a-z-]+)`")
 	found := 0
-	for _, section := range strings.Split(read(t, "docs/on-call.md"), "\n### ") {
+	for _, section := range strings.Split(readPage(t, "docs/on-call.md"), "\n### ") {
 		events := event.FindAllStringSubmatch(section, -1)
 		if len(events) == 0 {
 			continue
 		}
 		title, _, _ := strings.Cut(section, "\n")
 		var code strings.Builder
-		for _, match := range span.FindAllStringSubmatch(section, -1) {
+		for _, match := range codeSpan.FindAllStringSubmatch(section, -1) {
 			if strings.HasPrefix(match[1], "internal/") && !strings.HasSuffix(match[1], ".go") {
 				code.WriteString(c.text(match[1], isProgram))
 			}
@@ -87,34 +87,34 @@
 		}
 	}
 	if found < 60 {
-		t.Errorf("%d events found", found)
+		t.Errorf("found %d events, want at least 60", found)
 	}
 }
 
-// qualified is a name with its package, or a method with package and type.
-var qualified = regexp.MustCompile(`^([a-z]+)\.(\w+(?:\.\w+)?)$`)
+// qualifiedName matches an identifier with its package, or a method with its package and type.
+var qualifiedName = regexp.MustCompile(`^([a-z]+)\.(\w+(?:\.\w+)?)$`)
 
-// TestQualifiedNames: the names with their packages that these pages give are declared there.
+// TestQualifiedNames checks that the identifiers that these pages name with a package are declared in it.
 func TestQualifiedNames(t *testing.T) {
 	byPackage := declaredByPackage(t)
-	for page, least := range map[string]int{"docs/GLOSSARY.md": 20, "docs/design/crossings.md": 40} {
+	for page, minimum := range map[string]int{"docs/GLOSSARY.md": 20, "docs/design/crossings.md": 40} {
 		found := 0
-		for _, match := range span.FindAllStringSubmatch(read(t, page), -1) {
-			name := qualified.FindStringSubmatch(match[1])
-			if name == nil || file.MatchString(match[1]) || testName.MatchString(match[1]) {
+		for _, match := range codeSpan.FindAllStringSubmatch(readPage(t, page), -1) {
+			name := qualifiedName.FindStringSubmatch(match[1])
+			if name == nil || fileName.MatchString(match[1]) || testName.MatchString(match[1]) {
 				continue
 			}
 			if found++; !byPackage[name[1]][name[2]] {
-				t.Errorf("%s names %s, which is not declared", page, match[1])
+				t.Errorf("%s: %s is not declared", page, match[1])
 			}
 		}
-		if found < least {
-			t.Errorf("%s: %d names found", page, found)
+		if found < minimum {
+			t.Errorf("%s: found %d names, too few", page, found)
 		}
 	}
 }
 
-// declaredByPackage is what the packages declare, by the last words of their folders.
+// declaredByPackage returns what the packages declare, by the last element of their paths.
 func declaredByPackage(t *testing.T) map[string]map[string]bool {
 	t.Helper()
 	c := &checker{root: root, declared: map[string]map[string]bool{}}
@@ -128,11 +128,11 @@
 			return err
 		}
 		names, err := c.declarations(relative)
-		in := filepath.Base(filepath.Dir(path))
-		if byPackage[in] == nil {
-			byPackage[in] = map[string]bool{}
+		packageName := filepath.Base(filepath.Dir(path))
+		if byPackage[packageName] == nil {
+			byPackage[packageName] = map[string]bool{}
 		}
-		maps.Copy(byPackage[in], names)
+		maps.Copy(byPackage[packageName], names)
 		return err
 	})
 	if err != nil {
@@ -141,12 +141,12 @@
 	return byPackage
 }
 
-// testName is a test that a page names, with its package or without.
+// testName matches the name of a test or benchmark, with or without its package.
 var testName = regexp.MustCompile(`^((?:[a-z]+\.)?(?:Test|Benchmark)[A-Z]\w+)$`)
 
-// TestNamedTests: tests that the pages name are there.
+// TestNamedTests checks that the tests that the pages name exist.
 func TestNamedTests(t *testing.T) {
-	declared := map[string]bool{"TestName": true, "package.TestName": true} // as docs/ci.md calls any
+	declared := map[string]bool{"TestName": true, "package.TestName": true} // placeholders in docs/ci.md
 	for _, top := range []string{"internal", "test", "cmd", "tools"} {
 		err := filepath.WalkDir(filepath.Join(root, top), func(path string, _ fs.DirEntry, err error) error {
 			if err != nil || isProgram(path) {
@@ -164,12 +164,12 @@
 		}
 	}
 	for _, page := range allPages(t) {
-		if slices.Contains(history, page) {
+		if slices.Contains(historicalPages, page) {
 			continue
 		}
-		for _, match := range span.FindAllStringSubmatch(read(t, page), -1) {
+		for _, match := range codeSpan.FindAllStringSubmatch(readPage(t, page), -1) {
 			if name := testName.FindStringSubmatch(match[1]); name != nil && !declared[name[1]] {
-				t.Errorf("%s names the test %s, which is not there", page, match[1])
+				t.Errorf("%s: the test %s does not exist", page, match[1])
 			}
 		}
 	}
--- a/test/pages/pages_test.go
+++ b/test/pages/pages_test.go
@@ -1,4 +1,5 @@
-// Package pages checks what the pages say of the code: files, declarations, links and commands that they name exist.
+// Package pages checks that the files, declarations, links and commands exist that the documentation refers to. "Page"
+// means a Markdown file of the documentation.
 package pages
 
 import (
@@ -12,13 +13,13 @@
 	"unicode/utf8"
 )
 
-// maxLineLength is how many characters a line of a page may have.
+// maxLineLength is the maximum length of a line of a page, in characters.
 const maxLineLength = 140
 
-// history are pages whose text is kept as it was written, also where the code has moved on.
-var history = []string{"CHANGELOG.md"}
+// historicalPages are kept as they were written, even where the code has changed since.
+var historicalPages = []string{"CHANGELOG.md"}
 
-// allPages are README.md and all below docs, relative to the root.
+// allPages returns the paths of README.md, CHANGELOG.md and all pages below docs, relative to the root.
 func allPages(t *testing.T) []string {
 	t.Helper()
 	pages := []string{"README.md", "CHANGELOG.md"}
@@ -35,7 +36,7 @@
 	return pages
 }
 
-func read(t *testing.T, page string) string {
+func readPage(t *testing.T, page string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(root, page))
 	if err != nil {
@@ -44,53 +45,53 @@
 	return string(text)
 }
 
-// operatorsPages are the pages that are built alike, with the headings in this order.
+// operatorsPages are the pages for operators, which all have the same headings in the same order.
 var (
 	operatorsPages = []string{"on-call", "membership", "catalogue", "contracts", "peers", "services", "identity",
 		"drill", "dns"}
 	headings = []string{"What it is", "Settings", "Log events", "When it fails", "Limits"}
 )
 
-// TestHeadings: the operators' pages have their five headings and no others of that level.
+// TestHeadings checks that the operators' pages have exactly these headings at their level.
 func TestHeadings(t *testing.T) {
 	heading := regexp.MustCompile(`(?m)^## (.*)$`)
 	for _, name := range operatorsPages {
 		var got []string
-		for _, match := range heading.FindAllStringSubmatch(read(t, "docs/"+name+".md"), -1) {
+		for _, match := range heading.FindAllStringSubmatch(readPage(t, "docs/"+name+".md"), -1) {
 			got = append(got, match[1])
 		}
 		if !slices.Equal(got, headings) {
-			t.Errorf("docs/%s.md has the headings %q, want %q", name, got, headings)
+			t.Errorf("docs/%s.md: got the headings %q, want %q", name, got, headings)
 		}
 	}
 }
 
-// TestLineLength: no line of a page is too long.
+// TestLineLength checks that no line of a page is longer than maxLineLength.
 func TestLineLength(t *testing.T) {
 	for _, page := range allPages(t) {
-		if slices.Contains(history, page) {
+		if slices.Contains(historicalPages, page) {
 			continue
 		}
-		for number, line := range strings.Split(read(t, page), "\n") {
+		for number, line := range strings.Split(readPage(t, page), "\n") {
 			if utf8.RuneCountInString(line) > maxLineLength {
-				t.Errorf("%s: line %d has more than %d characters", page, number+1, maxLineLength)
+				t.Errorf("%s: line %d is longer than %d characters", page, number+1, maxLineLength)
 			}
 		}
 	}
 }
 
-// TestPaths: what the other pages name of the repository is there, and their links lead somewhere.
+// TestPaths checks that paths and identifiers on all pages exist, and that their links are not broken.
 func TestPaths(t *testing.T) {
 	c := &checker{root: root, declared: map[string]map[string]bool{}}
 	for _, page := range allPages(t) {
-		text := read(t, page)
-		for _, fault := range c.links(page, text) {
+		text := readPage(t, page)
+		for _, fault := range c.checkLinks(page, text) {
 			t.Errorf("%s: %s", page, fault)
 		}
-		if slices.Contains(history, page) {
+		if slices.Contains(historicalPages, page) {
 			continue
 		}
-		for _, fault := range c.page(text, false) {
+		for _, fault := range c.checkPage(text, false) {
 			t.Errorf("%s: %s", page, fault)
 		}
 	}
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -19,42 +19,42 @@
 	"sloequay/internal/cli"
 )
 
-// The fleet's platform runs each proxy under a system-call filter of its own: no other program, no fork, no io_uring,
-// splice or sendfile, and sockets of IPv4 alone. The test binary plays the proxy under a filter of that kind, set by
-// seccomp on itself (no rights are needed for that, only no_new_privs), and the test talks to it as to any other. The
-// loop used to learn its event loop by a Unix socket pair, and under the platform's filter every proxy exited at its
-// start; this test fails so with that code.
+// The fleet's platform runs each proxy under a system-call filter that forbids exec, fork, io_uring, splice, sendfile
+// and all sockets but those of IPv4. The test binary installs such a filter on itself by seccomp, which needs only
+// no_new_privs, and then runs as the proxy. This guards against system calls that the platform refuses: a Unix socket
+// pair, which the event loop once created, made every proxy exit at its start.
 
-// filterVariable in the environment has the test binary, started by a test, install the filter and serve.
+// filterVariable is the environment variable that makes the test binary install the filter and run as the proxy.
 const filterVariable = "SLOEQUAY_TEST_PLATFORM_FILTER"
 
-// spinVariable has the test binary serve with a goroutine beside it that never waits, so that the check for that is
-// seen to fail.
+// spinVariable is the environment variable that makes the test binary run as the proxy with an additional goroutine
+// that spins, to prove that the check for busy loops detects one.
 const spinVariable = "SLOEQUAY_TEST_SPIN"
 
-// serveUnderFilter runs in the child: it installs the filter, shows that it holds, and runs the command line.
+// serveUnderFilter runs in the child process: it installs the filter, verifies that the filter is in effect, and runs
+// the program.
 func serveUnderFilter() {
 	if err := installFilter(); err != nil {
 		fmt.Fprintln(os.Stderr, "filter:", err)
 		os.Exit(3)
 	}
-	// A filter that does not hold would let the test pass for nothing.
+	// Without an effective filter the test would prove nothing.
 	if fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_STREAM, 0); !errors.Is(err, unix.EAFNOSUPPORT) {
 		_ = unix.Close(fd)
-		fmt.Fprintln(os.Stderr, "filter: a Unix socket was not refused:", err)
+		fmt.Fprintln(os.Stderr, "filter: creating a Unix socket was not refused with EAFNOSUPPORT:", err)
 		os.Exit(3)
 	}
 	if err := exec.Command("/bin/true").Run(); err == nil {
-		fmt.Fprintln(os.Stderr, "filter: another program could be started")
+		fmt.Fprintln(os.Stderr, "filter: starting another program was not refused")
 		os.Exit(3)
 	}
 	cli.Main()
 	os.Exit(0)
 }
 
-// installFilter refuses, for all threads of the process: sockets of other families than IPv4 (EAFNOSUPPORT); execve,
-// execveat, fork, vfork, a clone that makes no thread, io_uring and sendfile (ENOSYS); splice (EINVAL). clone3 says
-// ENOSYS too, so that the C library falls back to clone, whose flags a filter can read.
+// installFilter installs a filter for all threads of the process. It refuses sockets of families other than IPv4
+// (EAFNOSUPPORT); execve, execveat, fork, vfork, clone except for threads, io_uring and sendfile (ENOSYS); and splice
+// (EINVAL). clone3 also fails with ENOSYS, so that the C library falls back to clone, whose flags a filter can inspect.
 func installFilter() error {
 	if runtime.GOARCH != "amd64" {
 		return errors.New("the filter is written for amd64")
@@ -84,18 +84,18 @@
 		program = append(program, bpf.JumpIf{Cond: bpf.JumpNotEqual, Val: r.nr, SkipTrue: 1},
 			bpf.RetConstant{Val: retErrno | uint32(r.errno)})
 	}
-	// Then socket and socketpair go to the check of the family, clone to the check of its flags.
+	// socket and socketpair jump to the check of the address family, clone to the check of its flags.
 	program = append(program,
 		bpf.JumpIf{Cond: bpf.JumpEqual, Val: unix.SYS_SOCKET, SkipTrue: 3},
 		bpf.JumpIf{Cond: bpf.JumpEqual, Val: unix.SYS_SOCKETPAIR, SkipTrue: 2},
 		bpf.JumpIf{Cond: bpf.JumpEqual, Val: unix.SYS_CLONE, SkipTrue: 5},
 		bpf.RetConstant{Val: allow},
-		// the family
+		// Check the address family.
 		bpf.LoadAbsolute{Off: 16, Size: 4},
 		bpf.JumpIf{Cond: bpf.JumpEqual, Val: unix.AF_INET, SkipTrue: 1},
 		bpf.RetConstant{Val: retErrno | uint32(unix.EAFNOSUPPORT)},
 		bpf.RetConstant{Val: allow},
-		// the flags of clone
+		// Check the flags of clone.
 		bpf.LoadAbsolute{Off: 16, Size: 4},
 		bpf.JumpIf{Cond: bpf.JumpBitsSet, Val: cloneThread, SkipTrue: 1},
 		bpf.RetConstant{Val: retErrno | uint32(unix.ENOSYS)},
@@ -105,8 +105,8 @@
 	return err
 }
 
-// TestServesUnderThePlatformFilter starts the proxy under the fleet platform's system-call filter: it must start,
-// serve, and end by itself after SIGTERM.
+// TestServesUnderThePlatformFilter starts the proxy under the platform's system-call filter. It must start, serve a
+// request, and exit on its own after SIGTERM.
 func TestServesUnderThePlatformFilter(t *testing.T) {
 	if runtime.GOOS != "linux" || runtime.GOARCH != "amd64" {
 		t.Skip("the filter is written for Linux on amd64")
@@ -121,9 +121,9 @@
 	bed.waitExit()
 }
 
-// TestBuildLinksDynamically checks that the deploy file builds with external linking and cgo on, and, where a C
-// compiler is at hand, that the program so built asks for the dynamic loader: the platform's library is loaded into
-// it.
+// TestBuildLinksDynamically checks that the deploy file builds with cgo and external linking. Where a C compiler is
+// available, it also checks that the program built this way uses the dynamic loader, which the platform needs to load
+// its library into the program.
 func TestBuildLinksDynamically(t *testing.T) {
 	text := readFile(t, "../deploy/balancer.toml")
 	build := regexp.MustCompile(`(?m)^build\s*=\s*"(.*)"`).FindStringSubmatch(text)
@@ -132,11 +132,11 @@
 	}
 	for _, part := range []string{"CGO_ENABLED=1", "-ldflags=-linkmode=external"} {
 		if !strings.Contains(build[1], part) {
-			t.Errorf("deploy/balancer.toml: build: %q lacks %s", build[1], part)
+			t.Errorf("deploy/balancer.toml: build: got %q, want it to contain %s", build[1], part)
 		}
 	}
 	if _, err := exec.LookPath("cc"); err != nil || runtime.GOOS != "linux" {
-		t.Skip("no C compiler here, so no external linking")
+		t.Skip("external linking needs Linux and a C compiler")
 	}
 	out := filepath.Join(t.TempDir(), "sloequay")
 	cmd := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", out, "../cmd/sloequay")
@@ -155,7 +155,7 @@
 		interpreter = interpreter || p.Type == elf.PT_INTERP
 	}
 	if !interpreter || !strings.Contains(strings.Join(libraries, " "), "libc.so") {
-		t.Fatalf("the program is not linked dynamically against the C library: interpreter %v, libraries %v",
+		t.Fatalf("got interpreter %v and libraries %v, want the program linked dynamically against libc.so",
 			interpreter, libraries)
 	}
 }
--- a/test/pools_test.go
+++ b/test/pools_test.go
@@ -7,13 +7,14 @@
 	"testing"
 )
 
-// TestPoolIsolation: each service's requests go to its own pool's endpoints alone. One pool hangs with all that it
-// may have open; the other serves every request as before, and what the hung one can't take is rejected at once.
+// TestPoolIsolation checks that each service's requests go only to the endpoints of its own pool. When one pool hangs
+// with as many requests open as it may have, further ones for it are rejected at once, and the other pool still serves
+// every request.
 func TestPoolIsolation(t *testing.T) {
 	t.Parallel()
-	var hung atomic.Bool
+	var hanging atomic.Bool
 	bed := newTestbed(t, func(attempt *receivedRequest) {
-		if attempt.Endpoint != "c2" || !hung.Load() {
+		if attempt.Endpoint != "c2" || !hanging.Load() {
 			answerDone(attempt)
 		}
 	})
@@ -24,19 +25,19 @@
 	bed.start()
 	caller, id := bed.dial(), uint64(0)
 	prefix := map[string]string{"cams": "c0", "lanes": "a0"} // of the attempts' ids, by team
-	ask := func(team string) reply {
+	lookup := func(team string) reply {
 		id++
 		return caller.call(id, "lookup", map[string]string{"team": team, "ram": "1", "limit": "2000",
 			"txn": fmt.Sprintf("%s%014x", prefix[team], id), "item": hexID(id%50 + 1)})
 	}
 	for range 40 {
 		for _, team := range []string{"cams", "lanes"} {
-			if answer := ask(team); answer.Error != "" {
-				t.Fatalf("%s: %+v, want it served", team, answer)
+			if answer := lookup(team); answer.Error != "" {
+				t.Fatalf("team %s: got %+v, want it served", team, answer)
 			}
 		}
 	}
-	hung.Store(true)
+	hanging.Store(true)
 	var stuck []*client
 	for n := range 10 {
 		c := bed.dial()
@@ -48,24 +49,26 @@
 		}
 	}
 	for range 200 {
-		if answer := ask("lanes"); answer.Error != "" {
-			t.Fatalf("beside a pool that hangs: %+v, want it served", answer)
+		if answer := lookup("lanes"); answer.Error != "" {
+			t.Fatalf("while the other pool hangs: got %+v, want it served", answer)
 		}
 	}
-	sent := map[string]int{}
+	attemptCounts := map[string]int{}
 	for _, attempt := range bed.attempts() {
-		sent[attempt.ID[:2]+" "+attempt.Endpoint]++
+		attemptCounts[attempt.ID[:2]+" "+attempt.Endpoint]++
 	}
-	if sent["c0 c1"] > 0 || sent["a0 c2"] > 0 || sent["c0 c2"] < 40 || sent["a0 c1"] < 100 {
-		t.Errorf("attempts by service and endpoint: %v, want c0 at c2, a0 at c1 alone", sent)
+	if attemptCounts["c0 c1"] > 0 || attemptCounts["a0 c2"] > 0 || attemptCounts["c0 c2"] < 40 ||
+		attemptCounts["a0 c1"] < 100 {
+		t.Errorf("attempts by id prefix and endpoint: got %v, want c0 only at c2 and a0 only at c1", attemptCounts)
 	}
 	for _, c := range stuck {
 		_ = c.conn.Close()
 	}
 }
 
-// TestTeamMigration: a team moves by steps to another pool and stays; another one's new pool fails it, and it goes
-// back, three times, and then for good. Whoever asks meanwhile is served or told that it failed, once.
+// TestTeamMigration moves a team in steps to another pool, where it stays. The new pool of a second team fails, so that
+// the team is moved back three times, the last time for good. Each request meanwhile is answered once, served or
+// failed.
 func TestTeamMigration(t *testing.T) {
 	t.Parallel()
 	var failing atomic.Bool
@@ -82,35 +85,35 @@
 		"move lanes pictures {", steps, "}", "move staff pictures {", steps, "}", "}")
 	bed.start()
 	client, id := bed.dial(), uint64(0)
-	ask := func(team string) reply {
+	lookup := func(team string) reply {
 		id++
 		return client.call(id, "lookup", map[string]string{"team": team, "ram": "1", "item": hexID(id),
 			"limit": "2000"})
 	}
-	bed.waitUntil("all of the lanes' is moved", func() bool {
-		if answer := ask("lanes"); answer.Error != "" {
-			t.Fatalf("while it moves: %+v, want it served", answer)
+	bed.waitUntil("the migration of team lanes is complete", func() bool {
+		if answer := lookup("lanes"); answer.Error != "" {
+			t.Fatalf("during the migration: got %+v, want it served", answer)
 		}
 		return bed.logged("event=team-migration team=lanes share=1 phase=moving")
 	})
 	before := len(bed.attemptsAt("c2"))
 	for range 20 {
-		ask("lanes")
+		lookup("lanes")
 	}
 	if sent := len(bed.attemptsAt("c2")) - before; sent != 20 {
-		t.Errorf("%d of 20 went to the new pool, want all", sent)
+		t.Errorf("requests sent to the new pool: got %d of 20, want all", sent)
 	}
 	failing.Store(true)
-	bed.waitUntil("the staff's move is given up", func() bool {
-		ask("staff")
+	bed.waitUntil("the migration of team staff is given up", func() bool {
+		lookup("staff")
 		return bed.logged("team=staff share=0 phase=given-up")
 	})
 	if n := bed.timesLogged("event=team-migration team=staff"); n > 8 {
-		t.Errorf("the share of the staff changed %d times, want at most 8", n)
+		t.Errorf("share of team staff: got %d changes, want at most 8", n)
 	}
 	for range 20 {
-		if answer := ask("staff"); answer.Error != "" {
-			t.Errorf("back in the old pool: %+v, want it served", answer)
+		if answer := lookup("staff"); answer.Error != "" {
+			t.Errorf("after the migration was given up: got %+v, want it served", answer)
 		}
 	}
 }
--- a/test/quota_test.go
+++ b/test/quota_test.go
@@ -11,15 +11,16 @@
 	"github.com/miekg/dns"
 )
 
-// TestQuotaRejections: what a team has not agreed to is rejected with a wait, and attempts are charged to its budget.
+// TestQuotaRejections checks that requests outside a team's contract are rejected with a Retry-After, and that attempts
+// are charged to the team's budget.
 func TestQuotaRejections(t *testing.T) {
 	for _, c := range []struct {
 		name, contract, class string
-		wants                 []string // errors of requests in turn
+		wants                 []string // errors of consecutive requests
 	}{
-		{"a class it may not use", "class lookup", "footage", []string{"Overloaded"}},
-		{"its rate", "requests 0.01/s\nburst 200s", "footage", []string{"", "", "Overloaded"}},
-		{"its budget of attempts", "attempts 0.01/s", "footage", []string{"", "Overloaded"}},
+		{"class not in the contract", "class lookup", "footage", []string{"Overloaded"}},
+		{"request rate exceeded", "requests 0.01/s\nburst 200s", "footage", []string{"", "", "Overloaded"}},
+		{"attempt budget exceeded", "attempts 0.01/s", "footage", []string{"", "Overloaded"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -30,14 +31,14 @@
 			for i, want := range c.wants {
 				answer := client.call(uint64(i+1), c.class, map[string]string{"team": "lanes"})
 				if answer.Error != want || want != "" && answer.Fields["later"] == "" {
-					t.Errorf("request %d: %+v, want the error %q with a wait", i+1, answer, want)
+					t.Errorf("request %d: got %+v, want the error %q, and with an error a Retry-After", i+1, answer, want)
 				}
 			}
 		})
 	}
 }
 
-// TestUnknownTeamOverDNS: a query goes through the contracts like any other request.
+// TestUnknownTeamOverDNS checks that contracts apply to DNS queries as to other requests.
 func TestUnknownTeamOverDNS(t *testing.T) {
 	bed := newTestbed(t, nil)
 	bed.enableDNS("")
@@ -47,21 +48,21 @@
 	for id, c := range []struct{ team, want string }{{"lanes", "NOERROR"}, {"others", "REFUSED"}} {
 		resolver.query(uint16(id), "n0.00000000000000aa.lookup."+c.team, dns.TypeA)
 		if answer := resolver.mustRead(); answer.Rcode != c.want {
-			t.Errorf("team %s: %+v, want %s", c.team, answer, c.want)
+			t.Errorf("team %s: got %+v, want %s", c.team, answer, c.want)
 		}
 	}
 }
 
-// TestNoisyTeamBesideQuietTeam: one team sends three times its budget while all that is contracted is nine tenths of
-// what the endpoints can do. The quiet team's on-time share is within 5% of what it has alone, and every rejection of
-// the other names the budget.
+// TestNoisyTeamBesideQuietTeam has one team send three times its budget, while the contracts add up to nine tenths of
+// the endpoints' capacity. The quiet team's on-time share must stay within 5% of its share without the other team, and
+// every rejection of the noisy team must name the budget.
 func TestNoisyTeamBesideQuietTeam(t *testing.T) {
 	t.Parallel()
-	places := make(chan struct{}, 10) // each request takes 40 ms: 250 a second
+	slots := make(chan struct{}, 10) // each request takes 40 ms: 250 requests/s
 	bed := newTestbed(t, func(attempt *receivedRequest) {
-		places <- struct{}{}
+		slots <- struct{}{}
 		time.Sleep(40 * time.Millisecond)
-		<-places
+		<-slots
 		answerDone(attempt)
 	})
 	bed.addSettings("contracts {", "requests 225/s", "burst 100ms",
@@ -74,35 +75,35 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		// Within its budget: the endpoints and the module know the load.
+		// First within its budget, so that the endpoints and the policy module have seen the load.
 		(&teamLoad{team: "loud"}).send(bed, 100, time.Second, "000d")
 		loud.send(bed, 390, 3*time.Second, "000b")
 	}()
 	beside.send(bed, 60, 4*time.Second, "000c")
 	<-done
-	solo, share := float64(alone.onTime)/float64(alone.sent), float64(beside.onTime)/float64(beside.sent)
-	t.Logf("quiet: on time %.3f alone, %.3f beside; loud: %d sent, %d served, rejected by %v",
-		solo, share, loud.sent, loud.served, loud.budgets)
-	if share < 0.95*solo {
-		t.Errorf("the quiet team's on-time share is %.3f beside the loud one, want at least %.3f, 0.95 of that alone",
-			share, 0.95*solo)
+	aloneShare, besideShare := float64(alone.onTime)/float64(alone.sent), float64(beside.onTime)/float64(beside.sent)
+	t.Logf("quiet team: on-time share %.3f alone, %.3f beside; loud team: %d sent, %d served, rejected by %v",
+		aloneShare, besideShare, loud.sent, loud.served, loud.budgets)
+	if besideShare < 0.95*aloneShare {
+		t.Errorf("quiet team: got an on-time share of %.3f beside the loud one, want at least %.3f, 0.95 of that alone",
+			besideShare, 0.95*aloneShare)
 	}
 	if loud.rejected == 0 || len(loud.withoutBudget) > 0 {
-		t.Errorf("%d rejected by a budget, %d otherwise: %v, want some and none", loud.rejected,
+		t.Errorf("loud team: got %d rejections by a budget and %d others: %v, want some and none", loud.rejected,
 			len(loud.withoutBudget), loud.withoutBudget)
 	}
 	if n := loud.duplicates + alone.duplicates + beside.duplicates; n > 0 {
-		t.Errorf("%d answers to nothing that was open, want none", n)
+		t.Errorf("got %d answers to requests that were not open, want none", n)
 	}
 	for budget := range loud.budgets {
 		if !strings.HasPrefix(budget, "loud ") && !strings.HasPrefix(budget, "installation ") {
-			t.Errorf("the loud team was rejected by the budget %q, want one of its own or the installation's", budget)
+			t.Errorf("loud team: rejected by the budget %q, want one of its own or of the installation", budget)
 		}
 	}
 }
 
-// TestQuotaReloadUnderLoad: the contracts change ten times while 500 requests are open, once to nothing. Each is
-// answered once, and then as many may be open as before.
+// TestQuotaReloadUnderLoad changes the contracts ten times, once to none at all, while 500 requests are open. Each
+// request is answered once, and afterwards as many may be open as before.
 func TestQuotaReloadUnderLoad(t *testing.T) {
 	t.Parallel()
 	const before = "contracts {\nteam lanes {\nopen 500\n}\n}\n"
@@ -128,18 +129,18 @@
 	client := bed.dial()
 	answer := client.call(1, "lookup", map[string]string{"team": "lanes", "txn": "00000000000000aa"})
 	if answer.Fields["budget"] != "lanes open" {
-		t.Errorf("with 500 open of 500: %+v, want it rejected by the budget %q", answer, "lanes open")
+		t.Errorf("with 500 open of 500: got %+v, want it rejected by the budget %q", answer, "lanes open")
 	}
 	open.answerAll()
 	bed.setResponder(nil)
 	answer = client.call(2, "lookup", map[string]string{"team": "lanes", "txn": "00000000000000ab"})
 	if answer.Error != "" {
-		t.Errorf("once all have ended: %+v, want it served", answer)
+		t.Errorf("after all requests have ended: got %+v, want it served", answer)
 	}
 }
 
-// attemptsPerRequest sends requests while endpoints fail two attempts in five, and gives how many attempts went out
-// for each; then it waits until requests are served again.
+// attemptsPerRequest sends requests while endpoints fail two attempts in five, waits until requests are served again,
+// and returns how many attempts were sent per request during the failures.
 func attemptsPerRequest(t *testing.T, settings ...string) float64 {
 	t.Helper()
 	var failing atomic.Bool
@@ -166,21 +167,21 @@
 		return again.served >= 19
 	})
 	if answered := load.served + load.rejected + len(load.withoutBudget); answered != load.sent {
-		t.Errorf("%d of %d requests were answered, want all", answered, load.sent)
+		t.Errorf("answered requests: got %d of %d, want all", answered, load.sent)
 	}
 	return float64(attempts) / float64(load.sent)
 }
 
-// TestRetryBudgetBoundsAttempts: endpoints fail two attempts in five for a time; if they failed all, the module
-// itself would stop sending. What is written stays under the requests times 1.2, where without the budget it is more,
-// and afterwards requests are served at once.
+// TestRetryBudgetBoundsAttempts has endpoints fail two attempts in five for a while; if they failed all, the policy
+// module itself would stop sending. With a retry budget, the proxy must write at most 1.2 attempts per request, and
+// without one more than that. Afterwards requests must be served again.
 func TestRetryBudgetBoundsAttempts(t *testing.T) {
 	t.Parallel()
 	with := attemptsPerRequest(t, "contracts {", "retries {", "team-share 0.1", "}", "team lanes {", "}", "}")
 	without := attemptsPerRequest(t, "contracts {", "team lanes {", "}", "}")
-	t.Logf("attempts written a request: %.2f with the retry budget, %.2f without", with, without)
+	t.Logf("attempts per request: %.2f with the retry budget, %.2f without", with, without)
 	if with > 1.2 || without <= 1.2 {
-		t.Errorf("attempts written a request: %.2f with the retry budget, want at most 1.2; %.2f without, want more",
+		t.Errorf("attempts per request: got %.2f with the retry budget, want at most 1.2; got %.2f without, want more",
 			with, without)
 	}
 }
--- a/test/requests_test.go
+++ b/test/requests_test.go
@@ -12,13 +12,13 @@
 	"github.com/miekg/dns"
 )
 
-// malformed is the answer to request 5 where it can't be understood.
+// malformed is the answer to request 5 if it is invalid.
 var malformed = reply{ID: 5, Error: "Malformed", Fields: map[string]string{}}
 
-// overloaded is the answer to request 5 where no endpoint takes it.
+// overloaded is the answer to request 5 if no endpoint accepts it.
 var overloaded = reply{ID: 5, Error: "Overloaded", Fields: map[string]string{"later": "250"}}
 
-// TestRequests sends one request each and compares what the client gets.
+// TestRequests sends one request in each case and compares the client's answer.
 func TestRequests(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -28,10 +28,10 @@
 		respond func(*receivedRequest)
 		want    reply
 	}{
-		{name: "a hit is served with the fields of the endpoint", class: "footage",
+		{name: "a hit is served with the endpoint's fields", class: "footage",
 			want: reply{ID: 5, Body: "7f3a9c21e0b4d655",
 				Fields: map[string]string{"tag": "t1", "minted": "1", "remark": "hit"}}},
-		{name: "the client's copy holds", class: "footage", fields: map[string]string{"got": "t1"},
+		{name: "the client's copy is still valid", class: "footage", fields: map[string]string{"got": "t1"},
 			respond: func(attempt *receivedRequest) { attempt.Answer("NOMOD", "tag=t1", "") },
 			want:    reply{ID: 5, Fields: map[string]string{"tag": "t1", "ok304": "1"}}},
 		{name: "a miss is filled", class: "footage",
@@ -44,23 +44,24 @@
 			},
 			want: reply{ID: 5, Body: "bytes\r\nwith a line",
 				Fields: map[string]string{"tag": "t2", "remark": "filled", "lag": "3"}}},
-		{name: "a write goes to the origin with its key and body", class: "charge",
+		{name: "a write goes to the origin with its idempotency key and body", class: "charge",
 			fields: map[string]string{"unique": "5c0f"}, body: "post\x00",
 			respond: func(attempt *receivedRequest) {
 				body := attempt.Endpoint + " " + attempt.Fields["replay"] + " " + attempt.Body
 				attempt.Answer("ACK", "-", body)
 			},
 			want: reply{ID: 5, Body: "o1 5c0f post\x00", Fields: map[string]string{}}},
-		{name: "all are full: rejected with a wait", class: "footage",
+		{name: "all endpoints are full: rejected with a Retry-After", class: "footage",
 			respond: func(attempt *receivedRequest) { attempt.Answer("AGAIN", "-", "") }, want: overloaded},
-		{name: "a silent endpoint: answered before the client gives up", class: "footage",
+		{name: "a silent endpoint: rejected within the client's time limit", class: "footage",
 			fields: map[string]string{"limit": "300"}, respond: func(*receivedRequest) {}, want: overloaded},
 		{name: "unknown class", class: "nonsense", want: malformed},
-		{name: "no key in a keyed class", class: "charge", want: malformed},
-		{name: "a bad object", class: "footage", fields: map[string]string{"item": "7f3a9c21e0b4d65"}, want: malformed},
-		{name: "a key that would break the line", class: "footage",
+		{name: "no idempotency key in a keyed class", class: "charge", want: malformed},
+		{name: "an invalid object id", class: "footage", fields: map[string]string{"item": "7f3a9c21e0b4d65"},
+			want: malformed},
+		{name: "an idempotency key with a line break", class: "footage",
 			fields: map[string]string{"unique": "a\r\nQUIT 1"}, want: malformed},
-		{name: "a bad limit", class: "footage", fields: map[string]string{"limit": "NaN"}, want: malformed},
+		{name: "an invalid time limit", class: "footage", fields: map[string]string{"limit": "NaN"}, want: malformed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -75,13 +76,14 @@
 	}
 }
 
-// TestMarkedRetryIsNotCounted: a client's own retry, marked as such, is no new wish for the object and must not have
-// it kept. The mark was not read, so that the tables counted what one client wanted once as wanted twice.
+// TestMarkedRetryIsNotCounted checks that a retry which the client marks as such does not count as another request for
+// the object, and so does not make a cache keep it. The program once ignored the mark, so that the gap tables counted
+// one request of one client as two.
 func TestMarkedRetryIsNotCounted(t *testing.T) {
 	for _, c := range []struct {
 		name, second string
-		want         string // the rank at which the second request has the copy kept; empty: passed through
-	}{{"a new request", "", "1"}, {"marked", "1", ""}} {
+		want         string // the cache rank of the second request's copy; empty: not kept
+	}{{"a new request", "", "1"}, {"a marked retry", "1", ""}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			ranks := make(chan string, 10)
@@ -105,37 +107,37 @@
 			}
 			client.call(6, "footage", fields)
 			if got := <-ranks; got != c.want {
-				t.Errorf("the second request is kept at rank %q, want %q", got, c.want)
+				t.Errorf("cache rank of the second request: got %q, want %q", got, c.want)
 			}
 		})
 	}
 }
 
-// respondWith answers an attempt with a word alone.
+// respondWith returns a responder that answers an attempt with a word and no fields.
 func respondWith(word string) func(*receivedRequest) {
 	return func(attempt *receivedRequest) { attempt.Answer(word, "-", "") }
 }
 
-// TestAttemptOutcomes has the first attempt of a request end in each way, and compares what follows from it.
+// TestAttemptOutcomes has the first attempt of a request end in each possible way, and checks what the proxy does next.
 func TestAttemptOutcomes(t *testing.T) {
 	reset := func(attempt *receivedRequest) { _ = attempt.Conn.Close() }
 	unreadable := func(attempt *receivedRequest) { _, _ = io.WriteString(attempt.Conn, "what is this\r\n") }
 	tooLong := func(attempt *receivedRequest) { _, _ = fmt.Fprintf(attempt.Conn, "%s ACK - 999999999\r\n", attempt.ID) }
 	for _, c := range []struct {
 		name, class string
-		first       func(*receivedRequest) // what the first attempt meets
-		want        string                 // body or error
-		endpoints   []string               // that were asked, in order; nil: not looked at
+		first       func(*receivedRequest) // responder of the first attempt
+		want        string                 // body or error of the answer
+		endpoints   []string               // that received attempts, in order; nil: not checked
 	}{
-		{"reset after sending: a read may run again", "footage", reset, "second", nil},
-		{"reset after sending: a keyed write goes on to the same group", "charge", reset, "second",
+		{"reset after sending: a read is retried", "footage", reset, "second", nil},
+		{"reset after sending: a keyed write is retried in the same group", "charge", reset, "second",
 			[]string{"o1", "o1"}},
-		{"an answer that can't be read ends the connection", "charge", unreadable, "second", []string{"o1", "o1"}},
-		{"a length beyond all bounds", "charge", tooLong, "second", []string{"o1", "o1"}},
-		{"a word for another question", "charge", respondWith("READY"), "second", []string{"o1", "o1"}},
-		{"unchanged without a copy to hold against", "charge", respondWith("NOMOD"), "second", []string{"o1", "o1"}},
-		{"over already: never ran", "charge", respondWith("STALE"), "second", []string{"o1", "o1"}},
-		{"an error goes on by way of the parent", "charge", respondWith("EIO"), "second", []string{"o1", "p1"}},
+		{"malformed answer: the connection is closed", "charge", unreadable, "second", []string{"o1", "o1"}},
+		{"body length above the limit", "charge", tooLong, "second", []string{"o1", "o1"}},
+		{"answer to another kind of line", "charge", respondWith("READY"), "second", []string{"o1", "o1"}},
+		{"not modified without a copy to revalidate", "charge", respondWith("NOMOD"), "second", []string{"o1", "o1"}},
+		{"already expired: never ran", "charge", respondWith("STALE"), "second", []string{"o1", "o1"}},
+		{"error: retried by way of the parent", "charge", respondWith("EIO"), "second", []string{"o1", "p1"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -151,7 +153,7 @@
 			client := bed.dial()
 			if answer := client.call(1, c.class,
 				map[string]string{"unique": "k1"}); answer.Error+answer.Body != c.want {
-				t.Errorf("answer %+v, want %q", answer, c.want)
+				t.Errorf("answer: got %+v, want %q", answer, c.want)
 			}
 			var endpoints []string
 			for _, attempt := range bed.attempts() {
@@ -164,25 +166,27 @@
 	}
 }
 
-// TestRefusedWriteIsRetriedElsewhere: a write whose connection is refused never ran, and goes out elsewhere.
+// TestRefusedWriteIsRetriedElsewhere checks that a write whose connection is refused, and which hence never ran, is
+// retried at another endpoint.
 func TestRefusedWriteIsRetriedElsewhere(t *testing.T) {
 	bed := newTestbed(t, nil)
 	_ = bed.listeners["o1"].Close()
 	bed.start()
 	client := bed.dial()
 	if answer := client.call(1, "charge", map[string]string{"unique": "k1"}); answer.Error != "" {
-		t.Errorf("%+v, want it served by way of a cache", answer)
+		t.Errorf("answer: got %+v, want it served by way of a cache", answer)
 	}
 	if attempts := bed.attempts(); len(attempts) != 1 || attempts[0].Fields["via"] != "o1" {
-		t.Errorf("%d attempts reached endpoints, want one by way of a cache", len(attempts))
+		t.Errorf("attempts that reached endpoints: got %d, want one by way of a cache", len(attempts))
 	}
 }
 
-// TestRetryDroppedAfterDedupWindow: a write may have run when its connection breaks. The next attempt is decided at
-// once, but its connection comes up when endpoints drop repeats no more: it must not go out.
+// TestRetryDroppedAfterDedupWindow breaks the connection of a write, which may have run. The next attempt is decided at
+// once, but its connection is only established after the window in which endpoints drop duplicates. The attempt must
+// not be sent.
 func TestRetryDroppedAfterDedupWindow(t *testing.T) {
 	bed := newTestbed(t, nil)
-	bed.setListedAddress("o1", bed.listenWithFullBacklog()) // its queue holds one connection, which nobody has taken
+	bed.setListedAddress("o1", bed.listenWithFullBacklog()) // its backlog holds one connection that is not accepted yet
 	bed.platformLimits()["dial-timeout-ms"] = 60000
 	for _, entry := range bed.platformSettings()["classes"].([]any) {
 		if class := entry.(map[string]any); class["name"] == "charge" {
@@ -199,24 +203,24 @@
 	}
 	client := bed.dial()
 	client.send(request(1, "charge", map[string]string{"unique": "k1", "limit": "8000"}, "body"))
-	_ = accept().Close() // now the program's own connection comes up
+	_ = accept().Close() // lets the program's connection in
 	first := accept()
 	if !readAttempt(first) {
-		t.Fatal("the first attempt has not come complete")
+		t.Fatal("the first attempt is incomplete")
 	}
-	filler, err := net.Dial("tcp", bed.fullBacklogListener.Addr().String()) // no further one does
+	filler, err := net.Dial("tcp", bed.fullBacklogListener.Addr().String()) // fills the backlog again
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer filler.Close()
 	_ = first.Close()
-	time.Sleep(700 * time.Millisecond) // it is the time that is tried: endpoints drop repeats for 500 ms
+	time.Sleep(700 * time.Millisecond) // the time under test: endpoints drop duplicates for 500 ms
 	_ = accept().Close()
 	reached := make(chan bool, 1)
 	go func() {
 		conn, err := bed.fullBacklogListener.Accept()
 		if err != nil {
-			t.Errorf("the late connection: %v", err)
+			t.Errorf("accept of the late connection: %v", err)
 			reached <- false
 			return
 		}
@@ -224,16 +228,16 @@
 		reached <- readAttempt(conn)
 	}()
 	if answer := client.mustRead(); answer.Error == "" {
-		t.Errorf("%+v, want it given up", answer)
+		t.Errorf("answer: got %+v, want an error", answer)
 	}
 	bed.kill() // so that the late connection ends
 	if <-reached {
-		t.Error("the attempt went out again when repeats were not dropped any more")
+		t.Error("the attempt was sent after the window in which endpoints drop duplicates, want it dropped")
 	}
 }
 
-// TestUnsentRequestRejectedByHalfTime: a request whose only attempt waits for a connection is rejected by half of its
-// time.
+// TestUnsentRequestRejectedByHalfTime checks that a request whose only attempt waits for a connection is rejected at
+// half of its time.
 func TestUnsentRequestRejectedByHalfTime(t *testing.T) {
 	t.Parallel()
 	bed := newTestbed(t, nil, "c2")
@@ -244,22 +248,22 @@
 	began := time.Now()
 	answer := client.call(1, "footage", map[string]string{"limit": "6000"})
 	if answer.Error != "Overloaded" || answer.Fields["later"] == "" {
-		t.Errorf("%+v, want it rejected with a wait", answer)
+		t.Errorf("answer: got %+v, want it rejected with a Retry-After", answer)
 	}
 	if took := time.Since(began); took > 4500*time.Millisecond {
 		t.Errorf("the rejection took %v of 6 s, want at most 4.5 s", took)
 	}
 }
 
-// TestRetryAfterNotSentWhereForbidden: whoever rejects, a client is told when to come back only where the settings
-// allow that, and no longer than they say.
+// TestRetryAfterNotSentWhereForbidden checks that rejections of every origin carry a Retry-After only if the settings
+// allow it, and never a longer one than they allow.
 func TestRetryAfterNotSentWhereForbidden(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		allowed    bool
-		retryAfter int // the longest, in milliseconds
+		retryAfter int // the maximum, in milliseconds
 		want       string
-	}{{"not allowed", false, 500, ""}, {"allowed", true, 500, "100"}, {"allowed for less", true, 40, "40"}} {
+	}{{"not allowed", false, 500, ""}, {"allowed", true, 500, "100"}, {"allowed up to 40 ms", true, 40, "40"}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			bed := newTestbed(t, func(*receivedRequest) {})
@@ -269,26 +273,26 @@
 			bed.enableDNS("")
 			bed.start()
 			client := bed.dial()
-			for id := range uint64(33) { // one more than may be open
+			for id := range uint64(33) { // one more than may be open on a connection
 				fields := map[string]string{"team": "lanes", "ram": "0.1", "item": hexID(id)}
 				client.send(request(id, "lookup", fields, ""))
 			}
 			if answer := client.mustRead(); answer.Error != "Overloaded" || answer.Fields["later"] != c.want {
-				t.Errorf("too much open: %+v, want it rejected with later=%q", answer, c.want)
+				t.Errorf("too many open requests: got %+v, want it rejected with later=%q", answer, c.want)
 			}
 			other := bed.dial()
 			answer := other.call(99, "footage", map[string]string{"team": "lanes"})
 			if answer.Error != "Overloaded" || (answer.Fields["later"] != "") != c.allowed {
-				t.Errorf("not in the contract: %+v, want it rejected, with a wait: %v", answer, c.allowed)
+				t.Errorf("class not in the contract: got %+v, want it rejected, with a Retry-After: %v", answer, c.allowed)
 			}
 			resolver := bed.dialDNS("udp")
 			resolver.query(1, "n0.00000000000000aa.footage.lanes", dns.TypeA)
 			byDNS := resolver.mustRead()
 			if byDNS.Rcode != "REFUSED" || !strings.Contains(byDNS.Text, "budget=") {
-				t.Errorf("not in the contract, by DNS: %+v, want it rejected with the budget named", byDNS)
+				t.Errorf("class not in the contract, by DNS: got %+v, want it rejected with the budget named", byDNS)
 			}
 			if strings.Contains(byDNS.Text, "later=") != c.allowed {
-				t.Errorf("not in the contract, by DNS: %+v, want a wait in it: %v", byDNS, c.allowed)
+				t.Errorf("class not in the contract, by DNS: got %+v, want a Retry-After in it: %v", byDNS, c.allowed)
 			}
 		})
 	}
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -10,17 +10,17 @@
 	"sloequay/internal/proxy"
 )
 
-// parseSettings reads settings from a text, which name says the origin of.
+// parseSettings parses settings. name identifies the text in error messages.
 func parseSettings(t *testing.T, name, text string) *proxy.Settings {
 	t.Helper()
 	settings := proxy.NewSettings(clock.NewSystem())
 	if err := settings.Section.Parse(name, []byte(text)); err != nil {
-		t.Fatalf("%s settings: %v, want them sound", name, err)
+		t.Fatalf("%s settings: got error %v, want none", name, err)
 	}
 	return settings
 }
 
-// enabledBlocks names the blocks of settings that turn something on, and are there.
+// enabledBlocks returns the names of the optional blocks that are present in the settings.
 func enabledBlocks(settings *proxy.Settings) (names []string) {
 	for _, block := range []struct {
 		name    string
@@ -41,7 +41,7 @@
 	return names
 }
 
-// printSettings gives what check --print writes of settings, with its marks of defaults taken out.
+// printSettings returns the settings as check --print writes them.
 func printSettings(t *testing.T, settings *proxy.Settings) string {
 	t.Helper()
 	var out bytes.Buffer
@@ -51,11 +51,12 @@
 	return out.String()
 }
 
-// TestShippedSettings: the file in deploy is sound and turns nothing on; with its examples uncommented it is sound
-// too and turns everything on, and what check --print writes of that reads back as the same.
+// TestShippedSettings checks that the settings file in deploy is valid and enables no optional block, that with its
+// examples uncommented it is still valid and enables all of them, and that parsing the output of check --print yields
+// the same settings.
 func TestShippedSettings(t *testing.T) {
 	if on := enabledBlocks(parseSettings(t, "shipped", shippedSettings(t))); len(on) > 0 {
-		t.Errorf("the shipped file turns on %v, want nothing", on)
+		t.Errorf("blocks enabled in the shipped file: got %v, want none", on)
 	}
 	examples, dir := exampleSettings(t), makeSettingsDir(t)
 	for _, name := range []string{"keys", "boxes-ca.pem", "doorman.pem", "doorman.key", "peers.key"} {
@@ -63,28 +64,28 @@
 	}
 	settings := parseSettings(t, "examples", examples)
 	if on := enabledBlocks(settings); len(on) != 7 {
-		t.Errorf("the examples turn on %v, want all 7 blocks", on)
+		t.Errorf("blocks enabled by the examples: got %v, want all 7", on)
 	}
 	if settings.Catalogue == nil || len(settings.Catalogue.Services) != 3 {
-		t.Error("the examples do not name 3 services of the catalogue")
+		t.Error("the examples do not name 3 catalogue services")
 	}
 	once := printSettings(t, settings)
 	twice := printSettings(t, parseSettings(t, "printed", once))
-	withoutMarks := func(text string) string { return strings.ReplaceAll(text, "  # default", "") }
-	if withoutMarks(once) != withoutMarks(twice) {
-		t.Errorf("printed as\n%sand read back as\n%s", once, twice)
+	withoutDefaultMarks := func(text string) string { return strings.ReplaceAll(text, "  # default", "") }
+	if withoutDefaultMarks(once) != withoutDefaultMarks(twice) {
+		t.Errorf("printed settings:\n%sprinted again after parsing:\n%s", once, twice)
 	}
 }
 
-// TestCheckCommand: a fault in the configuration or our settings has the command exit with an error that names the
-// key.
+// TestCheckCommand checks that the check command exits with an error that names the key of each fault in the platform
+// configuration or the proxy's own settings.
 func TestCheckCommand(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		spoil func(bed *testbed)
-		want  string // empty: sound
+		name   string
+		modify func(bed *testbed)
+		want   string // empty: valid
 	}{
-		{"sound", func(*testbed) {}, ""},
+		{"valid", func(*testbed) {}, ""},
 		{"listen", func(bed *testbed) { bed.config["listen"] = "here" }, "listen"},
 		{"descriptors", func(bed *testbed) { bed.config["limits"] = map[string]any{"sockets": 3} }, "limits.sockets"},
 		{"memory", func(bed *testbed) {
@@ -92,7 +93,7 @@
 		}, "limits.memory_mb"},
 		{"no settings", func(bed *testbed) { delete(bed.config, "settings") }, "settings"},
 		{"no class", func(bed *testbed) { bed.config["settings"] = map[string]any{} }, "Classes"},
-		{"an unknown word", func(bed *testbed) {
+		{"an unknown value", func(bed *testbed) {
 			bed.platformSettings()["family-info"] = map[string]any{"detail": "some"}
 		}, "family-info.detail"},
 		{"a list entry", func(bed *testbed) { bed.listedEndpoints[0]["site"] = "nowhere" }, "site"},
@@ -109,11 +110,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			bed := newTestbed(t, nil)
-			c.spoil(bed)
+			c.modify(bed)
 			bed.writeConfig()
 			out, err := runProgram(append([]string{"check", "--config", bed.configPath}, bed.flags...)...)
 			if (err != nil) != (c.want != "") || !strings.Contains(out, c.want) {
-				t.Errorf("%v: %s, want an error that names %q; without one, none", err, out, c.want)
+				t.Errorf("got error %v and output %s, want an error that names %q; if that is empty, none",
+					err, out, c.want)
 			}
 		})
 	}
--- a/test/shutdown_test.go
+++ b/test/shutdown_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// TestSIGTERMServesOpenRequest: after SIGTERM status says false, what is open is answered, and the program ends by
-// itself.
+// TestSIGTERMServesOpenRequest checks that after SIGTERM the status is not ready, open requests are answered, and the
+// program exits on its own.
 func TestSIGTERMServesOpenRequest(t *testing.T) {
 	release := make(chan struct{})
 	bed := newTestbed(t, func(attempt *receivedRequest) {
@@ -26,7 +26,7 @@
 	client.send(request(1, "footage", map[string]string{"limit": "9000"}, ""))
 	bed.waitAttempts(1)
 	bed.signal(syscall.SIGTERM)
-	bed.waitUntil("status says false", func() bool {
+	bed.waitUntil("the status is not ready", func() bool {
 		other := bed.dial()
 		defer other.conn.Close()
 		other.send(request(1, "status", nil, ""))
@@ -35,38 +35,39 @@
 	})
 	close(release)
 	if answer := client.mustRead(); answer.Body != "late" {
-		t.Errorf("the request that was open at SIGTERM: %+v, want it served", answer)
+		t.Errorf("request open at SIGTERM: got %+v, want it served", answer)
 	}
 	bed.waitExit()
 }
 
-// shutdownCase is something that can be under way when SIGTERM comes.
+// shutdownCase is a situation in which SIGTERM can arrive.
 type shutdownCase struct {
 	name     string
-	deadline int // of the classes, in milliseconds; 0: as they are
-	// play sends the case's requests, and says what each client must read. Attempts go to pending.
-	play func(t *testing.T, bed *testbed, pending chan *receivedRequest)
+	deadline int // of all classes, in milliseconds; 0: the default
+	// run sends the requests of the case and checks what each client reads. The endpoints' responder sends attempts to
+	// pending.
+	run func(t *testing.T, bed *testbed, pending chan *receivedRequest)
 }
 
 var shutdownCases = []shutdownCase{
-	{"the last answer is more than the socket takes", 0, playLargeLastAnswer},
-	{"a request half read", 0, playHalfRead},
-	{"a keyed request is out, and both signals come again", 0, playSignalsAgain},
-	{"an endpoint never answers", 1500, playSilentEndpoint},
-	{"an endpoint never answers, and the client waits long", 1000, playPatientClient},
-	{"a late request that no endpoint answers", 0, playRequestAfterSIGTERM},
-	{"a late request, and SIGTERM came while the program stood still", 0, playSIGTERMInStandstill},
-	{"a late request, and SIGTERM came in a short standstill", 600, playSIGTERMInShortStandstill},
+	{"the last answer exceeds the socket buffer", 0, runLargeLastAnswer},
+	{"a request is read in part", 0, runHalfReadRequest},
+	{"a keyed request is open, and both signals are repeated", 0, runRepeatedSignals},
+	{"an endpoint never answers", 1500, runSilentEndpoint},
+	{"an endpoint never answers, and the client's time limit is long", 1000, runLongClientTimeout},
+	{"a late request that no endpoint answers", 0, runRequestAfterSIGTERM},
+	{"a late request, and SIGTERM was sent during a standstill", 0, runSIGTERMInStandstill},
+	{"a late request, and SIGTERM was sent during a short standstill", 600, runSIGTERMInShortStandstill},
 }
 
-// playLargeLastAnswer: the last answer was given in the round that ended the program, and what the socket did not
-// take of it was lost.
-func playLargeLastAnswer(t *testing.T, bed *testbed, pending chan *receivedRequest) {
+// runLargeLastAnswer guards against an answer that is truncated when the program exits in the same round of the event
+// loop: the part that exceeded the socket buffer was lost.
+func runLargeLastAnswer(t *testing.T, bed *testbed, pending chan *receivedRequest) {
 	large := strings.Repeat("x", 240000)
 	slow := bed.dialSmallBuffer()
 	at := bed.terminate()
 	time.Sleep(time.Until(at.Add(600 * time.Millisecond)))
-	const count = 12 // beyond what the sockets between them hold
+	const count = 12 // more than the socket buffers between client and program hold
 	for id := range uint64(count) {
 		slow.send(request(id, "footage", map[string]string{"nth": fmt.Sprint(id)}, ""))
 	}
@@ -75,7 +76,7 @@
 		attempt := nextReceived(t, pending)
 		answers[attempt.Conn] += fmt.Sprintf("%s ACK tag=t1 %d\r\n%s\r\n", attempt.ID, len(large), large)
 	}
-	time.Sleep(time.Until(at.Add(950 * time.Millisecond))) // from here on it ends as soon as nothing is open
+	time.Sleep(time.Until(at.Add(950 * time.Millisecond))) // from here on the program exits once no request is open
 	for conn, text := range answers {
 		if _, err := io.WriteString(conn, text); err != nil {
 			t.Fatal(err)
@@ -83,15 +84,15 @@
 	}
 	for range count {
 		if answer := slow.mustRead(); answer.Body != large {
-			t.Errorf("%d bytes came, want %d", len(answer.Body), len(large))
+			t.Errorf("body: got %d bytes, want %d", len(answer.Body), len(large))
 		}
 	}
 }
 
-// playHalfRead: SIGTERM comes while a request is half read.
-func playHalfRead(t *testing.T, bed *testbed, pending chan *receivedRequest) {
+// runHalfReadRequest sends SIGTERM while the program has read only part of a request.
+func runHalfReadRequest(t *testing.T, bed *testbed, pending chan *receivedRequest) {
 	client := bed.dial()
-	client.waitRequestsRead(9) // so that it is idle, but for what it has begun
+	client.waitRequestsRead(9) // so that nothing but the partial request is open
 	frame := request(1, "charge", map[string]string{"unique": "k1"}, "body")
 	client.send(frame[:len(frame)-2])
 	bed.dial() // idle
@@ -100,13 +101,13 @@
 	client.send(frame[len(frame)-2:])
 	answerDone(nextReceived(t, pending))
 	if answer := client.mustRead(); answer.Body != "done" {
-		t.Errorf("%+v, want it served", answer)
+		t.Errorf("got %+v, want it served", answer)
 	}
 }
 
-// playSignalsAgain: while a keyed request is out, SIGHUP and SIGTERM come again, and SIGHUP with a file that is just
-// being replaced.
-func playSignalsAgain(t *testing.T, bed *testbed, pending chan *receivedRequest) {
+// runRepeatedSignals repeats SIGHUP and SIGTERM while a keyed request is open, the last SIGHUP while the configuration
+// file is being replaced.
+func runRepeatedSignals(t *testing.T, bed *testbed, pending chan *receivedRequest) {
 	client := bed.dial()
 	client.send(request(1, "charge", map[string]string{"unique": "k1"}, ""))
 	attempt := nextReceived(t, pending)
@@ -119,49 +120,49 @@
 	bed.waitLogged("event=reload-failed")
 	answerDone(attempt)
 	if answer := client.mustRead(); answer.Body != "done" {
-		t.Errorf("%+v, want it served", answer)
+		t.Errorf("got %+v, want it served", answer)
 	}
 }
 
-// playSilentEndpoint: the client's limit and the classes' deadline are the same.
-func playSilentEndpoint(t *testing.T, bed *testbed, pending chan *receivedRequest) {
+// runSilentEndpoint has a client's time limit equal the deadline of the classes.
+func runSilentEndpoint(t *testing.T, bed *testbed, pending chan *receivedRequest) {
 	client := bed.dial()
 	client.send(request(1, "lookup", map[string]string{"limit": "1500"}, ""))
 	nextReceived(t, pending)
 	bed.terminate()
 	if answer := client.mustRead(); answer.Error == "" {
-		t.Errorf("%+v, want an error", answer)
+		t.Errorf("got %+v, want an error", answer)
 	}
 }
 
-// playPatientClient: the client waits for ever; the program can't.
-func playPatientClient(t *testing.T, bed *testbed, pending chan *receivedRequest) {
+// runLongClientTimeout has a client wait far longer than the program can.
+func runLongClientTimeout(t *testing.T, bed *testbed, pending chan *receivedRequest) {
 	client := bed.dial()
 	client.send(request(1, "charge", map[string]string{"limit": "600000", "unique": "k1"}, ""))
 	nextReceived(t, pending)
 	at := bed.terminate()
 	answer := client.mustRead()
-	if past := time.Since(at); answer.Error != "Internal" || past < 1600*time.Millisecond {
-		t.Errorf("%+v after %v, want an error no sooner than the deadline allows", answer, past)
+	if elapsed := time.Since(at); answer.Error != "Internal" || elapsed < 1600*time.Millisecond {
+		t.Errorf("got %+v %v after SIGTERM, want an error no sooner than after 1.6 s", answer, elapsed)
 	}
 }
 
-// playRequestAfterSIGTERM: SIGKILL may come 3.7 s after SIGTERM. Who asks later than 0.7 s after SIGTERM is owed an
-// answer by then.
-func playRequestAfterSIGTERM(t *testing.T, bed *testbed, pending chan *receivedRequest) {
+// runRequestAfterSIGTERM sends a request 0.75 s after SIGTERM. SIGKILL may come 3.7 s after SIGTERM, and requests sent
+// later than 0.7 s after SIGTERM must be answered by then.
+func runRequestAfterSIGTERM(t *testing.T, bed *testbed, pending chan *receivedRequest) {
 	client := bed.dial()
 	at := bed.terminate()
 	time.Sleep(time.Until(at.Add(750 * time.Millisecond)))
 	client.send(request(1, "footage", map[string]string{"limit": "6000"}, ""))
 	nextReceived(t, pending)
 	answer := client.mustRead()
-	if past := time.Since(at); answer.Error == "" || past > 3700*time.Millisecond {
-		t.Errorf("%+v after %v, want an error within 3.7 s", answer, past)
+	if elapsed := time.Since(at); answer.Error == "" || elapsed > 3700*time.Millisecond {
+		t.Errorf("got %+v %v after SIGTERM, want an error within 3.7 s", answer, elapsed)
 	}
 }
 
-// playSIGTERMInStandstill: the 3.7 s count from when SIGTERM was sent, which is 1 s before the program can take it.
-func playSIGTERMInStandstill(t *testing.T, bed *testbed, pending chan *receivedRequest) {
+// runSIGTERMInStandstill sends SIGTERM 1 s before the program can receive it. The 3.7 s count from when it was sent.
+func runSIGTERMInStandstill(t *testing.T, bed *testbed, pending chan *receivedRequest) {
 	client := bed.dial()
 	client.waitRequestsRead(9)
 	bed.suspend()
@@ -173,14 +174,14 @@
 	client.send(request(1, "footage", map[string]string{"limit": "6000"}, ""))
 	nextReceived(t, pending)
 	answer := client.mustRead()
-	if past := time.Since(at); answer.Error == "" || past > 3700*time.Millisecond {
-		t.Errorf("%+v %v after SIGTERM was sent, want an error within 3.7 s", answer, past)
+	if elapsed := time.Since(at); answer.Error == "" || elapsed > 3700*time.Millisecond {
+		t.Errorf("got %+v %v after SIGTERM was sent, want an error within 3.7 s", answer, elapsed)
 	}
 }
 
-// playSIGTERMInShortStandstill: the loop takes no notice of a standstill this short. SIGKILL may come 1.3 s after
-// SIGTERM was sent all the same.
-func playSIGTERMInShortStandstill(t *testing.T, bed *testbed, pending chan *receivedRequest) {
+// runSIGTERMInShortStandstill sends SIGTERM during a standstill that is too short for the event loop to detect. SIGKILL
+// may nevertheless come 1.3 s after SIGTERM was sent.
+func runSIGTERMInShortStandstill(t *testing.T, bed *testbed, pending chan *receivedRequest) {
 	client := bed.dial()
 	client.waitRequestsRead(9)
 	bed.suspend()
@@ -192,13 +193,13 @@
 	client.send(request(1, "footage", map[string]string{"limit": "600"}, ""))
 	nextReceived(t, pending)
 	answer := client.mustRead()
-	if past := time.Since(at); answer.Error == "" || past > 1300*time.Millisecond {
-		t.Errorf("%+v %v after SIGTERM was sent, want an error within 1.3 s", answer, past)
+	if elapsed := time.Since(at); answer.Error == "" || elapsed > 1300*time.Millisecond {
+		t.Errorf("got %+v %v after SIGTERM was sent, want an error within 1.3 s", answer, elapsed)
 	}
 }
 
-// TestGracefulShutdown has SIGTERM cross what can be under way. The program must then end by itself with status 0,
-// though no client closes its connection.
+// TestGracefulShutdown sends SIGTERM in different situations. The program must exit on its own with status 0, although
+// no client closes its connection.
 func TestGracefulShutdown(t *testing.T) {
 	for _, c := range shutdownCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -209,42 +210,42 @@
 				bed.setDeadlines(c.deadline)
 			}
 			bed.start()
-			c.play(t, bed, pending)
+			c.run(t, bed, pending)
 			bed.waitExit()
 		})
 	}
 }
 
-// persistentClient asks one request after another on a connection, and on a new one when that is closed under it. One
-// request that crosses the close is sent again, once, as the protocol says.
+// persistentClient sends one request after another on a connection, and opens a new one when the connection is closed.
+// As the protocol specifies, it sends a request that crosses the close once more.
 type persistentClient struct {
 	number          int
 	served, crossed int
 }
 
-// run asks until stop is closed, with a pause of as many milliseconds as the client's number.
+// run sends requests until stop is closed. It pauses after each for the client's number in milliseconds.
 func (p *persistentClient) run(t *testing.T, bed *testbed, stop chan struct{}) {
 	c := bed.dial()
-	for id, again := uint64(1), false; ; {
+	for id, isRetry := uint64(1), false; ; {
 		fields := map[string]string{"txn": fmt.Sprintf("%08x%08x", p.number, id)}
 		_ = c.protocol.Send(request(id, "lookup", fields, ""))
 		answer, err := c.read()
 		switch {
 		case err == nil && answer.Error == "":
 			p.served++
-			id, again = id+1, false
+			id, isRetry = id+1, false
 		case err == nil:
-			t.Errorf("client %d: %+v, want it served", p.number, answer)
+			t.Errorf("client %d: got %+v, want it served", p.number, answer)
 			return
-		case again || !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE):
-			t.Errorf("client %d: request %d has no answer, sent again: %v: %v", p.number, id, again, err)
+		case isRetry || !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE):
+			t.Errorf("client %d: request %d was not answered; retry: %v; error: %v", p.number, id, isRetry, err)
 			return
 		default:
 			p.crossed++
-			again = true
+			isRetry = true
 			conn, err := net.Dial("tcp", bed.address)
 			if err != nil {
-				t.Errorf("client %d: request %d crossed the close, and nobody listens any more: %v", p.number, id, err)
+				t.Errorf("client %d: request %d crossed the close, and the program no longer listens: %v", p.number, id, err)
 				return
 			}
 			defer conn.Close()
@@ -258,8 +259,8 @@
 	}
 }
 
-// TestRequestsCrossShutdown has clients ask one request after another until their connections are closed under them;
-// each must be answered.
+// TestRequestsCrossShutdown has clients send one request after another while the program shuts down and closes their
+// connections. Each request must be answered.
 func TestRequestsCrossShutdown(t *testing.T) {
 	bed := newTestbed(t, nil)
 	bed.setDeadlines(1000)
@@ -284,18 +285,18 @@
 	for _, c := range clients {
 		crossed += c.crossed
 		if c.served == 0 {
-			t.Errorf("client %d had nothing served", c.number)
+			t.Errorf("client %d: no request was served", c.number)
 		}
 	}
 	if crossed == 0 {
-		t.Error("no request crossed a close: the test does not try it")
+		t.Error("no request crossed a close, so the test proves nothing")
 	}
 }
 
-// TestSIGTERMDuringAttempt: SIGTERM while an attempt waits for its dial, or is half read by its endpoint: it goes on
-// as always.
+// TestSIGTERMDuringAttempt sends SIGTERM while an attempt waits for its connection, or while its endpoint has read only
+// part of it. The attempt must complete as usual.
 func TestSIGTERMDuringAttempt(t *testing.T) {
-	t.Run("its dial", func(t *testing.T) {
+	t.Run("dial", func(t *testing.T) {
 		t.Parallel()
 		bed := newTestbed(t, nil, "c2")
 		bed.setListedAddress("c1", bed.listenWithFullBacklog())
@@ -307,11 +308,11 @@
 		bed.terminate()
 		go bed.endpoints.Serve("c1", bed.fullBacklogListener)
 		if answer := client.mustRead(); answer.Error != "" {
-			t.Errorf("%+v, want it served", answer)
+			t.Errorf("got %+v, want it served", answer)
 		}
 		bed.waitExit()
 	})
-	t.Run("half read", func(t *testing.T) {
+	t.Run("partly read", func(t *testing.T) {
 		t.Parallel()
 		bed := newTestbed(t, nil)
 		origin := bed.listenOn("127.0.0.1:0")
@@ -325,52 +326,53 @@
 		bed.terminate()
 		close(terminated)
 		if answer := client.mustRead(); answer.Error != "" || len(answer.Body) != 4 {
-			t.Errorf("%+v, want it served", answer)
+			t.Errorf("got %+v, want it served", answer)
 		}
 		bed.waitExit()
 	})
 }
 
-// answerLargeRequestInHalves takes one connection, reads 20,000 bytes of an attempt, closes half, and goes on once
-// next is closed: it reads to the body's end, which is a #, and serves request 1.
-func answerLargeRequestInHalves(listener net.Listener, half chan<- struct{}, next <-chan struct{}) {
+// answerLargeRequestInHalves accepts one connection, reads 20,000 bytes of an attempt and closes halfRead. Once next is
+// closed, it reads to the end of the body, which is a #, and serves request 1.
+func answerLargeRequestInHalves(listener net.Listener, halfRead chan<- struct{}, next <-chan struct{}) {
 	conn, err := listener.Accept()
 	if err != nil {
 		return
 	}
 	r := bufio.NewReaderSize(conn, 16)
 	_, _ = io.ReadFull(r, make([]byte, 20000))
-	close(half)
+	close(halfRead)
 	<-next
 	rest, _ := r.ReadString('#')
 	_, _ = fmt.Fprintf(conn, "%s ACK tag=t1 4\r\n%04d\r\n", hexID(1), len(rest)%10000)
 }
 
-// TestRestartWithoutDelay: a proxy that was killed with connections open left them in TIME_WAIT; the next one exited
-// with "address already in use", because the sockets had SO_REUSEPORT without SO_REUSEADDR.
+// TestRestartWithoutDelay guards against a proxy that exits with "address already in use" because its predecessor was
+// killed with connections open, which remain in TIME_WAIT. It occurs if sockets have SO_REUSEPORT without SO_REUSEADDR.
 func TestRestartWithoutDelay(t *testing.T) {
 	bed := newTestbed(t, nil)
 	for round := range 3 {
 		bed.start()
 		client := bed.dial()
 		if answer := client.call(1, "footage", nil); answer.Error != "" {
-			t.Fatalf("round %d: %+v, want it served", round, answer)
+			t.Fatalf("round %d: got %+v, want it served", round, answer)
 		}
 		bed.kill()
 		_ = client.conn.Close()
 	}
 }
 
-// TestSecondProcessIsRejected: with SO_REUSEPORT a second program would share the address unnoticed.
+// TestSecondProcessIsRejected checks that a second process cannot listen on the same address. With SO_REUSEPORT alone
+// it would share the address unnoticed.
 func TestSecondProcessIsRejected(t *testing.T) {
 	bed := newTestbed(t, nil)
 	bed.start()
 	other := newTestbed(t, nil)
 	other.config["listen"] = bed.address
 	other.address = bed.address
-	other.start() // the first one answers its status
+	other.start() // the status that start waits for is the first process's
 	if err := <-other.exited; err == nil {
-		t.Error("a second program listens on the same address, want it to exit with an error")
+		t.Error("a second process listens on the same address, want it to exit with an error")
 	}
 	other.cmd = nil
 }
--- a/test/signals_test.go
+++ b/test/signals_test.go
@@ -14,36 +14,36 @@
 	"sloequay/internal/emulator"
 )
 
-// replaceByPipe puts a named pipe in the place of a file, so that whoever reads the file waits for a writer.
-func replaceByPipe(t *testing.T, path string) {
+// replaceWithPipe replaces a file with a named pipe, so that reading the file blocks until a writer opens it.
+func replaceWithPipe(t *testing.T, path string) {
 	t.Helper()
 	if err := errors.Join(os.Remove(path), unix.Mkfifo(path, 0o600)); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestSIGTERMDuringReloads: the files are slow to read, and SIGHUP comes again and again. SIGTERM, which comes last,
-// waits for none of that: the program drains at once.
+// TestSIGTERMDuringReloads sends SIGHUP repeatedly while reading the settings blocks, and then SIGTERM. The program
+// must drain at once, without waiting for the reloads.
 func TestSIGTERMDuringReloads(t *testing.T) {
 	t.Parallel()
 	bed := newTestbed(t, nil)
 	bed.addSettings("# nothing")
 	bed.start()
-	replaceByPipe(t, bed.settingsPath)
+	replaceWithPipe(t, bed.settingsPath)
 	for range 30 {
 		bed.signal(syscall.SIGHUP)
-		time.Sleep(2 * time.Millisecond) // signals that come at once are one
+		time.Sleep(2 * time.Millisecond) // the kernel merges signals that arrive together
 	}
 	at := bed.terminate()
 	if took := time.Since(at); took > time.Second {
-		t.Errorf("the program drains %v after SIGTERM, want it at once", took)
+		t.Errorf("draining began %v after SIGTERM, want at most 1 s", took)
 	}
 	bed.waitExit()
 }
 
-// TestUnreadLogStopsNothing: nobody reads the log any more, and its pipe is full. Requests are served all the same, and
-// the program ends when it is told to, also once the pipe has no reader.
-func TestUnreadLogStopsNothing(t *testing.T) {
+// TestUnreadLogDoesNotBlock writes the log to a full pipe that nobody reads. Requests must be served nevertheless, and
+// the program must exit on SIGTERM even after the pipe has lost its reader.
+func TestUnreadLogDoesNotBlock(t *testing.T) {
 	t.Parallel()
 	bed := newTestbed(t, nil)
 	bed.writeConfig()
@@ -59,7 +59,7 @@
 	client := bed.dial()
 	for id := range uint64(20) {
 		if answer := client.call(id+1, "footage", nil); answer.Error != "" {
-			t.Fatalf("answer %+v, want the body served", answer)
+			t.Fatalf("answer: got %+v, want the body served", answer)
 		}
 	}
 	_ = reader.Close()
@@ -68,7 +68,7 @@
 	bed.waitExit()
 }
 
-// fillPipe writes to a pipe until it takes no more.
+// fillPipe writes to a pipe until it is full.
 func fillPipe(t *testing.T, writer *os.File) {
 	t.Helper()
 	if err := writer.SetWriteDeadline(time.Now().Add(100 * time.Millisecond)); err != nil {
@@ -81,21 +81,22 @@
 	}
 }
 
-// TestSIGHUPDuringStart: a configuration is put in place while the program starts. SIGHUP must not end it.
+// TestSIGHUPDuringStart sends SIGHUP while the program starts, as happens if a new configuration is installed then. The
+// signal must not end the program.
 func TestSIGHUPDuringStart(t *testing.T) {
 	t.Parallel()
 	bed := newTestbed(t, nil)
 	bed.writeConfig()
 	settings := filepath.Join(t.TempDir(), "sloequay.conf")
 	writeFile(t, settings, "")
-	replaceByPipe(t, settings)
+	replaceWithPipe(t, settings)
 	bed.launch(exec.Command(programPath, "serve", "--config", bed.configPath, "--conf", settings), &bed.log)
-	pipe, err := os.OpenFile(settings, os.O_WRONLY, 0) // opens once the program reads it
+	pipe, err := os.OpenFile(settings, os.O_WRONLY, 0) // blocks until the program opens the file for reading
 	if err != nil {
 		t.Fatal(err)
 	}
 	bed.signal(syscall.SIGHUP)
-	time.Sleep(100 * time.Millisecond) // for the signal to arrive, or the settings would be read before
+	time.Sleep(100 * time.Millisecond) // the signal must arrive before the settings can be read
 	_ = pipe.Close()
 	bed.waitLogged("event=started")
 	bed.expectRunning()
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -12,47 +12,48 @@
 )
 
 var (
-	soakSeeds = flag.Int("soak-seeds", 1, "plans that the soak plays, drawn by seeds from -soak-first on")
-	soakFirst = flag.Uint64("soak-first", 1, "the first seed of the soak")
-	soakLasts = flag.Duration("soak-lasts", 12*time.Second, "how long each plan of the soak lasts")
-	soakSlots = flag.Int("soak-slots", 2, "plans of the soak that are played at once")
+	soakSeedCount      = flag.Int("soak-seeds", 1, "number of soak plans, with consecutive seeds from -soak-first on")
+	soakFirstSeed      = flag.Uint64("soak-first", 1, "first seed of the soak")
+	soakDuration       = flag.Duration("soak-lasts", 12*time.Second, "duration of each soak plan")
+	maxConcurrentSoaks = flag.Int("soak-slots", 2, "number of soak plans that run concurrently")
 )
 
 var (
-	restartSeeds = flag.Int("restart-seeds", 0, "plans of restarts, by seeds from -restart-first on; 0: those kept")
-	restartFirst = flag.Uint64("restart-first", 1, "the first seed of the plans of restarts")
-	restartLasts = flag.Duration("restart-lasts", 14*time.Second, "how long each plan of restarts lasts")
+	restartSeedCount = flag.Int("restart-seeds", 0,
+		"number of restart plans, with consecutive seeds from -restart-first on; 0: the default seeds")
+	restartFirstSeed = flag.Uint64("restart-first", 1, "first seed of the restart plans")
+	restartDuration  = flag.Duration("restart-lasts", 14*time.Second, "duration of each restart plan")
 )
 
-// soakFaults are the system calls that fail in the soak, now and then, in each process.
+// soakFaults are the system calls that fail at random in each process of the soak.
 var soakFaults = flag.String("soak-faults",
 	"accept4=ENFILE%0.03,accept4=ECONNABORTED%0.03,socket=ENOBUFS%0.05,connect=EADDRNOTAVAIL%0.05",
-	"system calls that fail in the soak, as "+faultsVariable+" has them")
+	"system calls that fail in the soak, in the form that "+faultsVariable+" takes")
 
-// TestSoak plays plans by processes in which several troubles overlap, clients leave, and system calls fail, and holds
-// all that must hold whatever happens, by what clients and endpoints saw and by the proxies' own monitors.
+// TestSoak runs plans with real processes in which several faults overlap, clients abandon requests, and system calls
+// fail. It checks all invariants, from what clients and endpoints saw and by the proxies' own monitors.
 func TestSoak(t *testing.T) {
-	playSeeds(t, consecutiveSeeds(*soakFirst, *soakSeeds), func(seed uint64) (*drill.Plan, error) {
-		return drill.DrawSoak(seed, *soakLasts)
+	runSeeds(t, consecutiveSeeds(*soakFirstSeed, *soakSeedCount), func(seed uint64) (*drill.Plan, error) {
+		return drill.DrawSoak(seed, *soakDuration)
 	})
 }
 
-// TestSoakOfRestarts plays planned restarts as the protocol has them: clients go on by open connections until these are
-// closed, SIGKILL comes at the earliest time, signals come in series, and some proxies are crowded.
-func TestSoakOfRestarts(t *testing.T) {
+// TestRestartSoak runs plans with planned restarts as the protocol allows them: clients keep using open connections
+// until these are closed, SIGKILL comes as early as possible, signals are repeated, and some proxies are overloaded.
+func TestRestartSoak(t *testing.T) {
 	seeds := keptRestartSeeds
-	if *restartSeeds > 0 {
-		seeds = consecutiveSeeds(*restartFirst, *restartSeeds)
+	if *restartSeedCount > 0 {
+		seeds = consecutiveSeeds(*restartFirstSeed, *restartSeedCount)
 	}
-	playSeeds(t, seeds, func(seed uint64) (*drill.Plan, error) {
-		return drill.DrawRestarts(seed, *restartLasts)
+	runSeeds(t, seeds, func(seed uint64) (*drill.Plan, error) {
+		return drill.DrawRestarts(seed, *restartDuration)
 	})
 }
 
-// keptRestartSeeds are played where no others are asked for: one that held, and those that found something.
+// keptRestartSeeds are the seeds that run by default: one that always passed, and those that once found a fault.
 var keptRestartSeeds = []uint64{1, 8, 10, 423}
 
-// consecutiveSeeds are so many seeds from the first one on.
+// consecutiveSeeds returns count seeds that start at first.
 func consecutiveSeeds(first uint64, count int) []uint64 {
 	seeds := make([]uint64, count)
 	for i := range seeds {
@@ -61,60 +62,60 @@
 	return seeds
 }
 
-// playSeeds draws a plan for each seed and plays it, with system calls that fail.
-func playSeeds(t *testing.T, seeds []uint64, draw func(seed uint64) (*drill.Plan, error)) {
+// runSeeds draws a plan for each seed and runs it with soakFaults.
+func runSeeds(t *testing.T, seeds []uint64, draw func(seed uint64) (*drill.Plan, error)) {
 	t.Helper()
 	if runtime.GOOS != "linux" || runtime.GOARCH != "amd64" {
-		t.Skip("the filter that fails system calls is written for Linux on amd64")
+		t.Skip("the filter that injects system-call failures is written for Linux on amd64")
 	}
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	slots := make(chan bool, *soakSlots)
+	slots := make(chan bool, *maxConcurrentSoaks)
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			slots <- true
 			defer func() { <-slots }()
-			drillSlots <- true // they would disturb each other
+			drillSlots <- true // drills and soaks would disturb each other
 			defer func() { <-drillSlots }()
 			plan, err := draw(seed)
 			if err != nil {
 				t.Fatal(err)
 			}
 			plan.Environment = []string{faultsVariable + "=" + *soakFaults}
-			playSoak(t, plan, self, seed)
+			runSoakPlan(t, plan, executable, seed)
 		})
 	}
 }
 
-// playSoak plays a plan, and fails unless all that it says must hold does.
-func playSoak(t *testing.T, plan *drill.Plan, program string, seed uint64) {
+// runSoakPlan runs a plan and fails the test unless all of its checks pass.
+func runSoakPlan(t *testing.T, plan *drill.Plan, program string, seed uint64) {
 	t.Helper()
-	result, err := drill.Run(plan, program, soakFolder(t), seed, nil)
+	result, err := drill.Run(plan, program, soakDir(t), seed, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	reportChecks(t, seed, result)
 	if t.Failed() {
-		t.Logf("the plan:\n%s", plan.Text)
+		t.Logf("plan:\n%s", plan.Text)
 	}
 }
 
-// soakReports names a folder in which the logs of each plan stay; without it they go with the test.
-var soakReports = flag.String("soak-reports", "", "folder in which the logs of the soak's processes stay")
+// soakReportDir is a directory in which the logs of each plan are kept. If empty, they are deleted after the test.
+var soakReportDir = flag.String("soak-reports", "", "directory in which the logs of the soak's processes are kept")
 
-// soakFolder is where the processes of one plan have their files.
-func soakFolder(t *testing.T) string {
+// soakDir returns the directory for the files of one plan's processes.
+func soakDir(t *testing.T) string {
 	t.Helper()
-	if *soakReports == "" {
+	if *soakReportDir == "" {
 		return t.TempDir()
 	}
-	folder, err := os.MkdirTemp(*soakReports, "soak-")
+	dir, err := os.MkdirTemp(*soakReportDir, "soak-")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("the logs are in %s", folder)
-	return folder
+	t.Logf("logs: %s", dir)
+	return dir
 }
--- a/test/standstill_test.go
+++ b/test/standstill_test.go
@@ -11,11 +11,11 @@
 	"github.com/miekg/dns"
 )
 
-// deadlineSlack is by how much the deadline that an endpoint is given may be over what the client has left.
+// deadlineSlack is how much the deadline that an endpoint receives may exceed the time that the client has left.
 const deadlineSlack = 150 * time.Millisecond
 
-// TestStandstillShortensDeadlines: requests lie unread while the program stands still. Their time has run since they
-// were written, so that endpoints are given what is left of it and no more; what has no time left is answered at once.
+// TestStandstillShortensDeadlines sends requests while the program stands still. Their time runs from when they were
+// sent: endpoints must receive only what is left of it, and a request without time left must be answered at once.
 func TestStandstillShortensDeadlines(t *testing.T) {
 	t.Parallel()
 	bed := newTestbed(t, nil)
@@ -35,43 +35,43 @@
 		answers[answer.ID] = answer.Error
 	}
 	if took := time.Since(sent); took > 2*time.Second {
-		t.Errorf("the answers took %v, want them at once after %v", took, standstill)
+		t.Errorf("the answers took %v, want them at once after a standstill of %v", took, standstill)
 	}
 	if answers[1] != "" || answers[2] != "Overloaded" {
-		t.Errorf("answers %v, want the first served and the second, whose time was over, rejected", answers)
+		t.Errorf("errors by request: got %v, want 1 served and 2, whose time was over, rejected", answers)
 	}
 	for _, attempt := range bed.attempts() {
-		given, err := strconv.Atoi(attempt.Fields["max"])
+		deadline, err := strconv.Atoi(attempt.Fields["max"])
 		if err != nil {
 			t.Fatal(err)
 		}
 		limit := 2500 * time.Millisecond
 		if attempt.ID == hexID(2) {
-			t.Errorf("the request whose time was over was sent with max=%d", given)
+			t.Errorf("the request whose time was over was sent with max=%d, want it not sent", deadline)
 			continue
 		}
-		if maxGiven := limit - standstill + deadlineSlack; time.Duration(given)*time.Millisecond > maxGiven {
-			t.Errorf("max=%d after %v of %v, want %v at the most", given, standstill, limit, maxGiven)
+		if maxDeadline := limit - standstill + deadlineSlack; time.Duration(deadline)*time.Millisecond > maxDeadline {
+			t.Errorf("deadline: got max=%d after %v of %v, want at most %v", deadline, standstill, limit, maxDeadline)
 		}
 	}
 }
 
-// TestNewConnectionsCountFromTheirRequests: a client connects and asks while the program stands still, or while accept
-// fails. Its time has run since, though the program learns of it late.
-func TestNewConnectionsCountFromTheirRequests(t *testing.T) {
+// TestWaitBeforeAcceptShortensDeadlines has clients connect and send requests while the program stands still, or while
+// accept fails. The time of the requests must run from when they were sent, although the program accepts them later.
+func TestWaitBeforeAcceptShortensDeadlines(t *testing.T) {
 	const limit = 2500 * time.Millisecond
-	expectGiven := func(t *testing.T, bed *testbed, waited time.Duration) {
+	expectDeadlines := func(t *testing.T, bed *testbed, waited time.Duration) {
 		t.Helper()
 		for _, attempt := range bed.attempts() {
-			given, err := strconv.Atoi(attempt.Fields["max"])
-			maxGiven := limit - waited + deadlineSlack
-			if err != nil || time.Duration(given)*time.Millisecond > maxGiven {
-				t.Errorf("max=%s (%v) after %v of %v, want %v at the most",
-					attempt.Fields["max"], err, waited, limit, maxGiven)
+			deadline, err := strconv.Atoi(attempt.Fields["max"])
+			maxDeadline := limit - waited + deadlineSlack
+			if err != nil || time.Duration(deadline)*time.Millisecond > maxDeadline {
+				t.Errorf("deadline: got max=%s (%v) after %v of %v, want at most %v",
+					attempt.Fields["max"], err, waited, limit, maxDeadline)
 			}
 		}
 	}
-	ask := func(bed *testbed) *client {
+	sendLookup := func(bed *testbed) *client {
 		client := bed.dial()
 		client.send(request(1, "lookup", map[string]string{"limit": strconv.Itoa(int(limit.Milliseconds()))}, ""))
 		return client
@@ -83,7 +83,7 @@
 		bed.suspend()
 		var clients []*client
 		for range 20 {
-			clients = append(clients, ask(bed))
+			clients = append(clients, sendLookup(bed))
 		}
 		const standstill = 800 * time.Millisecond
 		time.Sleep(standstill)
@@ -91,7 +91,7 @@
 		for _, client := range clients {
 			client.mustRead()
 		}
-		expectGiven(t, bed, standstill)
+		expectDeadlines(t, bed, standstill)
 	})
 	t.Run("accept fails", func(t *testing.T) {
 		t.Parallel()
@@ -100,7 +100,7 @@
 		bed.startWithFaults("accept4=ENFILE?" + failing)
 		writeFile(t, failing, "")
 		sent := time.Now()
-		client := ask(bed)
+		client := sendLookup(bed)
 		bed.waitLogged("event=accept-failed")
 		const outage = 400 * time.Millisecond
 		time.Sleep(time.Until(sent.Add(outage)))
@@ -108,13 +108,13 @@
 			t.Fatal(err)
 		}
 		client.mustRead()
-		expectGiven(t, bed, outage)
+		expectDeadlines(t, bed, outage)
 	})
 }
 
-// TestStandstillShortensDeadlinesOfQueries guards against DNS queries that count from when they are read: they lay
-// unread while the program stood still, by UDP and on an open connection.
-func TestStandstillShortensDeadlinesOfQueries(t *testing.T) {
+// TestStandstillShortensDNSDeadlines guards against DNS queries whose time runs only from when the program reads them,
+// after a standstill, by UDP and on an open TCP connection.
+func TestStandstillShortensDNSDeadlines(t *testing.T) {
 	for _, network := range []string{"udp", "tcp"} {
 		t.Run(network, func(t *testing.T) {
 			t.Parallel()
@@ -131,18 +131,18 @@
 			time.Sleep(standstill)
 			bed.signal(syscall.SIGCONT)
 			if answer := client.mustRead(); answer.Rcode != "NOERROR" {
-				t.Errorf("%+v, want it served", answer)
+				t.Errorf("answer: got %+v, want it served", answer)
 			}
 			attempts := bed.attempts()[before:]
 			if len(attempts) == 0 {
-				t.Error("nothing was sent to an endpoint")
+				t.Error("got no attempts, want at least one")
 			}
 			for _, attempt := range attempts {
-				given, err := strconv.Atoi(attempt.Fields["max"])
-				maxGiven := limit - standstill + deadlineSlack
-				if err != nil || time.Duration(given)*time.Millisecond > maxGiven {
-					t.Errorf("max=%s (%v) after %v of %v, want %v at the most",
-						attempt.Fields["max"], err, standstill, limit, maxGiven)
+				deadline, err := strconv.Atoi(attempt.Fields["max"])
+				maxDeadline := limit - standstill + deadlineSlack
+				if err != nil || time.Duration(deadline)*time.Millisecond > maxDeadline {
+					t.Errorf("deadline: got max=%s (%v) after %v of %v, want at most %v",
+						attempt.Fields["max"], err, standstill, limit, maxDeadline)
 				}
 			}
 		})
--- a/test/stored_test.go
+++ b/test/stored_test.go
@@ -9,8 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// expectPrinted runs check --print on settings and compares what it prints with a file in testdata.
-func expectPrinted(t *testing.T, settings, stored string) {
+// expectPrinted compares the output of check --print for settings with a golden file in testdata.
+func expectPrinted(t *testing.T, settings, golden string) {
 	t.Helper()
 	dir := makeSettingsDir(t)
 	writeFile(t, filepath.Join(dir, "sloequay.conf"), settings)
@@ -22,28 +22,28 @@
 	if err != nil {
 		t.Fatalf("%v: %s", err, printed)
 	}
-	if diff := cmp.Diff(readFile(t, filepath.Join("testdata", stored)), string(printed)); diff != "" {
-		t.Errorf("%s (-stored +printed):\n%s", stored, diff)
+	if diff := cmp.Diff(readFile(t, filepath.Join("testdata", golden)), string(printed)); diff != "" {
+		t.Errorf("%s (-want +got):\n%s", golden, diff)
 	}
 }
 
-// TestStoredPrint wants check --print to print the shipped settings, as they are and with their examples turned on,
-// as an earlier build did. The blocks services and snapshot can't stand together, so that the examples are printed
-// twice.
-func TestStoredPrint(t *testing.T) {
-	without := func(block string) string {
+// TestPrintMatchesGoldenFiles compares the output of check --print with that of an earlier build, for the shipped
+// settings as they are and with their examples enabled. The blocks services and snapshot exclude each other, so the
+// examples are printed once without each.
+func TestPrintMatchesGoldenFiles(t *testing.T) {
+	withoutBlock := func(block string) string {
 		expression := regexp.MustCompile(`(?ms)^` + block + ` \{.*?^\}\n?`)
 		return expression.ReplaceAllString(exampleSettings(t), "")
 	}
 	for _, c := range []struct {
 		name     string
 		settings string
-		stored   string
+		golden   string
 	}{
 		{"as shipped", shippedSettings(t), "print-shipped.txt"},
-		{"examples without services", without("services"), "print-without-services.txt"},
-		{"examples without snapshot", without("snapshot"), "print-without-snapshot.txt"},
+		{"examples without services", withoutBlock("services"), "print-without-services.txt"},
+		{"examples without snapshot", withoutBlock("snapshot"), "print-without-snapshot.txt"},
 	} {
-		t.Run(c.name, func(t *testing.T) { expectPrinted(t, c.settings, c.stored) })
+		t.Run(c.name, func(t *testing.T) { expectPrinted(t, c.settings, c.golden) })
 	}
 }
--- a/test/syscalls_test.go
+++ b/test/syscalls_test.go
@@ -12,8 +12,8 @@
 	"sloequay/internal/proxy/admin"
 )
 
-// TestSurvivesFailedAccepts: accept fails in each documented way for a moment, before the first client and between
-// later ones. The program goes on, and clients that connected meanwhile are served.
+// TestSurvivesFailedAccepts has accept fail temporarily with each documented error, before the first client and between
+// later ones. The program must keep running and serve the clients that connected meanwhile.
 func TestSurvivesFailedAccepts(t *testing.T) {
 	t.Parallel()
 	bed := newTestbed(t, nil)
@@ -22,14 +22,14 @@
 	for range 12 {
 		client := bed.dial()
 		if answer := client.call(5, "footage", nil); answer.Error != "" || answer.Body != "7f3a9c21e0b4d655" {
-			t.Fatalf("answer %+v, want the body served", answer)
+			t.Fatalf("answer: got %+v, want the body served", answer)
 		}
 	}
 	bed.expectRunning()
 }
 
-// TestSurvivesFailedConnects: new connections to endpoints fail for want of something on this machine, for a moment at
-// a time. That says nothing of the endpoints: requests wait for it to pass and are served, and no endpoint is ejected.
+// TestSurvivesFailedConnects has new connections to endpoints fail temporarily because the local machine lacks
+// resources. That is no failure of the endpoints: requests must wait and be served, and no endpoint may be ejected.
 func TestSurvivesFailedConnects(t *testing.T) {
 	t.Parallel()
 	bed := newTestbed(t, nil)
@@ -38,7 +38,7 @@
 		client := bed.dial()
 		answer := client.call(id+1, "footage", map[string]string{"item": hexID(id + 1), "limit": "3000"})
 		if answer.Error != "" {
-			t.Errorf("answer %+v, want the body served", answer)
+			t.Errorf("answer: got %+v, want the body served", answer)
 		}
 		_ = client.conn.Close()
 		for _, id := range []string{"c1", "c2", "p1", "o1"} {
@@ -47,46 +47,46 @@
 	}
 	for _, fault := range []string{"ejected", "endpoints=0"} {
 		if bed.logged(fault) {
-			t.Errorf("%q is logged, want no endpoint blamed", fault)
+			t.Errorf("the log contains %q, want no endpoint ejected or lost", fault)
 		}
 	}
 }
 
-// TestSurvivesRefusedWatches guards against clients that lose their first request as the system has no memory, for a
-// moment, to watch the connection that it has accepted.
+// TestSurvivesRefusedWatches guards against clients that lose their first request because the kernel temporarily lacks
+// the memory to watch an accepted connection.
 func TestSurvivesRefusedWatches(t *testing.T) {
 	t.Parallel()
 	bed := newTestbed(t, nil)
 	bed.startWithFaults("epoll_ctl=ENOMEM%0.2")
 	const clients = 40
-	lost := 0
+	unserved := 0
 	for range clients {
 		client := bed.dial()
 		client.send(request(1, "footage", nil, ""))
 		if answer, err := client.read(); err != nil || answer.Error != "" {
-			lost++
+			unserved++
 		}
 	}
-	if lost > 0 {
-		t.Errorf("%d of %d clients had no answer to their first request, want each served", lost, clients)
+	if unserved > 0 {
+		t.Errorf("clients whose first request was not served: got %d of %d, want none", unserved, clients)
 	}
 }
 
-// TestStartsDespiteFailedCalls: what the start needs of the system fails for a moment.
+// TestStartsDespiteFailedCalls has system calls that the start needs fail temporarily.
 func TestStartsDespiteFailedCalls(t *testing.T) {
 	t.Parallel()
 	bed := newTestbed(t, nil)
 	bed.enableDNS("")
 	bed.startWithFaults("socket=ENFILE@1-3,socket=ENOBUFS@5-6,connect=ENETUNREACH@1-2,epoll_ctl=ENOMEM@3-3")
 	if answer := bed.dial().call(5, "footage", nil); answer.Error != "" {
-		t.Errorf("answer %+v, want the body served", answer)
+		t.Errorf("answer: got %+v, want the body served", answer)
 	}
 }
 
-// TestOpensControlSocketDespiteFailedCalls: the system has no descriptor for a moment for one of the sockets that the
-// start makes, in turn. Another process was killed and has left its socket's file, which stands in the way.
+// TestOpensControlSocketDespiteFailedCalls fails each of the sockets that the program creates at its start in turn, for
+// lack of descriptors. In addition, the socket file of a killed process occupies the path of the operators' socket.
 func TestOpensControlSocketDespiteFailedCalls(t *testing.T) {
-	const sockets = 12 // that the start makes
+	const sockets = 12 // created at the start
 	for call := range sockets {
 		t.Run(strconv.Itoa(call+1), func(t *testing.T) {
 			t.Parallel()
@@ -100,7 +100,7 @@
 			_ = stale.Close()
 			bed.addSettings("control " + path)
 			bed.startWithFaults(fmt.Sprintf("socket=ENFILE@%d-%d", call+1, call+1))
-			bed.waitUntil("the socket answers", func() bool {
+			bed.waitUntil("the operators' socket answers", func() bool {
 				var state bytes.Buffer
 				return admin.Query(&state, path, "state") == nil && state.Len() > 0
 			})
@@ -108,16 +108,16 @@
 	}
 }
 
-// TestSnapshotIsWrittenOnceTheDiskIsBack: the disk fails while the snapshot is written, and nothing changes afterwards.
-// What the proxy was to keep is kept as soon as the disk works again.
-func TestSnapshotIsWrittenOnceTheDiskIsBack(t *testing.T) {
+// TestSnapshotIsWrittenOnceDiskRecovers has the disk fail while the snapshot is written, with no changes afterwards.
+// The snapshot must be written as soon as the disk works again.
+func TestSnapshotIsWrittenOnceDiskRecovers(t *testing.T) {
 	t.Parallel()
 	bed := newTestbed(t, nil)
 	file := filepath.Join(t.TempDir(), "list")
 	bed.addSettings("snapshot {", "file "+file, "every 200ms", "oldest 24h", "}")
 	bed.startWithFaults("fsync=EIO@1-2,rename=ENOSPC@1-1")
 	bed.waitLogged("event=snapshot-write-failed")
-	bed.waitUntil("the snapshot is there", func() bool {
+	bed.waitUntil("the snapshot exists", func() bool {
 		_, err := os.Stat(file)
 		return err == nil
 	})
--- a/test/tls_test.go
+++ b/test/tls_test.go
@@ -16,8 +16,8 @@
 	"sloequay/internal/proxy/admin"
 )
 
-// TestTLSListener: who calls is told by its certificate, on a new connection and a resumed one; large answers come
-// complete.
+// TestTLSListener checks that callers are identified by their certificates on new and resumed connections, and that
+// large answers arrive complete.
 func TestTLSListener(t *testing.T) {
 	t.Parallel()
 	large := strings.Repeat("x", 240_000)
@@ -42,31 +42,31 @@
 			answer := client.call(1, c.class, map[string]string{"unique": fmt.Sprint(c.name, round),
 				"txn": hexID(len(c.name)*2 + round)})
 			if answer.Error != c.err || answer.Fields["reason"] != c.reason || answer.Body != c.body {
-				t.Errorf("%q, %s, round %d: error %q, reason %q, %d bytes, want %q, %q, %d bytes", c.name, c.class,
+				t.Errorf("%q, %s, round %d: got error %q, reason %q and %d bytes, want %q, %q and %d bytes", c.name, c.class,
 					round, answer.Error, answer.Fields["reason"], len(answer.Body), c.err, c.reason, len(c.body))
 			}
 			if resumed := client.conn.(*tls.Conn).ConnectionState().DidResume; resumed != (round == 1) {
-				t.Errorf("%q, round %d: resumed %v, want %v", c.name, round, resumed, round == 1)
+				t.Errorf("%q, round %d: got resumed %v, want %v", c.name, round, resumed, round == 1)
 			}
 			_ = client.conn.Close()
 		}
 	}
 	if charges := bed.attemptsOfClass("charge"); len(charges) != 2 {
-		t.Errorf("%d charges reached an endpoint, want the lane's two", len(charges))
+		t.Errorf("charges that reached an endpoint: got %d, want the lane's two", len(charges))
 	}
 }
 
-// expectClosed fails unless the program closes a connection in time.
-func expectClosed(t *testing.T, what string, conn net.Conn) {
+// expectClosed fails the test unless the program closes a connection within waitLimit.
+func expectClosed(t *testing.T, description string, conn net.Conn) {
 	t.Helper()
 	_ = conn.SetReadDeadline(time.Now().Add(waitLimit))
 	if _, err := io.Copy(io.Discard, conn); err != nil && strings.Contains(err.Error(), "timeout") {
-		t.Errorf("%s: open after %v, want it closed", what, waitLimit)
+		t.Errorf("%s: still open after %v, want it closed", description, waitLimit)
 	}
 	_ = conn.Close()
 }
 
-// dialAndWrite connects and writes a text.
+// dialAndWrite connects to an address and writes a text.
 func dialAndWrite(t *testing.T, address, text string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -77,56 +77,57 @@
 	return conn
 }
 
-// TestTLSListenerRejects: plain text to the TLS listener, TLS to the plain one, handshakes that stop or never begin,
-// and an old version are closed in time, logged once a source, and keep nobody else out.
+// TestTLSListenerRejects checks that connections with plain text to the TLS listener, TLS to the plain listener,
+// incomplete handshakes, an old TLS version or an untrusted certificate are closed in time and logged once per source
+// address, and that other clients are served meanwhile.
 func TestTLSListenerRejects(t *testing.T) {
 	t.Parallel()
 	bed := newTLSTestbed(t, nil)
 	bed.start()
 	var slow []net.Conn
-	for range 3 { // of the four places
+	for range 3 { // of the four handshakes that may be open at once
 		slow = append(slow, dialAndWrite(t, bed.tlsAddress, "\x16\x03\x01\x02"))
 	}
 	plain := dialAndWrite(t, bed.tlsAddress, string(request(1, "lookup", nil, "")))
 	expectClosed(t, "plain text to the TLS listener", plain)
 	good := bed.dialTLS(bed.clientConfig("lane3.lanes.test"))
 	if answer := good.call(1, "lookup", nil); answer.Error != "" {
-		t.Errorf("beside slow handshakes: %+v, want it served", answer)
+		t.Errorf("during slow handshakes: got %+v, want it served", answer)
 	}
 	for _, conn := range slow {
-		expectClosed(t, "half a handshake", conn)
+		expectClosed(t, "incomplete handshake", conn)
 	}
 	old := bed.clientConfig("lane3.lanes.test")
 	old.MaxVersion = tls.VersionTLS12
 	if conn, err := tls.Dial("tcp", bed.tlsAddress, old); err == nil {
 		_ = conn.Close()
-		t.Error("a handshake by TLS 1.2 succeeded, want it rejected")
+		t.Error("the handshake with TLS 1.2 succeeded, want it rejected")
 	}
 	dialer := &net.Dialer{Timeout: waitLimit}
 	if conn, err := tls.DialWithDialer(dialer, "tcp", bed.address, bed.clientConfig("")); err == nil {
 		_ = conn.Close()
-		t.Error("a handshake with the plain listener succeeded, want it rejected")
+		t.Error("the handshake with the plain listener succeeded, want it rejected")
 	}
-	stranger := bed.clientConfig("")
-	stranger.Certificates = []tls.Certificate{makeCertificate(t, newAuthority(t), "lane3.lanes.test")}
-	// The rejection of a client's certificate comes with the first read.
-	if conn, err := tls.Dial("tcp", bed.tlsAddress, stranger); err == nil {
-		expectClosed(t, "a certificate of another authority", conn)
+	untrusted := bed.clientConfig("")
+	untrusted.Certificates = []tls.Certificate{makeCertificate(t, newAuthority(t), "lane3.lanes.test")}
+	// The client learns only at its first read that its certificate was rejected.
+	if conn, err := tls.Dial("tcp", bed.tlsAddress, untrusted); err == nil {
+		expectClosed(t, "certificate of another authority", conn)
 		if _, err := conn.Write(request(1, "lookup", nil, "")); err == nil {
-			t.Error("a certificate of another authority: the connection stands, want it closed")
+			t.Error("certificate of another authority: the connection is still open, want it closed")
 		}
 	}
 	bed.waitLogged("event=tls-handshake-failed")
 	if n := bed.timesLogged("event=tls-handshake-failed"); n != 1 {
-		t.Errorf("%d lines of failed handshakes with one source, want 1", n)
+		t.Errorf("log lines on failed handshakes from one source: got %d, want 1", n)
 	}
 	if answer := good.call(2, "lookup", nil); answer.Error != "" {
-		t.Errorf("after all that: %+v, want it served", answer)
+		t.Errorf("after the rejections: got %+v, want it served", answer)
 	}
 }
 
-// TestCertificateSwap: the certificate is swapped while connections stand and a handshake is half done; one that does
-// not fit its key leaves the old one in force.
+// TestCertificateSwap replaces the certificate while connections are open and a handshake is incomplete. A certificate
+// that does not match its key must leave the old one in use.
 func TestCertificateSwap(t *testing.T) {
 	t.Parallel()
 	bed := newTLSTestbed(t, nil)
@@ -135,92 +136,94 @@
 	serial := func(c *client) string {
 		return c.conn.(*tls.Conn).ConnectionState().PeerCertificates[0].SerialNumber.String()
 	}
-	standing := bed.dialTLS(config)
-	first := serial(standing)
-	half, err := net.Dial("tcp", bed.tlsAddress)
+	established := bed.dialTLS(config)
+	firstSerial := serial(established)
+	unfinished, err := net.Dial("tcp", bed.tlsAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer half.Close()
-	sound := readFile(t, bed.key)
+	defer unfinished.Close()
+	validKey := readFile(t, bed.key)
 	_, otherKey := makeCertificateFiles(t, bed.authority, "other", "proxy.test")
 	writeFile(t, bed.key, readFile(t, otherKey))
 	bed.waitLogged("event=keys-rejected")
-	if got := serial(bed.dialTLS(bed.clientConfig("lane4.lanes.test"))); got != first {
-		t.Errorf("with a key that does not fit, the certificate is %s, want the old %s", got, first)
+	if got := serial(bed.dialTLS(bed.clientConfig("lane4.lanes.test"))); got != firstSerial {
+		t.Errorf("serial of the certificate with a mismatched key: got %s, want the old %s", got, firstSerial)
 	}
-	writeFile(t, bed.key, sound)
+	writeFile(t, bed.key, validKey)
 	makeCertificateFiles(t, bed.authority, "server", "proxy.test")
-	bed.waitUntil("the next certificate is in force", func() bool {
-		return serial(bed.dialTLS(bed.clientConfig("lane5.lanes.test"))) != first
+	bed.waitUntil("the new certificate is in use", func() bool {
+		return serial(bed.dialTLS(bed.clientConfig("lane5.lanes.test"))) != firstSerial
 	})
-	if answer := standing.call(1, "lookup", nil); answer.Error != "" {
-		t.Errorf("by the connection that stood: %+v, want it served", answer)
+	if answer := established.call(1, "lookup", nil); answer.Error != "" {
+		t.Errorf("on the established connection: got %+v, want it served", answer)
 	}
-	finished := tls.Client(half, config)
-	if err := finished.Handshake(); err == nil { // it may have run out of time
+	finished := tls.Client(unfinished, config)
+	if err := finished.Handshake(); err == nil { // it may have timed out
 		client := newClient(t, finished)
 		if answer := client.call(1, "lookup", map[string]string{"txn": "00000000000000ff"}); answer.Error != "" {
-			t.Errorf("by the handshake that was half done: %+v, want it served", answer)
+			t.Errorf("on the connection with the incomplete handshake: got %+v, want it served", answer)
 		}
 	}
 }
 
-// TestTLSConnectionsReleaseDescriptors: connections that end leave no descriptor behind, whichever side ends them.
+// TestTLSConnectionsReleaseDescriptors checks that a closed connection leaves no descriptor open, whichever side closed
+// it.
 func TestTLSConnectionsReleaseDescriptors(t *testing.T) {
 	t.Parallel()
 	bed := newTLSTestbed(t, nil)
 	bed.start()
 	config := bed.clientConfig("lane3.lanes.test")
 	bed.dialTLS(config).send(request(1, "lookup", nil, ""))
-	bed.waitFirstAttempt() // a connection to an endpoint stands
+	bed.waitFirstAttempt() // the program has a connection to an endpoint
 	base := bed.openDescriptors()
 	for n := range 20 {
 		client := bed.dialTLS(config)
 		client.call(1, "lookup", map[string]string{"txn": hexID(n + 100)})
 		if n%2 == 0 {
-			client.send([]byte{0xc1, 0xc1, 0xc1}) // what can't be read has the program end it
+			client.send([]byte{0xc1, 0xc1, 0xc1}) // a malformed request makes the program close it
 			if answer, err := client.read(); err == nil {
-				t.Errorf("%+v answers what can't be read, want the end of the connection", answer)
+				t.Errorf("malformed request: got answer %+v, want the connection closed", answer)
 			}
 		}
 		_ = client.conn.Close()
 	}
-	bed.waitUntil("the descriptors are given back", func() bool { return bed.openDescriptors() <= base })
+	bed.waitUntil("the descriptors are closed", func() bool { return bed.openDescriptors() <= base })
 }
 
-// TestTLSListenerSurvivesRefusedWatches guards against clients by TLS that lose their connection, or their first
-// request with it, as the system has no memory to watch a socket for a moment.
+// TestTLSListenerSurvivesRefusedWatches guards against TLS clients that lose their connection, or their first request
+// with it, because the kernel temporarily lacks the memory to watch a socket.
 func TestTLSListenerSurvivesRefusedWatches(t *testing.T) {
 	t.Parallel()
 	bed := newTLSTestbed(t, nil)
 	config := bed.clientConfig("lane3.lanes.test")
 	bed.startWithFaults("epoll_ctl=ENOMEM%0.2")
 	const clients = 40
-	lost := 0
+	unserved := 0
 	for id := range uint64(clients) {
 		conn, err := tls.Dial("tcp", bed.tlsAddress, config)
 		if err != nil {
-			lost++
+			unserved++
 			continue
 		}
 		client := newClient(t, conn)
 		client.send(request(id+1, "lookup", nil, ""))
 		if answer, err := client.read(); err != nil || answer.Error != "" {
-			lost++
+			unserved++
 		}
 		_ = conn.Close()
 	}
-	if lost > 0 {
-		t.Errorf("%d of %d clients had no answer to their first request, want each served", lost, clients)
+	if unserved > 0 {
+		t.Errorf("clients whose first request was not served: got %d of %d, want none", unserved, clients)
 	}
 }
 
-// startWithDuplicates starts the program and gives the fault of its duplicates of descriptors, once it needs none but
-// those of new clients.
-func (bed *tlsTestbed) startWithDuplicates(errno string) refusal {
+// startWithDuplicateFault starts the program with a switchable fault of duplicating descriptors. It first connects the
+// endpoints, so that afterwards only new clients need duplicates.
+func (bed *tlsTestbed) startWithDuplicateFault(errno string) switchableFault {
 	bed.t.Helper()
-	duplicates := refusal{bed: bed.testbed, name: "fcntl_dupfd", path: filepath.Join(bed.t.TempDir(), "duplicates")}
+	duplicates := switchableFault{bed: bed.testbed, name: "fcntl_dupfd",
+		path: filepath.Join(bed.t.TempDir(), "duplicates")}
 	bed.startWithFaults(duplicates.name + "=" + errno + "?" + duplicates.path)
 	warm := bed.dialTLS(bed.clientConfig("lane3.lanes.test")) // connects the endpoints
 	for id := range uint64(20) {
@@ -229,67 +232,67 @@
 	return duplicates
 }
 
-// duplicatesOfClient is how many duplicates the program makes for a client by TLS: of the accepted socket, of both ends
-// of the pair, and three of the end that the loop takes over, the last of which is gnet's.
-const duplicatesOfClient = 6
+// duplicatesPerClient is how many duplicate descriptors the program makes for a TLS client: one of the accepted socket,
+// one of each end of the socket pair, and three of the end that the event loop takes over, the last of them by gnet.
+const duplicatesPerClient = 6
 
-// TestTLSListenerSurvivesExhaustedDescriptors guards against clients by TLS that lose their connection as one of the
-// duplicates that it takes was refused for a moment.
+// TestTLSListenerSurvivesExhaustedDescriptors guards against TLS clients that lose their connection because one of the
+// duplicates that it needs temporarily fails for lack of descriptors.
 func TestTLSListenerSurvivesExhaustedDescriptors(t *testing.T) {
-	for first := range duplicatesOfClient {
+	for first := range duplicatesPerClient {
 		t.Run(strconv.Itoa(first+1), func(t *testing.T) {
 			t.Parallel()
 			bed := newTLSTestbed(t, nil)
-			duplicates := bed.startWithDuplicates("EMFILE")
-			duplicates.begin(strings.Repeat("-", first) + "xx-")
+			duplicates := bed.startWithDuplicateFault("EMFILE")
+			duplicates.enable(strings.Repeat("-", first) + "xx-")
 			client := bed.dialTLS(bed.clientConfig("lane4.lanes.test"))
 			client.send(request(100, "lookup", nil, ""))
 			expectServed(client)
 			if got := duplicates.count(); got != 2 {
-				t.Errorf("%d duplicates were refused, want 2 as the test has it", got)
+				t.Errorf("refused duplicates: got %d, want 2", got)
 			}
 		})
 	}
 }
 
-// TestTLSListenerTellsOfLostClients: a duplicate is refused for good. The log says why the client has lost its
-// connection.
-func TestTLSListenerTellsOfLostClients(t *testing.T) {
-	for first := range duplicatesOfClient {
+// TestTLSListenerLogsLostClients has a duplicate fail with an error that is not retried. The log must say why the
+// client lost its connection.
+func TestTLSListenerLogsLostClients(t *testing.T) {
+	for first := range duplicatesPerClient {
 		t.Run(strconv.Itoa(first+1), func(t *testing.T) {
 			t.Parallel()
 			bed := newTLSTestbed(t, nil)
-			duplicates := bed.startWithDuplicates("EIO")
-			duplicates.begin(strings.Repeat("-", first) + "x-")
+			duplicates := bed.startWithDuplicateFault("EIO")
+			duplicates.enable(strings.Repeat("-", first) + "x-")
 			if conn, err := tls.Dial("tcp", bed.tlsAddress, bed.clientConfig("lane4.lanes.test")); err == nil {
-				expectClosed(t, "a client whose duplicate was refused", conn)
+				expectClosed(t, "client whose duplicate was refused", conn)
 			}
 			bed.waitLogMatches(`event=\S+ .*input/output error`)
 		})
 	}
 }
 
-// TestTLSClientGivenUpBeforeItsWatchIsTold guards against a connection that nobody closes and nobody answers: the proxy
-// has given the client up, as one that has said nothing, before the watch of its connection was taken.
-func TestTLSClientGivenUpBeforeItsWatchIsTold(t *testing.T) {
+// TestTLSClientDroppedBeforeWatchIsAdded guards against a connection that is neither answered nor closed. It arises if
+// the proxy drops the client as one that has sent nothing, before the watch of its connection is added.
+func TestTLSClientDroppedBeforeWatchIsAdded(t *testing.T) {
 	t.Parallel()
 	bed := newTLSTestbed(t, nil)
 	control := socketPath(t)
 	bed.addSettings("control " + control)
-	watches := newRefusal(bed.testbed, "epoll_ctl_add/"+gnetPoller)
+	watches := newSwitchableFault(bed.testbed, "epoll_ctl_add/"+gnetPoller)
 	bed.startWithFaults(watches.name + "=ENOMEM?" + watches.path)
-	watches.begin("")
+	watches.enable("")
 	client := bed.dialTLS(bed.clientConfig("lane4.lanes.test"))
 	client.send(request(1, "lookup", nil, ""))
-	watches.wait(1)
-	bed.waitUntil("the client is given up", func() bool {
+	watches.waitCount(1)
+	bed.waitUntil("the client is dropped", func() bool {
 		var state bytes.Buffer
 		return admin.Query(&state, control, "state") == nil && strings.HasPrefix(state.String(), "clients 0\n")
 	})
-	watches.end()
+	watches.disable()
 	_ = client.conn.SetReadDeadline(time.Now().Add(waitLimit))
 	var timeout net.Error
 	if _, err := client.conn.Read(make([]byte, 1)); errors.As(err, &timeout) && timeout.Timeout() {
-		t.Errorf("neither an answer nor the end of the connection for %v, want one", waitLimit)
+		t.Errorf("got neither an answer nor a close within %v, want one of them", waitLimit)
 	}
 }
--- a/test/watches_test.go
+++ b/test/watches_test.go
@@ -13,28 +13,28 @@
 	"time"
 )
 
-// The system refuses to watch a connection, or to change what it is watched for, in an order that each test forces. An
-// accepted connection is watched twice: by the poller of Go's runtime, then by gnet's.
+// In these tests the kernel refuses to watch a connection, or to change the watched events, in an order that each test
+// determines. An accepted connection is watched twice: first by the poller of Go's runtime, then by that of gnet.
 
-// refusal is a fault that a test switches on and off by a file.
-type refusal struct {
+// switchableFault is a failure of a system call that a test switches on and off by creating and removing a file.
+type switchableFault struct {
 	bed  *testbed
-	name string // of the call, as faultsVariable has it
+	name string // of the system call, in the form of faultsVariable
 	path string
 }
 
-// newRefusal makes one that is off.
-func newRefusal(bed *testbed, name string) refusal {
+// newSwitchableFault returns a fault that is switched off.
+func newSwitchableFault(bed *testbed, name string) switchableFault {
 	bed.t.Helper()
 	file := strings.ReplaceAll(name, "/", "-")
-	return refusal{bed: bed, name: name, path: filepath.Join(bed.t.TempDir(), file)}
+	return switchableFault{bed: bed, name: name, path: filepath.Join(bed.t.TempDir(), file)}
 }
 
-// fault is the fault that the program has to be started with.
-func (r refusal) fault(errno string) string { return r.name + "=" + errno + "?" + r.path }
+// spec returns the fault in the form of faultsVariable, for the start of the program.
+func (r switchableFault) spec(errno string) string { return r.name + "=" + errno + "?" + r.path }
 
-// begin has calls refused by a script from now on; empty: all.
-func (r refusal) begin(script string) {
+// enable makes calls fail from now on as a script determines; empty: all calls.
+func (r switchableFault) enable(script string) {
 	r.bed.t.Helper()
 	writeFile(r.bed.t, r.path+".new", script)
 	if err := os.Rename(r.path+".new", r.path); err != nil {
@@ -42,62 +42,62 @@
 	}
 }
 
-// end has calls let through again.
-func (r refusal) end() {
+// disable makes calls pass again.
+func (r switchableFault) disable() {
 	r.bed.t.Helper()
 	if err := os.Remove(r.path); err != nil {
 		r.bed.t.Fatal(err)
 	}
 }
 
-// count is how many calls were refused so far.
-func (r refusal) count() int { return r.bed.timesLogged(injectedFailureText(r.name)) }
+// count returns how many calls were refused.
+func (r switchableFault) count() int { return r.bed.timesLogged(injectedFailureText(r.name)) }
 
-// wait waits until so many calls were refused.
-func (r refusal) wait(count int) {
+// waitCount waits until at least count calls were refused.
+func (r switchableFault) waitCount(count int) {
 	r.bed.t.Helper()
 	r.bed.waitUntil(strconv.Itoa(count)+" calls of "+r.name+" were refused", func() bool { return r.count() >= count })
 }
 
-// watchedTestbed is a testbed whose program's watches can be refused.
-type watchedTestbed struct {
+// watchTestbed is a testbed with switchable faults of the program's watches.
+type watchTestbed struct {
 	*testbed
-	add    map[string]refusal // of connections, by the poller
-	remove refusal            // from Go's poller
-	change refusal            // of what gnet's poller watches for
-	accept refusal            // for want of descriptors, as are the duplicates
-	dup    refusal
-	lastID uint64 // of sendFirst
+	addWatch    map[string]switchableFault // adding a watch, by poller
+	removeWatch switchableFault            // removing a watch from Go's poller
+	modifyWatch switchableFault            // changing the events that gnet's poller watches
+	accept      switchableFault            // for lack of descriptors
+	dup         switchableFault
+	lastID      uint64 // the last request id of sendFirstRequest
 }
 
-// bothPollers are those that an accepted connection is watched by.
+// bothPollers are the pollers that watch each accepted connection.
 var bothPollers = []string{goPoller, gnetPoller}
 
-// newWatchedTestbed starts a program that has connected its endpoints.
-func newWatchedTestbed(t *testing.T, respond func(*receivedRequest)) *watchedTestbed {
+// newWatchTestbed starts the program with all faults disabled, and has it connect to all endpoints.
+func newWatchTestbed(t *testing.T, respond func(*receivedRequest)) *watchTestbed {
 	t.Helper()
 	bed := newTestbed(t, respond)
 	var faults []string
-	fail := func(name, errno string) refusal {
-		r := newRefusal(bed, name)
-		faults = append(faults, r.fault(errno))
+	fail := func(name, errno string) switchableFault {
+		r := newSwitchableFault(bed, name)
+		faults = append(faults, r.spec(errno))
 		return r
 	}
-	watched := &watchedTestbed{testbed: bed, add: map[string]refusal{}}
+	watched := &watchTestbed{testbed: bed, addWatch: map[string]switchableFault{}}
 	for _, poller := range bothPollers {
-		watched.add[poller] = fail("epoll_ctl_add/"+poller, "ENOMEM")
+		watched.addWatch[poller] = fail("epoll_ctl_add/"+poller, "ENOMEM")
 	}
-	watched.remove = fail("epoll_ctl_del/"+goPoller, "ENOMEM")
-	watched.change = fail("epoll_ctl_mod/"+gnetPoller, "ENOMEM")
+	watched.removeWatch = fail("epoll_ctl_del/"+goPoller, "ENOMEM")
+	watched.modifyWatch = fail("epoll_ctl_mod/"+gnetPoller, "ENOMEM")
 	watched.accept = fail("accept4", "EMFILE")
 	watched.dup = fail("fcntl_dupfd", "EMFILE")
 	bed.startWithFaults(strings.Join(faults, ","))
-	watched.askAllEndpoints()
+	watched.queryAllEndpoints()
 	return watched
 }
 
-// askAllEndpoints has a client ask for objects that are spread over the endpoints, and waits for the answers.
-func (bed *watchedTestbed) askAllEndpoints() {
+// queryAllEndpoints sends requests for objects that are spread over the endpoints, and waits for the answers.
+func (bed *watchTestbed) queryAllEndpoints() {
 	bed.t.Helper()
 	client := bed.dial()
 	for id := range uint64(20) {
@@ -106,8 +106,8 @@
 	_ = client.conn.Close()
 }
 
-// sendFirst connects a client and sends its first request, with an id that no other one has.
-func (bed *watchedTestbed) sendFirst() *client {
+// sendFirstRequest connects a client and sends its first request, with a unique id.
+func (bed *watchTestbed) sendFirstRequest() *client {
 	bed.t.Helper()
 	client := bed.dial()
 	bed.lastID++
@@ -115,17 +115,17 @@
 	return client
 }
 
-// expectServed takes a client's next answer.
+// expectServed fails the test unless a client's next answer is without an error.
 func expectServed(c *client) {
 	c.t.Helper()
 	if answer, err := c.read(); err != nil || answer.Error != "" {
-		c.t.Errorf("answer %+v (%v), want the request served", answer, err)
+		c.t.Errorf("answer: got %+v (error %v), want the request served", answer, err)
 	}
 }
 
-// TestRefusedWatchesAreTriedAgain guards against a client that loses its first request with its connection: the
-// watch that one of the pollers, or both in turn, refuses is tried again.
-func TestRefusedWatchesAreTriedAgain(t *testing.T) {
+// TestRefusedWatchesAreRetried guards against a client that loses its connection and first request. A watch that one of
+// the pollers, or both in turn, refuses must be retried.
+func TestRefusedWatchesAreRetried(t *testing.T) {
 	for _, c := range []struct{ name, goScript, gnetScript string }{
 		{"Go's poller refuses once", "x-", ""},
 		{"gnet's poller refuses once", "", "x-"},
@@ -135,91 +135,92 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			bed := newWatchedTestbed(t, nil)
+			bed := newWatchTestbed(t, nil)
 			scripts := map[string]string{goPoller: c.goScript, gnetPoller: c.gnetScript}
 			for poller, script := range scripts {
 				if script != "" {
-					bed.add[poller].begin(script)
+					bed.addWatch[poller].enable(script)
 				}
 			}
-			expectServed(bed.sendFirst())
+			expectServed(bed.sendFirstRequest())
 			for poller, script := range scripts {
-				if got, want := bed.add[poller].count(), strings.Count(script, string(scriptFails)); got != want {
-					t.Errorf("%s's poller refused %d times, want %d as the test has it", poller, got, want)
+				if got, want := bed.addWatch[poller].count(), strings.Count(script, string(scriptFails)); got != want {
+					t.Errorf("watches refused by %s's poller: got %d, want %d", poller, got, want)
 				}
 			}
 		})
 	}
 }
 
-// TestWatchesBeyondTheUsersLimitAreTriedAgain: the user that the program runs as has as many watches as the system
-// allows one (max_user_watches), until others end.
-func TestWatchesBeyondTheUsersLimitAreTriedAgain(t *testing.T) {
+// TestWatchesBeyondUserLimitAreRetried refuses watches because the program's user has reached its limit
+// (max_user_watches). They must be retried until other watches are removed.
+func TestWatchesBeyondUserLimitAreRetried(t *testing.T) {
 	for _, poller := range bothPollers {
 		t.Run(poller, func(t *testing.T) {
 			t.Parallel()
-			bed := &watchedTestbed{testbed: newTestbed(t, nil)}
+			bed := &watchTestbed{testbed: newTestbed(t, nil)}
 			name := "epoll_ctl_add/" + poller
-			limit := refusal{bed: bed.testbed, name: name, path: filepath.Join(t.TempDir(), "limit")}
+			limit := switchableFault{bed: bed.testbed, name: name, path: filepath.Join(t.TempDir(), "limit")}
 			bed.startWithFaults(name + "=ENOSPC?" + limit.path)
-			bed.askAllEndpoints()
-			limit.begin("xx-")
-			expectServed(bed.sendFirst())
+			bed.queryAllEndpoints()
+			limit.enable("xx-")
+			expectServed(bed.sendFirstRequest())
 			if got := limit.count(); got != 2 {
-				t.Errorf("%d watches were refused, want 2 as the test has it", got)
+				t.Errorf("refused watches: got %d, want 2", got)
 			}
 		})
 	}
 }
 
-// TestRefusedWatchesAreTriedAgainWhereOneRemains: what holds an accepted connection for the next try keeps its watch in
-// Go's poller as well, where the system refuses to remove it. The same number can't be watched again then (EEXIST).
-func TestRefusedWatchesAreTriedAgainWhereOneRemains(t *testing.T) {
+// TestRefusedWatchesAreRetriedWhenRemovalFails refuses a watch while the connection's watch in Go's poller cannot be
+// removed either. The same descriptor number then cannot be watched again (EEXIST), and the retry must succeed all the
+// same.
+func TestRefusedWatchesAreRetriedWhenRemovalFails(t *testing.T) {
 	t.Parallel()
-	bed := newWatchedTestbed(t, nil)
-	bed.remove.begin("")
-	bed.add[gnetPoller].begin("xx-")
-	expectServed(bed.sendFirst())
+	bed := newWatchTestbed(t, nil)
+	bed.removeWatch.enable("")
+	bed.addWatch[gnetPoller].enable("xx-")
+	expectServed(bed.sendFirstRequest())
 }
 
-// TestWatchesThatRemainHoldFewDescriptors guards against descriptors that grow for as long as the system refuses both
-// to watch a connection and to end a watch. The connection ends with a line in the log, and a later one is served.
-func TestWatchesThatRemainHoldFewDescriptors(t *testing.T) {
+// TestUnremovableWatchesHoldFewDescriptors guards against a number of descriptors that grows for as long as the kernel
+// refuses both to add and to remove watches. The connection must be closed with a log line, and a later one served.
+func TestUnremovableWatchesHoldFewDescriptors(t *testing.T) {
 	t.Parallel()
-	bed := newWatchedTestbed(t, nil)
+	bed := newWatchTestbed(t, nil)
 	before := bed.openDescriptors()
-	bed.remove.begin("")
-	bed.add[gnetPoller].begin("")
-	client := bed.sendFirst()
+	bed.removeWatch.enable("")
+	bed.addWatch[gnetPoller].enable("")
+	client := bed.sendFirstRequest()
 	bed.waitLogMatches("event=accept-failed .*too many watches of the connection could not be ended")
 	if answer, err := client.read(); err == nil {
-		t.Errorf("answer %+v, want the connection closed", answer)
+		t.Errorf("got answer %+v, want the connection closed", answer)
 	}
-	bed.remove.end()
-	bed.add[gnetPoller].end()
-	later := bed.sendFirst()
+	bed.removeWatch.disable()
+	bed.addWatch[gnetPoller].disable()
+	later := bed.sendFirstRequest()
 	expectServed(later)
 	_ = later.conn.Close()
-	bed.waitUntil("the descriptors of both are closed", func() bool { return bed.openDescriptors() <= before })
+	bed.waitUntil("the descriptors of both connections are closed", func() bool { return bed.openDescriptors() <= before })
 }
 
-// TestRefusedWatchesHoldAsManyAsMayWait guards against refused connections that take the places of later ones for good,
-// or lose them: more clients connect than may wait for the loop, twice.
-func TestRefusedWatchesHoldAsManyAsMayWait(t *testing.T) {
+// TestRefusedWatchesFreePendingAccepts guards against connections with refused watches that permanently occupy the
+// places of pending accepts, or that get lost. Twice, more clients connect than may wait for the event loop.
+func TestRefusedWatchesFreePendingAccepts(t *testing.T) {
 	for _, poller := range bothPollers {
 		t.Run(poller, func(t *testing.T) {
 			t.Parallel()
-			bed := newWatchedTestbed(t, nil)
-			const clients = 6 // beyond maxPendingAccepts
+			bed := newWatchTestbed(t, nil)
+			const clients = 6 // more than maxPendingAccepts
 			for range 2 {
-				refused := bed.add[poller].count()
-				bed.add[poller].begin("")
+				refused := bed.addWatch[poller].count()
+				bed.addWatch[poller].enable("")
 				var waiting []*client
 				for range clients {
-					waiting = append(waiting, bed.sendFirst())
+					waiting = append(waiting, bed.sendFirstRequest())
 				}
-				bed.add[poller].wait(refused + clients)
-				bed.add[poller].end()
+				bed.addWatch[poller].waitCount(refused + clients)
+				bed.addWatch[poller].disable()
 				for _, client := range waiting {
 					expectServed(client)
 				}
@@ -228,68 +229,68 @@
 	}
 }
 
-// lookupWithin is a request whose client waits so long.
-func lookupWithin(id uint64, limit time.Duration) []byte {
+// lookupWithLimit returns a lookup request with a time limit.
+func lookupWithLimit(id uint64, limit time.Duration) []byte {
 	return request(id, "lookup", map[string]string{"limit": strconv.FormatInt(limit.Milliseconds(), 10)}, "")
 }
 
-// TestRefusedWatchesCountAgainstDeadlines: the time of a request that waits for its connection to be watched has run
-// since it was sent.
+// TestRefusedWatchesCountAgainstDeadlines checks that the time of a request runs from when it was sent, even if the
+// watch of its connection is added later.
 func TestRefusedWatchesCountAgainstDeadlines(t *testing.T) {
 	for _, poller := range bothPollers {
 		t.Run(poller, func(t *testing.T) {
 			t.Parallel()
-			bed := newWatchedTestbed(t, nil)
+			bed := newWatchTestbed(t, nil)
 			const limit, refused = 1500 * time.Millisecond, 300 * time.Millisecond
-			const outdated = 150 * time.Millisecond // a limit that is over when the watch is taken
-			bed.add[poller].begin("")
+			const shortLimit = 150 * time.Millisecond // a time limit that is over when the watch is added
+			bed.addWatch[poller].enable("")
 			sent := time.Now()
 			client := bed.dial()
-			client.send(append(lookupWithin(1, limit), lookupWithin(2, outdated)...))
-			bed.add[poller].wait(1)
+			client.send(append(lookupWithLimit(1, limit), lookupWithLimit(2, shortLimit)...))
+			bed.addWatch[poller].waitCount(1)
 			time.Sleep(time.Until(sent.Add(refused)))
-			bed.add[poller].end()
+			bed.addWatch[poller].disable()
 			answers := map[uint64]string{}
 			for range 2 {
 				answer := client.mustRead()
 				answers[answer.ID] = answer.Error
 			}
 			if answers[1] != "" || answers[2] != "Overloaded" {
-				t.Errorf("answers %v, want the first served and the second, whose time was over, rejected", answers)
+				t.Errorf("errors by request: got %v, want 1 served and 2, whose time was over, rejected", answers)
 			}
 			given, err := strconv.Atoi(bed.lastAttempt().Fields["max"])
 			maxGiven := limit - refused + deadlineSlack
 			if err != nil || time.Duration(given)*time.Millisecond > maxGiven {
-				t.Errorf("max=%d (%v) after %v of %v, want %v at the most", given, err, refused, limit, maxGiven)
+				t.Errorf("deadline: got max=%d (%v) after %v of %v, want at most %v", given, err, refused, limit, maxGiven)
 			}
 		})
 	}
 }
 
-// TestClientLeavesBeforeItsWatch: clients close or reset their connections before these are watched. Nothing is kept of
-// them, and later clients are served.
-func TestClientLeavesBeforeItsWatch(t *testing.T) {
+// TestClientLeavesBeforeWatchIsAdded has clients close or reset their connections before these are watched. All of
+// their descriptors must be closed, and later clients served.
+func TestClientLeavesBeforeWatchIsAdded(t *testing.T) {
 	for _, poller := range bothPollers {
 		for _, way := range abandonWays[1:] {
 			t.Run(poller+" "+way.name, func(t *testing.T) {
 				t.Parallel()
-				bed := newWatchedTestbed(t, nil)
-				const clients = 6 // beyond maxPendingAccepts
+				bed := newWatchTestbed(t, nil)
+				const clients = 6 // more than maxPendingAccepts
 				before := bed.openDescriptors()
-				bed.add[poller].begin("")
+				bed.addWatch[poller].enable("")
 				for range clients {
-					way.abandon(bed.sendFirst(), bed.lastID)
+					way.abandon(bed.sendFirstRequest(), bed.lastID)
 				}
-				bed.add[poller].wait(clients)
-				bed.add[poller].end()
-				client := bed.sendFirst()
+				bed.addWatch[poller].waitCount(clients)
+				bed.addWatch[poller].disable()
+				client := bed.sendFirstRequest()
 				expectServed(client)
 				_ = client.conn.Close()
-				bed.waitUntil("the descriptors of those who left are closed", func() bool {
+				bed.waitUntil("the descriptors of the clients that left are closed", func() bool {
 					return bed.openDescriptors() <= before
 				})
 				if bed.logged("panic") {
-					t.Error("a panic is logged, want none")
+					t.Error("the log contains a panic, want none")
 				}
 				bed.expectRunning()
 			})
@@ -297,67 +298,68 @@
 	}
 }
 
-// TestStopWaitsForRefusedWatches: SIGTERM comes while a connection that was accepted is not watched yet. It is served
-// before the exit; and one that is never watched doesn't hold the exit back for ever.
-func TestStopWaitsForRefusedWatches(t *testing.T) {
+// TestShutdownWaitsForRefusedWatches sends SIGTERM while an accepted connection is not watched yet. Its request must be
+// served before the exit, but a connection whose watch is refused for good must not delay the exit forever.
+func TestShutdownWaitsForRefusedWatches(t *testing.T) {
 	for _, poller := range bothPollers {
 		t.Run(poller, func(t *testing.T) {
 			t.Parallel()
-			bed := newWatchedTestbed(t, nil)
-			bed.add[poller].begin("")
-			client := bed.sendFirst()
-			bed.add[poller].wait(1)
+			bed := newWatchTestbed(t, nil)
+			bed.addWatch[poller].enable("")
+			client := bed.sendFirstRequest()
+			bed.addWatch[poller].waitCount(1)
 			bed.terminate()
-			bed.add[poller].end()
+			bed.addWatch[poller].disable()
 			expectServed(client)
 			_ = client.conn.Close()
 			bed.waitExit()
 		})
 		t.Run(poller+" never", func(t *testing.T) {
 			t.Parallel()
-			bed := newWatchedTestbed(t, nil)
-			bed.add[poller].begin("")
-			bed.sendFirst()
-			bed.add[poller].wait(1)
+			bed := newWatchTestbed(t, nil)
+			bed.addWatch[poller].enable("")
+			bed.sendFirstRequest()
+			bed.addWatch[poller].waitCount(1)
 			bed.terminate()
 			bed.waitExit()
 		})
 	}
 }
 
-// TestRefusedWatchesOutlastExhaustedDescriptors: descriptors run out while a refused watch is tried again. The
-// connection is held, and so are those that come meanwhile.
-func TestRefusedWatchesOutlastExhaustedDescriptors(t *testing.T) {
+// TestRefusedWatchesSurviveExhaustedDescriptors has descriptors run out while a refused watch is retried. The
+// connection must be kept and served, and so must those that arrive meanwhile.
+func TestRefusedWatchesSurviveExhaustedDescriptors(t *testing.T) {
 	for _, poller := range bothPollers {
 		t.Run(poller, func(t *testing.T) {
 			t.Parallel()
-			bed := newWatchedTestbed(t, nil)
-			bed.add[poller].begin("")
-			first := bed.sendFirst()
-			bed.add[poller].wait(1)
-			bed.accept.begin("xx-")
-			bed.dup.begin("xxx-")
-			bed.add[poller].end()
-			second := bed.sendFirst()
+			bed := newWatchTestbed(t, nil)
+			bed.addWatch[poller].enable("")
+			first := bed.sendFirstRequest()
+			bed.addWatch[poller].waitCount(1)
+			bed.accept.enable("xx-")
+			bed.dup.enable("xxx-")
+			bed.addWatch[poller].disable()
+			second := bed.sendFirstRequest()
 			expectServed(first)
 			expectServed(second)
 			if bed.accept.count() == 0 || bed.dup.count() == 0 {
-				t.Errorf("%d accepts and %d duplicates were refused, want some", bed.accept.count(), bed.dup.count())
+				t.Errorf("refused calls: got %d of accept and %d of fcntl, want some of both", bed.accept.count(), bed.dup.count())
 			}
 		})
 	}
 }
 
-// Large answers: beyond what the sockets between a client and the program hold, and within what it keeps for one.
+// The large answers exceed the socket buffers between a client and the program, but not what the program buffers for a
+// client.
 const (
 	largeAnswerCount = 20
 	largeAnswerSize  = 200 << 10
 	firstLargeObject = 100
 )
 
-// askLargeAnswers plays a client that asks for large answers, with the ids from 1 on, and doesn't read them. It gives
-// the client once all of them have come to the program.
-func (bed *watchedTestbed) askLargeAnswers() *client {
+// requestLargeAnswers connects a client that requests large answers, with ids from 1 on, and does not read them. It
+// returns the client once the program has received all of the answers from the endpoints.
+func (bed *watchTestbed) requestLargeAnswers() *client {
 	bed.t.Helper()
 	before := len(bed.attempts())
 	client := bed.dialSmallBuffer()
@@ -366,12 +368,13 @@
 		client.send(request(id+1, "footage", fields, ""))
 	}
 	bed.waitAttempts(before + largeAnswerCount)
-	bed.askAllEndpoints() // their answers come behind the large ones
+	bed.queryAllEndpoints() // their answers follow the large ones
 	return client
 }
 
-// answerLarge serves the objects from firstLargeObject on with large bodies.
-func answerLarge(attempt *receivedRequest) {
+// answerWithLargeBody responds with a large body for the objects from firstLargeObject on, and with a small one for
+// others.
+func answerWithLargeBody(attempt *receivedRequest) {
 	body := "small"
 	if number, _ := strconv.ParseUint(attempt.Fields["thing"], 16, 64); number >= firstLargeObject {
 		body = strings.Repeat("x", largeAnswerSize)
@@ -379,26 +382,26 @@
 	attempt.Answer("ACK", "tag=t1", body)
 }
 
-// readLargeAnswers counts those that come whole, and gives why no more came; nil: all did.
-func readLargeAnswers(c *client) (whole int, err error) {
+// readLargeAnswers reads the large answers and returns how many were complete, and the error that ended reading early.
+func readLargeAnswers(c *client) (complete int, err error) {
 	for range largeAnswerCount {
 		answer, err := c.read()
 		if err != nil {
-			return whole, err
+			return complete, err
 		}
 		if answer.Error == "" && len(answer.Body) == largeAnswerSize {
-			whole++
+			complete++
 		}
 	}
-	return whole, nil
+	return complete, nil
 }
 
-// TestRefusedChangeOfWatchLosesNothing guards against answers that are lost with their connection, as the system
-// refuses to tell when a client that reads slowly can take more of them.
-func TestRefusedChangeOfWatchLosesNothing(t *testing.T) {
+// TestRefusedWatchChangeLosesNoAnswers guards against answers that are lost with their connection because the kernel
+// refuses to watch when the socket of a slow reader is writable again.
+func TestRefusedWatchChangeLosesNoAnswers(t *testing.T) {
 	for _, c := range []struct {
-		name, script string
-		ends         bool // before the client reads
+		name, script   string
+		endsBeforeRead bool // whether the fault is disabled before the client reads
 	}{
 		{"once", "x-", false},
 		{"until the client reads", "", true},
@@ -406,64 +409,64 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			bed := newWatchedTestbed(t, answerLarge)
-			bed.change.begin(c.script)
-			client := bed.askLargeAnswers()
-			if c.ends {
-				bed.change.end()
+			bed := newWatchTestbed(t, answerWithLargeBody)
+			bed.modifyWatch.enable(c.script)
+			client := bed.requestLargeAnswers()
+			if c.endsBeforeRead {
+				bed.modifyWatch.disable()
 			}
-			if whole, err := readLargeAnswers(client); whole != largeAnswerCount || err != nil {
-				t.Errorf("%d of %d answers came whole (%v), want all; %d changes were refused",
-					whole, largeAnswerCount, err, bed.change.count())
+			if complete, err := readLargeAnswers(client); complete != largeAnswerCount || err != nil {
+				t.Errorf("complete answers: got %d of %d (error %v), want all; %d watch changes were refused",
+					complete, largeAnswerCount, err, bed.modifyWatch.count())
 			}
-			client.waitRequestsRead(largeAnswerCount + 1) // the connection lives on
+			client.waitRequestsRead(largeAnswerCount + 1) // the connection is still usable
 		})
 	}
 }
 
-// TestRefusedChangeOfWatchBackDoesNotSpin guards against a loop that spins: the system refuses to stop telling that a
-// client that has read all its answers could take more.
-func TestRefusedChangeOfWatchBackDoesNotSpin(t *testing.T) {
+// TestRefusedWatchChangeDoesNotSpin guards against an event loop that spins because the kernel refuses to stop watching
+// whether a client that has read all its answers is writable.
+func TestRefusedWatchChangeDoesNotSpin(t *testing.T) {
 	t.Parallel()
-	bed := newWatchedTestbed(t, answerLarge)
-	bed.change.begin("-x")
-	client := bed.askLargeAnswers()
-	if whole, err := readLargeAnswers(client); whole != largeAnswerCount || err != nil {
-		t.Fatalf("%d of %d answers came whole (%v), want all", whole, largeAnswerCount, err)
+	bed := newWatchTestbed(t, answerWithLargeBody)
+	bed.modifyWatch.enable("-x")
+	client := bed.requestLargeAnswers()
+	if complete, err := readLargeAnswers(client); complete != largeAnswerCount || err != nil {
+		t.Fatalf("complete answers: got %d of %d (error %v), want all", complete, largeAnswerCount, err)
 	}
 	client.waitRequestsRead(largeAnswerCount + 1)
 	if share := cpuShare(t, bed.cmd.Process.Pid, time.Second); share > idleShare {
 		t.Errorf("it used %.2f of a core with nothing to do, want at most %.2f; %d changes were refused",
-			share, idleShare, bed.change.count())
+			share, idleShare, bed.modifyWatch.count())
 	}
-	client.waitRequestsRead(largeAnswerCount + 2) // the connection lives on
+	client.waitRequestsRead(largeAnswerCount + 2) // the connection is still usable
 }
 
-// TestLogTellsOfRefusedWatches: a client loses patience while its connection is not watched, or loses its connection.
-// The log says why.
-func TestLogTellsOfRefusedWatches(t *testing.T) {
-	const told = `event=\S+ .*cannot allocate memory`
+// TestRefusedWatchesAreLogged checks that the log names the cause if a client leaves while its connection is not
+// watched, or if the program closes a connection because a watch could not be changed.
+func TestRefusedWatchesAreLogged(t *testing.T) {
+	const logPattern = `event=\S+ .*cannot allocate memory`
 	for _, poller := range bothPollers {
 		t.Run(poller, func(t *testing.T) {
 			t.Parallel()
-			bed := newWatchedTestbed(t, nil)
-			bed.add[poller].begin("")
-			client := bed.sendFirst()
-			bed.add[poller].wait(1)
+			bed := newWatchTestbed(t, nil)
+			bed.addWatch[poller].enable("")
+			client := bed.sendFirstRequest()
+			bed.addWatch[poller].waitCount(1)
 			_ = client.conn.Close()
-			bed.waitLogMatches(told)
+			bed.waitLogMatches(logPattern)
 		})
 	}
 	t.Run("change", func(t *testing.T) {
 		t.Parallel()
-		bed := newWatchedTestbed(t, answerLarge)
-		bed.change.begin("")
-		client := bed.askLargeAnswers()
+		bed := newWatchTestbed(t, answerWithLargeBody)
+		bed.modifyWatch.enable("")
+		client := bed.requestLargeAnswers()
 		_, err := readLargeAnswers(client)
 		var timeout net.Error
 		isClosed := errors.Is(err, io.EOF) || err != nil && !(errors.As(err, &timeout) && timeout.Timeout())
-		if isClosed && !regexp.MustCompile(told).MatchString(bed.log.String()) {
-			t.Errorf("the program closed the connection (%v) and its log doesn't say why", err)
+		if isClosed && !regexp.MustCompile(logPattern).MatchString(bed.log.String()) {
+			t.Errorf("the program closed the connection (%v) without logging the cause", err)
 		}
 	})
 }
