--- a/test/keys_test.go
+++ b/test/keys_test.go
@@ -121,7 +121,8 @@
 			t.Errorf("directory %s: token rejected, want it accepted by the old key set", c.name)
 		}
 	}
-	if err := errors.Join(os.Chmod(keysFile, 0o644), os.Rename(filepath.Join(movedDir, "private"), private)); err != nil {
+	if err := errors.Join(os.Chmod(keysFile, 0o644),
+		os.Rename(filepath.Join(movedDir, "private"), private)); err != nil {
 		t.Fatal(err)
 	}
 	keys.mustRun("key", "rotate", "--id", "k9", "--publish", "0s", "--accept", "0s", "--overlap", "1h")
--- a/test/listeners_test.go
+++ b/test/listeners_test.go
@@ -19,7 +19,7 @@
 // The kernel may temporarily lack the memory to watch a connection (epoll_ctl fails with ENOMEM). These tests check how
 // each listener of the program treats its callers meanwhile and afterwards.
 
-// minStartWatches is a lower bound of the watches that the program adds until all its listeners are open.
+// minStartWatches is a lower bound for the number of watches that the program adds until all its listeners are open.
 // refusedPerRun is how many consecutive ones fail in one run. Their order varies slightly between runs.
 const (
 	minStartWatches = 28
--- a/test/listwatch_test.go
+++ b/test/listwatch_test.go
@@ -95,7 +95,7 @@
 	for id := uint64(1); id <= 2; id++ {
 		bed.waitListPoll()
 		if answer := client.call(id, "lookup", nil); answer.Error != "" {
-			t.Errorf("%+v, want it served", answer)
+			t.Errorf("got %+v, want it served", answer)
 		}
 		if id == 1 {
 			bed.waitLogged("event=endpoint-list-stale")
@@ -123,7 +123,8 @@
 			var maxAge int64
 			_, _ = fmt.Sscan(last.Fields["fresh"], &maxAge)
 			if oldest := last.At.UnixMilli() - maxAge; maxAge > 0 && oldest < issuedAt {
-				t.Fatalf("the maximum age allows copies from %d ms before the purge, want none from before it", issuedAt-oldest)
+				t.Fatalf("the maximum age allows copies from %d ms before the purge, want none from before it",
+					issuedAt-oldest)
 			}
 			return maxAge > 0
 		})
--- a/test/pages/capacity_test.go
+++ b/test/pages/capacity_test.go
@@ -35,7 +35,8 @@
 		}
 		rowCount++
 		if got := values[row[1]]; got != row[2] {
-			t.Errorf("docs/CAPACITY.md: line %d: %s: got %q in %s, want %q as on the page", number+1, row[1], got, path, row[2])
+			t.Errorf("docs/CAPACITY.md: line %d: %s: got %q in %s, want %q as on the page",
+				number+1, row[1], got, path, row[2])
 		}
 	}
 	if rowCount < 80 {
--- a/test/pages/checker_test.go
+++ b/test/pages/checker_test.go
@@ -208,8 +208,8 @@
 		"`go test ./test/pages -run TestChecker -v`, and `-run\nTestPaths`": "",
 		"`go test -count=1 ./...`, `go run ./tools/lintgate -print`":        "",
 		"    go test ./nowhere":                          "no directory ./nowhere",
-		"`go test ./test/pages -run 'TestChecker|Nope'`": "has nothing for -run TestChecker|Nope",
-		"`go test ./test/pages -bench Checker`":          "has nothing for -bench Checker",
+		"`go test ./test/pages -run 'TestChecker|Nope'`": "has no match for -run TestChecker|Nope",
+		"`go test ./test/pages -bench Checker`":          "has no match for -bench Checker",
 		"`go test ./test/pages -nope 3`":                 "have no flag -nope",
 	} {
 		faults := strings.Join(c.checkCommands(text), "\n")
--- a/test/pages/commands_test.go
+++ b/test/pages/commands_test.go
@@ -40,7 +40,7 @@
 				faults = append(faults, fmt.Sprintf("`%s`: %s", line, fault))
 			}
 			if i > 0 && (words[i-1] == "-run" || words[i-1] == "-bench") && !c.hasTest(dir, words[i-1], word) {
-				faults = append(faults, fmt.Sprintf("`%s`: %s has nothing for %s %s", line, dir, words[i-1], word))
+				faults = append(faults, fmt.Sprintf("`%s`: %s has no match for %s %s", line, dir, words[i-1], word))
 			}
 		}
 	}
@@ -66,8 +66,8 @@
 	names := regexp.MustCompile(`(?m)^func (`+prefix+`\w+)\(`).FindAllStringSubmatch(c.tests(dir), -1)
 	pattern, _, _ = strings.Cut(pattern, "/")
 	for _, alternative := range strings.Split(pattern, "|") {
-		expression, err := regexp.Compile(alternative)
-		if err != nil || !slices.ContainsFunc(names, func(name []string) bool { return expression.MatchString(name[1]) }) {
+		matcher, err := regexp.Compile(alternative)
+		if err != nil || !slices.ContainsFunc(names, func(name []string) bool { return matcher.MatchString(name[1]) }) {
 			return false
 		}
 	}
--- a/test/pages/names_test.go
+++ b/test/pages/names_test.go
@@ -109,7 +109,7 @@
 			}
 		}
 		if found < minimum {
-			t.Errorf("%s: found %d names, too few", page, found)
+			t.Errorf("%s: found only %d names", page, found)
 		}
 	}
 }
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -115,7 +115,7 @@
 	bed.startTestBinary(filterVariable)
 	client := bed.dial()
 	if answer := client.call(5, "footage", nil); answer.Error != "" || answer.Body != "7f3a9c21e0b4d655" {
-		t.Fatalf("answer %+v, want the body served", answer)
+		t.Fatalf("answer: got %+v, want the body served", answer)
 	}
 	bed.signal(syscall.SIGTERM)
 	bed.waitExit()
--- a/test/quota_test.go
+++ b/test/quota_test.go
@@ -31,7 +31,8 @@
 			for i, want := range c.wants {
 				answer := client.call(uint64(i+1), c.class, map[string]string{"team": "lanes"})
 				if answer.Error != want || want != "" && answer.Fields["later"] == "" {
-					t.Errorf("request %d: got %+v, want the error %q, and with an error a Retry-After", i+1, answer, want)
+					t.Errorf("request %d: got %+v, want the error %q, and with an error a Retry-After",
+						i+1, answer, want)
 				}
 			}
 		})
--- a/test/requests_test.go
+++ b/test/requests_test.go
@@ -236,7 +236,7 @@
 	}
 }
 
-// TestUnsentRequestRejectedByHalfTime checks that a request whose only attempt waits for a connection is rejected at
+// TestUnsentRequestRejectedByHalfTime checks that a request whose only attempt waits for a connection is rejected by
 // half of its time.
 func TestUnsentRequestRejectedByHalfTime(t *testing.T) {
 	t.Parallel()
@@ -283,7 +283,8 @@
 			other := bed.dial()
 			answer := other.call(99, "footage", map[string]string{"team": "lanes"})
 			if answer.Error != "Overloaded" || (answer.Fields["later"] != "") != c.allowed {
-				t.Errorf("class not in the contract: got %+v, want it rejected, with a Retry-After: %v", answer, c.allowed)
+				t.Errorf("class not in the contract: got %+v, want it rejected, with a Retry-After: %v",
+					answer, c.allowed)
 			}
 			resolver := bed.dialDNS("udp")
 			resolver.query(1, "n0.00000000000000aa.footage.lanes", dns.TypeA)
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -73,7 +73,7 @@
 	twice := printSettings(t, parseSettings(t, "printed", once))
 	withoutDefaultMarks := func(text string) string { return strings.ReplaceAll(text, "  # default", "") }
 	if withoutDefaultMarks(once) != withoutDefaultMarks(twice) {
-		t.Errorf("printed settings:\n%sprinted again after parsing:\n%s", once, twice)
+		t.Errorf("printed settings changed after parsing, from\n%sto\n%s", once, twice)
 	}
 }
 
--- a/test/shutdown_test.go
+++ b/test/shutdown_test.go
@@ -237,15 +237,18 @@
 		case err == nil:
 			t.Errorf("client %d: got %+v, want it served", p.number, answer)
 			return
-		case isRetry || !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE):
-			t.Errorf("client %d: request %d was not answered; retry: %v; error: %v", p.number, id, isRetry, err)
+		case isRetry ||
+			!errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE):
+			t.Errorf("client %d: request %d was not answered; retry: %v; error: %v",
+				p.number, id, isRetry, err)
 			return
 		default:
 			p.crossed++
 			isRetry = true
 			conn, err := net.Dial("tcp", bed.address)
 			if err != nil {
-				t.Errorf("client %d: request %d crossed the close, and the program no longer listens: %v", p.number, id, err)
+				t.Errorf("client %d: request %d crossed the close, and the program no longer listens: %v",
+					p.number, id, err)
 				return
 			}
 			defer conn.Close()
--- a/test/tls_test.go
+++ b/test/tls_test.go
@@ -42,8 +42,9 @@
 			answer := client.call(1, c.class, map[string]string{"unique": fmt.Sprint(c.name, round),
 				"txn": hexID(len(c.name)*2 + round)})
 			if answer.Error != c.err || answer.Fields["reason"] != c.reason || answer.Body != c.body {
-				t.Errorf("%q, %s, round %d: got error %q, reason %q and %d bytes, want %q, %q and %d bytes", c.name, c.class,
-					round, answer.Error, answer.Fields["reason"], len(answer.Body), c.err, c.reason, len(c.body))
+				t.Errorf("%q, %s, round %d: got error %q, reason %q and %d bytes, want %q, %q and %d bytes",
+					c.name, c.class, round,
+					answer.Error, answer.Fields["reason"], len(answer.Body), c.err, c.reason, len(c.body))
 			}
 			if resumed := client.conn.(*tls.Conn).ConnectionState().DidResume; resumed != (round == 1) {
 				t.Errorf("%q, round %d: got resumed %v, want %v", c.name, round, resumed, round == 1)
--- a/test/upstream_tls_test.go
+++ b/test/upstream_tls_test.go
@@ -60,7 +60,8 @@
 	}
 	for range 30 {
 		if answer := sendRequest(); answer.Error != "" || answer.Body != large {
-			t.Fatalf("by TLS: got error %q and %d bytes, want %d bytes served", answer.Error, len(answer.Body), len(large))
+			t.Fatalf("by TLS: got error %q and %d bytes, want %d bytes served",
+				answer.Error, len(answer.Body), len(large))
 		}
 	}
 	attemptCounts := map[string]int{}
@@ -82,7 +83,7 @@
 	replaceFile(t, nextKey, key)
 	bed.waitLogged("event=tls-reloaded")
 	if counts := presented.counts(); counts["proxy-1.test"] == 0 || counts["proxy-2.test"] > 0 {
-		t.Errorf("presented certificates: got %v, want only the first, as no connection was opened since", counts)
+		t.Errorf("presented certificates: got %v, want only the first, as existing connections are kept", counts)
 	}
 	stop()
 	bed.endpoints.ResetConnections("c1") // only new connections use the new certificate
--- a/test/watches_test.go
+++ b/test/watches_test.go
@@ -201,7 +201,9 @@
 	later := bed.sendFirstRequest()
 	expectServed(later)
 	_ = later.conn.Close()
-	bed.waitUntil("the descriptors of both connections are closed", func() bool { return bed.openDescriptors() <= before })
+	bed.waitUntil("the descriptors of both connections are closed", func() bool {
+		return bed.openDescriptors() <= before
+	})
 }
 
 // TestRefusedWatchesFreePendingAccepts guards against connections with refused watches that permanently occupy the
@@ -258,10 +260,11 @@
 			if answers[1] != "" || answers[2] != "Overloaded" {
 				t.Errorf("errors by request: got %v, want 1 served and 2, whose time was over, rejected", answers)
 			}
-			given, err := strconv.Atoi(bed.lastAttempt().Fields["max"])
-			maxGiven := limit - refused + deadlineSlack
-			if err != nil || time.Duration(given)*time.Millisecond > maxGiven {
-				t.Errorf("deadline: got max=%d (%v) after %v of %v, want at most %v", given, err, refused, limit, maxGiven)
+			deadline, err := strconv.Atoi(bed.lastAttempt().Fields["max"])
+			maxDeadline := limit - refused + deadlineSlack
+			if err != nil || time.Duration(deadline)*time.Millisecond > maxDeadline {
+				t.Errorf("deadline: got max=%d (%v) after %v of %v, want at most %v",
+					deadline, err, refused, limit, maxDeadline)
 			}
 		})
 	}
@@ -343,7 +346,8 @@
 			expectServed(first)
 			expectServed(second)
 			if bed.accept.count() == 0 || bed.dup.count() == 0 {
-				t.Errorf("refused calls: got %d of accept and %d of fcntl, want some of both", bed.accept.count(), bed.dup.count())
+				t.Errorf("refused calls: got %d of accept and %d of fcntl, want some of both",
+					bed.accept.count(), bed.dup.count())
 			}
 		})
 	}
@@ -405,7 +409,7 @@
 	}{
 		{"once", "x-", false},
 		{"until the client reads", "", true},
-		{"to the end", "", false},
+		{"permanently", "", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -436,7 +440,7 @@
 	}
 	client.waitRequestsRead(largeAnswerCount + 1)
 	if share := cpuShare(t, bed.cmd.Process.Pid, time.Second); share > idleShare {
-		t.Errorf("it used %.2f of a core with nothing to do, want at most %.2f; %d changes were refused",
+		t.Errorf("CPU use while idle: got %.2f of a core, want at most %.2f; %d watch changes were refused",
 			share, idleShare, bed.modifyWatch.count())
 	}
 	client.waitRequestsRead(largeAnswerCount + 2) // the connection is still usable
