--- a/test/last_moment_test.go
+++ b/test/last_moment_test.go
@@ -321,12 +321,12 @@
 	return slices.DeleteFunc(slices.Clone(l.sent), func(r *sentRequest) bool { return r.sentAt <= 0 })
 }
 
-// checkLate checks that each late request was answered. The exceptions that the protocol allows are:
+// checkLateRequests checks that each late request was answered. The exceptions that the protocol allows are:
 //   - a request that crosses a close, or was not written completely and hence never accepted;
 //   - a request in the last 50 ms on a connection that an excused request keeps open (docs/questions.md);
 //   - a request whose answer is queued behind answers that the client does not read (docs/questions.md). No endpoint
 //     may have received an attempt of it.
-func checkLate(t *testing.T, bed *testbed, l *lastMomentClient, killedAt time.Duration) {
+func checkLateRequests(t *testing.T, bed *testbed, l *lastMomentClient, killedAt time.Duration) {
 	t.Helper()
 	isBlocked := l.isBlockedByUnread(killedAt)
 	for _, request := range l.lateRequests() {
@@ -361,7 +361,7 @@
 			bed, l, killedAt := runLastMomentCase(t, c)
 			t.Logf("killed %v after SIGTERM; blocked by unread answers: %v; late requests: %s",
 				killedAt.Round(time.Millisecond), l.isBlockedByUnread(killedAt), summarize(l.lateRequests(), killedAt))
-			checkLate(t, bed, l, killedAt)
+			checkLateRequests(t, bed, l, killedAt)
 			closedAt := l.endWatch.SeenAt()
 			closedBeforeKill := !closedAt.IsZero() && closedAt.Sub(l.epoch) < killedAt
 			if want := !c.hasOpenRequest && !l.isBlockedByUnread(killedAt); closedBeforeKill != want {
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -41,7 +41,7 @@
 // TestRestartSoak runs plans with planned restarts as the protocol allows them: clients keep using open connections
 // until these are closed, SIGKILL comes as early as possible, signals are repeated, and some proxies are overloaded.
 func TestRestartSoak(t *testing.T) {
-	seeds := keptRestartSeeds
+	seeds := defaultRestartSeeds
 	if *restartSeedCount > 0 {
 		seeds = consecutiveSeeds(*restartFirstSeed, *restartSeedCount)
 	}
@@ -50,8 +50,8 @@
 	})
 }
 
-// keptRestartSeeds are the seeds that run by default: one that always passed, and those that once found a fault.
-var keptRestartSeeds = []uint64{1, 8, 10, 423}
+// defaultRestartSeeds are the seeds that run by default: one that always passed, and those that once found a fault.
+var defaultRestartSeeds = []uint64{1, 8, 10, 423}
 
 // consecutiveSeeds returns count seeds that start at first.
 func consecutiveSeeds(first uint64, count int) []uint64 {
