--- a/test/catalogue_outage_test.go
+++ b/test/catalogue_outage_test.go
@@ -156,7 +156,7 @@
 	}{
 		{"sound", sound, "event=snapshot-loaded", true},
 		{"torn", sound[:len(sound)/2], "event=snapshot-rejected", false},
-		{"newer", strings.Replace(sound, "list 1 ", "list 2 ", 1), "another version", false},
+		{"newer", strings.Replace(sound, "list 1 ", "list 2 ", 1), "unsupported snapshot version: got 2, want 1", false},
 	} {
 		bed.kill()
 		bed.log.reset()
