--- a/internal/cli/try_timeline.go
+++ b/internal/cli/try_timeline.go
@@ -56,8 +56,8 @@
 func (timeline *tryTimeline) drainC1() {
 	timeline.announce("c1 drains: the catalogue has it in maintenance")
 	cluster := timeline.environment.cluster
-	cluster.Mark("cache", "c1", "maintenance")
-	timeline.marks.drained = cluster.Written("c1")
+	cluster.SetStatus("cache", "c1", "maintenance")
+	timeline.marks.drained = cluster.ChangedAt("c1")
 }
 
 func (timeline *tryTimeline) killC2() {
@@ -68,8 +68,8 @@
 func (timeline *tryTimeline) markC2Critical() {
 	timeline.announce("its check finds that: critical")
 	cluster := timeline.environment.cluster
-	cluster.Mark("cache", "c2", consul.Critical)
-	timeline.marks.critical = cluster.Written("c2")
+	cluster.SetStatus("cache", "c2", consul.Critical)
+	timeline.marks.critical = cluster.ChangedAt("c2")
 }
 
 func (timeline *tryTimeline) stopCatalogue() {
@@ -77,13 +77,13 @@
 	for _, agent := range timeline.environment.agents {
 		agent.SetFault(consul.Hang, 0)
 	}
-	timeline.environment.cluster.Mark("archive", "o1", consul.Passing)
+	timeline.environment.cluster.SetStatus("archive", "o1", consul.Passing)
 }
 
 func (timeline *tryTimeline) restoreCatalogue() {
 	timeline.marks.lastUseOfC1 = timeline.lastUse("c1")
 	timeline.announce("the catalogue answers again, and c1 is back in service")
-	timeline.environment.cluster.Mark("cache", "c1", consul.Passing)
+	timeline.environment.cluster.SetStatus("cache", "c1", consul.Passing)
 	for _, agent := range timeline.environment.agents {
 		agent.SetFault(consul.None, 0)
 	}
--- a/internal/drill/catalogue.go
+++ b/internal/drill/catalogue.go
@@ -102,7 +102,7 @@
 		Weights: consul.Weights{Passing: int(l.cluster.Plan.Weight), Warning: 1},
 	})
 	if state == listedDraining {
-		l.consul.Mark(service, changed.id, consul.Maintenance)
+		l.consul.SetStatus(service, changed.id, consul.Maintenance)
 	}
 }
 
@@ -122,7 +122,7 @@
 		})
 	}
 	instances = append(instances, l.consul.Instances(service)...)
-	l.consul.PutAll(service, instances)
+	l.consul.ReplaceAll(service, instances)
 }
 
 func (l *catalogue) setFault(fault listFault) {
@@ -134,9 +134,9 @@
 	case listRefuses:
 		l.agent.SetFault(consul.Refuse, 0)
 	case listIsEmpty:
-		l.agent.SetFault(consul.Empty200, 0)
+		l.agent.SetFault(consul.EmptyList, 0)
 	case listIsStale:
-		l.agent.SetFault(consul.StaleBy, fault.age)
+		l.agent.SetFault(consul.Stale, fault.age)
 	case listIsLimited:
 		l.rate = fault.rate
 	case listIsWell:
--- a/internal/emulator/authority.go
+++ b/internal/emulator/authority.go
@@ -19,9 +19,9 @@
 
 // Authority signs certificates and writes them to a folder as PEM files.
 type Authority struct {
-	Dir  string
-	File string // its own certificate
-	Cert *x509.Certificate
+	Dir      string
+	CertFile string // its own certificate
+	Cert     *x509.Certificate
 
 	key        *ecdsa.PrivateKey
 	lastSerial int64
@@ -31,13 +31,13 @@
 func NewAuthority(dir string) (*Authority, error) {
 	authority := &Authority{Dir: dir}
 	var err error
-	authority.File, _, err = authority.Make("ca")
+	authority.CertFile, _, err = authority.Issue("ca")
 	return authority, err
 }
 
-// Make writes NAME.pem and NAME-key.pem, for servers and clients alike, with the DNS names given. The first one is the
+// Issue writes NAME.pem and NAME-key.pem, for servers and clients alike, with the DNS names given. The first one is the
 // authority's own.
-func (a *Authority) Make(name string, dnsNames ...string) (certFile, keyFile string, err error) {
+func (a *Authority) Issue(name string, dnsNames ...string) (certFile, keyFile string, err error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return "", "", err
--- a/internal/emulator/consul/agent.go
+++ b/internal/emulator/consul/agent.go
@@ -139,8 +139,8 @@
 	return a.fault
 }
 
-// Restart forgets what was registered at this agent, as one that lost its data directory.
-func (a *Agent) Restart() {
+// LoseRegistrations forgets what was registered at this agent, as one that lost its data directory.
+func (a *Agent) LoseRegistrations() {
 	c := a.cluster
 	c.mu.Lock()
 	lost := map[string][]string{}
--- a/internal/emulator/consul/cluster.go
+++ b/internal/emulator/consul/cluster.go
@@ -39,15 +39,15 @@
 
 // Instance is one instance of a service.
 type Instance struct {
-	Node, NodeAddress string
-	Service, ID       string
-	Address           string
-	Port              int
-	Tags              []string
-	Meta              map[string]string
-	Weights           Weights
-	Checks            []Check
-	Create, Modify    uint64 // indexes
+	Node, NodeAddress        string
+	Service, ID              string
+	Address                  string
+	Port                     int
+	Tags                     []string
+	Meta                     map[string]string
+	Weights                  Weights
+	Checks                   []Check
+	CreateIndex, ModifyIndex uint64 // indexes
 
 	agent *Agent // that it was registered at; nil: in the catalogue alone
 }
@@ -171,28 +171,28 @@
 func (c *Cluster) Put(instance Instance) {
 	c.update(instance.Service, func() {
 		c.written[instance.ID] = time.Now()
-		instance.Modify = c.index
+		instance.ModifyIndex = c.index
 		instance.withDefaultCheck()
 		list := c.services[instance.Service]
 		isSame := func(other *Instance) bool { return other.ID == instance.ID && other.Node == instance.Node }
 		if i := slices.IndexFunc(list, isSame); i >= 0 {
-			instance.Create = list[i].Create
+			instance.CreateIndex = list[i].CreateIndex
 			*list[i] = instance
 			return
 		}
-		instance.Create = c.index
+		instance.CreateIndex = c.index
 		c.services[instance.Service] = append(list, &instance)
 	})
 }
 
-// PutAll registers many instances of one service in one change, in place of those that it had.
-func (c *Cluster) PutAll(service string, instances []Instance) {
+// ReplaceAll registers many instances of one service in one change, in place of those that it had.
+func (c *Cluster) ReplaceAll(service string, instances []Instance) {
 	c.update(service, func() {
 		c.services[service] = nil
 		for _, instance := range instances {
 			instance.Service = service
-			instance.Create = c.index
-			instance.Modify = c.index
+			instance.CreateIndex = c.index
+			instance.ModifyIndex = c.index
 			instance.withDefaultCheck()
 			c.services[service] = append(c.services[service], &instance)
 		}
@@ -211,14 +211,14 @@
 	})
 }
 
-// Mark sets the status of an instance's own checks; Maintenance puts it into maintenance, and any other takes it out.
-func (c *Cluster) Mark(service, id, status string) {
+// SetStatus sets the status of an instance's own checks; Maintenance puts it into maintenance, and any other takes it out.
+func (c *Cluster) SetStatus(service, id, status string) {
 	c.update(service, func() {
 		for _, instance := range c.services[service] {
 			if instance.ID != id {
 				continue
 			}
-			instance.Modify = c.index
+			instance.ModifyIndex = c.index
 			c.written[id] = time.Now()
 			instance.mark(status)
 		}
@@ -242,8 +242,8 @@
 	}
 }
 
-// MarkNode sets the status of a node's check on all instances there; Maintenance as in Mark.
-func (c *Cluster) MarkNode(node, status string) {
+// SetNodeStatus sets the status of a node's check on all instances there; Maintenance as in Mark.
+func (c *Cluster) SetNodeStatus(node, status string) {
 	check := Check{CheckID: nodeCheck, Status: status}
 	if status == Maintenance {
 		check = Check{CheckID: nodeMaintenanceCheck, Status: Critical}
@@ -259,7 +259,7 @@
 			for _, instance := range c.services[name] {
 				if instance.Node == node {
 					c.written[instance.ID] = time.Now()
-					instance.Modify = c.index
+					instance.ModifyIndex = c.index
 					instance.setNodeCheck(check)
 				}
 			}
@@ -273,8 +273,8 @@
 	i.Checks = append(i.Checks, check)
 }
 
-// Written is when an instance last changed.
-func (c *Cluster) Written(id string) time.Time {
+// ChangedAt is when an instance last changed.
+func (c *Cluster) ChangedAt(id string) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written[id]
--- a/internal/emulator/consul/fault.go
+++ b/internal/emulator/consul/fault.go
@@ -14,18 +14,18 @@
 
 // The faults.
 const (
-	None       Fault = iota
-	Hang             // takes requests and says nothing, until the fault is over
-	Refuse           // takes no connections, and resets those that stand
-	Reset            // resets the connection in the middle of the body
-	Status500        // answers that it can't
-	Empty200         // answers with an empty list, as an agent without rights or with no data does
-	FilteredBy       // the same with the header that says that results were filtered
-	IndexBack        // the true list with the index 1
-	Truncated        // JSON that ends too soon, with the length that fits
-	Slow             // a byte at a time
-	StaleBy          // the list of some time ago
-	NoLeader         // the true list, with no leader known
+	None           Fault = iota
+	Hang                 // takes requests and says nothing, until the fault is over
+	Refuse               // takes no connections, and resets those that stand
+	Reset                // resets the connection in the middle of the body
+	Status500            // answers that it can't
+	EmptyList            // answers with an empty list, as an agent without rights or with no data does
+	FilteredByACLs       // the same with the header that says that results were filtered
+	IndexWentBack        // the true list with the index 1
+	Truncated            // JSON that ends too soon, with the length that fits
+	Slow                 // a byte at a time
+	Stale                // the list of some time ago
+	NoLeader             // the true list, with no leader known
 )
 
 // slowByteInterval is the time between two bytes of Slow.
@@ -58,7 +58,7 @@
 	header.Set(indexHeader, strconv.FormatUint(index, 10))
 	header.Set(leaderHeader, strconv.FormatBool(active.fault != NoLeader))
 	header.Set(contactHeader, "0")
-	if active.fault == StaleBy {
+	if active.fault == Stale {
 		header.Set(contactHeader, strconv.FormatInt(active.age.Milliseconds(), 10))
 	}
 	switch active.fault {
--- a/internal/emulator/consul/local.go
+++ b/internal/emulator/consul/local.go
@@ -38,7 +38,7 @@
 	} else if id, ok := strings.CutPrefix(path, "service/maintenance/"); ok {
 		a.serveMaintenance(w, r, id)
 	} else if path == "maintenance" {
-		a.cluster.MarkNode(a.name, maintenanceStatus(r))
+		a.cluster.SetNodeStatus(a.name, maintenanceStatus(r))
 	} else if id, ok := strings.CutPrefix(path, "check/update/"); ok {
 		a.serveCheckUpdate(w, r, id)
 	} else {
@@ -105,7 +105,7 @@
 		http.Error(w, "Unknown service ID", http.StatusNotFound)
 		return
 	}
-	a.cluster.Mark(service, id, maintenanceStatus(r))
+	a.cluster.SetStatus(service, id, maintenanceStatus(r))
 }
 
 // maintenanceStatus is the status that ?enable asks for.
--- a/internal/emulator/consul/query.go
+++ b/internal/emulator/consul/query.go
@@ -74,16 +74,16 @@
 	index := a.wait(r, func() uint64 { return c.serviceIndex(name) })
 	c.mu.Lock()
 	instances := copyInstances(c.services[name])
-	if active.fault == StaleBy {
+	if active.fault == Stale {
 		instances, index = c.staleInstances(name, active.age)
 	}
 	isAllowed := c.tokens == nil || slices.Contains(c.tokens[r.Header.Get(tokenHeader)], name)
 	c.mu.Unlock()
-	isFiltered := active.fault == FilteredBy || !isAllowed
-	if isFiltered || active.fault == Empty200 {
+	isFiltered := active.fault == FilteredByACLs || !isAllowed
+	if isFiltered || active.fault == EmptyList {
 		instances = nil
 	}
-	if active.fault == IndexBack {
+	if active.fault == IndexWentBack {
 		index = 1
 	}
 	if isFiltered {
@@ -104,10 +104,10 @@
 			Node:   healthNode{Address: instance.NodeAddress, Datacenter: "dc1", Node: instance.Node},
 			Service: healthService{
 				Address:     instance.Address,
-				CreateIndex: instance.Create,
+				CreateIndex: instance.CreateIndex,
 				ID:          instance.ID,
 				Meta:        instance.Meta,
-				ModifyIndex: instance.Modify,
+				ModifyIndex: instance.ModifyIndex,
 				Port:        instance.Port,
 				Service:     service,
 				Tags:        instance.Tags,
@@ -154,8 +154,8 @@
 	for _, instance := range c.Instances(name) {
 		entries = append(entries, catalogEntry{
 			Address:        instance.NodeAddress,
-			CreateIndex:    instance.Create,
-			ModifyIndex:    instance.Modify,
+			CreateIndex:    instance.CreateIndex,
+			ModifyIndex:    instance.ModifyIndex,
 			Node:           instance.Node,
 			ServiceAddress: instance.Address,
 			ServiceID:      instance.ID,
--- a/internal/identity/tlslistener/tlslistener_test.go
+++ b/internal/identity/tlslistener/tlslistener_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cert, key, err := ca.Make("server", "doorman.test")
+	cert, key, err := ca.Issue("server", "doorman.test")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 		Listen:            "127.0.0.1:0",
 		Cert:              cert,
 		Key:               key,
-		ClientCA:          ca.File,
+		ClientCA:          ca.CertFile,
 		MaxHandshakes:     32,
 		HandshakeTimeout:  5 * time.Second,
 		MaxConnections:    1000,
@@ -60,15 +60,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cert, key, err := ca.Make("server", "doorman.test")
+	cert, key, err := ca.Issue("server", "doorman.test")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, other, err := ca.Make("other", "doorman.test")
+	_, other, err := ca.Issue("other", "doorman.test")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, open, err := ca.Make("open", "doorman.test")
+	_, open, err := ca.Issue("open", "doorman.test")
 	if err != nil || os.Chmod(open, 0o644) != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 		cfg  Config
 		want string
 	}{
-		"sound":                  {Config{Cert: cert, Key: key, ClientCA: ca.File}, ""},
+		"sound":                  {Config{Cert: cert, Key: key, ClientCA: ca.CertFile}, ""},
 		"another's key":          {Config{Cert: cert, Key: other}, "other-key.pem"},
 		"no file":                {Config{Cert: "/nowhere", Key: key}, "/nowhere"},
 		"a key others can read":  {Config{Cert: openCert, Key: open}, "others can read it"},
@@ -116,7 +116,7 @@
 // BenchmarkHandshake is a connection until its first byte is back: by plain TCP, by TLS new and resumed.
 func BenchmarkHandshake(b *testing.B) {
 	d, ca, cfg := opened(b)
-	cert, key, err := ca.Make("client", "lane3.lanes.test")
+	cert, key, err := ca.Issue("client", "lane3.lanes.test")
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/membership/consul/consul_test.go
+++ b/internal/membership/consul/consul_test.go
@@ -37,7 +37,7 @@
 
 func makeCertificate(t *testing.T, authority *emulator.Authority, name string) (certFile, keyFile string) {
 	t.Helper()
-	certFile, keyFile, err := authority.Make(name, "consul.test")
+	certFile, keyFile, err := authority.Issue(name, "consul.test")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +78,7 @@
 	agent := newAgent(t, cluster)
 	cluster.Put(newInstance("c1", 1))
 	server := newTLSServer(t, authority, agent)
-	ca := "ca " + authority.File + "\n"
+	ca := "ca " + authority.CertFile + "\n"
 	pair := "cert " + clientCert + "\nkey " + clientKey + "\n"
 	for _, c := range []struct {
 		name, tls string
@@ -123,7 +123,7 @@
 func replaceTLSFiles(t *testing.T, dir string, authority *emulator.Authority) {
 	t.Helper()
 	certFile, keyFile := makeCertificate(t, authority, "proxy")
-	for name, source := range map[string]string{"ca": authority.File, "cert": certFile, "key": keyFile} {
+	for name, source := range map[string]string{"ca": authority.CertFile, "cert": certFile, "key": keyFile} {
 		path := filepath.Join(dir, name)
 		content, err := os.ReadFile(source)
 		if err == nil {
@@ -147,7 +147,7 @@
 	for i := range instanceCount {
 		instances = append(instances, newInstance(fmt.Sprint("c", i), i+1))
 	}
-	cluster.PutAll("cache", instances)
+	cluster.ReplaceAll("cache", instances)
 	recorder := &recorder{}
 	recorder.start(t, parseConfig(t, "agent "+agent.Address()+"\nservice cache {\n}"))
 	lists, _ := recorder.waitUntil(t, "the complete list", func(lists []membership.List, _ []string) bool {
--- a/test/catalogue_outage_test.go
+++ b/test/catalogue_outage_test.go
@@ -29,13 +29,13 @@
 			load := bed.startLookups()
 			bed.waitInUse("c1")
 			agents[0].SetFault(c.fault, 0)
-			cluster.Mark("archive", "o1", consul.Passing) // so that what blocks is answered, and fails
-			cluster.Mark("trunk", "p1", consul.Passing)
-			cluster.Mark("cache", "c2", consul.Passing)
+			cluster.SetStatus("archive", "o1", consul.Passing) // so that what blocks is answered, and fails
+			cluster.SetStatus("trunk", "p1", consul.Passing)
+			cluster.SetStatus("cache", "c2", consul.Passing)
 			bed.waitLoggedTimes("event=catalogue-unreachable", 3)
 			before, from := agents[0].Requests(), time.Now()
 			time.Sleep(*outageFor) // the case's own length
-			cluster.Mark("cache", "c1", "maintenance")
+			cluster.SetStatus("cache", "c1", "maintenance")
 			bed.waitInUse("c1") // nobody can know
 			polls, took := agents[0].Requests()-before, time.Since(from)
 			agents[0].SetFault(consul.None, 0)
@@ -64,10 +64,10 @@
 		by    time.Duration
 		log   string // what must be there
 	}{
-		{"an empty answer", consul.Empty200, 0, "event=list-loss-suspected"},
-		{"filtered by rights", consul.FilteredBy, 0, "reason=filtered"},
-		{"an index that goes back", consul.IndexBack, 0, "reason=index-went-back"},
-		{"a stale answer", consul.StaleBy, time.Minute, "reason=index-went-back"},
+		{"an empty answer", consul.EmptyList, 0, "event=list-loss-suspected"},
+		{"filtered by rights", consul.FilteredByACLs, 0, "reason=filtered"},
+		{"an index that goes back", consul.IndexWentBack, 0, "reason=index-went-back"},
+		{"a stale answer", consul.Stale, time.Minute, "reason=index-went-back"},
 		{"JSON that ends too soon", consul.Truncated, 0, "event=catalogue-response-rejected"},
 		{"a byte at a time", consul.Slow, 0, "event=catalogue-unreachable"},
 		{"no leader", consul.NoLeader, 0, "reason=no-leader"},
@@ -81,7 +81,7 @@
 			load := bed.startLookups()
 			// A change, so that what blocks is answered, and time for the answer.
 			change := func() {
-				cluster.Mark("cache", "c2", consul.Passing)
+				cluster.SetStatus("cache", "c2", consul.Passing)
 				time.Sleep(20 * time.Millisecond)
 			}
 			agents[0].SetFault(c.fault, c.by)
@@ -99,12 +99,12 @@
 				}
 			}
 			bed.waitUntil("the true list is believed again", func() bool {
-				cluster.Mark("cache", "c2", "maintenance")
+				cluster.SetStatus("cache", "c2", "maintenance")
 				return bed.logged("event=endpoint-draining endpoint=c2")
 			})
 			cluster.Remove("cache", "c1", "c2", "c3", "c4")
-			bed.waitUnused("c3", cluster.Written("c3"), time.Second)
-			bed.waitUnused("c1", cluster.Written("c1"), time.Second)
+			bed.waitUnused("c3", cluster.ChangedAt("c3"), time.Second)
+			bed.waitUnused("c1", cluster.ChangedAt("c1"), time.Second)
 			if !bed.logged("event=list-loss-confirmed") {
 				t.Error("the real loss was not suspected and confirmed")
 			}
@@ -122,8 +122,8 @@
 	load := bed.startLookups()
 	bed.waitInUse("c1")
 	agents[0].SetFault(consul.Refuse, 0)
-	cluster.Mark("cache", "c1", consul.Critical)
-	bed.waitUnused("c1", cluster.Written("c1"), time.Second)
+	cluster.SetStatus("cache", "c1", consul.Critical)
+	bed.waitUnused("c1", cluster.ChangedAt("c1"), time.Second)
 	if !bed.logged("event=catalogue-agent-changed") {
 		t.Error("the change of agents is not in the log")
 	}
--- a/test/catalogue_test.go
+++ b/test/catalogue_test.go
@@ -27,18 +27,18 @@
 		service, _, _ := placement(id)
 		for _, status := range []string{"maintenance", consul.Critical} {
 			bed.waitInUse(id)
-			cluster.Mark(service, id, status)
-			bed.waitUnused(id, cluster.Written(id), time.Second)
-			cluster.Mark(service, id, consul.Passing)
+			cluster.SetStatus(service, id, status)
+			bed.waitUnused(id, cluster.ChangedAt(id), time.Second)
+			cluster.SetStatus(service, id, consul.Passing)
 		}
 		bed.waitInUse(id)
-		cluster.MarkNode("node-"+id, consul.Critical)
-		bed.waitUnused(id, cluster.Written(id), time.Second)
-		cluster.MarkNode("node-"+id, consul.Passing)
+		cluster.SetNodeStatus("node-"+id, consul.Critical)
+		bed.waitUnused(id, cluster.ChangedAt(id), time.Second)
+		cluster.SetNodeStatus("node-"+id, consul.Passing)
 		bed.waitInUse(id)
 		instances := cluster.Instances(service)
 		cluster.Remove(service, id)
-		bed.waitUnused(id, cluster.Written(id), time.Second)
+		bed.waitUnused(id, cluster.ChangedAt(id), time.Second)
 		for _, instance := range instances {
 			if instance.ID == id {
 				cluster.Put(instance)
@@ -73,11 +73,11 @@
 		client.send(request(id, "footage", fields, ""))
 	}
 	bed.waitFirstAttempt() // attempts wait for c1: c2 has no copies, and c1 is next
-	cluster.Mark("cache", "c1", consul.Critical)
+	cluster.SetStatus("cache", "c1", consul.Critical)
 	bed.waitLogged("event=endpoint-removed endpoint=c1")
 	bed.waitUntil("all fills are under way", func() bool { return len(fills) == requests })
 	fill := <-fills
-	cluster.Mark("trunk", "p1", consul.Critical)
+	cluster.SetStatus("trunk", "p1", consul.Critical)
 	bed.waitLogged("event=endpoint-removed endpoint=p1")
 	marked := time.Now()
 	go func() { // the fills that are under way end well
@@ -136,9 +136,9 @@
 	}
 	load := bed.startLookups()
 	bed.waitInUse("c1")
-	cluster.Mark("cache", "c1", consul.Critical) // the list service has it up
-	bed.waitUnused("c1", cluster.Written("c1"), time.Second)
-	cluster.Mark("cache", "c1", consul.Passing)
+	cluster.SetStatus("cache", "c1", consul.Critical) // the list service has it up
+	bed.waitUnused("c1", cluster.ChangedAt("c1"), time.Second)
+	cluster.SetStatus("cache", "c1", consul.Passing)
 	bed.waitInUse("c1")
 	tell(2, "draining") // the catalogue has it up
 	bed.waitUnused("c1", time.Now(), time.Second)
@@ -148,8 +148,8 @@
 	bed.waitInUse("c1")
 	agents[0].SetFault(consul.None, 0)
 	bed.waitLoggedTimes("event=catalogue-reachable", 3)
-	cluster.Mark("cache", "c1", consul.Critical)
-	bed.waitUnused("c1", cluster.Written("c1"), time.Second)
+	cluster.SetStatus("cache", "c1", consul.Critical)
+	bed.waitUnused("c1", cluster.ChangedAt("c1"), time.Second)
 	agents[0].SetFault(consul.Refuse, 0)
 	bed.waitLoggedTimes("event=catalogue-unreachable", 6)
 	tell(4, "draining")
@@ -180,7 +180,7 @@
 		})
 	}
 	bed.waitUntil("the new address is in use", func() bool { return len(sentTo(newAddress, time.Time{})) > 3 })
-	if stale := sentTo(oldAddress, cluster.Written("c1").Add(time.Second)); len(stale) > 0 {
+	if stale := sentTo(oldAddress, cluster.ChangedAt("c1").Add(time.Second)); len(stale) > 0 {
 		t.Errorf("the old address was sent %d attempts a second after the new registration, want none", len(stale))
 	}
 	first := sentTo(newAddress, time.Time{})[0].At
@@ -200,13 +200,13 @@
 	load := bed.startLookups()
 	bed.waitInUse("c1")
 	for range 150 {
-		cluster.Mark("cache", "c1", consul.Critical)
+		cluster.SetStatus("cache", "c1", consul.Critical)
 		time.Sleep(5 * time.Millisecond)
-		cluster.Mark("cache", "c1", consul.Passing)
+		cluster.SetStatus("cache", "c1", consul.Passing)
 		time.Sleep(5 * time.Millisecond)
 	}
-	cluster.Mark("cache", "c1", consul.Critical)
-	bed.waitUnused("c1", cluster.Written("c1"), time.Second)
+	cluster.SetStatus("cache", "c1", consul.Critical)
+	bed.waitUnused("c1", cluster.ChangedAt("c1"), time.Second)
 	if n := bed.timesLogged("endpoint=c1"); n > 30 {
 		t.Errorf("%d lines of an endpoint that flapped, want at most 30", n)
 	}
@@ -233,8 +233,8 @@
 	writeFile(t, token, "right\n")
 	bed.waitEndpointsKnown(4)
 	for range 10 { // each change is an answer
-		cluster.Mark("cache", "c2", consul.Warning)
-		cluster.Mark("cache", "c2", consul.Passing)
+		cluster.SetStatus("cache", "c2", consul.Warning)
+		cluster.SetStatus("cache", "c2", consul.Passing)
 		time.Sleep(30 * time.Millisecond)
 	}
 	for _, want := range []string{
@@ -294,7 +294,7 @@
 			fmt.Sprint(instances[0].Address, ":", instances[0].Port) == bed.address
 	}
 	bed.waitUntil("it is registered", registered)
-	agents[0].Restart()
+	agents[0].LoseRegistrations()
 	bed.waitUntil("it is registered again", registered)
 	time.Sleep(1200 * time.Millisecond) // longer than the TTL
 	if !registered() {
@@ -339,21 +339,21 @@
 		removed := false
 		switch random.Intn(3) {
 		case 0:
-			cluster.Mark(service, id, "maintenance")
+			cluster.SetStatus(service, id, "maintenance")
 		case 1:
-			cluster.Mark(service, id, consul.Critical)
+			cluster.SetStatus(service, id, consul.Critical)
 		default:
 			cluster.Remove(service, id)
 			removed = true
 		}
-		marked := cluster.Written(id)
+		marked := cluster.ChangedAt(id)
 		bed.waitUnused(id, marked, time.Second)
 		uses := bed.received(usesEndpoint(id))
 		latencies = append(latencies, max(0, uses[len(uses)-1].At.Sub(marked)))
 		if removed {
 			cluster.Put(bed.catalogueInstance(id, bed.endpointAddress(id)))
 		} else {
-			cluster.Mark(service, id, consul.Passing)
+			cluster.SetStatus(service, id, consul.Passing)
 		}
 	}
 	load.stopAndExpectServed(t)
--- a/test/commands_test.go
+++ b/test/commands_test.go
@@ -14,7 +14,7 @@
 	t.Parallel()
 	bed := newTestbed(t, nil)
 	cluster, agents := bed.enableCatalogue(1, "")
-	cluster.Mark("cache", "c1", "maintenance")
+	cluster.SetStatus("cache", "c1", "maintenance")
 	bed.writeConfig()
 	bed.listFeed <- bed.healthChangeEvent(2, "c2", "removed")
 	bed.listFeed <- "2"
--- a/test/cpu_test.go
+++ b/test/cpu_test.go
@@ -77,7 +77,7 @@
 			bed.serveTLS(authority, id, id+".endpoints.test", func(string) {})
 		}
 		cert, key := makeCertificateFiles(t, authority, "proxy", "proxy.test")
-		bed.addSettings("box-tls {", "ca "+authority.File, "cert "+cert, "key "+key, "suffix .endpoints.test", "}")
+		bed.addSettings("box-tls {", "ca "+authority.CertFile, "cert "+cert, "key "+key, "suffix .endpoints.test", "}")
 	default:
 		keys := bed.enableIdentity("checks 1000000/s\nchecks-connection 1000000/s\nchecks-source 1000000/s")
 		bed.start()
--- a/test/harness_identity_test.go
+++ b/test/harness_identity_test.go
@@ -76,7 +76,7 @@
 // the prefix of both file names; a second call with the same base replaces both files.
 func makeCertificateFiles(t *testing.T, authority *emulator.Authority, base, name string) (cert, key string) {
 	t.Helper()
-	cert, key, err := authority.Make(base, name)
+	cert, key, err := authority.Issue(base, name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +116,7 @@
 	bed.cert, bed.key = makeCertificateFiles(bed.t, bed.authority, "server", "proxy.test")
 	bed.tlsAddress = bed.freeAddress()
 	bed.enableIdentity(strings.Join([]string{
-		"tls {", "listen " + bed.tlsAddress, "cert " + bed.cert, "key " + bed.key, "client-ca " + bed.authority.File,
+		"tls {", "listen " + bed.tlsAddress, "cert " + bed.cert, "key " + bed.key, "client-ca " + bed.authority.CertFile,
 		"limit 500ms", "handshakes 4", "}",
 		"tenant controllers {", "right charge lookup front=tls", "certificate *.lanes.test", "}",
 		"tenant terminals {", "right lookup", "certificate t7.staff.test", "}", extra}, "\n"))
--- a/test/harness_settings_test.go
+++ b/test/harness_settings_test.go
@@ -26,7 +26,7 @@
 	mustRunProgram(t, "key", "new", "--dir", filepath.Join(dir, "keys"))
 	authority := newAuthority(t)
 	cert, key := makeCertificateFiles(t, authority, "proxy", "proxy.test")
-	sources := map[string]string{"boxes-ca.pem": authority.File, "doorman.pem": cert, "doorman.key": key}
+	sources := map[string]string{"boxes-ca.pem": authority.CertFile, "doorman.pem": cert, "doorman.key": key}
 	for name, source := range sources {
 		writeFile(t, filepath.Join(dir, name), readFile(t, source))
 	}
--- a/test/upstream_tls_test.go
+++ b/test/upstream_tls_test.go
@@ -47,7 +47,7 @@
 	firstCert, firstKey := makeCertificateFiles(t, authority, "proxy-1", "proxy-1.test")
 	replaceFile(t, firstCert, cert)
 	replaceFile(t, firstKey, key)
-	bed.addSettings("box-tls {", "ca "+authority.File, "cert "+cert, "key "+key, "suffix .endpoints.test",
+	bed.addSettings("box-tls {", "ca "+authority.CertFile, "cert "+cert, "key "+key, "suffix .endpoints.test",
 		"site hub {", "plain on", "}", "}")
 	bed.start()
 	client := bed.dial()
