--- a/internal/emulator/authority.go
+++ b/internal/emulator/authority.go
@@ -14,20 +14,20 @@
 	"time"
 )
 
-// validity is how long before and after its making a certificate is valid.
-const validity = time.Hour
+// validityMargin is how long a certificate is valid before and after its time of issue.
+const validityMargin = time.Hour
 
-// Authority signs certificates and writes them to a folder as PEM files.
+// Authority is a certificate authority that writes the certificates and their keys to a directory as PEM files.
 type Authority struct {
 	Dir      string
-	CertFile string // its own certificate
+	CertFile string // the path of the authority's own certificate
 	Cert     *x509.Certificate
 
 	key        *ecdsa.PrivateKey
 	lastSerial int64
 }
 
-// NewAuthority makes one with its own certificate in a folder.
+// NewAuthority creates an authority, and writes its own certificate and key to dir as ca.pem and ca-key.pem.
 func NewAuthority(dir string) (*Authority, error) {
 	authority := &Authority{Dir: dir}
 	var err error
@@ -35,8 +35,8 @@
 	return authority, err
 }
 
-// Issue writes NAME.pem and NAME-key.pem, for servers and clients alike, with the DNS names given. The first one is the
-// authority's own.
+// Issue writes a certificate with the given DNS names, for servers and clients alike, to NAME.pem and its key to
+// NAME-key.pem. The first certificate that is issued is the authority's own.
 func (a *Authority) Issue(name string, dnsNames ...string) (certFile, keyFile string, err error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -56,15 +56,15 @@
 		writePEM(keyFile, "EC PRIVATE KEY", keyBytes))
 }
 
-// sign makes a certificate for a key. The first one is signed by its own key, which is the authority's from then on.
+// sign returns a certificate for a key. The first one is self-signed, and its key becomes the authority's key.
 func (a *Authority) sign(key *ecdsa.PrivateKey, name string, dnsNames []string) ([]byte, error) {
 	a.lastSerial++
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(a.lastSerial),
 		Subject:      pkix.Name{CommonName: name},
 		DNSNames:     dnsNames,
-		NotBefore:    time.Now().Add(-validity),
-		NotAfter:     time.Now().Add(validity),
+		NotBefore:    time.Now().Add(-validityMargin),
+		NotAfter:     time.Now().Add(validityMargin),
 		KeyUsage:     x509.KeyUsageDigitalSignature,
 		ExtKeyUsage:  []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
@@ -83,6 +83,6 @@
 	return certificate, err
 }
 
-func writePEM(path, kind string, content []byte) error {
-	return os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: content}), 0o600)
+func writePEM(path, blockType string, content []byte) error {
+	return os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: content}), 0o600)
 }
--- a/internal/emulator/caching.go
+++ b/internal/emulator/caching.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// maxCached bounds how many objects the endpoints of CachingResponder cache.
+// maxCached is the largest number of parts of objects that the endpoints of one CachingResponder cache together.
 const maxCached = 1 << 16
 
-// CachingResponder is a responder by which endpoints cache what was filled into them, for as long as it is used. The
-// origins have everything.
+// CachingResponder returns a responder with which endpoints cache parts of objects for the responder's lifetime. An
+// endpoint that misses a part fills it if the request names a source (the field via). The origins have all objects.
 func CachingResponder(origins ...string) func(*ReceivedRequest) {
 	var mu sync.Mutex
 	cached := map[string]bool{}
@@ -25,14 +25,14 @@
 			cached[key] = true
 		}
 		mu.Unlock()
-		minted := time.Now().UnixMilli()
+		nowMillis := time.Now().UnixMilli()
 		switch {
 		case isHit:
-			request.Answer(wordServed, fmt.Sprintf("tag=t1,minted=%d,remark=hit", minted), object)
+			request.Answer(codeServed, fmt.Sprintf("tag=t1,minted=%d,remark=hit", nowMillis), object)
 		case isFilled:
-			request.Answer(wordServed, fmt.Sprintf("tag=t1,minted=%d,remark=filled,lag=1", minted), object)
+			request.Answer(codeServed, fmt.Sprintf("tag=t1,minted=%d,remark=filled,lag=1", nowMillis), object)
 		default:
-			request.Answer(wordLacks, "-", "")
+			request.Answer(codeCacheMiss, "-", "")
 		}
 	}
 }
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -10,14 +10,14 @@
 	"sloequay/internal/frontend/rpc/msgpack"
 )
 
-// Client plays a client of the platform's front. Send and Read may be called from two goroutines.
+// Client is an emulated client of the platform's RPC frontend. One goroutine may call Send while another calls Read.
 type Client struct {
 	Conn    net.Conn
 	reader  *bufio.Reader
-	partial []byte // of an answer that was not complete when a Read gave up
+	partial []byte // what was read of a response before a Read timed out
 }
 
-// Dial connects to a proxy.
+// Dial connects a client to a proxy.
 func Dial(address string) (*Client, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -26,37 +26,38 @@
 	return NewClient(conn), nil
 }
 
-// NewClient speaks on a connection that is up.
+// NewClient returns a client that uses an established connection.
 func NewClient(conn net.Conn) *Client { return &Client{Conn: conn, reader: bufio.NewReader(conn)} }
 
-// Reply is an answer as the client reads it.
+// Reply is a response as the client decodes it.
 type Reply struct {
-	ID     uint64
-	Error  string // empty: served
+	ID     uint64 // of the request
+	Error  string // the error code; empty if the request was served
 	Fields map[string]string
 	Body   string
-	Ready  bool // of the method status
+	Ready  bool // the result of the method status
 }
 
-// The types of messages, as MessagePack-RPC has them.
+// The message types of MessagePack-RPC that a client sends.
 const (
-	messageRequest = 0
-	messageNotice  = 2
+	messageRequest      = 0
+	messageNotification = 2
 )
 
-// statusMethod is the method that asks whether a proxy is ready.
+// statusMethod is the method by which a client asks whether a proxy is ready.
 const statusMethod = "status"
 
-// Cancellation is the notice that nobody waits for the answer to a message any more.
+// Cancellation returns the frame of the notification that the client no longer waits for the response to a message.
 func Cancellation(id uint64) []byte {
 	frame := msgpack.AppendArrayHeader(nil, 3)
-	frame = msgpack.AppendUint(frame, messageNotice)
+	frame = msgpack.AppendUint(frame, messageNotification)
 	frame = msgpack.AppendText(frame, "withdraw")
 	frame = msgpack.AppendArrayHeader(frame, 1)
 	return msgpack.AppendUint(frame, id)
 }
 
-// Request builds a frame; fields override those of a sound request for object 7f3a9c21e0b4d655.
+// Request returns the frame of a request. fields override or extend those of a valid request for object
+// 7f3a9c21e0b4d655. The method status takes neither fields nor a body.
 func Request(id uint64, method string, fields map[string]string, body string) []byte {
 	frame := msgpack.AppendArrayHeader(nil, 4)
 	frame = msgpack.AppendUint(frame, messageRequest)
@@ -65,11 +66,11 @@
 	if method == statusMethod {
 		return msgpack.AppendMapHeader(msgpack.AppendArrayHeader(frame, 1), 0)
 	}
-	all := map[string]string{"txn": fmt.Sprintf("%016x", id), "limit": "2000", "item": "7f3a9c21e0b4d655", "nth": "0",
-		"batch": "3", "ram": "40"}
-	maps.Copy(all, fields)
-	frame = msgpack.AppendMapHeader(msgpack.AppendArrayHeader(frame, 2), len(all))
-	for name, value := range all {
+	allFields := map[string]string{"txn": fmt.Sprintf("%016x", id), "limit": "2000", "item": "7f3a9c21e0b4d655",
+		"nth": "0", "batch": "3", "ram": "40"}
+	maps.Copy(allFields, fields)
+	frame = msgpack.AppendMapHeader(msgpack.AppendArrayHeader(frame, 2), len(allFields))
+	for name, value := range allFields {
 		frame = msgpack.AppendText(frame, name)
 		frame = msgpack.AppendText(frame, value)
 	}
@@ -82,9 +83,10 @@
 	return err
 }
 
-// Read takes one answer, and gives up after a time; the next Read goes on where it was.
-func (c *Client) Read(limit time.Duration) (Reply, error) {
-	_ = c.Conn.SetReadDeadline(time.Now().Add(limit))
+// Read reads one response, and waits for it up to the timeout. If it times out in the middle of a response, the next
+// Read continues there.
+func (c *Client) Read(timeout time.Duration) (Reply, error) {
+	_ = c.Conn.SetReadDeadline(time.Now().Add(timeout))
 	for {
 		next, err := c.reader.ReadByte()
 		if err != nil {
@@ -98,21 +100,21 @@
 	}
 }
 
-// The MessagePack forms by which the parts of an answer are told apart.
+// The first bytes of MessagePack values by which the kinds of responses are told apart.
 const (
-	formNil   = 0xc0
-	formFalse = 0xc2
-	formTrue  = 0xc3
+	formatNil   = 0xc0
+	formatFalse = 0xc2
+	formatTrue  = 0xc3
 )
 
-// The longest texts of an answer, in bytes.
+// The longest values of a response, in bytes.
 const (
-	maxErrorText = 100
-	maxFieldText = 1000
-	maxReplyBody = 1 << 20
+	maxErrorLength = 100
+	maxFieldLength = 1000
+	maxBodyLength  = 1 << 20
 )
 
-// parseReply reads an answer; not ok: it is not complete.
+// parseReply decodes a response; ok reports whether data holds a whole one.
 func parseReply(data []byte) (reply Reply, ok bool) {
 	reader := msgpack.Reader{Data: data}
 	reader.ArrayHeader()
@@ -121,22 +123,22 @@
 	if reader.Err != nil || reader.Pos >= len(data) {
 		return reply, false
 	}
-	failed := data[reader.Pos] != formNil
+	failed := data[reader.Pos] != formatNil
 	if !failed {
 		reader.Skip()
 	}
 	reader.ArrayHeader()
 	switch {
 	case failed:
-		reply.Error = string(reader.Text(maxErrorText))
-	case isBool(&reader):
-		reply.Ready = data[reader.Pos] == formTrue
+		reply.Error = string(reader.Text(maxErrorLength))
+	case nextIsBool(&reader):
+		reply.Ready = data[reader.Pos] == formatTrue
 		reader.Skip()
 	default:
-		reply.Body = string(reader.Binary(maxReplyBody))
+		reply.Body = string(reader.Binary(maxBodyLength))
 	}
 	for n := reader.MapHeader(); n > 0 && reader.Err == nil; n-- {
-		reply.Fields[string(reader.Text(maxFieldText))] = string(reader.Text(maxFieldText))
+		reply.Fields[string(reader.Text(maxFieldLength))] = string(reader.Text(maxFieldLength))
 	}
 	if failed {
 		reader.Skip()
@@ -144,16 +146,16 @@
 	return reply, reader.Err == nil
 }
 
-// isBool reports whether a truth value is next, as in the answer to status.
-func isBool(reader *msgpack.Reader) bool {
+// nextIsBool reports whether the next value is a boolean, as in the response to the method status.
+func nextIsBool(reader *msgpack.Reader) bool {
 	if reader.Err != nil || reader.Pos >= len(reader.Data) {
 		return false
 	}
-	form := reader.Data[reader.Pos]
-	return form == formFalse || form == formTrue
+	format := reader.Data[reader.Pos]
+	return format == formatFalse || format == formatTrue
 }
 
-// Ready asks a proxy for its status.
+// Ready asks a proxy for its status and reports whether it answers within a second that it is ready.
 func Ready(address string) bool {
 	client, err := Dial(address)
 	if err != nil {
--- a/internal/emulator/connection_end.go
+++ b/internal/emulator/connection_end.go
@@ -8,29 +8,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// endPollInterval is how long one look at a socket waits for its end. A close of the connection by this side waits for
-// the look.
+// endPollInterval is how long one poll of a socket waits for the connection to end. When this side closes the
+// connection, the close waits for the poll to return.
 const endPollInterval = 5 * time.Millisecond
 
-// EndWatch dates the end of a connection by its socket: when the other side's close came in, though what was sent
-// before it may not have been read yet. Linux alone tells that.
+// EndWatch records when the other side's close of a connection arrived at the socket, even if data that was sent before
+// it has not been read yet. Only Linux reports that event (POLLRDHUP).
 type EndWatch struct {
 	mu     sync.Mutex
 	seenAt time.Time
 }
 
-// WatchEnd watches a connection until it ends, by either side.
+// WatchEnd watches a connection until either side ends it.
 func WatchEnd(conn *net.TCPConn) *EndWatch {
 	watch := &EndWatch{}
 	raw, err := conn.SyscallConn()
 	if err == nil {
-		go watch.run(raw.Control)
+		go watch.pollSocket(raw.Control)
 	}
 	return watch
 }
 
-// run looks at the socket until it has ended. control gives its descriptor, and an error once this side has closed it.
-func (w *EndWatch) run(control func(func(descriptor uintptr)) error) {
+// pollSocket polls the socket until the connection has ended. control calls a function with the socket's descriptor,
+// and returns an error once this side has closed it.
+func (w *EndWatch) pollSocket(control func(func(descriptor uintptr)) error) {
 	for hasEnded := false; !hasEnded; {
 		err := control(func(descriptor uintptr) { hasEnded = awaitEnd(descriptor) })
 		if err != nil {
@@ -42,14 +43,14 @@
 	w.seenAt = time.Now()
 }
 
-// awaitEnd waits for the other side's close or reset, for endPollInterval at most, and reports whether it came.
+// awaitEnd waits up to endPollInterval for the other side's close or reset, and reports whether it arrived.
 func awaitEnd(descriptor uintptr) bool {
-	sockets := []unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLRDHUP}}
-	ready, err := unix.Poll(sockets, int(endPollInterval.Milliseconds()))
+	descriptors := []unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLRDHUP}}
+	ready, err := unix.Poll(descriptors, int(endPollInterval.Milliseconds()))
 	return err == nil && ready > 0
 }
 
-// SeenAt is when the other side's close or reset came in; zero: it has not.
+// SeenAt returns when the other side's close or reset arrived; zero if it has not.
 func (w *EndWatch) SeenAt() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/emulator/consul/agent.go
+++ b/internal/emulator/consul/agent.go
@@ -12,36 +12,35 @@
 
 const (
 	readHeaderTimeout = 10 * time.Second
-	// The port of an agent that listens again may be in use for a moment still.
+	// An agent that listens again retries, because its port may still be in use for a moment.
 	listenAttempts = 100
 	listenInterval = 5 * time.Millisecond
 )
 
-// Agent is one agent of a cluster, on a loopback port.
+// Agent is one agent of a cluster. It serves the HTTP API on a loopback port.
 type Agent struct {
 	cluster  *Cluster
 	name     string
 	server   *http.Server
 	address  string
 	listenOn func(address string) (net.Listener, error)
-	wrap     func(http.Handler) http.Handler // nil: nothing is round the agent's own handler
+	wrap     func(http.Handler) http.Handler // wraps the agent's own handler; may be nil
 
 	mu           sync.Mutex
 	fault        activeFault
-	faultChanged chan struct{} // closed and made anew when another fault begins or the last one ends
-	requests     int           // taken
+	faultChanged chan struct{} // closed and replaced when a fault begins or ends
+	requests     int
 	isListening  bool
-	header       http.Header // of the newest request for a list or a key
-	query        url.Values  // the same
+	lastHeader   http.Header // of the latest request under /v1/health or /v1/kv
+	lastQuery    url.Values  // of the same request
 }
 
-// NewAgent starts an agent.
+// NewAgent starts an agent on a free loopback port.
 func (c *Cluster) NewAgent(name string) (*Agent, error) {
 	return c.NewAgentOn(name, "127.0.0.1:0", nil, nil)
 }
 
-// NewAgentOn starts an agent at an address, on a listener of the caller's making, and with a handler of the caller's
-// round its own; either may be nil.
+// NewAgentOn starts an agent at an address. listen opens its listener, and wrap wraps its handler; either may be nil.
 func (c *Cluster) NewAgentOn(name, address string, listen func(string) (net.Listener, error),
 	wrap func(http.Handler) http.Handler) (*Agent, error) {
 	if listen == nil {
@@ -61,6 +60,7 @@
 	return agent, nil
 }
 
+// listen opens the listener and serves the API on it.
 func (a *Agent) listen() error {
 	listener, err := a.listenOn(a.address)
 	if err != nil {
@@ -77,34 +77,34 @@
 	return nil
 }
 
-// Address is host:port of its HTTP API.
+// Address returns the host:port of the HTTP API.
 func (a *Agent) Address() string { return a.address }
 
-// Close ends it.
+// Close stops the agent.
 func (a *Agent) Close() { a.SetFault(Refuse, 0) }
 
-// Requests is how many requests it has taken.
+// Requests returns how many requests the agent has received.
 func (a *Agent) Requests() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.requests
 }
 
-// Header is a header of the newest request for a list or a key.
+// Header returns a header of the latest request under /v1/health or /v1/kv.
 func (a *Agent) Header(name string) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.header.Get(name)
+	return a.lastHeader.Get(name)
 }
 
-// Query is a parameter of the newest request for a list or a key, and whether it was there.
+// Query returns a parameter of the latest request under /v1/health or /v1/kv, and whether the request had it.
 func (a *Agent) Query(name string) (value string, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.query.Get(name), a.query.Has(name)
+	return a.lastQuery.Get(name), a.lastQuery.Has(name)
 }
 
-// SetFault has it fail from now on; None has it be well again. age is that of the answers of StaleBy.
+// SetFault makes the agent fail from now on; None ends the fault. age is the age of the lists that Stale sends.
 func (a *Agent) SetFault(fault Fault, age time.Duration) {
 	a.mu.Lock()
 	before, wasListening, server := a.fault.fault, a.isListening, a.server
@@ -123,6 +123,7 @@
 	}
 }
 
+// listenAgain calls listen until it succeeds, at most listenAttempts times.
 func (a *Agent) listenAgain() {
 	for range listenAttempts {
 		if a.listen() == nil {
@@ -132,14 +133,14 @@
 	}
 }
 
-// active is the fault in force.
+// active returns the current fault.
 func (a *Agent) active() activeFault {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.fault
 }
 
-// LoseRegistrations forgets what was registered at this agent, as one that lost its data directory.
+// LoseRegistrations removes the instances that were registered at this agent, as if it had lost its data directory.
 func (a *Agent) LoseRegistrations() {
 	c := a.cluster
 	c.mu.Lock()
@@ -157,14 +158,14 @@
 	}
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP answers one request, or fails it as the current fault requires.
 func (a *Agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	a.cluster.expireChecks()
 	a.mu.Lock()
 	a.requests++
 	active, faultChanged := a.fault, a.faultChanged
 	if strings.HasPrefix(r.URL.Path, "/v1/health") || strings.HasPrefix(r.URL.Path, "/v1/kv") {
-		a.header, a.query = r.Header.Clone(), r.URL.Query()
+		a.lastHeader, a.lastQuery = r.Header.Clone(), r.URL.Query()
 	}
 	a.mu.Unlock()
 	switch active.fault {
@@ -181,7 +182,7 @@
 	a.route(w, r, active)
 }
 
-// route hands a request to the part of the API that its path names.
+// route calls the handler of the request's path.
 func (a *Agent) route(w http.ResponseWriter, r *http.Request, active activeFault) {
 	path := strings.TrimPrefix(r.URL.Path, "/v1/")
 	area, rest, _ := strings.Cut(path, "/")
--- a/internal/emulator/consul/cluster.go
+++ b/internal/emulator/consul/cluster.go
@@ -1,6 +1,6 @@
-// Package consul emulates a cluster of Consul agents, written from the public pages of the HTTP API: health, catalogue,
-// KV, an agent's services and TTL checks, maintenance, blocking queries with index and wait, consistency modes, tokens
-// and their headers. Each agent can be made to fail in scripted ways.
+// Package consul emulates a cluster of Consul agents. It follows the public documentation of the HTTP API, and covers
+// health, catalogue, KV, an agent's services and TTL checks, maintenance, blocking queries with index and wait,
+// consistency modes, tokens and their headers. Faults can be scripted for each agent.
 package consul
 
 import (
@@ -10,17 +10,18 @@
 	"time"
 )
 
-// The states of checks.
+// The statuses of checks.
 const (
 	Passing  = "passing"
 	Warning  = "warning"
 	Critical = "critical"
 )
 
-// Maintenance is what Mark and MarkNode take to put something into maintenance; it is no state of a check.
+// Maintenance is the status by which SetStatus and SetNodeStatus put an instance or a node into maintenance. No check
+// has this status.
 const Maintenance = "maintenance"
 
-// Ids of checks that Consul itself makes.
+// IDs, or prefixes of IDs, that Consul itself gives to checks.
 const (
 	serviceCheckPrefix       = "service:"
 	serviceMaintenancePrefix = "_service_maintenance"
@@ -31,9 +32,9 @@
 const (
 	// firstIndex is the index of an empty cluster.
 	firstIndex = 10
-	// maxSnapshots bounds how many states are kept for stale answers; beyond it the oldest half goes.
+	// maxSnapshots is the largest number of snapshots for stale responses; beyond it the oldest half is dropped.
 	maxSnapshots = 512
-	// maxSnapshotInstances is the largest service whose states are kept.
+	// maxSnapshotInstances is the largest number of instances of a service; with more, no snapshot is taken.
 	maxSnapshotInstances = 200
 )
 
@@ -47,12 +48,12 @@
 	Meta                     map[string]string
 	Weights                  Weights
 	Checks                   []Check
-	CreateIndex, ModifyIndex uint64 // indexes
+	CreateIndex, ModifyIndex uint64
 
-	agent *Agent // that it was registered at; nil: in the catalogue alone
+	agent *Agent // where it was registered; nil if it is only in the catalogue
 }
 
-// Weights are an instance's weights by health.
+// Weights holds the weights of an instance by the status of its checks.
 type Weights struct {
 	Passing int `json:"Passing"`
 	Warning int `json:"Warning"`
@@ -61,13 +62,13 @@
 // Check is one check of an instance or its node.
 type Check struct {
 	CheckID, Name, Status string
-	ServiceID             string // empty: of the node
+	ServiceID             string // the ID of the instance; empty for a check of the node
 
-	ttl     time.Duration // 0: it does not expire
+	ttl     time.Duration // 0 if the check does not expire
 	expires time.Time
 }
 
-// snapshot is what the cluster held at a time, for answers that are stale.
+// snapshot is the state of the cluster's services at one time, for stale responses.
 type snapshot struct {
 	at       time.Time
 	services map[string][]Instance
@@ -76,38 +77,38 @@
 
 // keyValue is one entry of the KV store.
 type keyValue struct {
-	value          []byte
-	create, modify uint64 // indexes
+	value                    []byte
+	createIndex, modifyIndex uint64
 }
 
-// Cluster is what all agents share.
+// Cluster is the state that all agents share.
 type Cluster struct {
 	mu        sync.Mutex
 	index     uint64
 	services  map[string][]*Instance
-	indexes   map[string]uint64 // by service: when it last changed
+	indexes   map[string]uint64 // by service: the index of its last change
 	kv        map[string]keyValue
-	kvIndex   uint64
+	kvIndex   uint64 // of the last change of a key
 	snapshots []snapshot
-	changed   chan struct{} // closed and made anew with each change
-	tokens    map[string][]string
-	written   map[string]time.Time // when each instance last changed
+	changed   chan struct{}        // closed and replaced at each change
+	tokens    map[string][]string  // by token: the services that it may read; nil if ACLs are off
+	changedAt map[string]time.Time // by instance ID: see ChangedAt
 }
 
-// NewCluster makes an empty one.
+// NewCluster returns an empty cluster.
 func NewCluster() *Cluster {
 	return &Cluster{
-		index:    firstIndex,
-		services: map[string][]*Instance{},
-		indexes:  map[string]uint64{},
-		kv:       map[string]keyValue{},
-		kvIndex:  firstIndex,
-		changed:  make(chan struct{}),
-		written:  map[string]time.Time{},
+		index:     firstIndex,
+		services:  map[string][]*Instance{},
+		indexes:   map[string]uint64{},
+		kv:        map[string]keyValue{},
+		kvIndex:   firstIndex,
+		changed:   make(chan struct{}),
+		changedAt: map[string]time.Time{},
 	}
 }
 
-// update runs a change of a service, or of keys if that is empty, under the lock and wakes whoever waits for it.
+// update changes a service, or a key if service is empty, under the lock, and wakes the blocking queries.
 func (c *Cluster) update(service string, change func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,7 +122,8 @@
 	c.changed = make(chan struct{})
 }
 
-// takeSnapshot keeps the state of now, unless a service is too large: stale answers are for small fleets.
+// takeSnapshot keeps the current state, unless a service is too large: stale responses are only for small fleets. The
+// caller holds the lock.
 func (c *Cluster) takeSnapshot() {
 	taken := snapshot{at: time.Now(), services: map[string][]Instance{}, indexes: map[string]uint64{}}
 	for name, instances := range c.services {
@@ -137,14 +139,15 @@
 	}
 }
 
-// staleInstances gives a service and its index as they were some time ago. The caller holds the lock.
+// staleInstances returns the instances and the index of a service in the newest snapshot that is at least age old; if
+// there is none, it returns no instances and index 1. The caller holds the lock.
 func (c *Cluster) staleInstances(service string, age time.Duration) ([]Instance, uint64) {
 	var instances []Instance
 	index := uint64(1)
-	for _, past := range c.snapshots {
-		if time.Since(past.at) >= age {
-			instances = past.services[service]
-			index = max(past.indexes[service], firstIndex)
+	for _, old := range c.snapshots {
+		if time.Since(old.at) >= age {
+			instances = old.services[service]
+			index = max(old.indexes[service], firstIndex)
 		}
 	}
 	return instances, index
@@ -159,20 +162,20 @@
 	return copies
 }
 
-// withDefaultCheck gives an instance a check that passes if it has none.
-func (i *Instance) withDefaultCheck() {
+// addDefaultCheck adds a passing check to an instance that has no checks.
+func (i *Instance) addDefaultCheck() {
 	if len(i.Checks) == 0 {
 		i.Checks = []Check{{CheckID: serviceCheckPrefix + i.ID, Status: Passing, ServiceID: i.ID}}
 	}
 }
 
-// Put registers an instance, or changes it. The same id registered anew has another create index only after it was
-// gone.
+// Put registers an instance, or replaces the one with the same ID on the same node. The replacement keeps the create
+// index; an instance that was removed before gets a new one.
 func (c *Cluster) Put(instance Instance) {
 	c.update(instance.Service, func() {
-		c.written[instance.ID] = time.Now()
+		c.changedAt[instance.ID] = time.Now()
 		instance.ModifyIndex = c.index
-		instance.withDefaultCheck()
+		instance.addDefaultCheck()
 		list := c.services[instance.Service]
 		isSame := func(other *Instance) bool { return other.ID == instance.ID && other.Node == instance.Node }
 		if i := slices.IndexFunc(list, isSame); i >= 0 {
@@ -185,7 +188,7 @@
 	})
 }
 
-// ReplaceAll registers many instances of one service in one change, in place of those that it had.
+// ReplaceAll replaces all instances of a service in one change.
 func (c *Cluster) ReplaceAll(service string, instances []Instance) {
 	c.update(service, func() {
 		c.services[service] = nil
@@ -193,7 +196,7 @@
 			instance.Service = service
 			instance.CreateIndex = c.index
 			instance.ModifyIndex = c.index
-			instance.withDefaultCheck()
+			instance.addDefaultCheck()
 			c.services[service] = append(c.services[service], &instance)
 		}
 	})
@@ -203,7 +206,7 @@
 func (c *Cluster) Remove(service string, ids ...string) {
 	c.update(service, func() {
 		for _, id := range ids {
-			c.written[id] = time.Now()
+			c.changedAt[id] = time.Now()
 		}
 		c.services[service] = slices.DeleteFunc(c.services[service], func(instance *Instance) bool {
 			return slices.Contains(ids, instance.ID)
@@ -211,7 +214,8 @@
 	})
 }
 
-// SetStatus sets the status of an instance's own checks; Maintenance puts it into maintenance, and any other takes it out.
+// SetStatus sets the status of an instance's own checks and takes it out of maintenance. The status Maintenance puts it
+// into maintenance instead, and leaves its other checks as they are.
 func (c *Cluster) SetStatus(service, id, status string) {
 	c.update(service, func() {
 		for _, instance := range c.services[service] {
@@ -219,14 +223,14 @@
 				continue
 			}
 			instance.ModifyIndex = c.index
-			c.written[id] = time.Now()
-			instance.mark(status)
+			c.changedAt[id] = time.Now()
+			instance.setStatus(status)
 		}
 	})
 }
 
-// mark sets the status of the instance's own checks, as Mark has it.
-func (i *Instance) mark(status string) {
+// setStatus sets the status of the instance's own checks, as SetStatus describes.
+func (i *Instance) setStatus(status string) {
 	i.Checks = slices.DeleteFunc(i.Checks, func(check Check) bool {
 		return strings.HasPrefix(check.CheckID, serviceMaintenancePrefix)
 	})
@@ -242,23 +246,24 @@
 	}
 }
 
-// SetNodeStatus sets the status of a node's check on all instances there; Maintenance as in Mark.
+// SetNodeStatus replaces the node checks of all instances on a node by one check of the given status. The status
+// Maintenance puts the node into maintenance.
 func (c *Cluster) SetNodeStatus(node, status string) {
 	check := Check{CheckID: nodeCheck, Status: status}
 	if status == Maintenance {
 		check = Check{CheckID: nodeMaintenanceCheck, Status: Critical}
 	}
 	c.mu.Lock()
-	names := make([]string, 0, len(c.services))
+	serviceNames := make([]string, 0, len(c.services))
 	for name := range c.services {
-		names = append(names, name)
+		serviceNames = append(serviceNames, name)
 	}
 	c.mu.Unlock()
-	for _, name := range names {
+	for _, name := range serviceNames {
 		c.update(name, func() {
 			for _, instance := range c.services[name] {
 				if instance.Node == node {
-					c.written[instance.ID] = time.Now()
+					c.changedAt[instance.ID] = time.Now()
 					instance.ModifyIndex = c.index
 					instance.setNodeCheck(check)
 				}
@@ -267,27 +272,27 @@
 	}
 }
 
-// setNodeCheck puts a check in place of those of the node.
+// setNodeCheck replaces the instance's checks of its node by one check.
 func (i *Instance) setNodeCheck(check Check) {
 	i.Checks = slices.DeleteFunc(i.Checks, func(other Check) bool { return other.ServiceID == "" })
 	i.Checks = append(i.Checks, check)
 }
 
-// ChangedAt is when an instance last changed.
+// ChangedAt returns when Put, Remove, SetStatus or SetNodeStatus last changed an instance; zero if none did.
 func (c *Cluster) ChangedAt(id string) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.written[id]
+	return c.changedAt[id]
 }
 
-// Instances gives the instances of a service.
+// Instances returns copies of the instances of a service.
 func (c *Cluster) Instances(service string) []Instance {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return copyInstances(c.services[service])
 }
 
-// SetKV writes a key; nil deletes it.
+// SetKV sets the value of a key; nil deletes the key.
 func (c *Cluster) SetKV(key string, value []byte) {
 	c.update("", func() {
 		c.kvIndex = c.index
@@ -295,38 +300,38 @@
 			delete(c.kv, key)
 			return
 		}
-		entry := keyValue{value: value, create: c.index, modify: c.index}
+		entry := keyValue{value: value, createIndex: c.index, modifyIndex: c.index}
 		if old, ok := c.kv[key]; ok {
-			entry.create = old.create
+			entry.createIndex = old.createIndex
 		}
 		c.kv[key] = entry
 	})
 }
 
-// SetTokens turns ACLs on: by token, the services that it may see. A request without a token has the token "". No index
-// moves and no blocking query is woken by it, as with Consul's own.
+// SetTokens turns on ACLs. tokens maps each token to the services that it may read; a request without a token has the
+// token "". As in Consul, this changes no index and wakes no blocking query.
 func (c *Cluster) SetTokens(tokens map[string][]string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.tokens = tokens
 }
 
-// expireChecks turns TTL checks critical that were not renewed in time.
+// expireChecks sets TTL checks that were not renewed in time to critical.
 func (c *Cluster) expireChecks() {
 	now := time.Now()
 	c.mu.Lock()
-	var due []string
+	var expired []string // the names of the services with such checks
 	for name, instances := range c.services {
 		for _, instance := range instances {
 			for _, check := range instance.Checks {
 				if check.isExpired(now) && check.Status != Critical {
-					due = append(due, name)
+					expired = append(expired, name)
 				}
 			}
 		}
 	}
 	c.mu.Unlock()
-	for _, name := range due {
+	for _, name := range expired {
 		c.update(name, func() {
 			for _, instance := range c.services[name] {
 				instance.failExpired(now)
@@ -338,6 +343,7 @@
 // isExpired reports whether a TTL check was not renewed in time.
 func (k *Check) isExpired(now time.Time) bool { return k.ttl > 0 && now.After(k.expires) }
 
+// failExpired sets the instance's expired checks to critical.
 func (i *Instance) failExpired(now time.Time) {
 	for n := range i.Checks {
 		if i.Checks[n].isExpired(now) {
--- a/internal/emulator/consul/fault.go
+++ b/internal/emulator/consul/fault.go
@@ -9,29 +9,29 @@
 	"time"
 )
 
-// Fault is a scripted way in which an agent fails.
+// Fault is a way in which an agent can be made to fail.
 type Fault int
 
 // The faults.
 const (
 	None           Fault = iota
-	Hang                 // takes requests and says nothing, until the fault is over
-	Refuse               // takes no connections, and resets those that stand
+	Hang                 // accepts requests, and answers them only after the fault ends
+	Refuse               // closes its listener and its connections
 	Reset                // resets the connection in the middle of the body
-	Status500            // answers that it can't
-	EmptyList            // answers with an empty list, as an agent without rights or with no data does
-	FilteredByACLs       // the same with the header that says that results were filtered
-	IndexWentBack        // the true list with the index 1
-	Truncated            // JSON that ends too soon, with the length that fits
-	Slow                 // a byte at a time
-	Stale                // the list of some time ago
-	NoLeader             // the true list, with no leader known
+	Status500            // answers with an internal server error
+	EmptyList            // sends an empty list, as an agent without permission or data does
+	FilteredByACLs       // as EmptyList, with the header that ACLs have filtered the results
+	IndexWentBack        // sends the true list with the index 1
+	Truncated            // sends incomplete JSON in a complete HTTP message
+	Slow                 // sends the body a byte at a time
+	Stale                // sends an old list; SetFault sets its age
+	NoLeader             // sends the true list with the header that no leader is known
 )
 
-// slowByteInterval is the time between two bytes of Slow.
+// slowByteInterval is the time between two bytes of a body with the fault Slow.
 const slowByteInterval = 20 * time.Millisecond
 
-// The headers of answers, beside those that package http names.
+// The headers that Consul defines for requests and responses.
 const (
 	indexHeader    = "X-Consul-Index"
 	leaderHeader   = "X-Consul-KnownLeader"
@@ -40,13 +40,13 @@
 	tokenHeader    = "X-Consul-Token"
 )
 
-// activeFault is the fault that an answer is given by.
+// activeFault is the fault that applies to a response.
 type activeFault struct {
 	fault Fault
-	age   time.Duration // of the answers, with StaleBy
+	age   time.Duration // of the lists that the fault Stale sends
 }
 
-// write sends an answer, well or by the fault.
+// write sends a response as JSON, altered as the fault requires.
 func (a *Agent) write(w http.ResponseWriter, value any, index uint64, active activeFault) {
 	body, err := json.Marshal(value)
 	if err != nil {
@@ -65,7 +65,7 @@
 	case Truncated:
 		_, _ = w.Write(body[:len(body)*2/3])
 	case Reset:
-		resetWithin(w, body, index)
+		sendHalfAndReset(w, body, index)
 	case Slow:
 		a.writeSlowly(w, body)
 	default:
@@ -73,8 +73,8 @@
 	}
 }
 
-// resetWithin sends half of an answer and resets the connection.
-func resetWithin(w http.ResponseWriter, body []byte, index uint64) {
+// sendHalfAndReset sends a response with half of its body and resets the connection.
+func sendHalfAndReset(w http.ResponseWriter, body []byte, index uint64) {
 	conn, buffered, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		return
@@ -82,13 +82,13 @@
 	_, _ = fmt.Fprintf(buffered, "HTTP/1.1 200 OK\r\n%s: %d\r\nContent-Length: %d\r\n\r\n%s", indexHeader, index,
 		len(body), body[:len(body)/2])
 	_ = buffered.Flush()
-	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0)
+	if tcpConn, ok := conn.(*net.TCPConn); ok {
+		_ = tcpConn.SetLinger(0) // so that Close sends a reset
 	}
 	_ = conn.Close()
 }
 
-// writeSlowly sends an answer a byte at a time, and the rest at once when the fault is over.
+// writeSlowly sends a body a byte at a time. When the fault ends, it sends the rest at once.
 func (a *Agent) writeSlowly(w http.ResponseWriter, body []byte) {
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	for i := range body {
--- a/internal/emulator/consul/kv.go
+++ b/internal/emulator/consul/kv.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// maxValue is the largest value of a key, in bytes.
+// maxValue is the largest value of a key, in bytes; the rest is cut off.
 const maxValue = 512 << 10
 
-// kvEntry is one key in an answer of /v1/kv. Its fields are in the order of their names.
+// kvEntry is one key in a response to /v1/kv. Its fields are in alphabetical order.
 type kvEntry struct {
 	CreateIndex uint64 `json:"CreateIndex"`
 	Key         string `json:"Key"`
@@ -19,7 +19,7 @@
 	Value       []byte `json:"Value"`
 }
 
-// serveKV is /v1/kv/KEY.
+// serveKV answers /v1/kv/KEY.
 func (a *Agent) serveKV(w http.ResponseWriter, r *http.Request, key string) {
 	c := a.cluster
 	switch r.Method {
@@ -50,13 +50,13 @@
 	a.write(w, entries, index, active)
 }
 
-// kvEntries gives the keys that match, in their order.
+// kvEntries returns the entries of the keys that match, sorted by key.
 func (c *Cluster) kvEntries(matches func(name string) bool) []kvEntry {
 	var entries []kvEntry
 	c.mu.Lock()
-	for name, pair := range c.kv {
+	for name, entry := range c.kv {
 		if matches(name) {
-			entries = append(entries, kvEntry{pair.create, name, pair.modify, pair.value})
+			entries = append(entries, kvEntry{entry.createIndex, name, entry.modifyIndex, entry.value})
 		}
 	}
 	c.mu.Unlock()
--- a/internal/emulator/consul/local.go
+++ b/internal/emulator/consul/local.go
@@ -25,7 +25,7 @@
 	Check             struct{ CheckID, TTL, Status string }
 }
 
-// serveLocal is /v1/agent: what is registered at this agent.
+// serveLocal answers /v1/agent, the API for what is registered at this agent.
 func (a *Agent) serveLocal(w http.ResponseWriter, r *http.Request, path string) {
 	if r.Method != http.MethodPut {
 		http.Error(w, "no such endpoint", http.StatusNotFound)
@@ -108,7 +108,7 @@
 	a.cluster.SetStatus(service, id, maintenanceStatus(r))
 }
 
-// maintenanceStatus is the status that ?enable asks for.
+// maintenanceStatus returns the status that the parameter enable requests.
 func maintenanceStatus(r *http.Request) string {
 	if r.URL.Query().Get("enable") == "true" {
 		return Maintenance
@@ -125,8 +125,8 @@
 		return
 	}
 	c := a.cluster
-	if c.renew(service, checkID, body.Status) {
-		return // a renewal changes nothing that others see
+	if c.renewTTL(service, checkID, body.Status) {
+		return // a renewal with the same status changes no index
 	}
 	c.update(service, func() {
 		for check := range c.checks(service, checkID) {
@@ -135,8 +135,8 @@
 	})
 }
 
-// renew starts a check's TTL anew, and reports whether the check had that status already.
-func (c *Cluster) renew(service, checkID, status string) (isSame bool) {
+// renewTTL restarts a check's TTL, and reports whether the check already had that status.
+func (c *Cluster) renewTTL(service, checkID, status string) (isSame bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for check := range c.checks(service, checkID) {
@@ -146,7 +146,7 @@
 	return isSame
 }
 
-// checks goes through a service's checks of an id. The caller holds the lock.
+// checks iterates over the checks of a service whose ID is checkID. The caller holds the lock.
 func (c *Cluster) checks(service, checkID string) func(yield func(*Check) bool) {
 	return func(yield func(*Check) bool) {
 		for _, instance := range c.services[service] {
@@ -159,12 +159,12 @@
 	}
 }
 
-// serviceOfInstance gives the service of an instance that is registered here.
+// serviceOfInstance returns the service of an instance that is registered at this agent.
 func (a *Agent) serviceOfInstance(id string) (service string, ok bool) {
 	return a.findService(func(instance *Instance) bool { return instance.ID == id })
 }
 
-// serviceOfCheck gives the service of a check that is registered here.
+// serviceOfCheck returns the service of a check that is registered at this agent.
 func (a *Agent) serviceOfCheck(checkID string) (service string, ok bool) {
 	return a.findService(func(instance *Instance) bool {
 		hasID := func(check Check) bool { return check.CheckID == checkID && checkID != "" }
@@ -172,14 +172,14 @@
 	})
 }
 
-// findService gives the service that has a fitting instance which is registered here.
-func (a *Agent) findService(fits func(*Instance) bool) (service string, ok bool) {
+// findService returns the service of an instance that matches and is registered at this agent.
+func (a *Agent) findService(matches func(*Instance) bool) (service string, ok bool) {
 	c := a.cluster
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, instances := range c.services {
 		for _, instance := range instances {
-			if instance.agent == a && fits(instance) {
+			if instance.agent == a && matches(instance) {
 				return name, true
 			}
 		}
--- a/internal/emulator/consul/query.go
+++ b/internal/emulator/consul/query.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// maxWait is how long a blocking query waits that says nothing of it.
-const maxWait = 5 * time.Minute
+// defaultWait is how long a blocking query without a valid parameter wait may block.
+const defaultWait = 5 * time.Minute
 
-// healthEntry is one instance in an answer of /v1/health/service/NAME. Its fields, and those of the types below, are in
-// the order of their names.
+// healthEntry is one instance in a response to /v1/health/service/NAME. The fields of this type and of those below are
+// in alphabetical order.
 type healthEntry struct {
 	Checks  []healthCheck `json:"Checks"`
 	Node    healthNode    `json:"Node"`
@@ -46,7 +46,7 @@
 	Weights     Weights           `json:"Weights"`
 }
 
-// catalogEntry is one instance in an answer of /v1/catalog/service/NAME.
+// catalogEntry is one instance in a response to /v1/catalog/service/NAME.
 type catalogEntry struct {
 	Address        string            `json:"Address"`
 	CreateIndex    uint64            `json:"CreateIndex"`
@@ -60,10 +60,10 @@
 	ServiceTags    []string          `json:"ServiceTags"`
 }
 
-// serviceIndex is the index of a service. The caller holds the lock.
+// serviceIndex returns the index of a service. The caller holds the lock.
 func (c *Cluster) serviceIndex(name string) uint64 { return max(c.indexes[name], firstIndex) }
 
-// serveHealth is /v1/health/service/NAME.
+// serveHealth answers /v1/health/service/NAME.
 func (a *Agent) serveHealth(w http.ResponseWriter, r *http.Request, name string, active activeFault) {
 	query := r.URL.Query()
 	if query.Has("stale") && query.Has("consistent") {
@@ -92,7 +92,7 @@
 	a.write(w, healthEntries(instances, name, query.Get("tag")), index, active)
 }
 
-// healthEntries puts instances that have a tag, or any with an empty one, in the form of an answer.
+// healthEntries returns the entries of the instances that have a tag, or of all instances if the tag is empty.
 func healthEntries(instances []Instance, service, tag string) []healthEntry {
 	entries := []healthEntry{}
 	for _, instance := range instances {
@@ -129,7 +129,7 @@
 	return entries
 }
 
-// serveServices is /v1/catalog/services: the tags by service.
+// serveServices answers /v1/catalog/services with the tags of each service.
 func (a *Agent) serveServices(w http.ResponseWriter, r *http.Request, active activeFault) {
 	c := a.cluster
 	index := a.wait(r, func() uint64 { return c.index })
@@ -146,7 +146,7 @@
 	a.write(w, tags, index, active)
 }
 
-// serveCatalogService is /v1/catalog/service/NAME.
+// serveCatalogService answers /v1/catalog/service/NAME.
 func (a *Agent) serveCatalogService(w http.ResponseWriter, r *http.Request, name string, active activeFault) {
 	c := a.cluster
 	index := a.wait(r, func() uint64 { return c.serviceIndex(name) })
@@ -168,24 +168,25 @@
 	a.write(w, entries, index, active)
 }
 
-// wait blocks as ?index and ?wait ask, and gives the index of the answer. It calls index under the cluster's lock.
+// wait blocks as the parameters index and wait require, and returns the index for the response. It calls index while it
+// holds the cluster's lock.
 func (a *Agent) wait(r *http.Request, index func() uint64) uint64 {
 	query := r.URL.Query()
-	since, _ := strconv.ParseUint(query.Get("index"), 10, 64)
+	waitIndex, _ := strconv.ParseUint(query.Get("index"), 10, 64)
 	limit, err := time.ParseDuration(query.Get("wait"))
 	if err != nil || limit <= 0 {
-		limit = maxWait
+		limit = defaultWait
 	}
-	limit += time.Duration(rand.Int64N(int64(limit)/16 + 1)) // so that not all ask again together
+	limit += time.Duration(rand.Int64N(int64(limit)/16 + 1)) // so that clients do not all repeat their queries at once
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	c := a.cluster
 	for {
 		c.mu.Lock()
-		now, changed := index(), c.changed
+		current, changed := index(), c.changed
 		c.mu.Unlock()
-		if since == 0 || now != since {
-			return now
+		if waitIndex == 0 || current != waitIndex {
+			return current
 		}
 		a.mu.Lock()
 		faultChanged := a.faultChanged
@@ -193,24 +194,24 @@
 		select {
 		case <-changed:
 		case <-timer.C:
-			return now
-		case <-faultChanged: // the agent fails from now on, or is well again
+			return current
+		case <-faultChanged: // a fault has begun or ended
 			if !a.waitWhileHanging(r) {
-				return now
+				return current
 			}
 		case <-r.Context().Done():
-			return now
+			return current
 		}
 	}
 }
 
-// waitWhileHanging blocks while the agent hangs, and says whether the query is to wait on: not if it does not hang, or
-// the client has gone.
+// waitWhileHanging blocks while the fault Hang applies, and reports whether the query should go on waiting: not if the
+// agent does not hang or the client has disconnected.
 func (a *Agent) waitWhileHanging(r *http.Request) bool {
 	a.mu.Lock()
-	hangs, faultChanged := a.fault.fault == Hang, a.faultChanged
+	isHanging, faultChanged := a.fault.fault == Hang, a.faultChanged
 	a.mu.Unlock()
-	if !hangs {
+	if !isHanging {
 		return false
 	}
 	select {
--- a/internal/emulator/endpoint_conn.go
+++ b/internal/emulator/endpoint_conn.go
@@ -11,53 +11,54 @@
 	"time"
 )
 
-// maxBody is the largest body that an endpoint reads, in bytes.
+// maxBody is the largest request body that an endpoint reads, in bytes.
 const maxBody = 64 << 20
 
-// The words of the endpoints' protocol that an endpoint acts on by itself.
+// The commands and response codes of the endpoints' protocol that the emulator itself reads or sends.
 const (
-	wordRequest = "ASK"
-	wordCheck   = "NOOP"
-	wordServed  = "ACK"
-	wordLacks   = "NOENT"
-	wordReady   = "READY"
+	commandRequest = "ASK"
+	commandCheck   = "NOOP"
+	codeServed     = "ACK"
+	codeCacheMiss  = "NOENT"
+	codeReady      = "READY"
 )
 
-// errMalformed says that a line is not in the protocol.
+// errMalformed is returned for a line that does not follow the protocol.
 var errMalformed = errors.New("malformed line")
 
-// ReceivedRequest is one line that an endpoint has read: a request (ASK) or a control line (QUIT, NOOP).
+// ReceivedRequest is one line that an endpoint has read: a request (ASK) or a control line (QUIT, NOOP). Word is its
+// command; Fields and Body are those of a request.
 type ReceivedRequest struct {
 	Endpoint, Word, ID string
 	Fields             map[string]string
 	Body               string
-	At                 time.Time
-	Answer             func(word, fields, body string) // may be called from any goroutine, and more than once
+	At                 time.Time                       // when the line was read
+	Answer             func(code, fields, body string) // may be called from any goroutine, and more than once
 	Conn               net.Conn
 }
 
-// serveConn reads one connection's lines until it ends or says what can't be read.
+// serveConn reads and handles the lines of a connection until it ends or a line is malformed.
 func (e *Endpoints) serveConn(id string, conn net.Conn) {
 	reader := bufio.NewReader(conn)
-	var writing sync.Mutex
+	var writeMu sync.Mutex
 	for {
-		line, err := readRequest(reader)
+		line, err := readLine(reader)
 		if err != nil {
 			return
 		}
 		line.Endpoint = id
 		line.Conn = conn
-		line.Answer = func(word, fields, body string) {
-			writing.Lock()
-			defer writing.Unlock()
-			_, _ = fmt.Fprintf(conn, "%s %s %s %d\r\n%s\r\n", line.ID, word, fields, len(body), body)
+		line.Answer = func(code, fields, body string) {
+			writeMu.Lock()
+			defer writeMu.Unlock()
+			_, _ = fmt.Fprintf(conn, "%s %s %s %d\r\n%s\r\n", line.ID, code, fields, len(body), body)
 		}
 		e.handle(line)
 	}
 }
 
-// readRequest reads a line and, of a request, its body.
-func readRequest(reader *bufio.Reader) (*ReceivedRequest, error) {
+// readLine reads a line and, if it is a request, its body.
+func readLine(reader *bufio.Reader) (*ReceivedRequest, error) {
 	text, err := reader.ReadString('\n')
 	if err != nil {
 		return nil, err
@@ -67,7 +68,7 @@
 		return nil, errMalformed
 	}
 	line := &ReceivedRequest{Word: words[0], ID: words[1], Fields: map[string]string{}, At: time.Now()}
-	if line.Word != wordRequest {
+	if line.Word != commandRequest {
 		return line, nil
 	}
 	if len(words) < 4 {
@@ -89,7 +90,8 @@
 	return line, nil
 }
 
-// handle records a line and acts on it.
+// handle records a line or, if OnControlLine has set a callback, passes control lines to that. It answers requests and
+// health checks.
 func (e *Endpoints) handle(line *ReceivedRequest) {
 	e.mu.Lock()
 	respond, ignoreCheck, onControlLine := e.respond, e.ignoreCheck, e.onControlLine
@@ -97,17 +99,17 @@
 		e.record(line)
 	}
 	e.mu.Unlock()
-	if onControlLine != nil && line.Word != wordRequest {
+	if onControlLine != nil && line.Word != commandRequest {
 		onControlLine(line)
 	}
 	switch {
-	case line.Word == wordCheck && (ignoreCheck == nil || !ignoreCheck(line)):
-		line.Answer(wordReady, "-", "")
-	case line.Word != wordRequest:
+	case line.Word == commandCheck && (ignoreCheck == nil || !ignoreCheck(line)):
+		line.Answer(codeReady, "-", "")
+	case line.Word != commandRequest:
 	case respond != nil:
 		go respond(line)
 	default:
-		line.Answer(wordServed, "tag=t1,minted=1,remark=hit", line.Fields["thing"])
+		line.Answer(codeServed, "tag=t1,minted=1,remark=hit", line.Fields["thing"])
 	}
 }
 
--- a/internal/emulator/endpoints.go
+++ b/internal/emulator/endpoints.go
@@ -1,5 +1,6 @@
-// Package emulator plays what a proxy talks to: endpoints, clients, and an authority for certificates. Its parts are
-// written from the protocols' pages, listen on loopback and are scripted: tests, drills and `sloequay try` share them.
+// Package emulator emulates what a proxy talks to: endpoints, clients, and a certificate authority. The emulators are
+// written from the protocols' documentation, listen on loopback, and are scripted by their callers: tests, drills and
+// `sloequay try`.
 package emulator
 
 import (
@@ -7,11 +8,11 @@
 	"sync"
 )
 
-// maxReceived bounds how many lines Received can give; beyond it the oldest half goes.
+// maxReceived is the largest number of lines that are kept for Received; beyond it the oldest half is dropped.
 const maxReceived = 1 << 17
 
-// Endpoints is emulated endpoints: caches, parents and the origin, all alike but for what their responder makes of
-// them.
+// Endpoints is a set of emulated endpoints: caches, parents and origins. They differ only in how the responder answers
+// for each.
 type Endpoints struct {
 	mu            sync.Mutex
 	respond       func(*ReceivedRequest)
@@ -22,8 +23,8 @@
 	conns         map[string]map[net.Conn]bool
 }
 
-// NewEndpoints makes a set without endpoints. The responder is called on a goroutine of its own for each ASK; nil
-// answers a hit with the object's name as the body.
+// NewEndpoints returns an empty set. The responder is called on its own goroutine for each request (ASK); with a nil
+// responder, each request is answered as a hit with the object's name as the body.
 func NewEndpoints(respond func(*ReceivedRequest)) *Endpoints {
 	return &Endpoints{
 		respond:   respond,
@@ -32,29 +33,29 @@
 	}
 }
 
-// SetResponder has the endpoints answer by another responder from now on.
+// SetResponder replaces the responder for the requests that are read from now on.
 func (e *Endpoints) SetResponder(respond func(*ReceivedRequest)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.respond = respond
 }
 
-// IgnoreHealthChecks says which NOOP are not answered; nil: all are.
+// IgnoreHealthChecks sets which health checks (NOOP) are not answered; with nil, all are answered.
 func (e *Endpoints) IgnoreHealthChecks(ignore func(*ReceivedRequest) bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.ignoreCheck = ignore
 }
 
-// OnControlLine has a function called with each line that is no ASK (QUIT, NOOP). With one, nothing is kept for
-// Received.
+// OnControlLine sets a function that is called with each control line (QUIT, NOOP). While one is set, neither requests
+// nor control lines are kept for Received.
 func (e *Endpoints) OnControlLine(callback func(*ReceivedRequest)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.onControlLine = callback
 }
 
-// Add starts an endpoint at an address; port 0 picks one.
+// Add starts an endpoint that listens at an address; with port 0 the system picks the port.
 func (e *Endpoints) Add(id, address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -65,14 +66,15 @@
 	return listener, nil
 }
 
-// Register has an endpoint known by a listener that the caller serves by Serve, so that Kill and Close find it.
+// Register records the listener of an endpoint, so that Kill and Close can close it. The caller passes the listener to
+// Serve.
 func (e *Endpoints) Register(id string, listener net.Listener) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.listeners[id] = listener
 }
 
-// Serve is an endpoint on a listener of the caller's, until that is closed.
+// Serve accepts and serves an endpoint's connections until the listener is closed.
 func (e *Endpoints) Serve(id string, listener net.Listener) {
 	e.mu.Lock()
 	if e.conns[id] == nil {
@@ -97,34 +99,34 @@
 	}
 }
 
-// Kill ends an endpoint as a dying process does: its listener closes and its connections are reset.
+// Kill stops an endpoint as the death of its process would: it closes the listener and resets the connections.
 func (e *Endpoints) Kill(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if listener := e.listeners[id]; listener != nil {
 		_ = listener.Close()
 	}
-	e.reset(id)
+	e.resetConns(id)
 }
 
-// ResetConnections resets the connections of an endpoint, which goes on listening.
+// ResetConnections resets the connections of an endpoint, which keeps listening.
 func (e *Endpoints) ResetConnections(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.reset(id)
+	e.resetConns(id)
 }
 
-// reset resets the connections of an endpoint. The caller holds the lock.
-func (e *Endpoints) reset(id string) {
+// resetConns resets the connections of an endpoint. The caller holds the lock.
+func (e *Endpoints) resetConns(id string) {
 	for conn := range e.conns[id] {
-		if socket, ok := conn.(interface{ SetLinger(seconds int) error }); ok {
-			_ = socket.SetLinger(0)
+		if lingerer, ok := conn.(interface{ SetLinger(seconds int) error }); ok {
+			_ = lingerer.SetLinger(0) // so that Close sends a reset
 		}
 		_ = conn.Close()
 	}
 }
 
-// Close ends all endpoints.
+// Close kills all endpoints that Add or Register has recorded.
 func (e *Endpoints) Close() {
 	e.mu.Lock()
 	ids := make([]string, 0, len(e.listeners))
@@ -137,13 +139,13 @@
 	}
 }
 
-// Received gives what the endpoints have read that fits, in the order of its coming.
-func (e *Endpoints) Received(fits func(*ReceivedRequest) bool) []*ReceivedRequest {
+// Received returns the kept lines that match, in the order in which the endpoints read them.
+func (e *Endpoints) Received(matches func(*ReceivedRequest) bool) []*ReceivedRequest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var list []*ReceivedRequest
 	for _, line := range e.received {
-		if fits(line) {
+		if matches(line) {
 			list = append(list, line)
 		}
 	}
--- a/internal/emulator/settings.go
+++ b/internal/emulator/settings.go
@@ -1,7 +1,8 @@
 package emulator
 
-// Settings are the platform's settings for emulators: a class that is cached until it is purged, one that is cached for
-// 20 s, and keyed writes; the zones hub and edge, of which the proxy is at edge; the classes of endpoints std (caches),
+// Settings is the platform configuration for proxies that use the emulators. Its classes of requests are footage, whose
+// objects are cached until they are purged, lookup, whose objects are cached for 20 s, and charge, whose writes have
+// idempotency keys. The zones are hub and edge, and the proxy is in edge. The classes of endpoints are std (caches),
 // parent and origin.
 const Settings = `{"classes":[
 {"name":"footage","on-time-ms":500,"deadline-ms":6000,"worth":2,"aim-stretch":2,"idempotency":"repeatable"},
--- a/test/harness_identity_test.go
+++ b/test/harness_identity_test.go
@@ -116,7 +116,8 @@
 	bed.cert, bed.key = makeCertificateFiles(bed.t, bed.authority, "server", "proxy.test")
 	bed.tlsAddress = bed.freeAddress()
 	bed.enableIdentity(strings.Join([]string{
-		"tls {", "listen " + bed.tlsAddress, "cert " + bed.cert, "key " + bed.key, "client-ca " + bed.authority.CertFile,
+		"tls {", "listen " + bed.tlsAddress, "cert " + bed.cert, "key " + bed.key,
+		"client-ca " + bed.authority.CertFile,
 		"limit 500ms", "handshakes 4", "}",
 		"tenant controllers {", "right charge lookup front=tls", "certificate *.lanes.test", "}",
 		"tenant terminals {", "right lookup", "certificate t7.staff.test", "}", extra}, "\n"))
