--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -121,7 +121,7 @@
 		if !check.OK {
 			verdict = "NO"
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\n", verdict, check.Invariant.Line, check.Found)
+		fmt.Fprintf(table, "%s\t%s\t%s\n", verdict, check.Invariant.Line, check.Details)
 	}
 	return table.Flush()
 }
--- a/internal/drill/audit.go
+++ b/internal/drill/audit.go
@@ -16,7 +16,7 @@
 type Verdict struct {
 	Invariant Invariant
 	OK        bool
-	Found     string // figures, or the first things that broke it
+	Details   string // figures, or the first things that broke it
 }
 
 // findings collects what breaks an invariant.
--- a/internal/drill/audit_test.go
+++ b/internal/drill/audit_test.go
@@ -42,7 +42,7 @@
 	r := sound()
 	planKill(r)
 	if v := r.judge(Invariant{name: "answers"}); !v.OK {
-		t.Errorf("a request that came 0.7 s after SIGTERM and was open at the kill: %s", v.Found)
+		t.Errorf("a request that came 0.7 s after SIGTERM and was open at the kill: %s", v.Details)
 	}
 }
 
@@ -79,7 +79,7 @@
 			r.Requests[2].EndedAt = c.wasEnded
 		}
 		if v := r.judge(Invariant{name: "answers"}); v.OK != c.excuses {
-			t.Errorf("%s: held %v, want %v: %s", c.name, v.OK, c.excuses, v.Found)
+			t.Errorf("%s: held %v, want %v: %s", c.name, v.OK, c.excuses, v.Details)
 		}
 	}
 }
@@ -88,7 +88,7 @@
 // order, and that no proxy was left to take.
 func TestCrossingWithoutTargetIsExcused(t *testing.T) {
 	for _, refusal := range []ResendRefusal{
-		"", RefusedSentAgain, RefusedTooLate, RefusedAfterClose, RefusedDisorderly, RefusedNoProxy,
+		"", RefusedAlreadyResent, RefusedSentLongBefore, RefusedSentLongAfter, RefusedDisorderlyClose, RefusedNoProxy,
 	} {
 		r := sound()
 		r.Requests[0].Outcome = OutcomeDisconnected
@@ -188,11 +188,11 @@
 		tried[invariant.name] = true
 		r := sound()
 		if v := r.judge(invariant); !v.OK {
-			t.Errorf("%s: does not hold in a sound record: %s", c.hold, v.Found)
+			t.Errorf("%s: does not hold in a sound record: %s", c.hold, v.Details)
 		}
 		c.plant(r)
 		if v := r.judge(invariant); v.OK {
-			t.Errorf("%s: holds though %s: %s", c.hold, c.fault, v.Found)
+			t.Errorf("%s: holds though %s: %s", c.hold, c.fault, v.Details)
 		}
 	}
 	for check := range checkForms {
--- a/internal/drill/client_conn.go
+++ b/internal/drill/client_conn.go
@@ -169,15 +169,15 @@
 	staysForRestarts := c.generator.cluster.Plan.DialAfterTerm > 0
 	switch {
 	case pending.record.Resent:
-		return nil, RefusedSentAgain
+		return nil, RefusedAlreadyResent
 	case closedAt.Sub(pending.sentAt) >= crossingWindow:
-		return nil, RefusedTooLate
+		return nil, RefusedSentLongBefore
 	case pending.sentAt.Sub(closedAt) >= crossingWindow:
-		return nil, RefusedAfterClose
+		return nil, RefusedSentLongAfter
 	case c.proxy.serving() && (errors.Is(err, io.EOF) || staysForRestarts && isOrderlyClose(err)):
 		return c.proxy, ""
 	case !staysForRestarts || !c.proxy.endedByItselfAt(closedAt) || !isOrderlyClose(err):
-		return nil, RefusedDisorderly
+		return nil, RefusedDisorderlyClose
 	}
 	if target = c.generator.otherServingProxy(c.proxy); target == nil {
 		return nil, RefusedNoProxy
--- a/internal/drill/client_conn_test.go
+++ b/internal/drill/client_conn_test.go
@@ -72,9 +72,9 @@
 	}{
 		{name: "it crosses the close, learned of after SIGKILL", beforeClose: soon, want: RefusedNoProxy},
 		{name: "the same, and it comes just after the close", afterClose: soon, want: RefusedNoProxy},
-		{name: "SIGKILL closes the connection", beforeClose: soon, killFirst: true, want: RefusedDisorderly},
-		{name: "the proxy has it when it closes the connection", beforeClose: late, want: RefusedTooLate},
-		{name: "it comes long after the close", afterClose: late, want: RefusedAfterClose},
+		{name: "SIGKILL closes the connection", beforeClose: soon, killFirst: true, want: RefusedDisorderlyClose},
+		{name: "the proxy has it when it closes the connection", beforeClose: late, want: RefusedSentLongBefore},
+		{name: "it comes long after the close", afterClose: late, want: RefusedSentLongAfter},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			listener := newClosingListener(t)
--- a/internal/drill/record.go
+++ b/internal/drill/record.go
@@ -50,11 +50,11 @@
 
 // The refusals.
 const (
-	RefusedSentAgain  ResendRefusal = "it was sent again before"
-	RefusedTooLate    ResendRefusal = "it did not cross the close"
-	RefusedAfterClose ResendRefusal = "it was sent after the close and does not cross it"
-	RefusedDisorderly ResendRefusal = "the close was not in good order"
-	RefusedNoProxy    ResendRefusal = "no other proxy of its zone serves"
+	RefusedAlreadyResent   ResendRefusal = "it was sent again before"
+	RefusedSentLongBefore  ResendRefusal = "it did not cross the close"
+	RefusedSentLongAfter   ResendRefusal = "it was sent after the close and does not cross it"
+	RefusedDisorderlyClose ResendRefusal = "the close was not in good order"
+	RefusedNoProxy         ResendRefusal = "no other proxy of its zone serves"
 )
 
 // Outcome is what became of a request for its client.
--- a/test/drill_test.go
+++ b/test/drill_test.go
@@ -41,9 +41,9 @@
 	t.Helper()
 	for _, check := range result.Checks {
 		if check.OK {
-			t.Logf("held: %s: %s", check.Invariant.Line, check.Found)
+			t.Logf("held: %s: %s", check.Invariant.Line, check.Details)
 		} else {
-			t.Errorf("seed %d, did not hold: %s: %s", seed, check.Invariant.Line, check.Found)
+			t.Errorf("seed %d, did not hold: %s: %s", seed, check.Invariant.Line, check.Details)
 		}
 	}
 }
