--- a/internal/drill/audit.go
+++ b/internal/drill/audit.go
@@ -40,13 +40,13 @@
 	defer c.Record.mu.Unlock()
 	var verdicts []Verdict
 	for _, invariant := range c.Plan.Invariants {
-		verdicts = append(verdicts, c.Record.judge(invariant))
+		verdicts = append(verdicts, c.Record.evaluate(invariant))
 	}
 	return verdicts
 }
 
-// judge checks one invariant.
-func (r *Record) judge(invariant Invariant) Verdict {
+// evaluate checks one invariant.
+func (r *Record) evaluate(invariant Invariant) Verdict {
 	var found findings
 	summary := checkForms[invariant.name].check(r, invariant, &found)
 	if found.count == 0 {
--- a/internal/drill/audit_processes.go
+++ b/internal/drill/audit_processes.go
@@ -12,36 +12,36 @@
 
 // checkReady wants a share of the processes' starts to be ready within the bound.
 func (r *Record) checkReady(invariant Invariant, found *findings) string {
-	var took []time.Duration
+	var readyTimes []time.Duration
 	for _, run := range r.ProcessRuns {
 		switch {
 		case !invariant.covers(run.StartedAt):
 		case run.ReadyAt > 0:
-			took = append(took, run.ReadyAt-run.StartedAt)
+			readyTimes = append(readyTimes, run.ReadyAt-run.StartedAt)
 		case !run.EndRequested:
-			took = append(took, forever)
+			readyTimes = append(readyTimes, forever)
 		}
 	}
-	slices.Sort(took)
-	if len(took) == 0 {
+	slices.Sort(readyTimes)
+	if len(readyTimes) == 0 {
 		found.add("no proxy was started")
 		return ""
 	}
-	rank := int(invariant.share*float64(len(took))+0.999) - 1 // of the last start that is in the share
-	slowest := took[min(len(took)-1, max(0, rank))]
+	rank := int(invariant.share*float64(len(readyTimes))+0.999) - 1 // of the last start that is in the share
+	slowest := readyTimes[min(len(readyTimes)-1, max(0, rank))]
 	if slowest.Seconds() > invariant.bound {
-		found.add("%s for %g of %d starts", describeReady(slowest), invariant.share, len(took))
+		found.add("%s for %g of %d starts", describeReady(slowest), invariant.share, len(readyTimes))
 	}
-	median := took[(len(took)-1)/2]
-	return fmt.Sprintf("half of %d starts within %s, %g within %s", len(took), describeReady(median), invariant.share,
+	median := readyTimes[(len(readyTimes)-1)/2]
+	return fmt.Sprintf("half of %d starts within %s, %g within %s", len(readyTimes), describeReady(median), invariant.share,
 		describeReady(slowest))
 }
 
-func describeReady(took time.Duration) string {
-	if took == forever {
+func describeReady(readyTime time.Duration) string {
+	if readyTime == forever {
 		return "never"
 	}
-	return took.Round(time.Millisecond).String()
+	return readyTime.Round(time.Millisecond).String()
 }
 
 // checkAlive wants no process to end by itself.
--- a/internal/drill/audit_requests.go
+++ b/internal/drill/audit_requests.go
@@ -27,7 +27,7 @@
 			excused++
 		default:
 			found.add("request %s sent at %.3f s to proxy %d: %s; %s", request.ID, request.SentAt.Seconds(),
-				request.Proxy, request.describeEnd(), r.describeRestart(request))
+				request.Proxy, request.describeEnd(), r.describeProcessing(request))
 		}
 	}
 	for range r.UnexpectedAnswers {
@@ -39,8 +39,8 @@
 	return fmt.Sprintf("%d requests, %d of them with a proxy that was ended or stopped", total, excused)
 }
 
-// describeRestart tells of the process that a request went to, and of its attempts.
-func (r *Record) describeRestart(request *Request) string {
+// describeProcessing tells of the process that a request went to, and of its attempts.
+func (r *Record) describeProcessing(request *Request) string {
 	var attempts []*Attempt
 	for _, attempt := range r.Attempts {
 		if attempt.ID == request.ID {
@@ -89,7 +89,7 @@
 			return true
 		}
 	}
-	if r.isShutUnread(request) || request.crossedWithoutTarget() {
+	if r.isClosedUnread(request) || request.crossedWithoutTarget() {
 		return true
 	}
 	for _, run := range r.ProcessRuns {
@@ -106,9 +106,9 @@
 	return r.Outcome == OutcomeDisconnected && r.ResendRefusal == RefusedNoProxy
 }
 
-// isShutUnread reports whether a request was the first on a connection that a proxy full of idle clients closed, and
+// isClosedUnread reports whether a request was the first on a connection that a proxy full of idle clients closed, and
 // went to no endpoint: the standing test allows that new connections are shut unread then.
-func (r *Record) isShutUnread(request *Request) bool {
+func (r *Record) isClosedUnread(request *Request) bool {
 	hasIdleClients := slices.ContainsFunc(r.IdleClients[request.Proxy], func(span Span) bool {
 		return span.overlaps(request.SentAt, request.EndedAt)
 	})
@@ -122,9 +122,9 @@
 	return p.Killed && p.TermAt > 0 && p.KilledAt-p.TermAt >= earliestKill
 }
 
-// stoodStillUntilKill reports whether a request was open in a pause that lasted until the kill and that began before
+// wasPausedUntilKill reports whether a request was open in a pause that lasted until the kill and that began before
 // the request was due: the process could have waited up to then, and from then on it could do nothing.
-func (p *ProcessRun) stoodStillUntilKill(sent, due time.Duration) bool {
+func (p *ProcessRun) wasPausedUntilKill(sent, due time.Duration) bool {
 	return sent <= p.KilledAt && slices.ContainsFunc(p.Pauses, func(pause Span) bool {
 		return pause.From <= due && pause.overlaps(p.KilledAt, p.KilledAt)
 	})
@@ -136,7 +136,7 @@
 func (r *Record) excuses(p *ProcessRun, sent, ended time.Duration) bool {
 	isPlanned := p.isPlannedKill(r.earliestKill)
 	if isPlanned && sent >= p.StartedAt && ended >= p.KilledAt {
-		return sent <= p.TermAt+killGrace || p.stoodStillUntilKill(sent, sent+r.clientLimit+socketSlack)
+		return sent <= p.TermAt+killGrace || p.wasPausedUntilKill(sent, sent+r.clientLimit+socketSlack)
 	}
 	if p.Killed && !isPlanned && p.EndedAt > 0 && p.EndedAt >= sent && p.StartedAt <= sent {
 		return true
--- a/internal/drill/audit_test.go
+++ b/internal/drill/audit_test.go
@@ -11,8 +11,8 @@
 	ms  = time.Millisecond
 )
 
-// sound is a record in which everything holds.
-func sound() *Record {
+// validRecord is a record in which everything holds.
+func validRecord() *Record {
 	r := &Record{Executions: map[string]int{"k1": 1}, clientLimit: 2 * sec}
 	r.ProcessRuns = []*ProcessRun{{Proxy: 0, ReadyAt: sec / 2},
 		{Proxy: 1, ReadyAt: sec, EndedAt: 5 * sec, EndRequested: true, Killed: true}}
@@ -29,8 +29,8 @@
 	return r
 }
 
-// planKill makes a planned kill of the kill in a sound record: what it found open came just in time to be excused.
-func planKill(r *Record) {
+// makeKillPlanned makes a planned kill of the kill in a sound record: what it found open came just in time to be excused.
+func makeKillPlanned(r *Record) {
 	r.earliestKill = 3 * sec
 	run := r.ProcessRuns[1]
 	run.TermAt, run.KilledAt = 2*sec, 5*sec
@@ -39,9 +39,9 @@
 
 // TestPlannedKillExcusesWhatCameEarly: as the protocol has it.
 func TestPlannedKillExcusesWhatCameEarly(t *testing.T) {
-	r := sound()
-	planKill(r)
-	if v := r.judge(Invariant{name: "answers"}); !v.OK {
+	r := validRecord()
+	makeKillPlanned(r)
+	if v := r.evaluate(Invariant{name: "answers"}); !v.OK {
 		t.Errorf("a request that came 0.7 s after SIGTERM and was open at the kill: %s", v.Details)
 	}
 }
@@ -70,15 +70,15 @@
 		{"its connection ended before it", 4600 * ms, 1, Span{4700 * ms, 5100 * ms}, false, 4650 * ms},
 		{"sent after the kill", 5*sec + 1, 1, Span{4700 * ms, 5100 * ms}, false, 5050 * ms},
 	} {
-		r := sound()
-		planKill(r)
+		r := validRecord()
+		makeKillPlanned(r)
 		r.ProcessRuns[1].EndedAt = 5100 * ms
 		r.ProcessRuns[c.proxy].Pauses = []Span{c.pause}
 		r.Requests[2].SentAt = c.sent
 		if c.wasEnded > 0 {
 			r.Requests[2].EndedAt = c.wasEnded
 		}
-		if v := r.judge(Invariant{name: "answers"}); v.OK != c.excuses {
+		if v := r.evaluate(Invariant{name: "answers"}); v.OK != c.excuses {
 			t.Errorf("%s: held %v, want %v: %s", c.name, v.OK, c.excuses, v.Details)
 		}
 	}
@@ -90,10 +90,10 @@
 	for _, refusal := range []ResendRefusal{
 		"", RefusedAlreadyResent, RefusedSentLongBefore, RefusedSentLongAfter, RefusedDisorderlyClose, RefusedNoProxy,
 	} {
-		r := sound()
+		r := validRecord()
 		r.Requests[0].Outcome = OutcomeDisconnected
 		r.Requests[0].ResendRefusal = refusal
-		if got, want := r.judge(Invariant{name: "answers"}).OK, refusal == RefusedNoProxy; got != want {
+		if got, want := r.evaluate(Invariant{name: "answers"}).OK, refusal == RefusedNoProxy; got != want {
 			t.Errorf("disconnected, not sent again as %q: held %v, want %v", refusal, got, want)
 		}
 	}
@@ -104,7 +104,7 @@
 	tried := map[string]bool{}
 	for _, c := range []struct {
 		hold, fault string
-		plant       func(r *Record)
+		inject      func(r *Record)
 	}{
 		{"answers", "two answers", func(r *Record) { r.Requests[0].Answers = 2 }},
 		{"answers", "none, of a proxy that lives", func(r *Record) {
@@ -116,7 +116,7 @@
 		}},
 		{"answers", "a proxy that was told to end", func(r *Record) { r.ProcessRuns[1].Killed = false }},
 		{"answers", "one that came late and a planned kill found open", func(r *Record) {
-			planKill(r)
+			makeKillPlanned(r)
 			r.Requests[2].SentAt = 2*sec + killGrace + time.Millisecond
 		}},
 		{"answers", "a later one on a connection of a proxy full of idle clients", func(r *Record) {
@@ -128,7 +128,7 @@
 			r.Requests[0].Outcome, r.Requests[0].FirstOfConn = OutcomeDisconnected, true
 		}},
 		{"answers", "one whose connection ended before the planned kill", func(r *Record) {
-			planKill(r)
+			makeKillPlanned(r)
 			r.Requests[2].EndedAt = 4 * sec
 		}},
 		{"left 100ms", "sent after its client had canceled", func(r *Record) {
@@ -186,12 +186,12 @@
 			t.Fatal(err)
 		}
 		tried[invariant.name] = true
-		r := sound()
-		if v := r.judge(invariant); !v.OK {
+		r := validRecord()
+		if v := r.evaluate(invariant); !v.OK {
 			t.Errorf("%s: does not hold in a sound record: %s", c.hold, v.Details)
 		}
-		c.plant(r)
-		if v := r.judge(invariant); v.OK {
+		c.inject(r)
+		if v := r.evaluate(invariant); v.OK {
 			t.Errorf("%s: holds though %s: %s", c.hold, c.fault, v.Details)
 		}
 	}
--- a/internal/drill/byzantine.go
+++ b/internal/drill/byzantine.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	byzantineEnd = "liar"
-	// lieInterval is how often the false list is told to everybody.
-	lieInterval = 200 * time.Millisecond
+	byzantineNode = "liar"
+	// advertiseInterval is how often the false list is told to everybody.
+	advertiseInterval = 200 * time.Millisecond
 	// inventedEndpoints is how many endpoints the longest false list has.
 	inventedEndpoints = 20_000
-	// versionLead puts a false list's version far ahead of any true one.
-	versionLead = 40 // bits
+	// versionLeadBits puts a false list's version far ahead of any true one.
+	versionLeadBits = 40 // bits
 	// callbackQueue is how many callbacks of the transport may wait for the peer's loop.
 	callbackQueue = 64
 )
@@ -75,10 +75,10 @@
 }
 
 // add has one join the fleet as a proxy of a zone.
-func (b *byzantinePeers) add(c *Cluster, zone int, lie string) (*byzantinePeer, error) {
+func (b *byzantinePeers) add(c *Cluster, zone int, falseList string) (*byzantinePeer, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	member, err := c.newByzantinePeer(len(b.peers), zone, lie)
+	member, err := c.newByzantinePeer(len(b.peers), zone, falseList)
 	if err != nil {
 		return nil, err
 	}
@@ -104,21 +104,21 @@
 }
 
 // newByzantinePeer has one with a number join the fleet as a proxy of a zone.
-func (c *Cluster) newByzantinePeer(number, zone int, lie string) (*byzantinePeer, error) {
+func (c *Cluster) newByzantinePeer(number, zone int, falseList string) (*byzantinePeer, error) {
 	ip := c.hostAddress(byzantineSubnet, zone-1)
-	c.network.join(ip, byzantineEnd)
+	c.network.join(ip, byzantineNode)
 	listen, err := freeAddress(ip)
 	if err != nil {
 		return nil, err
 	}
 	member := &byzantinePeer{
 		number:    number,
-		endpoints: bootstrap.SortEndpoints(falseLists[lie](c)),
+		endpoints: bootstrap.SortEndpoints(falseLists[falseList](c)),
 		callbacks: make(chan func(), callbackQueue),
 		closed:    make(chan struct{}),
 	}
 	relayIP := c.hostAddress(byzantineRelaySubnet, zone-1)
-	if member.relay, err = c.network.newRelay(byzantineEnd, relayIP, listen); err != nil {
+	if member.relay, err = c.network.newRelay(byzantineNode, relayIP, listen); err != nil {
 		return nil, err
 	}
 	config, err := transport.NewConfig(listen, member.relay.address(), c.keyFile, c.peerSeeds())
@@ -126,7 +126,7 @@
 		return nil, err
 	}
 	identity := transport.Identity{
-		Name:        fmt.Sprint(byzantineEnd, member.number),
+		Name:        fmt.Sprint(byzantineNode, member.number),
 		Zone:        zoneName(zone),
 		Incarnation: rand.Uint64(),
 	}
@@ -141,10 +141,10 @@
 func (p *byzantinePeer) run() {
 	var digest []bootstrap.Advertisement
 	for list := range len(serviceNames) {
-		version := bootstrap.VersionOf(list, uint64(p.number+1)<<versionLead, p.endpoints)
+		version := bootstrap.VersionOf(list, uint64(p.number+1)<<versionLeadBits, p.endpoints)
 		digest = append(digest, bootstrap.Advertisement{ListVersion: version})
 	}
-	tick := time.NewTicker(lieInterval)
+	tick := time.NewTicker(advertiseInterval)
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/drill/catalogue.go
+++ b/internal/drill/catalogue.go
@@ -47,7 +47,7 @@
 	for _, e := range c.endpointOrder {
 		list.endpointChanged(e)
 	}
-	listen := func(address string) (net.Listener, error) { return c.network.listen(listEnd, address) }
+	listen := func(address string) (net.Listener, error) { return c.network.listen(listNode, address) }
 	var err error
 	list.agent, err = list.consul.NewAgentOn("agent", c.listAddress()+":0", listen, list.limitCalls)
 	return list, err
@@ -56,7 +56,7 @@
 // limitCalls notes each call, and answers it as long as the rate bears it.
 func (l *catalogue) limitCalls(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(out http.ResponseWriter, in *http.Request) {
-		l.cluster.recordListCall(l.cluster.network.endNamed(in.RemoteAddr), strings.TrimPrefix(in.URL.Path, apiPrefix))
+		l.cluster.recordListCall(l.cluster.network.nodeAt(in.RemoteAddr), strings.TrimPrefix(in.URL.Path, apiPrefix))
 		if !l.takeToken() {
 			http.Error(out, "rate limit exceeded, try again later", http.StatusTooManyRequests)
 			return
@@ -137,9 +137,9 @@
 		l.agent.SetFault(consul.Empty200, 0)
 	case listIsStale:
 		l.agent.SetFault(consul.StaleBy, fault.age)
-	case listIsLimited:
+	case listIsRateLimited:
 		l.rate = fault.rate
-	case listIsWell:
+	case listIsHealthy:
 		l.rate = l.cluster.Plan.ListRate
 		l.agent.SetFault(consul.None, 0)
 	}
--- a/internal/drill/chart/chart.go
+++ b/internal/drill/chart/chart.go
@@ -21,8 +21,8 @@
 	panelHeight = 5 * vg.Centimeter
 )
 
-// legendRoom is how much longer than its lines a panel is, so that their names have room.
-const legendRoom = 1.15
+// legendMargin is how much longer than its lines a panel is, so that their names have room.
+const legendMargin = 1.15
 
 // colors of the lines, told apart also by those who see no red and green.
 var colors = []color.Color{
@@ -37,13 +37,13 @@
 	canvas := vgsvg.New(panelWidth, panelHeight*vg.Length(len(timeline.Panels)))
 	page := draw.New(canvas)
 	for i, panel := range timeline.Panels {
-		drawn, err := plotPanel(panel)
+		panelPlot, err := plotPanel(panel)
 		if err != nil {
 			return nil, err
 		}
 		top := panelHeight * vg.Length(len(timeline.Panels)-i)
-		place := vg.Rectangle{Min: vg.Point{X: 0, Y: top - panelHeight}, Max: vg.Point{X: panelWidth, Y: top}}
-		drawn.Draw(draw.Canvas{Canvas: page.Canvas, Rectangle: place})
+		bounds := vg.Rectangle{Min: vg.Point{X: 0, Y: top - panelHeight}, Max: vg.Point{X: panelWidth, Y: top}}
+		panelPlot.Draw(draw.Canvas{Canvas: page.Canvas, Rectangle: bounds})
 	}
 	var out bytes.Buffer
 	_, err := canvas.WriteTo(&out)
@@ -52,13 +52,13 @@
 
 // plotPanel plots the lines of one panel.
 func plotPanel(panel drill.Panel) (*plot.Plot, error) {
-	drawn := plot.New()
-	drawn.Title.Text = panel.Title
-	drawn.X.Label.Text = "s"
-	drawn.Y.Min = 0
-	drawn.Legend.Top = true
+	panelPlot := plot.New()
+	panelPlot.Title.Text = panel.Title
+	panelPlot.X.Label.Text = "s"
+	panelPlot.Y.Min = 0
+	panelPlot.Legend.Top = true
 	if seconds := len(panel.Lines[0].Values); seconds > 0 {
-		drawn.X.Max = float64(seconds) * legendRoom
+		panelPlot.X.Max = float64(seconds) * legendMargin
 	}
 	for i, series := range panel.Lines {
 		points := make(plotter.XYs, len(series.Values))
@@ -71,8 +71,8 @@
 			return nil, err
 		}
 		line.Color = colors[i%len(colors)]
-		drawn.Add(line)
-		drawn.Legend.Add(series.Name, line)
+		panelPlot.Add(line)
+		panelPlot.Legend.Add(series.Name, line)
 	}
-	return drawn, nil
+	return panelPlot, nil
 }
--- a/internal/drill/client_conn.go
+++ b/internal/drill/client_conn.go
@@ -18,8 +18,8 @@
 const (
 	// slowReaderPause is what a slow reader waits after each answer.
 	slowReaderPause = 30 * time.Millisecond
-	// maxOpenOfSlowReader is how many requests a slow reader has open.
-	maxOpenOfSlowReader = 4
+	// maxOpenRequestsOfSlowReader is how many requests a slow reader has open.
+	maxOpenRequestsOfSlowReader = 4
 )
 
 // clientConn is a client's connection to a proxy. Its reader ends what is open when it ends.
@@ -142,7 +142,7 @@
 		}
 		c.generator.cluster.Record.update(func() {
 			pending.record.EndError = err.Error()
-			pending.record.ClosedAt = closedAt.Sub(c.generator.cluster.began)
+			pending.record.ClosedAt = closedAt.Sub(c.generator.cluster.startedAt)
 			pending.record.ResendRefusal = refusal
 		})
 		c.generator.recordOutcome(pending, OutcomeDisconnected)
@@ -152,14 +152,16 @@
 // hasRoom reports whether one more request may be sent beside those that are open.
 func (c *clientConn) hasRoom(open int) bool {
 	if c.slow != nil {
-		return open < maxOpenOfSlowReader
+		return open < maxOpenRequestsOfSlowReader
 	}
-	return open < maxOpen
+	return open < maxOpenRequests
 }
 
-// knowsClose reports whether a slow reader's client has had the time to learn from its socket that the connection was
+// hasNoticedClose reports whether a slow reader's client has had the time to learn from its socket that the connection was
 // closed, though the reader has answers left to read. Others learn by reading.
-func (c *clientConn) knowsClose() bool { return c.slow != nil && c.slow.closedFor() >= closeNoticeTime }
+func (c *clientConn) hasNoticedClose() bool {
+	return c.slow != nil && c.slow.closedFor() >= closeNoticeTime
+}
 
 // resendTarget is the proxy to which a request goes again that crossed the close of its connection at a time, and was
 // not sent again yet. Without one it says why.
@@ -174,9 +176,9 @@
 		return nil, RefusedSentLongBefore
 	case pending.sentAt.Sub(closedAt) >= crossingWindow:
 		return nil, RefusedSentLongAfter
-	case c.proxy.serving() && (errors.Is(err, io.EOF) || staysForRestarts && isOrderlyClose(err)):
+	case c.proxy.isServing() && (errors.Is(err, io.EOF) || staysForRestarts && isOrderlyClose(err)):
 		return c.proxy, ""
-	case !staysForRestarts || !c.proxy.endedByItselfAt(closedAt) || !isOrderlyClose(err):
+	case !staysForRestarts || !c.proxy.wasDrainingAt(closedAt) || !isOrderlyClose(err):
 		return nil, RefusedDisorderlyClose
 	}
 	if target = c.generator.otherServingProxy(c.proxy); target == nil {
@@ -204,7 +206,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, pending := range c.open {
-		if time.Since(pending.sentAt) > c.generator.cluster.Plan.ClientLimit+patience {
+		if time.Since(pending.sentAt) > c.generator.cluster.Plan.ClientLimit+answerGrace {
 			delete(c.open, id)
 			c.givenUp[id] = true
 			c.generator.recordOutcome(pending, OutcomeUnanswered)
--- a/internal/drill/client_conn_test.go
+++ b/internal/drill/client_conn_test.go
@@ -47,7 +47,7 @@
 func drainingCluster(address string) (*Cluster, *proxy) {
 	plan := NewPlan()
 	plan.DialAfterTerm = 200 * time.Millisecond
-	c := &Cluster{Plan: plan, Record: newRecord(plan), began: time.Now().Add(-10 * time.Second)}
+	c := &Cluster{Plan: plan, Record: newRecord(plan), startedAt: time.Now().Add(-10 * time.Second)}
 	c.network = newNetwork(1, c.recordConnection, c.recordPeerBytes)
 	c.load = newLoadGenerator(c)
 	run := &ProcessRun{ReadyAt: sec, TermAt: 2 * sec, EndRequested: true}
@@ -79,7 +79,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			listener := newClosingListener(t)
 			cluster, p := drainingCluster(listener.Addr().String())
-			inner, err := cluster.network.dial(clientsEnd, p.name, p.listen)
+			inner, err := cluster.network.dial(clientsNode, p.name, p.listen)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/drill/cluster.go
+++ b/internal/drill/cluster.go
@@ -11,7 +11,7 @@
 	"sloequay/internal/emulator"
 )
 
-// The third bytes of the addresses that a cluster's ends have.
+// The third octets of the IP addresses of a cluster's nodes. Some kinds of nodes use several consecutive subnets.
 const (
 	firstProxySubnet     = 1
 	byzantineRelaySubnet = 48
@@ -22,19 +22,19 @@
 	clientsSubnet        = 202
 )
 
-// Cluster is what a drill plays with: proxies as processes of the program, and in this process the endpoints, the list
-// service, the clients and the network between all of them.
+// Cluster is the environment of one drill: the proxies, each a process of the program, and, within this process, the
+// endpoints, the list service, the clients and the network that connects all of them.
 type Cluster struct {
 	Plan    *Plan
-	Dir     string // the proxies' folders, with their logs
+	Dir     string // holds one folder for each proxy, with its log
 	Program string
 	Record  *Record
 
-	seed    uint64
-	subnet  string // of all addresses: 127.N
-	keyFile string // with the fleet's key
-	began   time.Time
-	network *network
+	seed      uint64
+	subnet    string // the first two octets of all addresses: 127.N
+	keyFile   string // holds the fleet's shared key
+	startedAt time.Time
+	network   *network
 
 	endpoints      map[string]*endpoint
 	endpointOrder  []*endpoint
@@ -47,10 +47,10 @@
 	requestIDs     atomic.Uint64
 }
 
-// clusterCount numbers the clusters of this process, so that their addresses differ.
+// clusterCount numbers the clusters of this process so that their addresses differ.
 var clusterCount atomic.Int32
 
-// New builds a cluster of which nothing runs yet but the emulators. The caller closes it.
+// New builds a cluster and starts the emulators, but no proxy. The caller must close the cluster.
 func New(plan *Plan, program, dir string, seed uint64) (*Cluster, error) {
 	cluster := &Cluster{
 		Plan:      plan,
@@ -59,7 +59,7 @@
 		Record:    newRecord(plan),
 		seed:      seed,
 		subnet:    fmt.Sprintf("127.%d", 80+(os.Getpid()*13+int(clusterCount.Add(1))*29)%150),
-		began:     time.Now(),
+		startedAt: time.Now(),
 		endpoints: map[string]*endpoint{},
 	}
 	cluster.network = newNetwork(seed, cluster.recordConnection, cluster.recordPeerBytes)
@@ -72,26 +72,27 @@
 	return cluster, nil
 }
 
-// now is the time of the drill.
-func (c *Cluster) now() time.Duration { return time.Since(c.began) }
+// now returns the time since the drill started.
+func (c *Cluster) now() time.Duration { return time.Since(c.startedAt) }
 
-// newRand gives the numbers for one use of the drill's seed.
+// newRand returns a random number generator that is derived from the drill's seed and a salt, one for each use.
 func (c *Cluster) newRand(salt uint64) *rand.Rand { return rand.New(rand.NewPCG(c.seed, salt)) }
 
-// hostAddress is the IP address of the end with a number, from 0, in subnets from the first on.
+// hostAddress returns the IP address of the node with a number, counted from 0, in the subnets that begin with
+// firstSubnet.
 func (c *Cluster) hostAddress(firstSubnet, number int) string {
 	return fmt.Sprintf("%s.%d.%d", c.subnet, firstSubnet+number/hostsPerSubnet, 1+number%hostsPerSubnet)
 }
 
-// hostsPerSubnet is how many ends share the third byte of their addresses.
+// hostsPerSubnet is how many nodes share the third octet of their addresses.
 const hostsPerSubnet = 200
 
-// listAddress is the IP address of the list service.
+// listAddress returns the IP address of the list service.
 func (c *Cluster) listAddress() string { return c.hostAddress(listSubnet, 0) }
 
 func (c *Cluster) build() error {
-	c.network.join(c.listAddress(), listEnd)
-	c.network.join(c.hostAddress(clientsSubnet, 0), clientsEnd)
+	c.network.join(c.listAddress(), listNode)
+	c.network.join(c.hostAddress(clientsSubnet, 0), clientsNode)
 	if err := c.buildEndpoints(); err != nil {
 		return err
 	}
@@ -138,12 +139,12 @@
 	return c.addEndpoint("o1", parentZone, classOrigin)
 }
 
-// addEndpoint starts one.
+// addEndpoint adds an endpoint and starts serving it.
 func (c *Cluster) addEndpoint(id, zone, class string) error {
 	e := &endpoint{id: id, zone: zone, class: class, state: listedUp, cached: map[string]bool{}}
 	ip := c.hostAddress(firstEndpointSubnet, len(c.endpointOrder))
-	c.network.join(ip, endpointEnd(id))
-	listener, err := c.network.listen(endpointEnd(id), net.JoinHostPort(ip, "0"))
+	c.network.join(ip, endpointNode(id))
+	listener, err := c.network.listen(endpointNode(id), net.JoinHostPort(ip, "0"))
 	if err != nil {
 		return err
 	}
@@ -158,24 +159,24 @@
 	return nil
 }
 
-// recordConnection notes a connection that an end has accepted.
+// recordConnection records a connection that a node has accepted.
 func (c *Cluster) recordConnection(to string) {
 	connection := Connection{c.now(), to}
 	c.Record.update(func() { c.Record.Connections = append(c.Record.Connections, connection) })
 }
 
-// recordPeerBytes counts what a proxy sends to others.
+// recordPeerBytes counts the bytes that a proxy sends to its peers.
 func (c *Cluster) recordPeerBytes(from string, count int) {
 	c.Record.addPeerBytes(c.now(), from, count)
 }
 
-// recordListCall notes a call to the list service.
+// recordListCall records a call to the list service.
 func (c *Cluster) recordListCall(from, query string) {
 	call := ListCall{At: c.now(), From: from, Query: query}
 	c.Record.update(func() { c.Record.ListCalls = append(c.Record.ListCalls, call) })
 }
 
-// Close ends all that was started.
+// Close stops everything that the cluster has started, including the proxies' processes.
 func (c *Cluster) Close() {
 	if c.load != nil {
 		c.load.close()
--- a/internal/drill/conn.go
+++ b/internal/drill/conn.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// retransmission is what a lost segment costs a TCP stream: the least retransmission time-out of Linux.
-	retransmission = 200 * time.Millisecond
+	// retransmissionTimeout is what a lost segment costs a TCP stream: the least retransmissionTimeout time-out of Linux.
+	retransmissionTimeout = 200 * time.Millisecond
 	// cutPollInterval is how often what waits for a cut link looks whether it may go on.
-	cutPollInterval = 5 * time.Millisecond
-	maxSegment      = 32 << 10 // bytes
-	maxQueued       = 256      // segments that wait for their time in one direction of one connection
+	cutPollInterval   = 5 * time.Millisecond
+	maxSegment        = 32 << 10 // bytes
+	maxQueuedSegments = 256      // segments that wait for their time in one direction of one connection
 )
 
 // linkedConn is a connection whose bytes travel by the links: Read gives those from its far end, Write sends to it.
@@ -41,7 +41,7 @@
 	if c.endedAt.IsZero() {
 		return 0
 	}
-	return max(1, c.endedAt.Sub(c.network.began))
+	return max(1, c.endedAt.Sub(c.network.startedAt))
 }
 
 func (c *linkedConn) recordEnd() {
@@ -52,8 +52,8 @@
 	}
 }
 
-// farEnd names who is at the other side of a connection that the network made.
-func farEnd(conn net.Conn) string { return conn.(*linkedConn).from }
+// remoteNode names who is at the other side of a connection that the network made.
+func remoteNode(conn net.Conn) string { return conn.(*linkedConn).from }
 
 // transmit waits until bytes may go on by a link, and says whether the connection still stands. The time that bytes
 // take counts from when it is called: what comes while one segment waits makes up the next, so that a segment is late
@@ -61,8 +61,8 @@
 func (c *linkedConn) transmit(from, to string, count int) bool {
 	faults := c.network.faults(from, to)
 	wait := c.network.drawDelay(faults)
-	if c.network.happens(faults.loss) {
-		wait += retransmission
+	if c.network.drawBool(faults.loss) {
+		wait += retransmissionTimeout
 	}
 	if faults.bytesPerSecond > 0 {
 		wait += time.Duration(float64(count) / faults.bytesPerSecond * float64(time.Second))
@@ -122,7 +122,7 @@
 		if c.network.faults(c.to, c.from) == (linkFaults{}) {
 			return c.Conn.Write(data)
 		}
-		c.queue = make(chan []byte, maxQueued)
+		c.queue = make(chan []byte, maxQueuedSegments)
 		go c.drainQueue()
 	}
 	select {
--- a/internal/drill/draw.go
+++ b/internal/drill/draw.go
@@ -55,49 +55,49 @@
 
 // drawPlanFault adds one fault. The order of the draws is part of what a seed means.
 func drawPlanFault(rng *rand.Rand, text *planText) {
-	who := func() string {
+	drawSelector := func() string {
 		return drawWord(rng, "plaza:1", "doormans:0.3", "doorman:1", "boxes", "list", "hub", "clients")
 	}
 	at := time.Duration(3000+rng.IntN(7000)) * time.Millisecond
-	lasting := time.Duration(500+rng.IntN(2500)) * time.Millisecond
+	faultDuration := time.Duration(500+rng.IntN(2500)) * time.Millisecond
 	switch rng.IntN(planFaultKinds) {
 	case 0:
-		text.line("at %v cut %s doormans for %v", at, who(), lasting)
+		text.line("at %v cut %s doormans for %v", at, drawSelector(), faultDuration)
 	case 1:
-		text.line("at %v cut doormans:0.4 %s one-way for %v", at, who(), lasting)
+		text.line("at %v cut doormans:0.4 %s one-way for %v", at, drawSelector(), faultDuration)
 	case 2:
-		text.line("at %v delay doormans boxes %dms %dms for %v", at, 5+rng.IntN(60), 1+rng.IntN(60), lasting)
+		text.line("at %v delay doormans boxes %dms %dms for %v", at, 5+rng.IntN(60), 1+rng.IntN(60), faultDuration)
 	case 3:
 		text.line("at %v reset doormans boxes", at)
 	case 4:
-		text.line("at %v stop doorman:0 for %v", at, lasting)
+		text.line("at %v stop doorman:0 for %v", at, faultDuration)
 	case 5:
-		text.line("at %v kill doormans:0.3\nat %v start doormans:0.3", at, at+lasting)
+		text.line("at %v kill doormans:0.3\nat %v start doormans:0.3", at, at+faultDuration)
 	case 6:
-		text.line("at %v die box:c1-1 for %v", at, lasting)
+		text.line("at %v die box:c1-1 for %v", at, faultDuration)
 	case 7:
-		text.line("at %v drain box:c1-2 for %v", at, lasting)
+		text.line("at %v drain box:c1-2 for %v", at, faultDuration)
 	case 8:
-		text.line("at %v list %s for %v", at, drawWord(rng, "hang", "refuse"), lasting)
+		text.line("at %v list %s for %v", at, drawWord(rng, "hang", "refuse"), faultDuration)
 	}
 }
 
 // DrawSoak draws a plan at random in which two or three faults overlap at any time: processes that stop, end, are
 // killed, start and read their files anew, endpoints that drain, go down and are reset, a list service that fails,
 // clients that cancel.
-func DrawSoak(seed uint64, lasts time.Duration) (*Plan, error) {
+func DrawSoak(seed uint64, duration time.Duration) (*Plan, error) {
 	rng := rand.New(rand.NewPCG(seed, soakStream))
 	text := &planText{}
 	text.line("# drawn for a soak by the seed %d", seed)
 	text.line("doormans %d\nplazas 2\ncaches 3\ntrunks 2", soakProxies)
 	text.line("rate %d/s\nobjects %d\ncharges %.2f\nleaves %.2f\nlasts %v", 10+rng.IntN(20), 50+rng.IntN(300),
-		rng.Float64()*0.2, 0.1+rng.Float64()*0.3, lasts)
+		rng.Float64()*0.2, 0.1+rng.Float64()*0.3, duration)
 	text.line("list %s", drawWord(rng, listWatchService, catalogueService))
 	if rng.IntN(2) == 0 {
 		text.line("at 0s clock doormans:0.4 %v", time.Duration(rng.IntN(7200)-3600)*time.Second)
 	}
 	text.line("at 0s start doormans")
-	for at := 2 * time.Second; at < lasts-5*time.Second; {
+	for at := 2 * time.Second; at < duration-5*time.Second; {
 		at += time.Duration(rng.IntN(700)) * time.Millisecond
 		drawSoakFault(rng, text, at)
 	}
@@ -110,28 +110,28 @@
 
 // drawSoakFault adds one fault that begins at a time. The order of the draws is part of what a seed means.
 func drawSoakFault(rng *rand.Rand, text *planText, at time.Duration) {
-	lasting := time.Duration(200+rng.IntN(1800)) * time.Millisecond
+	faultDuration := time.Duration(200+rng.IntN(1800)) * time.Millisecond
 	proxy := rng.IntN(soakProxies)
 	cache := fmt.Sprintf("box:c%d-%d", 1+rng.IntN(2), 1+rng.IntN(3))
 	switch rng.IntN(soakFaultKinds) {
 	case 0:
-		text.line("at %v stop doorman:%d for %v", at, proxy, lasting)
+		text.line("at %v stop doorman:%d for %v", at, proxy, faultDuration)
 	case 1:
-		text.line("at %v kill doorman:%d\nat %v start doorman:%d", at, proxy, at+lasting/2, proxy)
+		text.line("at %v kill doorman:%d\nat %v start doorman:%d", at, proxy, at+faultDuration/2, proxy)
 	case 2:
-		text.line("at %v term doorman:%d\nat %v start doorman:%d", at, proxy, at+lasting+2*time.Second, proxy)
+		text.line("at %v term doorman:%d\nat %v start doorman:%d", at, proxy, at+faultDuration+2*time.Second, proxy)
 	case 3:
 		text.line("at %v hup doormans:0.5\nat %v hup doormans", at, at+50*time.Millisecond)
 	case 4:
 		text.line("at %v reset doormans boxes", at)
 	case 5:
-		text.line("at %v die %s for %v", at, cache, lasting)
+		text.line("at %v die %s for %v", at, cache, faultDuration)
 	case 6:
-		text.line("at %v drain %s for %v", at, cache, lasting)
+		text.line("at %v drain %s for %v", at, cache, faultDuration)
 	case 7:
-		text.line("at %v list %s for %v", at, drawWord(rng, "hang", "refuse"), lasting)
+		text.line("at %v list %s for %v", at, drawWord(rng, "hang", "refuse"), faultDuration)
 	case 8:
-		text.line("at %v refuse doormans %s for %v", at, cache, lasting)
+		text.line("at %v refuse doormans %s for %v", at, cache, faultDuration)
 	}
 }
 
--- a/internal/drill/endpoint.go
+++ b/internal/drill/endpoint.go
@@ -95,9 +95,9 @@
 	return sum > plan.OverloadFactor*capacity*plan.Weight*plan.OverloadWindow.Seconds()
 }
 
-// begin has an endpoint do its part of a request, and gives how long that takes; not ok: it is down or
+// beginWork has an endpoint do its part of a request, and gives how long that takes; not ok: it is down or
 // hangs. After ok the caller calls finish.
-func (c *Cluster) begin(e *endpoint, cost float64) (took time.Duration, ok bool) {
+func (c *Cluster) beginWork(e *endpoint, cost float64) (serviceTime time.Duration, ok bool) {
 	e.mu.Lock()
 	if e.hangs || time.Now().Before(e.downUntil) {
 		e.mu.Unlock()
@@ -116,7 +116,7 @@
 	return time.Duration(cost * slowdown * float64(time.Second)), true
 }
 
-func (e *endpoint) finish() {
+func (e *endpoint) finishWork() {
 	e.mu.Lock()
 	e.inFlight--
 	e.mu.Unlock()
--- a/internal/drill/exchange.go
+++ b/internal/drill/exchange.go
@@ -24,21 +24,21 @@
 
 // The fields and words of the endpoints' protocol that the emulated endpoints go by.
 const (
-	fieldRequest   = "replay" // the key of a keyed request
-	fieldClass     = "profile"
-	fieldObject    = "thing"
-	fieldPart      = "nth"
-	fieldSource    = "via"
-	fieldOptions   = "opts"
-	fieldTier      = "tier" // 0 or none: the object is not to be cached
-	fieldTimeout   = "max"  // milliseconds
-	optionHaveOnly = "have-only"
-	optionThrough  = "through" // the source does not cache what it fetches
-	wordRequest    = "ASK"
-	wordCancel     = "QUIT"
-	wordServed     = "ACK"
-	wordLacks      = "NOENT"
-	wordFailed     = "EIO"
+	fieldIdempotencyKey = "replay" // the key of a keyed request
+	fieldClass          = "profile"
+	fieldObject         = "thing"
+	fieldPart           = "nth"
+	fieldSource         = "via"
+	fieldOptions        = "opts"
+	fieldCacheRank      = "tier" // 0 or none: the object is not to be cached
+	fieldTimeout        = "max"  // milliseconds
+	optionCachedOnly    = "have-only"
+	optionBypassParent  = "through" // the source does not cache what it fetches
+	wordRequest         = "ASK"
+	wordCancel          = "QUIT"
+	wordServed          = "ACK"
+	wordCacheMiss       = "NOENT"
+	wordFailed          = "EIO"
 )
 
 // exchange is one attempt at one endpoint.
@@ -57,20 +57,20 @@
 		received: received,
 		attempt:  c.recordAttempt(received),
 	}
-	took, ok := c.begin(x.endpoint, x.cost())
+	serviceTime, ok := c.beginWork(x.endpoint, x.cost())
 	if !ok {
 		return
 	}
-	defer x.endpoint.finish()
+	defer x.endpoint.finishWork()
 	object := received.Fields[fieldObject] + "." + received.Fields[fieldPart]
 	switch {
 	case x.attempt.Class == chargeClass:
-		x.serveCharge(took)
+		x.serveCharge(serviceTime)
 	case x.endpoint.has(object):
-		time.Sleep(took)
+		time.Sleep(serviceTime)
 		x.answerServed("remark=hit")
 	default:
-		x.fill(object, took)
+		x.fill(object, serviceTime)
 	}
 }
 
@@ -79,11 +79,11 @@
 	conn, _ := received.Conn.(*linkedConn)
 	attempt := &Attempt{
 		ID:         received.ID,
-		Key:        received.Fields[fieldRequest],
+		Key:        received.Fields[fieldIdempotencyKey],
 		Class:      received.Fields[fieldClass],
 		Endpoint:   received.Endpoint,
-		From:       unknownEnd,
-		ReceivedAt: received.At.Sub(c.began),
+		From:       unknownNode,
+		ReceivedAt: received.At.Sub(c.startedAt),
 		conn:       conn,
 	}
 	if conn != nil {
@@ -134,10 +134,10 @@
 }
 
 // serveCharge runs a keyed request. A cache lacks it unless it is told to pass it to the origin.
-func (x *exchange) serveCharge(took time.Duration) {
-	time.Sleep(took)
+func (x *exchange) serveCharge(serviceTime time.Duration) {
+	time.Sleep(serviceTime)
 	if x.endpoint.class != classOrigin && x.received.Fields[fieldSource] == "" {
-		x.answer(wordLacks, "-")
+		x.answer(wordCacheMiss, "-")
 		return
 	}
 	x.cluster.Record.addExecution(x.attempt.Key)
@@ -145,10 +145,10 @@
 }
 
 // fill answers with an object that the endpoint fetches from the source that the request names.
-func (x *exchange) fill(object string, took time.Duration) {
+func (x *exchange) fill(object string, serviceTime time.Duration) {
 	source := x.cluster.endpoints[x.received.Fields[fieldSource]]
 	if source == nil || source == x.endpoint {
-		x.answer(wordLacks, "-")
+		x.answer(wordCacheMiss, "-")
 		return
 	}
 	if x.isCutFrom(source) {
@@ -159,54 +159,54 @@
 	remark := "filled"
 	switch source.class {
 	case classParent:
-		fetchTook, finish, ok := x.fetchFromParent(source, object)
+		fetchTime, finish, ok := x.fetchFromParent(source, object)
 		if !ok {
 			return
 		}
 		defer finish()
-		took += fetchTook
+		serviceTime += fetchTime
 	case classOrigin:
 		remark = "via_origin"
-		took += sourceDelay
+		serviceTime += sourceDelay
 	default:
-		took += sourceDelay
+		serviceTime += sourceDelay
 	}
-	time.Sleep(took)
-	if tier := x.received.Fields[fieldTier]; tier != "" && tier != "0" {
+	time.Sleep(serviceTime)
+	if tier := x.received.Fields[fieldCacheRank]; tier != "" && tier != "0" {
 		x.endpoint.cache(object)
 	}
-	x.answerServed("remark="+remark, fmt.Sprintf("lag=%d", took.Milliseconds()))
+	x.answerServed("remark="+remark, fmt.Sprintf("lag=%d", serviceTime.Milliseconds()))
 }
 
 // isCutFrom reports whether a link between the endpoint and a source is cut, either way.
 func (x *exchange) isCutFrom(source *endpoint) bool {
-	own, other := endpointEnd(x.endpoint.id), endpointEnd(source.id)
+	own, other := endpointNode(x.endpoint.id), endpointNode(source.id)
 	to, from := x.cluster.network.faults(own, other), x.cluster.network.faults(other, own)
 	return to.cut || from.cut
 }
 
 // fetchFromParent has a parent do its part, which fetches from the origin what it lacks. Not ok: the attempt is
 // answered. After ok the caller calls finish once the attempt is answered.
-func (x *exchange) fetchFromParent(parent *endpoint, object string) (took time.Duration, finish func(), ok bool) {
+func (x *exchange) fetchFromParent(parent *endpoint, object string) (fetchTime time.Duration, finish func(), ok bool) {
 	options := x.received.Fields[fieldOptions]
 	isHit := parent.has(object)
-	if !isHit && strings.Contains(options, optionHaveOnly) {
-		x.answer(wordLacks, "remark=src_lacks")
+	if !isHit && strings.Contains(options, optionCachedOnly) {
+		x.answer(wordCacheMiss, "remark=src_lacks")
 		return 0, nil, false
 	}
-	took, ok = x.cluster.begin(parent, x.cost())
+	fetchTime, ok = x.cluster.beginWork(parent, x.cost())
 	if !ok {
 		x.answer(wordFailed, "remark=src_broke")
 		return 0, nil, false
 	}
 	if isHit {
-		return took, parent.finish, true
+		return fetchTime, parent.finishWork, true
 	}
 	finish = func() {
-		if !strings.Contains(options, optionThrough) {
+		if !strings.Contains(options, optionBypassParent) {
 			parent.cache(object)
 		}
-		parent.finish()
+		parent.finishWork()
 	}
-	return took + sourceDelay, finish, true
+	return fetchTime + sourceDelay, finish, true
 }
--- a/internal/drill/idle_clients.go
+++ b/internal/drill/idle_clients.go
@@ -20,8 +20,8 @@
 
 // idleClientsAction has idle clients fill the places of proxies until it is over.
 type idleClientsAction struct {
-	who   string
-	count int // at each proxy
+	selector string
+	count    int // at each proxy
 }
 
 func parseIdleClients(words []string) (action, error) {
@@ -30,7 +30,7 @@
 }
 
 func (a idleClientsAction) prepare(c *Cluster, step Step) (operation, error) {
-	proxies, err := c.selectProxies(a.who)
+	proxies, err := c.selectProxies(a.selector)
 	if err != nil {
 		return operation{}, err
 	}
@@ -65,7 +65,7 @@
 		c.running.Add(1)
 		go func() {
 			defer c.running.Done()
-			c.occupy(to, firstBytes(number))
+			c.keepConnected(to, firstBytes(number))
 		}()
 	}
 }
@@ -85,11 +85,11 @@
 	c.running.Wait()
 }
 
-// occupy keeps one place of a proxy taken by a client that sends some bytes and rests.
-func (c *idleClients) occupy(to *proxy, sent []byte) {
+// keepConnected keeps one place of a proxy taken by a client that sends some bytes and rests.
+func (c *idleClients) keepConnected(to *proxy, sent []byte) {
 	for {
 		if to.mayDial() {
-			c.stay(to, sent)
+			c.connectOnce(to, sent)
 		}
 		select {
 		case <-c.stop:
@@ -99,9 +99,9 @@
 	}
 }
 
-// stay connects once and rests until either side closes.
-func (c *idleClients) stay(to *proxy, sent []byte) {
-	conn, err := c.cluster.network.dial(clientsEnd, to.name, to.listen)
+// connectOnce connects once and rests until either side closes.
+func (c *idleClients) connectOnce(to *proxy, sent []byte) {
+	conn, err := c.cluster.network.dial(clientsNode, to.name, to.listen)
 	if err != nil {
 		return
 	}
--- a/internal/drill/listwatch.go
+++ b/internal/drill/listwatch.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// listHeartbeat is how often each connection is told the newest event's number.
+	// listHeartbeat is the interval at which each connection is sent the number of the newest event.
 	listHeartbeat = time.Second
-	// maxAddedAtOnce bounds the endpoints of one event, whose line a proxy has to take whole.
-	maxAddedAtOnce = 4000
+	// maxEndpointsPerEvent bounds the endpoints in one event, because a proxy must be able to read its line whole.
+	maxEndpointsPerEvent = 4000
 )
 
-// listWatch is the list service as the platform has it: numbered watch events, one JSON object a line.
+// listWatch is the platform's list service: numbered watch events, one JSON object per line.
 type listWatch struct {
 	cluster  *Cluster
 	listener net.Listener
@@ -24,11 +24,11 @@
 
 	mu     sync.Mutex
 	events []string
-	sent   map[net.Conn]*int // how many events each connection was sent
+	sent   map[net.Conn]*int // how many events each connection has been sent
 	fault  listFaultKind
 }
 
-// hostEntry is an endpoint in an event.
+// hostEntry is one endpoint in an event.
 type hostEntry struct {
 	Block     int         `json:"block"`
 	StartedMs int64       `json:"born_ms"` // Unix time; 0: long ago
@@ -46,7 +46,7 @@
 	List   endpointList `json:"roster"`
 }
 
-// endpointList is the list in an event: all of it, or what has changed.
+// endpointList is the list in an event: the complete list, or only the entries that have changed.
 type endpointList struct {
 	Hosts    []hostEntry `json:"hosts"`
 	Sequence int         `json:"seq"`
@@ -54,10 +54,10 @@
 }
 
 func newListWatch(c *Cluster) (listService, error) {
-	list := &listWatch{cluster: c, sent: map[net.Conn]*int{}, closed: make(chan struct{}), fault: listIsWell}
+	list := &listWatch{cluster: c, sent: map[net.Conn]*int{}, closed: make(chan struct{}), fault: listIsHealthy}
 	list.events = append(list.events, completeList(1, list.entries(c.endpointOrder)))
 	var err error
-	if list.listener, err = c.network.listen(listEnd, c.listAddress()+":0"); err != nil {
+	if list.listener, err = c.network.listen(listNode, c.listAddress()+":0"); err != nil {
 		return nil, err
 	}
 	go list.accept()
@@ -78,7 +78,7 @@
 	}
 }
 
-// entries puts endpoints in the form of an event.
+// entries converts endpoints to the entries of an event.
 func (l *listWatch) entries(endpoints []*endpoint) []hostEntry {
 	entries := make([]hostEntry, 0, len(endpoints))
 	for _, e := range endpoints {
@@ -100,18 +100,18 @@
 	return entries
 }
 
-// completeList is the event with a whole list.
+// completeList encodes an event with a complete list.
 func completeList(number int, entries []hostEntry) string {
 	return encodeEvent(listEvent{number, endpointList{Hosts: entries, Sequence: number, Complete: true}})
 }
 
-// listChange is the event with some entries that have changed.
+// listChange encodes an event with only the entries that have changed.
 func listChange(number int, entries []hostEntry) string {
 	return encodeEvent(listEvent{number, endpointList{Hosts: entries, Sequence: number}})
 }
 
 func encodeEvent(event listEvent) string {
-	text, _ := json.Marshal(event) // it has no value that can't be encoded
+	text, _ := json.Marshal(event) // all of its values can be encoded
 	return string(text)
 }
 
@@ -121,13 +121,13 @@
 		if err != nil {
 			return
 		}
-		l.cluster.recordListCall(farEnd(conn), "watch")
-		go l.admit(conn)
+		l.cluster.recordListCall(remoteNode(conn), "watch")
+		go l.subscribe(conn)
 	}
 }
 
-// admit reads after which event a connection begins, and sends it what is newer.
-func (l *listWatch) admit(conn net.Conn) {
+// subscribe reads the number of the last event that the client has, and sends the connection the later ones.
+func (l *listWatch) subscribe(conn net.Conn) {
 	var after int
 	if _, err := fmt.Fscanf(conn, "after %d\n", &after); err != nil {
 		_ = conn.Close()
@@ -143,7 +143,8 @@
 	l.sendEvents(nil)
 }
 
-// sendEvents writes to each connection what it has not been sent, and then what appendMore adds, if it is not nil.
+// sendEvents writes to each connection the events that it has not been sent, followed by what appendMore adds, if it is
+// not nil.
 func (l *listWatch) sendEvents(appendMore func(out *strings.Builder)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -168,7 +169,7 @@
 	}
 }
 
-// publish adds an event, which is made with its number, and sends it.
+// publish appends the event that newEvent makes with the next number, and sends it.
 func (l *listWatch) publish(newEvent func(number int) string) {
 	l.mu.Lock()
 	l.events = append(l.events, newEvent(len(l.events)+1))
@@ -182,7 +183,7 @@
 
 func (l *listWatch) addEndpoints(count int, address string) {
 	entries := make([]hostEntry, 0, count)
-	for i := range min(count, maxAddedAtOnce) {
+	for i := range min(count, maxEndpointsPerEvent) {
 		entries = append(entries, hostEntry{
 			Class:   classCache,
 			Address: address,
@@ -208,7 +209,7 @@
 	switch fault.kind {
 	case listIsEmpty:
 		l.publish(func(number int) string { return completeList(number, []hostEntry{}) })
-	case listIsWell:
+	case listIsHealthy:
 		l.publish(func(number int) string { return completeList(number, l.entries(l.cluster.endpointOrder)) })
 	}
 }
--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// maxOpen is how many requests a connection carries, of 32 that the protocol allows.
-	maxOpen = 24
+	// maxOpenRequests is how many requests a connection carries, of 32 that the protocol allows.
+	maxOpenRequests = 24
 	// crossingWindow is how long after its sending a request that meets the close of its connection is sent again once,
 	// as the protocol has it.
 	crossingWindow = 50 * time.Millisecond
 	// closeNoticeTime is how long a client goes on by a connection whose close its socket has: what it sends so late
 	// crosses the close still.
 	closeNoticeTime = crossingWindow / 2
-	// patience is how long after its limit an answer may still come, for what the machine itself is late.
-	patience = 2 * time.Second
+	// answerGrace is how long after its limit an answer may still come, for what the machine itself is late.
+	answerGrace = 2 * time.Second
 	// maxCancelDelay is how long after its request a client that cancels does so at the latest.
 	maxCancelDelay = 120 * time.Millisecond
 	// zoneSalt is added to a zone's number for the draws of its clients.
@@ -101,7 +101,7 @@
 func (g *loadGenerator) targets(proxies []*proxy) []*proxy {
 	var targets []*proxy
 	for _, p := range proxies {
-		if p.mayDial() || p.drains() && g.isConnected(p) {
+		if p.mayDial() || p.isDraining() && g.isConnected(p) {
 			targets = append(targets, p)
 		}
 	}
@@ -128,7 +128,7 @@
 func servingProxies(proxies []*proxy) []*proxy {
 	var serving []*proxy
 	for _, p := range proxies {
-		if p.serving() {
+		if p.isServing() {
 			serving = append(serving, p)
 		}
 	}
@@ -231,10 +231,10 @@
 	if shared != nil && !pending.ownsConn() && !pending.record.Resent {
 		return shared, nil
 	}
-	if to.drains() && !to.mayDial() {
+	if to.isDraining() && !to.mayDial() {
 		return nil, errNoConnection
 	}
-	inner, err := g.cluster.network.dial(clientsEnd, to.name, to.listen)
+	inner, err := g.cluster.network.dial(clientsNode, to.name, to.listen)
 	if err != nil {
 		return nil, err
 	}
@@ -259,7 +259,7 @@
 			continue
 		}
 		alive = append(alive, conn)
-		if conn.hasRoom(open) && !conn.exclusive && !conn.knowsClose() {
+		if conn.hasRoom(open) && !conn.exclusive && !conn.hasNoticedClose() {
 			shared = conn
 		}
 	}
@@ -281,7 +281,7 @@
 func (g *loadGenerator) finish() {
 	close(g.stop)
 	g.senders.Wait()
-	deadline := time.Now().Add(g.cluster.Plan.ClientLimit + 2*patience)
+	deadline := time.Now().Add(g.cluster.Plan.ClientLimit + 2*answerGrace)
 	for g.openRequests() > 0 && time.Now().Before(deadline) {
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/internal/drill/network.go
+++ b/internal/drill/network.go
@@ -22,7 +22,7 @@
 
 // linkRule has faults for all pairs between two sets of ends. Later rules go first.
 type linkRule struct {
-	from, to ends
+	from, to nodeSet
 	faults   linkFaults
 }
 
@@ -32,13 +32,13 @@
 // What it can't play, as it runs over sound loopback sockets: a dial over a cut link succeeds and then hears nothing,
 // where on a real network it would time out; a refusal is a reset right after the connection was made.
 type network struct {
-	mu    sync.Mutex
-	names map[netip.Addr]string
-	rules []*linkRule
-	cache map[[2]string]linkFaults // cleared when a rule comes or goes
-	conns map[*linkedConn]bool
-	rng   *rand.Rand
-	began time.Time // of the drill
+	mu        sync.Mutex
+	names     map[netip.Addr]string
+	rules     []*linkRule
+	cache     map[[2]string]linkFaults // cleared when a rule comes or goes
+	conns     map[*linkedConn]bool
+	rng       *rand.Rand
+	startedAt time.Time // of the drill
 
 	onConnection func(to string)              // an end has accepted one
 	onPeerBytes  func(from string, count int) // what a proxy sends to others
@@ -57,34 +57,34 @@
 }
 
 // join gives an address its end's name.
-func (n *network) join(address, end string) {
+func (n *network) join(address, node string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.names[netip.MustParseAddr(address)] = end
+	n.names[netip.MustParseAddr(address)] = node
 }
 
-// endOf names the end that an address is of.
-func (n *network) endOf(address net.Addr) string { return n.endNamed(address.String()) }
+// nodeOf names the end that an address is of.
+func (n *network) nodeOf(address net.Addr) string { return n.nodeAt(address.String()) }
 
-// endNamed names the end that an address, as text, is of.
-func (n *network) endNamed(address string) string {
+// nodeAt names the end that an address, as text, is of.
+func (n *network) nodeAt(address string) string {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return unknownEnd
+		return unknownNode
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if end := n.names[parsed.Addr().Unmap()]; end != "" {
-		return end
+	if node := n.names[parsed.Addr().Unmap()]; node != "" {
+		return node
 	}
-	return unknownEnd
+	return unknownNode
 }
 
-// unknownEnd stands for an address that has not joined.
-const unknownEnd = "?"
+// unknownNode stands for an address that has not joined.
+const unknownNode = "?"
 
 // setFaults puts faults in force, and returns what lifts them.
-func (n *network) setFaults(from, to ends, faults linkFaults) (lift func()) {
+func (n *network) setFaults(from, to nodeSet, faults linkFaults) (remove func()) {
 	rule := &linkRule{from, to, faults}
 	n.mu.Lock()
 	n.rules = append(n.rules, rule)
@@ -123,16 +123,16 @@
 }
 
 // resetConnections resets the connections that stand between two sets of ends, whoever dialed.
-func (n *network) resetConnections(a, b ends) {
+func (n *network) resetConnections(from, to nodeSet) {
 	n.mu.Lock()
-	var hit []*linkedConn
+	var matching []*linkedConn
 	for conn := range n.conns {
-		if a[conn.from] && b[conn.to] || a[conn.to] && b[conn.from] {
-			hit = append(hit, conn)
+		if from[conn.from] && to[conn.to] || from[conn.to] && to[conn.from] {
+			matching = append(matching, conn)
 		}
 	}
 	n.mu.Unlock()
-	for _, conn := range hit {
+	for _, conn := range matching {
 		resetConn(conn.Conn)
 		_ = conn.Close()
 	}
@@ -146,8 +146,8 @@
 	_ = conn.Close()
 }
 
-// happens draws whether something of a probability happens.
-func (n *network) happens(probability float64) bool {
+// drawBool draws whether something of a probability drawBool.
+func (n *network) drawBool(probability float64) bool {
 	if probability <= 0 {
 		return false
 	}
@@ -168,12 +168,12 @@
 }
 
 // listen listens for an end that lives in this process. The connections that it accepts have the links' faults.
-func (n *network) listen(end, address string) (net.Listener, error) {
+func (n *network) listen(node, address string) (net.Listener, error) {
 	inner, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return &linkedListener{inner, n, end}, nil
+	return &linkedListener{inner, n, node}, nil
 }
 
 // dial connects an end of this process to one that listens by itself.
@@ -197,7 +197,7 @@
 type linkedListener struct {
 	net.Listener
 	network *network
-	end     string
+	node    string
 }
 
 // Accept gives the next connection that the links let in.
@@ -207,12 +207,12 @@
 		if err != nil {
 			return nil, err
 		}
-		from := l.network.endOf(conn.RemoteAddr())
-		l.network.onConnection(l.end)
-		if l.network.faults(from, l.end).refuse {
+		from := l.network.nodeOf(conn.RemoteAddr())
+		l.network.onConnection(l.node)
+		if l.network.faults(from, l.node).refuse {
 			resetConn(conn)
 			continue
 		}
-		return l.network.wrap(conn, from, l.end), nil
+		return l.network.wrap(conn, from, l.node), nil
 	}
 }
--- a/internal/drill/plan.go
+++ b/internal/drill/plan.go
@@ -1,6 +1,7 @@
-// Package drill plays fault drills: it starts many processes of the built program, each with an address and a folder of
-// its own, beside emulators of endpoints, list service and clients; it puts faults between them by a plan, and checks
-// what all of them recorded. Everything runs on loopback, bounded in count and time, and all that is started is ended.
+// Package drill runs fault drills. A drill starts many processes of the built program, each with its own address and
+// folder, together with emulators of the endpoints, the list service and the clients. It injects faults between them
+// according to a plan and checks what all of them recorded. Everything runs on loopback, is bounded in count and time,
+// and is stopped at the end.
 package drill
 
 import (
@@ -13,47 +14,48 @@
 	"sloequay/internal/config"
 )
 
-// The list services that a plan can name.
+// The list services that a plan can select.
 const (
 	listWatchService = "bulletin"
 	catalogueService = "catalogue"
 )
 
-// Plan is a drill: a cluster, a time line of faults, and what must hold. It is written in the line-based form of our
-// settings, in which proxies are `doormans`, zones `plazas`, parents `trunks` and endpoints `boxes`.
+// Plan describes a drill: the cluster, the schedule of faults and the invariants that must hold. Its text has the
+// line-based format of the proxy's settings, in which proxies are `doormans`, zones `plazas`, parents `trunks` and
+// endpoints `boxes`.
 type Plan struct {
 	File string
-	Text string // of a drawn plan, so that it can be saved
+	Text string // of a randomly drawn plan, so that it can be saved; empty for other plans
 
-	Proxies         int // unless the command says otherwise
-	Zones           int // of caches; proxies are spread over them evenly
-	Caches          int // of each zone
+	Proxies         int // the drill command can override it
+	Zones           int // zones with caches; the proxies are distributed over them evenly
+	Caches          int // in each zone
 	Parents         int
-	Weight          float64 // of each endpoint: answers at full pace together
+	Weight          float64 // of each endpoint: how many responses it sends concurrently at full rate
 	Duration        time.Duration
-	RequestRate     float64 // requests a second to each proxy
+	RequestRate     float64 // requests per second to each proxy
 	Objects         int
 	SizeKB          float64
-	SlowReaderShare float64 // of clients' connections, that are read slowly
-	CancelShare     float64 // of requests that their clients cancel
-	ChargeShare     float64 // of requests that are keyed writes
+	SlowReaderShare float64 // share of the client connections that are read slowly
+	CancelShare     float64 // share of the requests that their clients cancel
+	ChargeShare     float64 // share of the requests that are keyed writes
 	ClientLimit     time.Duration
-	Deadline        time.Duration // of all classes; 0: as emulator.Settings has them
-	// DialAfterTerm is how long after SIGTERM clients go on dialing a proxy; they use open connections until these are
-	// closed. 0: they leave at SIGTERM.
+	Deadline        time.Duration // of all classes; 0: the deadlines in emulator.Settings
+	// DialAfterTerm is how long after SIGTERM clients continue to dial a proxy; they use open connections until these
+	// are closed. 0: clients stop using the proxy at SIGTERM.
 	DialAfterTerm time.Duration
-	Sockets       int // descriptors of each proxy
+	Sockets       int // file descriptors of each proxy
 	ListService   string
-	ListRate      float64       // calls a second that the list service answers; 0: any number
-	StartSpread   time.Duration // over which proxies are started
-	Peers         bool          // proxies know of each other
+	ListRate      float64       // calls per second that the list service answers; 0: unlimited
+	StartSpread   time.Duration // the time over which proxy starts are spread
+	Peers         bool          // the proxies form a fleet of peers
 	FreshStart    bool          // endpoints have just started when the drill begins
-	Settings      []string      // further lines of each proxy's settings
-	Environment   []string      // of each process, beside this one's; not in a plan's text
-	ColdCapacity  float64       // share of its capacity that an endpoint has when it has just started
-	WarmUp        time.Duration // until it has all of it
-	// OverloadFactor is the multiple of an endpoint's present capacity, as the mean over OverloadWindow, at which it
-	// goes down for OverloadDowntime; 0: never.
+	Settings      []string      // additional lines in each proxy's settings file
+	Environment   []string      // added to each process's inherited environment; not part of a plan's text
+	ColdCapacity  float64       // share of its full capacity that an endpoint has at its start
+	WarmUp        time.Duration // the time after its start until an endpoint has full capacity
+	// OverloadFactor is the load, averaged over OverloadWindow and as a multiple of its current capacity, above which a
+	// warming endpoint crashes for OverloadDowntime; 0: never.
 	OverloadFactor   float64
 	OverloadWindow   time.Duration
 	OverloadDowntime time.Duration
@@ -62,7 +64,7 @@
 	Invariants []Invariant
 }
 
-// NewPlan has the values that hold without a line.
+// NewPlan returns a plan with the default values.
 func NewPlan() *Plan {
 	return &Plan{
 		Proxies:          8,
@@ -85,7 +87,7 @@
 	}
 }
 
-// Load reads a plan. An error names file, line and key.
+// Load reads a plan from a file. An error names the file, line and key.
 func Load(path string) (*Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -94,7 +96,7 @@
 	return Parse(path, text)
 }
 
-// Parse reads a plan's text.
+// Parse parses a plan's text; name stands for the file in errors.
 func Parse(name string, text []byte) (*Plan, error) {
 	plan := NewPlan()
 	plan.File = name
@@ -104,7 +106,7 @@
 	return plan, nil
 }
 
-// section binds the directives.
+// section binds the plan's directives to its fields.
 func (p *Plan) section() *config.Section {
 	section := &config.Section{}
 	p.bindCluster(section)
@@ -151,7 +153,7 @@
 	section.Flag("peers", &p.Peers, "proxies know of each other")
 }
 
-// bindEndpoints binds the directives for what an endpoint can do.
+// bindEndpoints binds the directives for the endpoints' capacity.
 func (p *Plan) bindEndpoints(section *config.Section) {
 	section.Number("share", &p.Weight, 1, 1000, "weight of an endpoint: answers at full pace together")
 	section.Flag("cold", &p.FreshStart, "endpoints have just started")
@@ -164,15 +166,15 @@
 		"that an endpoint stays down then")
 }
 
-// The protocol's figures for a planned restart: SIGKILL comes no sooner after SIGTERM than the longest deadline, which
-// counts as maxKillDeadline where it is longer, and killGrace. A request that comes later than killGrace after SIGTERM
-// has to be answered by then.
+// The protocol's times for a planned restart: SIGKILL comes no sooner after SIGTERM than killGrace plus the longest
+// deadline, which counts as at most maxKillDeadline. The process must answer by then each request that arrives later
+// than killGrace after SIGTERM.
 const (
 	maxKillDeadline = 3 * time.Second
 	killGrace       = 700 * time.Millisecond
 )
 
-// earliestKill is how long after SIGTERM the protocol has SIGKILL come at the earliest.
+// earliestKill returns the shortest time after SIGTERM at which the protocol allows SIGKILL.
 func (p *Plan) earliestKill() time.Duration {
 	if p.Deadline == 0 {
 		return maxKillDeadline + killGrace // emulator.Settings has a deadline of 6 s
@@ -180,17 +182,17 @@
 	return min(p.Deadline, maxKillDeadline) + killGrace
 }
 
-// validate checks what no single directive can.
+// validate checks what involves more than one directive.
 func (p *Plan) validate() error {
 	if len(p.Invariants) == 0 {
-		return errors.New("nothing has to hold: a drill without `hold` shows nothing")
+		return errors.New("no invariants: a plan needs at least one `hold` line")
 	}
 	for _, step := range p.Steps {
 		if _, ok := step.action.(byzantineAction); ok && !p.Peers {
-			return fmt.Errorf("at %s: there are no peers to lie to", step.Line)
+			return fmt.Errorf("at %s: a byzantine peer needs a fleet of peers (directive `peers`)", step.Line)
 		}
 		if step.At > p.Duration {
-			return fmt.Errorf("at %s: beyond the drill's %v", step.Line, p.Duration)
+			return fmt.Errorf("at %s: later than the drill's end at %v", step.Line, p.Duration)
 		}
 	}
 	return nil
--- a/internal/drill/plan_test.go
+++ b/internal/drill/plan_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestBadPlans: what is wrong is told with file, line and key.
+// TestBadPlans checks that errors in plans name the file, line and key.
 func TestBadPlans(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"hold answers\ndoormen 3", "p:2: doormen: unknown directive"},
@@ -19,16 +19,16 @@
 		{"hold love", `p:1: hold: unknown check "love"`},
 		{"hold served", "p:1: hold: served takes: SHARE"},
 		{"hold served most", "p:1: hold: served: expected a number or a time"},
-		{"rate 3/s", "nothing has to hold"},
-		{"lasts 5s\nat 6s kill doormans\nhold answers", "beyond the drill's 5s"},
+		{"rate 3/s", "no invariants: a plan needs at least one `hold` line"},
+		{"lasts 5s\nat 6s kill doormans\nhold answers", "later than the drill's end at 5s"},
 	} {
 		if _, err := Parse("p", []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: %v, want %q", c.text, err, c.want)
+			t.Errorf("Parse(%q): got error %v, want %q", c.text, err, c.want)
 		}
 	}
 }
 
-// TestStepForms: each step can be written as its form says, and is made ready for a cluster.
+// TestStepForms checks that each step can be written in its documented form and prepared for a cluster.
 func TestStepForms(t *testing.T) {
 	examples := []string{
 		"start doormans old-disk", "kill doorman:0", "term doormans", "stop doormans:0.5 for 1s", "hup doormans",
@@ -45,17 +45,17 @@
 			t.Fatal(err)
 		}
 		if op, err := step.action.prepare(c, step); err != nil || op.apply == nil {
-			t.Errorf("%s: %+v, %v", example, op, err)
+			t.Errorf("prepare %s: got operation %+v, error %v, want one to apply", example, op, err)
 		} else if step.For > 0 && op.undo == nil {
-			t.Errorf("%s: nothing undoes it", example)
+			t.Errorf("%s: got no undo for a step with a duration, want one", example)
 		}
 	}
 	for word := range stepForms {
 		if !slices.ContainsFunc(examples, func(example string) bool { return strings.Fields(example)[0] == word }) {
-			t.Errorf("no example of %s", word)
+			t.Errorf("got no example of step %s, want one", word)
 		}
 	}
 	if want := []Span{{1e9, 1e9}}; !slices.Equal(c.Record.ClientDisruptions, want) {
-		t.Errorf("the clients are disturbed in %v, want %v", c.Record.ClientDisruptions, want)
+		t.Errorf("client disruptions: got %v, want %v", c.Record.ClientDisruptions, want)
 	}
 }
--- a/internal/drill/proxy.go
+++ b/internal/drill/proxy.go
@@ -47,8 +47,8 @@
 	cmd   *exec.Cmd // nil: none runs
 	run   *ProcessRun
 	ended chan struct{} // closed when the process has
-	// logBegan is the length of the log before the process.
-	logBegan int64
+	// logOffset is the length of the log before the process.
+	logOffset int64
 }
 
 func (c *Cluster) newProxy(number int) (*proxy, error) {
@@ -116,7 +116,7 @@
 		return err
 	}
 	defer log.Close()
-	logBegan, err := log.Seek(0, io.SeekEnd)
+	logOffset, err := log.Seek(0, io.SeekEnd)
 	if err != nil {
 		return err
 	}
@@ -130,7 +130,7 @@
 	}
 	ended := make(chan struct{})
 	p.mu.Lock()
-	p.cmd, p.run, p.ended, p.logBegan = cmd, run, ended, logBegan
+	p.cmd, p.run, p.ended, p.logOffset = cmd, run, ended, logOffset
 	p.mu.Unlock()
 	record := p.cluster.Record
 	record.update(func() { record.ProcessRuns = append(record.ProcessRuns, run) })
--- a/internal/drill/proxy_settings.go
+++ b/internal/drill/proxy_settings.go
@@ -76,10 +76,10 @@
 	if p.clockOffset != 0 {
 		settings += fmt.Sprintf("clock-ahead %v\n", p.clockOffset)
 	}
-	own := strings.NewReplacer("@{", "{", "@}", "}", "@dir", p.disk, "@ip", p.ip, "@name", p.name,
+	replacer := strings.NewReplacer("@{", "{", "@}", "}", "@dir", p.disk, "@ip", p.ip, "@name", p.name,
 		"@plaza", zoneName(p.zone))
 	for _, line := range p.cluster.Plan.Settings {
-		settings += own.Replace(line) + "\n"
+		settings += replacer.Replace(line) + "\n"
 	}
 	return errors.Join(os.WriteFile(filepath.Join(p.dir, configurationFile), text, 0o600),
 		os.WriteFile(filepath.Join(p.dir, settingsFile), []byte(settings), 0o600))
--- a/internal/drill/proxy_signals.go
+++ b/internal/drill/proxy_signals.go
@@ -23,11 +23,11 @@
 	if !running {
 		return nil
 	}
-	p.end(syscall.SIGTERM)
+	p.terminate(syscall.SIGTERM)
 	select {
 	case <-ended:
 	case <-time.After(p.cluster.Plan.earliestKill()):
-		p.end(syscall.SIGKILL)
+		p.terminate(syscall.SIGKILL)
 		<-ended
 	}
 	return nil
@@ -37,9 +37,9 @@
 // ends by it, as any program does.
 func (p *proxy) reload() error {
 	p.mu.Lock()
-	running, ended, logBegan := p.cmd != nil, p.ended, p.logBegan
+	running, ended, logOffset := p.cmd != nil, p.ended, p.logOffset
 	p.mu.Unlock()
-	for deadline := time.Now().Add(maxStartTime); running && time.Now().Before(deadline) && !p.hasStarted(logBegan); {
+	for deadline := time.Now().Add(maxStartTime); running && time.Now().Before(deadline) && !p.hasStarted(logOffset); {
 		select {
 		case <-ended:
 			return nil
@@ -65,8 +65,8 @@
 	}
 }
 
-// end sends a signal by which the process, if one runs, is to end, and notes that it was told to.
-func (p *proxy) end(signal syscall.Signal) {
+// terminate sends a signal by which the process, if one runs, is to terminate, and notes that it was told to.
+func (p *proxy) terminate(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
@@ -111,7 +111,7 @@
 
 // close ends the process, at once.
 func (p *proxy) close() {
-	p.end(syscall.SIGKILL)
+	p.terminate(syscall.SIGKILL)
 	p.wait()
 	if p.relay != nil {
 		p.relay.close()
--- a/internal/drill/proxy_state.go
+++ b/internal/drill/proxy_state.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// serving reports whether clients are to send there.
-func (p *proxy) serving() bool {
+// isServing reports whether clients are to send there.
+func (p *proxy) isServing() bool {
 	p.mu.Lock()
 	run, running := p.run, p.cmd != nil
 	p.mu.Unlock()
@@ -17,7 +17,7 @@
 
 // mayDial reports whether clients may connect there: the proxy serves, or SIGTERM came so short a time ago that they
 // do not know.
-func (p *proxy) mayDial() bool { return p.serving() || p.sinceTerm() < p.cluster.Plan.DialAfterTerm }
+func (p *proxy) mayDial() bool { return p.isServing() || p.sinceTerm() < p.cluster.Plan.DialAfterTerm }
 
 // sinceTerm is how long ago the process that runs was sent SIGTERM; forever: it was not, or was not ready before.
 func (p *proxy) sinceTerm() time.Duration {
@@ -35,17 +35,17 @@
 	return p.cluster.now() - run.TermAt
 }
 
-// drains reports whether clients go on by the connections that they have: after SIGTERM, until these are closed.
-func (p *proxy) drains() bool { return p.cluster.Plan.DialAfterTerm > 0 && p.sinceTerm() < forever }
+// isDraining reports whether clients go on by the connections that they have: after SIGTERM, until these are closed.
+func (p *proxy) isDraining() bool { return p.cluster.Plan.DialAfterTerm > 0 && p.sinceTerm() < forever }
 
-// endedByItselfAt reports whether at a time the last process had been sent SIGTERM and not SIGKILL: it closed
+// wasDrainingAt reports whether at a time the last process had been sent SIGTERM and not SIGKILL: it closed
 // connections in good order then.
-func (p *proxy) endedByItselfAt(at time.Time) bool {
+func (p *proxy) wasDrainingAt(at time.Time) bool {
 	run := p.lastRun()
 	if run == nil {
 		return false
 	}
-	since := at.Sub(p.cluster.began)
+	since := at.Sub(p.cluster.startedAt)
 	p.cluster.Record.mu.Lock()
 	defer p.cluster.Record.mu.Unlock()
 	return run.TermAt > 0 && (!run.Killed || since < run.KilledAt)
--- a/internal/drill/relay.go
+++ b/internal/drill/relay.go
@@ -18,7 +18,7 @@
 // and UDP on one port. It sees both ends of what passes, since everyone binds its own address.
 type relay struct {
 	network *network
-	end     string
+	node    string
 	target  string // host:port, where the end listens
 	ip      net.IP // the address that the relay dials from
 	tcp     net.Listener
@@ -29,7 +29,7 @@
 }
 
 // newRelay starts one at an IP address with a free port, for an end that listens at target.
-func (n *network) newRelay(end, ip, target string) (*relay, error) {
+func (n *network) newRelay(node, ip, target string) (*relay, error) {
 	tcp, udp, err := listenBoth(ip)
 	if err != nil {
 		return nil, err
@@ -45,7 +45,7 @@
 	}
 	r := &relay{
 		network: n,
-		end:     end,
+		node:    node,
 		target:  target,
 		ip:      own,
 		tcp:     tcp,
@@ -72,33 +72,33 @@
 }
 
 func (r *relay) relayStreams() {
-	listener := &linkedListener{r.tcp, r.network, r.end}
+	listener := &linkedListener{r.tcp, r.network, r.node}
 	for {
-		near, err := listener.Accept()
+		inbound, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.relayStream(near)
+		go r.relayStream(inbound)
 	}
 }
 
 // relayStream connects a connection to the end, and copies both ways until either side ends.
-func (r *relay) relayStream(near net.Conn) {
+func (r *relay) relayStream(inbound net.Conn) {
 	dialer := net.Dialer{Timeout: relayDialTimeout, LocalAddr: &net.TCPAddr{IP: r.ip}}
-	far, err := dialer.Dial("tcp", r.target)
+	outbound, err := dialer.Dial("tcp", r.target)
 	if err != nil {
-		_ = near.Close()
+		_ = inbound.Close()
 		return
 	}
 	var both sync.WaitGroup
 	both.Add(2)
 	go func() {
 		defer both.Done()
-		r.copyStream(far, near, farEnd(near))
+		r.copyStream(outbound, inbound, remoteNode(inbound))
 	}()
 	go func() {
 		defer both.Done()
-		r.copyStream(near, far, r.end)
+		r.copyStream(inbound, outbound, r.node)
 	}()
 	both.Wait()
 }
@@ -129,7 +129,7 @@
 		if err != nil {
 			return
 		}
-		sender := r.network.endOf(from)
+		sender := r.network.nodeOf(from)
 		r.network.onPeerBytes(sender, count)
 		r.relayDatagram(sender, buffer[:count])
 	}
@@ -137,16 +137,16 @@
 
 // relayDatagram sends a datagram on by the link's faults.
 func (r *relay) relayDatagram(sender string, datagram []byte) {
-	faults := r.network.faults(sender, r.end)
-	if faults.cut || faults.refuse || r.network.happens(faults.loss) {
+	faults := r.network.faults(sender, r.node)
+	if faults.cut || faults.refuse || r.network.drawBool(faults.loss) {
 		return
 	}
 	copies := 1
-	if r.network.happens(faults.duplicate) {
+	if r.network.drawBool(faults.duplicate) {
 		copies = 2
 	}
 	delay := r.network.drawDelay(faults)
-	if r.network.happens(faults.reorder) {
+	if r.network.drawBool(faults.reorder) {
 		delay += 2*faults.delay + reorderLag
 	}
 	data := append([]byte(nil), datagram...)
--- a/internal/drill/run.go
+++ b/internal/drill/run.go
@@ -8,41 +8,41 @@
 	"time"
 )
 
-// progressInterval is how often a line tells how the drill goes.
+// progressInterval is how often a progress line is written.
 const progressInterval = time.Second
 
-// Result is what a drill came to.
+// Result is the outcome of a drill.
 type Result struct {
 	Checks  []Verdict
 	Cluster *Cluster
 }
 
-// OK reports whether all held.
+// OK reports whether all invariants held.
 func (r *Result) OK() bool {
 	return !slices.ContainsFunc(r.Checks, func(v Verdict) bool { return !v.OK })
 }
 
-// Run plays a plan and audits it. progress gets a line each second; nil: none.
+// Run runs a plan and audits its record. It writes a progress line to progress each second; nil: none.
 func Run(plan *Plan, program, dir string, seed uint64, progress io.Writer) (*Result, error) {
 	c, err := New(plan, program, dir, seed)
 	if err != nil {
 		return nil, err
 	}
 	defer c.Close()
-	if err := c.play(progress); err != nil {
+	if err := c.run(progress); err != nil {
 		return nil, err
 	}
 	return &Result{Cluster: c, Checks: c.Audit()}, nil
 }
 
-// event is a step, or the end of one, at its time.
+// event is the start or the end of a step, at its time.
 type event struct {
 	at   time.Duration
 	line string
 	do   func() error
 }
 
-// schedule makes the plan's steps ready, in the order of their times.
+// schedule prepares the plan's steps and orders their events by time.
 func (c *Cluster) schedule() ([]event, error) {
 	var events []event
 	for _, step := range c.Plan.Steps {
@@ -50,7 +50,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: at %s: %w", c.Plan.File, step.Line, err)
 		}
-		op = op.ordered()
+		op = op.serialized()
 		events = append(events, event{step.At, step.Line, op.apply})
 		if step.For > 0 && op.undo != nil {
 			events = append(events, event{step.At + step.For, "over: " + step.Line, op.undo})
@@ -60,14 +60,14 @@
 	return events, nil
 }
 
-// play carries out the time line. progress may be nil.
-func (c *Cluster) play(progress io.Writer) error {
+// run carries out the plan's schedule. progress may be nil.
+func (c *Cluster) run(progress io.Writer) error {
 	events, err := c.schedule()
 	if err != nil {
 		return err
 	}
-	c.began = time.Now()
-	c.network.began = c.began
+	c.startedAt = time.Now()
+	c.network.startedAt = c.startedAt
 	for zone := range c.Plan.Zones {
 		c.load.start(zone + 1)
 	}
@@ -83,7 +83,7 @@
 			if progress != nil {
 				fmt.Fprintf(progress, "%6.1f s  -- %s\n", c.now().Seconds(), events[0].line)
 			}
-			// A start of hundreds takes a while, and nothing else waits for it.
+			// Starting hundreds of proxies takes a while and must not delay other events.
 			go failure.record(events[0])
 			events = events[1:]
 		case <-tick.C:
@@ -99,7 +99,7 @@
 	}
 }
 
-// timerFor gives a timer for the first of some events.
+// timerFor returns a timer for the first of the events; without events, one that does not fire within the drill.
 func (c *Cluster) timerFor(events []event) *time.Timer {
 	if len(events) == 0 {
 		return time.NewTimer(time.Hour)
@@ -107,13 +107,13 @@
 	return time.NewTimer(events[0].at - c.now())
 }
 
-// stepFailure is the newest error of the steps, which run side by side.
+// stepFailure holds the latest error of the steps, which run concurrently.
 type stepFailure struct {
 	mu  sync.Mutex
 	err error
 }
 
-// record carries out an event, and keeps its error.
+// record carries out an event and stores its error, if any.
 func (f *stepFailure) record(e event) {
 	if err := e.do(); err != nil {
 		f.mu.Lock()
@@ -128,7 +128,7 @@
 	return f.err
 }
 
-// progress tells how the drill goes.
+// progress returns a line on the state of the drill.
 func (c *Cluster) progress() string {
 	ready := len(servingProxies(c.proxies))
 	record := c.Record
--- a/internal/drill/selectors.go
+++ b/internal/drill/selectors.go
@@ -7,49 +7,49 @@
 	"strings"
 )
 
-// The names of ends that are no proxy. They are the selectors by which a plan names them.
+// The names of the nodes that are not proxies. Plans use them as selectors.
 const (
-	listEnd        = "list"
-	clientsEnd     = "clients"
+	listNode       = "list"
+	clientsNode    = "clients"
 	endpointPrefix = "box:"
 )
 
-// parentZone is the zone of the parents and the origin, as the list has it: a plan's hub.
+// parentZone is the zone of the parents and the origin in the list; plans call it the hub.
 const parentZone = "hub"
 
-// ends is a set of ends of links by name; nil: any end.
-type ends map[string]bool
+// nodeSet is a set of network nodes by name; nil: all nodes.
+type nodeSet map[string]bool
 
-// endpointEnd is the name of an endpoint as an end of links.
-func endpointEnd(id string) string { return endpointPrefix + id }
+// endpointNode returns the name of an endpoint's network node.
+func endpointNode(id string) string { return endpointPrefix + id }
 
-// endpointID is the endpoint that a plan names, with or without the prefix.
+// endpointID returns the id of the endpoint that a selector names, with or without the prefix.
 func endpointID(selector string) string { return strings.TrimPrefix(selector, endpointPrefix) }
 
-// isEndpoint reports whether an end is an endpoint.
-func isEndpoint(end string) bool { return strings.HasPrefix(end, endpointPrefix) }
+// isEndpoint reports whether a node is an endpoint.
+func isEndpoint(node string) bool { return strings.HasPrefix(node, endpointPrefix) }
 
-// zoneName is a zone of caches, numbered from 1, as the list has it.
+// zoneName returns the name in the list of a zone of caches, numbered from 1.
 func zoneName(zone int) string { return fmt.Sprintf("p%d", zone) }
 
-// selectEnds resolves a selector: doormans, doormans:SHARE, doorman:N, plaza:N, hub, boxes, box:ID, list, clients, or
-// several joined by +. A share is drawn by the drill's seed, the same each time.
-func (c *Cluster) selectEnds(selector string) (ends, error) {
-	selected := ends{}
+// selectNodes resolves a selector: doormans, doormans:SHARE, doorman:N, plaza:N, hub, boxes, box:ID, list, clients, or
+// several of them joined by +. A share is drawn at random by the drill's seed and is the same each time.
+func (c *Cluster) selectNodes(selector string) (nodeSet, error) {
+	selected := nodeSet{}
 	parts := strings.Split(selector, "+")
 	for _, part := range parts {
 		before := len(selected)
 		c.include(selected, part)
 		if len(selected) == before && len(parts) == 1 {
-			return nil, fmt.Errorf("nobody is %.40q; there are doormans, doormans:SHARE, doorman:N (of %d), plaza:N, "+
+			return nil, fmt.Errorf("%.40q selects nothing; use doormans, doormans:SHARE, doorman:N (of %d), plaza:N, "+
 				"hub, boxes, box:ID, list and clients", part, len(c.proxies))
 		}
 	}
 	return selected, nil
 }
 
-// include adds the ends that one part of a selector names.
-func (c *Cluster) include(selected ends, part string) {
+// include adds the nodes that one part of a selector names.
+func (c *Cluster) include(selected nodeSet, part string) {
 	kind, argument, _ := strings.Cut(part, ":")
 	number, err := strconv.ParseFloat(argument, 64)
 	isNumber := err == nil
@@ -68,23 +68,23 @@
 	case kind == "boxes":
 		c.includeEndpoints(selected, func(*endpoint) bool { return true })
 	case kind == "box" && c.endpoints[argument] != nil:
-		selected[endpointEnd(argument)] = true
-	case (kind == listEnd || kind == clientsEnd) && argument == "":
+		selected[endpointNode(argument)] = true
+	case (kind == listNode || kind == clientsNode) && argument == "":
 		selected[kind] = true
 	}
 }
 
-func (c *Cluster) includeProxies(selected ends, fits func(*proxy) bool) {
+func (c *Cluster) includeProxies(selected nodeSet, matches func(*proxy) bool) {
 	for _, p := range c.proxies {
-		if fits(p) {
+		if matches(p) {
 			selected[p.name] = true
 		}
 	}
 }
 
-// includeDrawnProxies adds a share of the proxies, at least one. The selector's text is part of the seed, so that each
-// share is a draw of its own and the same in each step.
-func (c *Cluster) includeDrawnProxies(selected ends, selector string, share float64) {
+// includeDrawnProxies adds a share of the proxies, drawn at random, at least one. The selector's text is part of the
+// random seed, so that each share is drawn independently and is the same in each step.
+func (c *Cluster) includeDrawnProxies(selected nodeSet, selector string, share float64) {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(selector))
 	order := c.newRand(hash.Sum64()).Perm(len(c.proxies))
@@ -93,17 +93,17 @@
 	}
 }
 
-func (c *Cluster) includeEndpoints(selected ends, fits func(*endpoint) bool) {
+func (c *Cluster) includeEndpoints(selected nodeSet, matches func(*endpoint) bool) {
 	for _, e := range c.endpointOrder {
-		if fits(e) {
-			selected[endpointEnd(e.id)] = true
+		if matches(e) {
+			selected[endpointNode(e.id)] = true
 		}
 	}
 }
 
-// selectProxies gives the proxies that a selector names, in their order.
+// selectProxies returns the proxies that a selector names, ordered by number.
 func (c *Cluster) selectProxies(selector string) ([]*proxy, error) {
-	selected, err := c.selectEnds(selector)
+	selected, err := c.selectNodes(selector)
 	if err != nil {
 		return nil, err
 	}
@@ -114,7 +114,7 @@
 		}
 	}
 	if len(proxies) == 0 {
-		return nil, fmt.Errorf("%.40q names no proxy", selector)
+		return nil, fmt.Errorf("%.40q selects no proxy", selector)
 	}
 	return proxies, nil
 }
--- a/internal/drill/selectors_test.go
+++ b/internal/drill/selectors_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// newTestCluster has ten proxies in two zones, a cache in each and the origin. Nothing of it runs.
+// newTestCluster returns a cluster of ten proxies in two zones, a cache in each zone and the origin. Nothing is
+// started.
 func newTestCluster() *Cluster {
 	c := &Cluster{seed: 1, endpoints: map[string]*endpoint{}, Record: newRecord(NewPlan())}
 	for n := range 10 {
@@ -20,19 +21,19 @@
 	return c
 }
 
-// TestSelectors resolves selectors.
+// TestSelectors checks how many nodes each selector selects, and that invalid selectors are rejected.
 func TestSelectors(t *testing.T) {
 	c := newTestCluster()
 	for text, want := range map[string]int{"doormans": 10, "doormans:0.3": 3, "doorman:9": 1, "plaza:1": 6, "hub": 1,
 		"boxes": 3, "box:c1-1": 1, "list": 1, "clients": 1, "plaza:1+list": 7} {
-		got, err := c.selectEnds(text)
+		got, err := c.selectNodes(text)
 		if err != nil || len(got) != want {
-			t.Errorf("%s: %d ends, %v, want %d", text, len(got), err, want)
+			t.Errorf("%s: got %d nodes, error %v, want %d nodes", text, len(got), err, want)
 		}
 	}
 	for _, text := range []string{"doorman:10", "doormans:2", "box:x", "everyone", ""} {
-		if got, err := c.selectEnds(text); err == nil {
-			t.Errorf("%s: %v, want an error", text, got)
+		if got, err := c.selectNodes(text); err == nil {
+			t.Errorf("%s: got %v, want an error", text, got)
 		}
 	}
 }
--- a/internal/drill/spawner.go
+++ b/internal/drill/spawner.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// spawner starts processes on one thread that lives as long as the drill: the system kills a child when the thread that
-// started it ends (Pdeathsig), so that nothing is left if the drill itself is killed.
+// spawner starts processes from one thread that lives as long as the drill: the system kills a child when the thread
+// that started it ends (Pdeathsig), so no process survives if the drill itself is killed.
 type spawner struct{ jobs chan func() }
 
 func newSpawner() *spawner {
@@ -23,7 +23,7 @@
 	}
 }
 
-// start starts a command, one at a time.
+// start starts a command. Starts run one at a time.
 func (s *spawner) start(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	started := make(chan error)
--- a/internal/drill/steps.go
+++ b/internal/drill/steps.go
@@ -11,57 +11,57 @@
 	"time"
 )
 
-// Step is one line `at TIME STEP ...` of a plan: something that is done at a time.
+// Step is one line `at TIME STEP ...` of a plan: an action that is applied at a time.
 type Step struct {
 	At   time.Duration
-	For  time.Duration // then it is undone; 0: it stays
+	For  time.Duration // after which it is undone; 0: it is not undone
 	Line string        // as written
 
 	action action
 }
 
-// action is what a step does, as read from its words.
+// action is what a step does, parsed from its words.
 type action interface {
-	// prepare resolves the names in the step against a cluster, before the drill begins.
+	// prepare resolves the names in the step for a cluster, before the drill starts.
 	prepare(c *Cluster, step Step) (operation, error)
 }
 
-// operation is an action made ready for a cluster. Both functions may block: each runs on a goroutine of its own.
+// operation is an action prepared for a cluster. Both functions may block: each call runs on its own goroutine.
 type operation struct {
 	apply func() error
-	undo  func() error // nil: what is done stays, whatever the step's For
+	undo  func() error // nil: the action can't be undone, whatever the step's For
 }
 
-// ordered has undo wait for the end of apply.
-func (o operation) ordered() operation {
+// serialized returns an operation whose undo waits until a running apply has returned, and vice versa.
+func (o operation) serialized() operation {
 	var mu sync.Mutex
-	ordered := operation{apply: func() error {
+	serialized := operation{apply: func() error {
 		mu.Lock()
 		defer mu.Unlock()
 		return o.apply()
 	}}
 	if o.undo != nil {
-		ordered.undo = func() error {
+		serialized.undo = func() error {
 			mu.Lock()
 			defer mu.Unlock()
 			return o.undo()
 		}
 	}
-	return ordered
+	return serialized
 }
 
-// stepForm is how a step is written in a plan.
+// stepForm is the syntax of a step in a plan.
 type stepForm struct {
-	minWords, maxWords int // behind the step's own word
+	minWords, maxWords int // after the step's name
 	usage              string
 	parse              func(words []string) (action, error)
 }
 
-// errUsage says that a step's words do not have its form; parseStep puts the form into the error.
+// errUsage reports that a step's words do not have its form; parseStep replaces it by an error with the usage.
 var errUsage = errors.New("not in the step's form")
 
-// stepForms has the steps by the word that a plan uses for them. A new step is a line here, a function that parses it
-// and an action with its prepare.
+// stepForms holds the form of each step by its name in plans. A new step needs an entry here, a parse function and an
+// action with a prepare method.
 var stepForms = map[string]stepForm{
 	"start":        {1, 2, "WHO [with-disk|without-disk|old-disk]", parseStart},
 	"kill":         {1, 1, "WHO: SIGKILL", parseKill},
@@ -91,7 +91,7 @@
 	"same-address": {1, 1, "N: the list names so many ids that share one address", parseSameAddress},
 }
 
-// parseStep reads the words behind `at`.
+// parseStep parses the words after `at`.
 func parseStep(words []string) (Step, error) {
 	step := Step{Line: strings.Join(words, " ")}
 	if len(words) < 2 {
@@ -104,13 +104,13 @@
 	word, rest := words[1], words[2:]
 	if n := len(rest); n >= 2 && rest[n-2] == "for" {
 		if step.For, err = time.ParseDuration(rest[n-1]); err != nil || step.For <= 0 {
-			return step, fmt.Errorf("expected a time behind `for`, got %.40q", rest[n-1])
+			return step, fmt.Errorf("expected a time after `for`, got %.40q", rest[n-1])
 		}
 		rest = rest[:n-2]
 	}
 	form, ok := stepForms[word]
 	if !ok {
-		return step, fmt.Errorf("unknown step %.40q; there are %s", word, sortedNames(stepForms))
+		return step, fmt.Errorf("unknown step %.40q; the steps are %s", word, sortedNames(stepForms))
 	}
 	if len(rest) < form.minWords || len(rest) > form.maxWords {
 		return step, fmt.Errorf("%s takes %s", word, form.usage)
@@ -122,7 +122,7 @@
 	return step, err
 }
 
-// parseCount reads a whole number within bounds.
+// parseCount parses a whole number from lowest to highest.
 func parseCount(word string, lowest, highest int) (int, error) {
 	n, err := strconv.Atoi(word)
 	if err != nil || n < lowest || n > highest {
@@ -131,7 +131,7 @@
 	return n, nil
 }
 
-// sortedNames lists the keys of a table for an error.
+// sortedNames returns the keys of a table, sorted and joined for an error text.
 func sortedNames[T any](table map[string]T) string {
 	return strings.Join(slices.Sorted(maps.Keys(table)), ", ")
 }
--- a/internal/drill/steps_list.go
+++ b/internal/drill/steps_list.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// maxSharedIDs bounds how many ids a plan may put at one address.
-const maxSharedIDs = 20000
+// maxSameAddressIDs bounds how many endpoint ids with one address a plan may add.
+const maxSameAddressIDs = 20000
 
-// listFaultAction has the list service fail.
+// listFaultAction injects a fault into the list service.
 type listFaultAction struct{ fault listFault }
 
-// plainListFaults are the kinds that are written without a figure.
-var plainListFaults = []listFaultKind{listHangs, listRefuses, listIsEmpty, listIsWell}
+// plainListFaults are the kinds of faults that take no parameter.
+var plainListFaults = []listFaultKind{listHangs, listRefuses, listIsEmpty, listIsHealthy}
 
 func parseListFault(words []string) (action, error) {
 	fault := listFault{kind: listFaultKind(words[0])}
@@ -24,7 +24,7 @@
 	case len(words) == 1 && slices.Contains(plainListFaults, fault.kind):
 	case len(words) == 2 && fault.kind == listIsStale:
 		fault.age, err = time.ParseDuration(words[1])
-	case len(words) == 2 && fault.kind == listIsLimited:
+	case len(words) == 2 && fault.kind == listIsRateLimited:
 		number, _ := strings.CutSuffix(words[1], "/s")
 		fault.rate, err = strconv.ParseFloat(number, 64)
 	default:
@@ -40,14 +40,14 @@
 			return nil
 		}
 	}
-	return operation{apply: set(a.fault), undo: set(listFault{kind: listIsWell})}, nil
+	return operation{apply: set(a.fault), undo: set(listFault{kind: listIsHealthy})}, nil
 }
 
-// sameAddressAction has the list name many endpoints at the address of one.
+// sameAddressAction makes the list service add many endpoints with the address of an existing one.
 type sameAddressAction struct{ count int }
 
 func parseSameAddress(words []string) (action, error) {
-	count, err := parseCount(words[0], 1, maxSharedIDs)
+	count, err := parseCount(words[0], 1, maxSameAddressIDs)
 	return sameAddressAction{count}, err
 }
 
@@ -58,10 +58,10 @@
 	}}, nil
 }
 
-// byzantineAction adds a peer to the fleet that tells a zone a false list.
+// byzantineAction adds a peer to the fleet that advertises a false endpoint list to a zone.
 type byzantineAction struct {
-	zone int // from 1
-	lie  string
+	zone      int // from 1
+	falseList string
 }
 
 func parseByzantine(words []string) (action, error) {
@@ -69,13 +69,13 @@
 	if err != nil || zone < 1 || falseLists[words[1]] == nil {
 		return nil, errUsage
 	}
-	return byzantineAction{zone: zone, lie: words[1]}, nil
+	return byzantineAction{zone: zone, falseList: words[1]}, nil
 }
 
 func (a byzantineAction) prepare(c *Cluster, _ Step) (operation, error) {
 	var member *byzantinePeer
 	apply := func() (err error) {
-		member, err = c.byzantinePeers.add(c, a.zone, a.lie)
+		member, err = c.byzantinePeers.add(c, a.zone, a.falseList)
 		return err
 	}
 	undo := func() error {
@@ -87,11 +87,11 @@
 	return operation{apply: apply, undo: undo}, nil
 }
 
-// endpointAction does something to one endpoint.
+// endpointAction acts on one endpoint.
 type endpointAction struct {
 	id    string
 	apply func(c *Cluster, e *endpoint, step Step)
-	undo  func(c *Cluster, e *endpoint) // nil: it stays
+	undo  func(c *Cluster, e *endpoint) // nil: it is not undone
 }
 
 func parseDrain(words []string) (action, error) {
@@ -117,7 +117,7 @@
 	}, nil
 }
 
-// parseCrash reads a step in which an endpoint goes down and comes back by itself, after a second at least.
+// parseCrash parses a step that makes an endpoint crash and come back by itself, after 1 s at least.
 func parseCrash(words []string) (action, error) {
 	return endpointAction{
 		id:    endpointID(words[0]),
@@ -128,7 +128,7 @@
 func (a endpointAction) prepare(c *Cluster, step Step) (operation, error) {
 	target := c.endpoints[a.id]
 	if target == nil {
-		return operation{}, fmt.Errorf("there is no endpoint %.40q", a.id)
+		return operation{}, fmt.Errorf("no such endpoint: %.40q", a.id)
 	}
 	op := operation{apply: func() error {
 		a.apply(c, target, step)
--- a/internal/drill/steps_network.go
+++ b/internal/drill/steps_network.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// minPace is the slowest link that a plan may ask for, in bytes a second.
-const minPace = 100
+// minBytesPerSecond is the lowest link rate that a plan may set.
+const minBytesPerSecond = 100
 
-// linkAction sets the faults of the links between two sets of ends.
+// linkAction sets the faults of the links between two sets of nodes.
 type linkAction struct {
 	from, to string // selectors
 	oneWay   bool
@@ -63,14 +63,14 @@
 
 func parseSlow(words []string) (action, error) {
 	number, _ := strings.CutSuffix(words[2], "/s")
-	pace, err := strconv.ParseFloat(number, 64)
-	if err != nil || pace < minPace {
-		return nil, linkError("slow", "bytes a second, 100/s or more", words[2])
+	bytesPerSecond, err := strconv.ParseFloat(number, 64)
+	if err != nil || bytesPerSecond < minBytesPerSecond {
+		return nil, linkError("slow", "bytes per second, 100/s or more", words[2])
 	}
-	return linkAction{from: words[0], to: words[1], faults: linkFaults{bytesPerSecond: pace}}, nil
+	return linkAction{from: words[0], to: words[1], faults: linkFaults{bytesPerSecond: bytesPerSecond}}, nil
 }
 
-// parseShare reads a share of 0 to 1.
+// parseShare parses a share from 0 to 1.
 func parseShare(step, word string) (float64, error) {
 	share, err := strconv.ParseFloat(word, 64)
 	if err != nil || !(share >= 0 && share <= 1) {
@@ -88,24 +88,24 @@
 	if err != nil {
 		return operation{}, err
 	}
-	var lifts []func()
+	var removals []func()
 	apply := func() error {
-		lifts = append(lifts, c.network.setFaults(from, to, a.faults))
+		removals = append(removals, c.network.setFaults(from, to, a.faults))
 		if !a.oneWay {
-			lifts = append(lifts, c.network.setFaults(to, from, a.faults))
+			removals = append(removals, c.network.setFaults(to, from, a.faults))
 		}
 		return nil
 	}
 	undo := func() error {
-		for _, lift := range lifts {
-			lift()
+		for _, remove := range removals {
+			remove()
 		}
 		return nil
 	}
 	return operation{apply: apply, undo: undo}, nil
 }
 
-// resetAction resets the connections that stand between two sets of ends.
+// resetAction resets the established connections between two sets of nodes.
 type resetAction struct {
 	from, to string // selectors
 }
@@ -125,16 +125,17 @@
 	}}, nil
 }
 
-// selectLink resolves both sides of a step on links, and notes when it touches the clients' own way to the proxies.
-func (c *Cluster) selectLink(from, to string, step Step) (fromEnds, toEnds ends, err error) {
-	if fromEnds, err = c.selectEnds(from); err != nil {
+// selectLink resolves both selectors of a network step. If either names the clients, it records that their connections
+// to the proxies are disrupted.
+func (c *Cluster) selectLink(from, to string, step Step) (fromNodes, toNodes nodeSet, err error) {
+	if fromNodes, err = c.selectNodes(from); err != nil {
 		return nil, nil, err
 	}
-	if toEnds, err = c.selectEnds(to); err != nil {
+	if toNodes, err = c.selectNodes(to); err != nil {
 		return nil, nil, err
 	}
-	if fromEnds[clientsEnd] || toEnds[clientsEnd] {
+	if fromNodes[clientsNode] || toNodes[clientsNode] {
 		c.Record.ClientDisruptions = append(c.Record.ClientDisruptions, Span{step.At, step.At + step.For})
 	}
-	return fromEnds, toEnds, nil
+	return fromNodes, toNodes, nil
 }
--- a/internal/drill/steps_process.go
+++ b/internal/drill/steps_process.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// diskMode is what a proxy's process finds on its disk when it starts.
+// diskMode is the state of a proxy's disk when its process starts.
 type diskMode string
 
-// The disk modes, as plans write them.
+// The disk modes, by their names in plans.
 const (
-	withDisk    diskMode = "with-disk"    // what the process before it left
-	withoutDisk diskMode = "without-disk" // nothing
-	oldDisk     diskMode = "old-disk"     // what `keep-disk` remembered
+	withDisk    diskMode = "with-disk"    // as the previous process left it
+	withoutDisk diskMode = "without-disk" // empty
+	oldDisk     diskMode = "old-disk"     // as saved by the step `keep-disk`
 )
 
-// startsAtOnce bounds how many processes are forked together.
-const startsAtOnce = 8
+// maxConcurrentStarts bounds how many processes are being started at the same time.
+const maxConcurrentStarts = 8
 
-// startAction starts the processes that do not run.
+// startAction starts the processes of proxies that are not running.
 type startAction struct {
-	who  string
-	disk diskMode
+	selector string
+	disk     diskMode
 }
 
 func parseStart(words []string) (action, error) {
-	start := startAction{who: words[0], disk: withDisk}
+	start := startAction{selector: words[0], disk: withDisk}
 	if len(words) > 1 {
 		start.disk = diskMode(words[1])
 	}
@@ -40,20 +40,20 @@
 }
 
 func (a startAction) prepare(c *Cluster, _ Step) (operation, error) {
-	proxies, err := c.selectProxies(a.who)
+	proxies, err := c.selectProxies(a.selector)
 	if err != nil {
 		return operation{}, err
 	}
 	return operation{apply: func() error { return startAll(proxies, a.disk, c.Plan.StartSpread) }}, nil
 }
 
-// startAll starts proxies over a time, several at once as their machines would: one after another their forks alone
-// would spread them.
+// startAll starts proxies, spread over a time. It starts several concurrently, as separate machines would: if the
+// starts ran one after another, forking alone would spread them out.
 func startAll(proxies []*proxy, disk diskMode, spread time.Duration) error {
 	gap := spread / time.Duration(len(proxies))
 	var all sync.WaitGroup
 	errs := make([]error, len(proxies))
-	slots := make(chan bool, startsAtOnce)
+	slots := make(chan bool, maxConcurrentStarts)
 	for i, p := range proxies {
 		all.Add(1)
 		slots <- true
@@ -73,11 +73,11 @@
 	return nil
 }
 
-// rollingRestartAction kills each process and starts it again, one after another.
+// rollingRestartAction kills and restarts each process, one proxy after another.
 type rollingRestartAction struct {
-	who   string
-	gap   time.Duration
-	times int
+	selector string
+	gap      time.Duration
+	times    int
 }
 
 func parseRollingRestart(words []string) (action, error) {
@@ -85,22 +85,22 @@
 	if err != nil || gap <= 0 {
 		return nil, fmt.Errorf("expected a time, got %.40q", words[1])
 	}
-	roll := rollingRestartAction{who: words[0], gap: gap, times: 1}
+	restart := rollingRestartAction{selector: words[0], gap: gap, times: 1}
 	if len(words) > 2 {
-		if roll.times, err = parseCount(words[2], 1, 10); err != nil {
+		if restart.times, err = parseCount(words[2], 1, 10); err != nil {
 			return nil, err
 		}
 	}
-	return roll, nil
+	return restart, nil
 }
 
 func (a rollingRestartAction) prepare(c *Cluster, _ Step) (operation, error) {
-	proxies, err := c.selectProxies(a.who)
+	proxies, err := c.selectProxies(a.selector)
 	if err != nil {
 		return operation{}, err
 	}
 	restart := func(p *proxy) error {
-		p.end(syscall.SIGKILL)
+		p.terminate(syscall.SIGKILL)
 		p.wait()
 		if err := p.start(withDisk); err != nil {
 			return err
@@ -118,35 +118,36 @@
 	}}, nil
 }
 
-// proxyAction does the same to each of some proxies.
+// proxyAction does the same to each selected proxy.
 type proxyAction struct {
 	who   string
 	apply func(p *proxy) error
-	undo  func(p *proxy) error // nil: it stays
-	// atOnce has apply called for all proxies together, as it takes long.
-	atOnce bool
+	undo  func(p *proxy) error // nil: it is not undone
+	// concurrent makes apply run for all proxies concurrently, because it takes long.
+	concurrent bool
 }
 
 func parseKill(words []string) (action, error) {
 	return proxyAction{who: words[0], apply: func(p *proxy) error {
-		p.end(syscall.SIGKILL)
+		p.terminate(syscall.SIGKILL)
 		return nil
 	}}, nil
 }
 
 func parseTerminate(words []string) (action, error) {
 	return proxyAction{who: words[0], apply: func(p *proxy) error {
-		p.end(syscall.SIGTERM)
+		p.terminate(syscall.SIGTERM)
 		return nil
 	}}, nil
 }
 
-// parseFinish reads a planned restart's end: SIGTERM, and SIGKILL for what runs still at the protocol's earliest time.
+// parseFinish parses the end of a process at a planned restart: SIGTERM, and SIGKILL at the protocol's earliest time
+// for a process that is still running.
 func parseFinish(words []string) (action, error) {
-	return proxyAction{who: words[0], atOnce: true, apply: (*proxy).finish}, nil
+	return proxyAction{who: words[0], concurrent: true, apply: (*proxy).finish}, nil
 }
 
-// parseFiles reads a step by which the proxies' configurations are written anew.
+// parseFiles parses a step that rewrites the proxies' configuration files.
 func parseFiles(words []string) (action, error) {
 	switch {
 	case len(words) == 1:
@@ -158,7 +159,7 @@
 }
 
 func parseReload(words []string) (action, error) {
-	return proxyAction{who: words[0], atOnce: true, apply: (*proxy).reload}, nil
+	return proxyAction{who: words[0], concurrent: true, apply: (*proxy).reload}, nil
 }
 
 func parsePause(words []string) (action, error) {
@@ -194,8 +195,8 @@
 		return operation{}, err
 	}
 	visit := forEach
-	if a.atOnce {
-		visit = forEachAtOnce
+	if a.concurrent {
+		visit = forEachConcurrently
 	}
 	op := operation{apply: func() error { return visit(proxies, a.apply) }}
 	if a.undo != nil {
@@ -204,7 +205,7 @@
 	return op, nil
 }
 
-// forEach calls do for each proxy until one fails.
+// forEach calls do for each proxy and stops at the first error.
 func forEach(proxies []*proxy, do func(*proxy) error) error {
 	for _, p := range proxies {
 		if err := do(p); err != nil {
@@ -214,8 +215,8 @@
 	return nil
 }
 
-// forEachAtOnce calls do for all proxies together, and returns once all calls have.
-func forEachAtOnce(proxies []*proxy, do func(*proxy) error) error {
+// forEachConcurrently calls do for all proxies concurrently, waits for all calls and joins their errors.
+func forEachConcurrently(proxies []*proxy, do func(*proxy) error) error {
 	var all sync.WaitGroup
 	errs := make([]error, len(proxies))
 	for i, p := range proxies {
