--- a/internal/drill/audit.go
+++ b/internal/drill/audit.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// socketSlack is what the platform's rules allow beyond each time on sockets.
+// socketSlack is the tolerance that the platform's rules allow for each time that is observed on sockets.
 const socketSlack = 50 * time.Millisecond
 
-// maxDetails bounds how many findings a verdict tells in full.
+// maxDetails bounds how many findings a verdict reports in full.
 const maxDetails = 3
 
-// Verdict is what became of an invariant.
+// Verdict is the result of checking an invariant.
 type Verdict struct {
 	Invariant Invariant
 	OK        bool
-	Details   string // figures, or the first things that broke it
+	Details   string // figures if it held, else the first violations
 }
 
-// findings collects what breaks an invariant.
+// findings collects the violations of an invariant.
 type findings struct {
 	details []string
 	count   int
 }
 
-// add notes one thing that breaks it.
+// add counts a violation and keeps the details of the first maxDetails.
 func (f *findings) add(format string, values ...any) {
 	f.count++
 	if len(f.details) < maxDetails {
@@ -33,7 +33,7 @@
 	}
 }
 
-// Audit holds the record against the plan. It is called once, when the drill is over.
+// Audit checks the record against the plan's invariants. It must be called once, after the drill.
 func (c *Cluster) Audit() []Verdict {
 	c.readViolations()
 	c.Record.mu.Lock()
@@ -52,5 +52,5 @@
 	if found.count == 0 {
 		return Verdict{invariant, true, summary}
 	}
-	return Verdict{invariant, false, fmt.Sprintf("%d times: %s", found.count, strings.Join(found.details, "; "))}
+	return Verdict{invariant, false, fmt.Sprintf("%d violations: %s", found.count, strings.Join(found.details, "; "))}
 }
--- a/internal/drill/audit_attempts.go
+++ b/internal/drill/audit_attempts.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Bounds of emulator.Settings that the audit holds the proxies to.
+// Limits from emulator.Settings that the audit expects the proxies to keep.
 const (
-	maxAttempts = 6               // of one request
-	keyedWindow = 3 * time.Second // in which a keyed request may be repeated
+	maxAttempts = 6               // per request
+	keyedWindow = 3 * time.Second // within which a keyed request may be repeated
 )
 
-// checkRepeats looks at the attempts of each request: never two out together, none after a good end, no more than the
-// cap, and a keyed one that may have run is repeated within its window only.
+// checkRepeats checks the attempts of each request: no two in flight at once, none after a successful one, at most
+// maxAttempts, and a keyed request that may have run is repeated only within its window.
 func (r *Record) checkRepeats(_ Invariant, found *findings) string {
 	byRequest := map[string][]*Attempt{}
 	for _, attempt := range r.Attempts {
@@ -23,7 +23,7 @@
 	for id, attempts := range byRequest {
 		slices.SortStableFunc(attempts, func(a, b *Attempt) int { return int(a.ReceivedAt - b.ReceivedAt) })
 		if len(attempts) > maxAttempts {
-			found.add("%s was sent %d times, at most %d are allowed: %s", id, len(attempts), maxAttempts,
+			found.add("%s: got %d attempts, want at most %d: %s", id, len(attempts), maxAttempts,
 				describeAttempts(attempts))
 		}
 		for i, attempt := range attempts[1:] {
@@ -34,7 +34,7 @@
 	return fmt.Sprintf("%d attempts", len(r.Attempts))
 }
 
-// describeAttempts tells when attempts came, from whom, to whom and how each ended.
+// describeAttempts lists when attempts were received, their senders and endpoints, and when each ended.
 func describeAttempts(attempts []*Attempt) string {
 	var words []string
 	for _, attempt := range attempts {
@@ -45,19 +45,19 @@
 	return strings.Join(words, ", ")
 }
 
-// checkRepeat looks at an attempt and the next one of the same request.
+// checkRepeat checks an attempt against the next one of the same request.
 func checkRepeat(before, next *Attempt, found *findings) {
 	if ended := before.endedAt(); ended == 0 || ended > next.ReceivedAt+socketSlack {
-		found.add("%s was out at %s since %.3f s when it was sent to %s at %.3f s", next.ID, before.Endpoint,
+		found.add("%s was still in flight at %s (received at %.3f s) when it was sent to %s at %.3f s", next.ID, before.Endpoint,
 			before.ReceivedAt.Seconds(), next.Endpoint, next.ReceivedAt.Seconds())
 	}
 	isAnswered := before.AnsweredAt > 0 && before.AnsweredAt+socketSlack < next.ReceivedAt
 	if isAnswered && before.Executed && before.CanceledAt == 0 && before.conn.ended() == 0 {
-		found.add("%s had a good answer of %s and was sent to %s", next.ID, before.Endpoint, next.Endpoint)
+		found.add("%s was answered successfully by %s and then sent to %s", next.ID, before.Endpoint, next.Endpoint)
 	}
 }
 
-// checkKeyedRepeats looks at all attempts of one request, if it has a key.
+// checkKeyedRepeats checks the attempts of one request if it has a key.
 func checkKeyedRepeats(attempts []*Attempt, found *findings) {
 	first := attempts[0]
 	mayHaveRun := first.AnsweredAt == 0 || first.Executed
@@ -72,7 +72,7 @@
 	}
 }
 
-// checkDrains wants nothing new at an endpoint once the bound has passed since its drain was told.
+// checkDrains checks that an endpoint receives no attempt later than the bound after its drain was published.
 func (r *Record) checkDrains(invariant Invariant, found *findings) string {
 	limit := invariant.boundTime() + socketSlack
 	for _, drain := range r.Drains {
@@ -80,7 +80,7 @@
 		for _, attempt := range r.Attempts {
 			isForbidden := attempt.ReceivedAt > drain.At+limit && attempt.ReceivedAt < end
 			if attempt.Endpoint == drain.Endpoint && isForbidden {
-				found.add("%s drains since %.2f s, and was sent %s at %.2f s by %s", drain.Endpoint, drain.At.Seconds(),
+				found.add("%s has been draining since %.2f s, but received %s at %.2f s from %s", drain.Endpoint, drain.At.Seconds(),
 					attempt.ID, attempt.ReceivedAt.Seconds(), attempt.From)
 			}
 		}
@@ -88,7 +88,7 @@
 	return fmt.Sprintf("%d drains", len(r.Drains))
 }
 
-// drainEnd is when an endpoint was up again after a drain.
+// drainEnd returns when an endpoint was up again after a drain, or forever.
 func (r *Record) drainEnd(drain EndpointEvent) time.Duration {
 	end := forever
 	for _, undrain := range r.Undrains {
@@ -99,7 +99,7 @@
 	return end
 }
 
-// checkDeadlines wants no endpoint to be given more time than the client has left and the bound.
+// checkDeadlines checks that no endpoint is given more time than the client has left plus the bound.
 func (r *Record) checkDeadlines(invariant Invariant, found *findings) string {
 	requests := map[string]*Request{}
 	for _, request := range r.Requests {
@@ -112,8 +112,8 @@
 			continue
 		}
 		if left := request.SentAt + r.clientLimit - attempt.ReceivedAt; attempt.Timeout > left+excess {
-			found.add("%s was given %v by %s at %.3f s with %v left; sent at %.3f s to proxy %d, the first of its "+
-				"connection %v, sent again %v", attempt.ID, attempt.Timeout, attempt.From,
+			found.add("%s got a timeout of %v from %s at %.3f s with %v left; sent at %.3f s to proxy %d, first on its "+
+				"connection %v, resent %v", attempt.ID, attempt.Timeout, attempt.From,
 				attempt.ReceivedAt.Seconds(), left, request.SentAt.Seconds(), request.Proxy, request.FirstOfConn,
 				request.Resent)
 		}
--- a/internal/drill/audit_load.go
+++ b/internal/drill/audit_load.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// checkListCalls wants no more calls to the list service than the bound.
+// checkListCalls checks that the list service receives at most as many calls as the bound.
 func (r *Record) checkListCalls(invariant Invariant, found *findings) string {
 	calls := r.listCalls(invariant)
 	return checkCount(len(calls), calls, invariant, found)
 }
 
-// checkListPeak wants no more calls to the list service in any second than the bound.
+// checkListPeak checks that the list service receives at most as many calls within any second as the bound.
 func (r *Record) checkListPeak(invariant Invariant, found *findings) string {
 	calls := r.listCalls(invariant)
 	var times []time.Duration
@@ -24,7 +24,7 @@
 	return checkCount(peakRate(times), calls, invariant, found)
 }
 
-// checkCount wants a count within the bound, and tells who made the calls where it is not.
+// checkCount checks a count against the bound, and reports who made the calls if it is higher.
 func checkCount(count int, calls []ListCall, invariant Invariant, found *findings) string {
 	if float64(count) > invariant.bound {
 		found.add("%d; %s", count, describeCalls(calls))
@@ -32,7 +32,7 @@
 	return fmt.Sprint(count)
 }
 
-// describeCalls counts calls to the list service by who made them and for what.
+// describeCalls counts calls to the list service by caller and query.
 func describeCalls(calls []ListCall) string {
 	counts := map[string]int{}
 	for _, call := range calls {
@@ -55,7 +55,8 @@
 	return calls
 }
 
-// checkPeerBytes wants no proxy to send more bytes a second to others than the bound, as the mean of the time.
+// checkPeerBytes checks that no proxy sends its peers more bytes per second, on average over the invariant's time, than
+// the bound. Traffic of zero is a violation too.
 func (r *Record) checkPeerBytes(invariant Invariant, found *findings) string {
 	highest, sender := 0.0, ""
 	for from, bySecond := range r.PeerBytes {
@@ -77,7 +78,7 @@
 	return summary
 }
 
-// checkEndpointConnections wants no more new connections to any endpoint in any second than the bound.
+// checkEndpointConnections checks that no endpoint accepts more new connections within any second than the bound.
 func (r *Record) checkEndpointConnections(invariant Invariant, found *findings) string {
 	byEndpoint := map[string][]time.Duration{}
 	for _, connection := range r.Connections {
@@ -98,7 +99,7 @@
 	return summary
 }
 
-// peakRate is the most times that lie within any one second.
+// peakRate returns the highest number of times that lie within one second.
 func peakRate(times []time.Duration) int {
 	slices.Sort(times)
 	highest, first := 0, 0
--- a/internal/drill/audit_processes.go
+++ b/internal/drill/audit_processes.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// checkReady wants a share of the processes' starts to be ready within the bound.
+// checkReady checks that a share of the started processes become ready within the bound.
 func (r *Record) checkReady(invariant Invariant, found *findings) string {
 	var readyTimes []time.Duration
 	for _, run := range r.ProcessRuns {
@@ -27,13 +27,13 @@
 		found.add("no proxy was started")
 		return ""
 	}
-	rank := int(invariant.share*float64(len(readyTimes))+0.999) - 1 // of the last start that is in the share
+	rank := int(invariant.share*float64(len(readyTimes))+0.999) - 1 // the index of the slowest start within the share
 	slowest := readyTimes[min(len(readyTimes)-1, max(0, rank))]
 	if slowest.Seconds() > invariant.bound {
-		found.add("%s for %g of %d starts", describeReady(slowest), invariant.share, len(readyTimes))
+		found.add("ready within %s for share %g of %d starts", describeReady(slowest), invariant.share, len(readyTimes))
 	}
 	median := readyTimes[(len(readyTimes)-1)/2]
-	return fmt.Sprintf("half of %d starts within %s, %g within %s", len(readyTimes), describeReady(median), invariant.share,
+	return fmt.Sprintf("of %d starts half were ready within %s, share %g within %s", len(readyTimes), describeReady(median), invariant.share,
 		describeReady(slowest))
 }
 
@@ -44,17 +44,17 @@
 	return readyTime.Round(time.Millisecond).String()
 }
 
-// checkAlive wants no process to end by itself.
+// checkAlive checks that no process ended without being told to.
 func (r *Record) checkAlive(_ Invariant, found *findings) string {
 	for _, run := range r.ProcessRuns {
 		if run.EndedAt > 0 && !run.EndRequested {
-			found.add("proxy %d ended by itself at %.2f s: %s", run.Proxy, run.EndedAt.Seconds(), run.Error)
+			found.add("proxy %d ended unexpectedly at %.2f s: %s", run.Proxy, run.EndedAt.Seconds(), run.Error)
 		}
 	}
 	return fmt.Sprintf("%d processes", len(r.ProcessRuns))
 }
 
-// checkMonitors wants no proxy to have found one of its own invariants violated.
+// checkMonitors checks that no proxy detected a violation of its own invariants.
 func (r *Record) checkMonitors(_ Invariant, found *findings) string {
 	for _, violation := range r.Violations {
 		found.add("%s", violation)
@@ -62,15 +62,15 @@
 	return "none"
 }
 
-// checkOverloads wants no endpoint to have gone down by its load.
+// checkOverloads checks that no endpoint crashed from overload.
 func (r *Record) checkOverloads(_ Invariant, found *findings) string {
 	for _, overload := range r.Overloads {
-		found.add("%s went down by its load at %.2f s", overload.Endpoint, overload.At.Seconds())
+		found.add("%s crashed from overload at %.2f s", overload.Endpoint, overload.At.Seconds())
 	}
-	return "none went down"
+	return "no endpoint crashed"
 }
 
-// readViolations takes from the proxies' logs what their own monitors have found, and what a panic has left.
+// readViolations collects from the proxies' logs the invariant violations that they detected themselves, and panics.
 func (c *Cluster) readViolations() {
 	for _, p := range c.proxies {
 		file, err := os.Open(filepath.Join(p.dir, logFile))
--- a/internal/drill/audit_requests.go
+++ b/internal/drill/audit_requests.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// forever stands for the end of what has none.
+// forever stands for the time of an event that has not happened.
 const forever = time.Duration(1 << 62)
 
-// checkAnswers wants exactly one final answer for each request.
+// checkAnswers checks that each request has exactly one final answer.
 func (r *Record) checkAnswers(invariant Invariant, found *findings) string {
 	total, excused := 0, 0
 	for _, request := range r.Requests {
@@ -21,7 +21,7 @@
 		total++
 		switch {
 		case request.Answers > 1:
-			found.add("request %s had %d answers", request.ID, request.Answers)
+			found.add("request %s: got %d answers, want 1", request.ID, request.Answers)
 		case request.Outcome.isFinal() || request.Outcome == OutcomeCanceled:
 		case r.isExcused(request):
 			excused++
@@ -31,15 +31,15 @@
 		}
 	}
 	for range r.UnexpectedAnswers {
-		found.add("an answer to nothing that was open")
+		found.add("an answer to a request that was not open")
 	}
 	if total == 0 {
-		found.add("nothing was asked")
+		found.add("no requests were sent")
 	}
-	return fmt.Sprintf("%d requests, %d of them with a proxy that was ended or stopped", total, excused)
+	return fmt.Sprintf("%d requests, %d of them excused by a fault at their proxy or connection", total, excused)
 }
 
-// describeProcessing tells of the process that a request went to, and of its attempts.
+// describeProcessing describes a request's attempts and the process of its proxy that ran when it was sent.
 func (r *Record) describeProcessing(request *Request) string {
 	var attempts []*Attempt
 	for _, attempt := range r.Attempts {
@@ -50,7 +50,7 @@
 	text := fmt.Sprintf("attempts [%s]", describeAttempts(attempts))
 	for _, run := range r.ProcessRuns {
 		if run.Proxy == request.Proxy && run.isAlive(request.SentAt) {
-			text += fmt.Sprintf(", the process began at %.3f s, ready %.3f, SIGTERM %.3f, SIGKILL %.3f, ended %.3f",
+			text += fmt.Sprintf(", the process started at %.3f s, ready %.3f, SIGTERM %.3f, SIGKILL %.3f, ended %.3f",
 				run.StartedAt.Seconds(), run.ReadyAt.Seconds(), run.TermAt.Seconds(), run.KilledAt.Seconds(),
 				run.EndedAt.Seconds())
 		}
@@ -58,7 +58,7 @@
 	return text
 }
 
-// isAlive reports whether the process ran at a time.
+// isAlive reports whether the process was running at a time.
 func (p *ProcessRun) isAlive(at time.Duration) bool {
 	return p.StartedAt <= at && (p.EndedAt == 0 || p.EndedAt >= at)
 }
@@ -66,16 +66,17 @@
 func (r *Request) describeEnd() string {
 	switch r.Outcome {
 	case OutcomeDisconnected:
-		const form = "its connection ended at %.3f s, closed at %.3f s: %s, the first of it %v, not sent again as %s"
+		const form = "its connection ended at %.3f s, closed at %.3f s: %s, first on it %v, not resent because %s"
 		return fmt.Sprintf(form, r.EndedAt.Seconds(), r.ClosedAt.Seconds(), r.EndError, r.FirstOfConn, r.ResendRefusal)
 	case OutcomeUnanswered:
 		return "no answer came"
 	}
-	return "it is open still"
+	return "still open"
 }
 
-// isExcused says whether a request may be without a final answer: its proxy was killed or stopped by the plan while it
-// was open (one that was told to end has to answer first), or the clients' way to it was disturbed.
+// isExcused reports whether a request may lack a final answer: the plan killed or stopped its proxy while it was open
+// (a proxy that was told to end must answer first), the clients' connections to it were disrupted, or one of the cases
+// of isClosedUnread and crossedWithoutTarget applies.
 func (r *Record) isExcused(request *Request) bool {
 	if request.Outcome.isFinal() {
 		return false
@@ -100,14 +101,14 @@
 	return false
 }
 
-// crossedWithoutTarget reports whether a request crossed a close in good order, which the protocol has sent again once,
-// while no proxy of its zone served that it could go to.
+// crossedWithoutTarget reports whether a request crossed the orderly close of its connection, after which the protocol
+// allows one resend, while no other proxy of its zone was serving.
 func (r *Request) crossedWithoutTarget() bool {
 	return r.Outcome == OutcomeDisconnected && r.ResendRefusal == RefusedNoProxy
 }
 
 // isClosedUnread reports whether a request was the first on a connection that a proxy full of idle clients closed, and
-// went to no endpoint: the standing test allows that new connections are shut unread then.
+// reached no endpoint: the acceptance test allows the proxy to close new connections unread then.
 func (r *Record) isClosedUnread(request *Request) bool {
 	hasIdleClients := slices.ContainsFunc(r.IdleClients[request.Proxy], func(span Span) bool {
 		return span.overlaps(request.SentAt, request.EndedAt)
@@ -116,23 +117,24 @@
 	return hasIdleClients && request.FirstOfConn && request.Outcome == OutcomeDisconnected && !isForwarded
 }
 
-// isPlannedKill reports whether the process was killed as at a planned restart: no sooner after SIGTERM than the
-// protocol has it.
+// isPlannedKill reports whether the process was killed as in a planned restart: no sooner after SIGTERM than the
+// protocol allows.
 func (p *ProcessRun) isPlannedKill(earliestKill time.Duration) bool {
 	return p.Killed && p.TermAt > 0 && p.KilledAt-p.TermAt >= earliestKill
 }
 
-// wasPausedUntilKill reports whether a request was open in a pause that lasted until the kill and that began before
-// the request was due: the process could have waited up to then, and from then on it could do nothing.
+// wasPausedUntilKill reports whether a request was open during a pause that lasted until the kill and began before the
+// request was due: the process could rightly have waited until the pause, and could do nothing from then on.
 func (p *ProcessRun) wasPausedUntilKill(sent, due time.Duration) bool {
 	return sent <= p.KilledAt && slices.ContainsFunc(p.Pauses, func(pause Span) bool {
 		return pause.From <= due && pause.overlaps(p.KilledAt, p.KilledAt)
 	})
 }
 
-// excuses reports whether the process was killed or stood still while a request to it was open. Of what a planned kill
-// finds open, the protocol excuses what came within killGrace of SIGTERM. Beside that only a pause up to the kill
-// excuses: the protocol's planned restart has none, and no program answers in one.
+// excuses reports whether the process was killed or paused while a request to it was open. Of the requests that are
+// open at a planned kill, the protocol excuses those that arrived up to killGrace after SIGTERM. Others are excused
+// only by a pause that lasts until the kill: the protocol's planned restart has no pause, and no program can answer
+// during one.
 func (r *Record) excuses(p *ProcessRun, sent, ended time.Duration) bool {
 	isPlanned := p.isPlannedKill(r.earliestKill)
 	if isPlanned && sent >= p.StartedAt && ended >= p.KilledAt {
@@ -149,7 +151,7 @@
 	return false
 }
 
-// checkServed wants a share of the requests served.
+// checkServed checks that at least a share of the requests is served.
 func (r *Record) checkServed(invariant Invariant, found *findings) string {
 	var unserved []*Request
 	total := 0
@@ -169,7 +171,7 @@
 	return fmt.Sprintf("%.4f of %d requests", share, total)
 }
 
-// describeUnserved counts requests by proxy and outcome, and tells from when to when they were sent.
+// describeUnserved counts requests by class, proxy and outcome, with the time range in which they were sent.
 func describeUnserved(requests []*Request) string {
 	type group struct {
 		count       int
@@ -194,7 +196,7 @@
 	return strings.Join(words, ", ")
 }
 
-// checkLedger wants each charge that was answered as posted to be posted, and none twice.
+// checkLedger checks that each charge that was answered as posted has been posted, and that none has been posted twice.
 func (r *Record) checkLedger(_ Invariant, found *findings) string {
 	charges := 0
 	for _, request := range r.Requests {
@@ -203,7 +205,7 @@
 		}
 		charges++
 		if request.Outcome == OutcomeServed && r.Executions[request.Key] == 0 {
-			found.add("%s was answered as posted and is not", request.Key)
+			found.add("%s was answered as posted but is not posted", request.Key)
 		}
 	}
 	for key, count := range r.Executions {
@@ -214,7 +216,7 @@
 	return fmt.Sprintf("%d charges, %d posted", charges, len(r.Executions))
 }
 
-// checkCancellations wants no attempt that begins longer than the bound after its client has canceled.
+// checkCancellations checks that no attempt starts later than the bound after its client has canceled.
 func (r *Record) checkCancellations(invariant Invariant, found *findings) string {
 	canceledAt := map[string]time.Duration{}
 	for _, request := range r.Requests {
--- a/internal/drill/byzantine.go
+++ b/internal/drill/byzantine.go
@@ -15,24 +15,24 @@
 
 const (
 	byzantineNode = "liar"
-	// advertiseInterval is how often the false list is told to everybody.
+	// advertiseInterval is how often the false list is advertised to all members.
 	advertiseInterval = 200 * time.Millisecond
 	// inventedEndpoints is how many endpoints the longest false list has.
 	inventedEndpoints = 20_000
-	// versionLeadBits puts a false list's version far ahead of any true one.
-	versionLeadBits = 40 // bits
+	// versionLeadBits shifts a false list's version far ahead of any true one.
+	versionLeadBits = 40
 	// callbackQueue is how many callbacks of the transport may wait for the peer's loop.
 	callbackQueue = 64
 )
 
-// falseLists are the lists that a byzantine peer tells, by the plan's word.
+// falseLists holds the lists that a byzantine peer can advertise, by their names in plans.
 var falseLists = map[string]func(c *Cluster) []membership.Endpoint{
 	"empty": func(*Cluster) []membership.Endpoint { return nil },
 	"dead":  allDraining,
 	"many":  manyInvented,
 }
 
-// allDraining has the true endpoints, all of them draining.
+// allDraining returns the true endpoints, all marked as draining.
 func allDraining(c *Cluster) []membership.Endpoint {
 	var list []membership.Endpoint
 	for _, e := range c.endpointOrder {
@@ -41,7 +41,7 @@
 	return list
 }
 
-// manyInvented has thousands of endpoints that share one true address.
+// manyInvented returns thousands of endpoints that share the address of a real one.
 func manyInvented(c *Cluster) []membership.Endpoint {
 	var list []membership.Endpoint
 	for i := range inventedEndpoints {
@@ -56,25 +56,25 @@
 	return list
 }
 
-// byzantinePeer is a member of the fleet that has its key and tells all of a zone a false list. Its run loop owns
-// members and sends; the transport's callbacks are handed to it.
+// byzantinePeer is a member of the fleet that holds its key and advertises a false list to all members. Its run loop
+// owns members and sends the messages; the transport's callbacks are passed to the loop.
 type byzantinePeer struct {
-	number    int // of the byzantine peers, from 0
+	number    int // among the byzantine peers, from 0
 	transport *transport.Transport
 	relay     *relay
-	endpoints []membership.Endpoint // of the false list, in order
+	endpoints []membership.Endpoint // of the false list, sorted
 	members   []peer.Member
 	callbacks chan func()
 	closed    chan struct{}
 }
 
-// byzantinePeers is those that run. Steps add and remove them side by side.
+// byzantinePeers holds the running byzantine peers. Steps add and remove them concurrently.
 type byzantinePeers struct {
 	mu    sync.Mutex
 	peers []*byzantinePeer
 }
 
-// add has one join the fleet as a proxy of a zone.
+// add starts a peer that joins the fleet as a proxy of a zone.
 func (b *byzantinePeers) add(c *Cluster, zone int, falseList string) (*byzantinePeer, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -86,7 +86,7 @@
 	return member, nil
 }
 
-// remove ends one.
+// remove stops a peer.
 func (b *byzantinePeers) remove(member *byzantinePeer) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -94,7 +94,7 @@
 	member.close()
 }
 
-// close ends all.
+// close stops all peers.
 func (b *byzantinePeers) close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -103,7 +103,7 @@
 	}
 }
 
-// newByzantinePeer has one with a number join the fleet as a proxy of a zone.
+// newByzantinePeer starts a peer with a number, which joins the fleet as a proxy of a zone.
 func (c *Cluster) newByzantinePeer(number, zone int, falseList string) (*byzantinePeer, error) {
 	ip := c.hostAddress(byzantineSubnet, zone-1)
 	c.network.join(ip, byzantineNode)
@@ -137,7 +137,7 @@
 	return member, nil
 }
 
-// run tells the false list to everybody, again and again, and serves it to whoever asks.
+// run advertises the false list to all members periodically, and executes the transport's callbacks.
 func (p *byzantinePeer) run() {
 	var digest []bootstrap.Advertisement
 	for list := range len(serviceNames) {
@@ -166,15 +166,15 @@
 	}
 }
 
-// MembersChanged takes who is in the fleet.
+// MembersChanged takes the fleet's current members.
 func (p *byzantinePeer) MembersChanged(members []peer.Member) {
 	p.callbacks <- func() { p.members = members }
 }
 
-// Log drops the transport's lines.
+// Log drops the transport's log events.
 func (p *byzantinePeer) Log(string, ...any) {}
 
-// MessageReceived serves the false list to who fetches it.
+// MessageReceived serves the false list to members that fetch it.
 func (p *byzantinePeer) MessageReceived(from string, body []byte) {
 	var message bootstrap.Message
 	if transport.Decode(body, &message) != nil || message.Fetch == nil {
@@ -184,7 +184,7 @@
 	p.callbacks <- func() { p.sendParts(from, version) }
 }
 
-// sendParts sends the false list as the version that was asked for.
+// sendParts sends the false list in parts, under the version that was requested.
 func (p *byzantinePeer) sendParts(to string, version bootstrap.ListVersion) {
 	const size = bootstrap.EndpointsPerPart
 	count := len(p.endpoints)
@@ -202,7 +202,7 @@
 
 func (p *byzantinePeer) close() {
 	close(p.closed)
-	go func() { // callbacks that are under way must not wait for ever
+	go func() { // unblocks callbacks that are waiting for the loop
 		for range p.callbacks {
 		}
 	}()
--- a/internal/drill/catalogue.go
+++ b/internal/drill/catalogue.go
@@ -12,13 +12,13 @@
 	"sloequay/internal/emulator/consul"
 )
 
-// serviceNames are the catalogue's services by the class of their endpoints.
+// serviceNames holds the names of the catalogue's services by the class of their endpoints.
 var serviceNames = map[string]string{classCache: "cache", classParent: "trunk", classOrigin: "archive"}
 
-// apiPrefix begins the paths of Consul's HTTP API.
+// apiPrefix is the path prefix of Consul's HTTP API.
 const apiPrefix = "/v1/"
 
-// catalogueSettings is a proxy's settings for a catalogue at one agent.
+// catalogueSettings is the section of a proxy's settings for a catalogue with one agent.
 const catalogueSettings = `catalogue {
 agent %s
 service cache {
@@ -30,15 +30,15 @@
 }
 `
 
-// catalogue is the list service as an emulated Consul with one agent.
+// catalogue is the list service as an emulated Consul cluster with one agent.
 type catalogue struct {
 	cluster *Cluster
 	consul  *consul.Cluster
 	agent   *consul.Agent
 
 	mu       sync.Mutex
-	rate     float64 // calls a second that are answered; 0: any number
-	tokens   float64 // calls that may be answered now
+	rate     float64 // calls per second that are answered; 0: unlimited
+	tokens   float64 // calls that may be answered at filledAt
 	filledAt time.Time
 }
 
@@ -53,7 +53,7 @@
 	return list, err
 }
 
-// limitCalls notes each call, and answers it as long as the rate bears it.
+// limitCalls records each call, and answers it with status 429 if it exceeds the rate.
 func (l *catalogue) limitCalls(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(out http.ResponseWriter, in *http.Request) {
 		l.cluster.recordListCall(l.cluster.network.nodeAt(in.RemoteAddr), strings.TrimPrefix(in.URL.Path, apiPrefix))
@@ -65,7 +65,7 @@
 	})
 }
 
-// takeToken reports whether the rate bears one more call: a token bucket of one second's calls.
+// takeToken reports whether the rate allows one more call. The token bucket holds the calls of one second.
 func (l *catalogue) takeToken() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/drill/chart/chart.go
+++ b/internal/drill/chart/chart.go
@@ -1,5 +1,5 @@
-// Package chart draws the time line of a drill as SVG. It stands apart from the drill because the plot library with its
-// fonts adds 8 MB to a binary, and 1 to 2 MB to the resident memory of a process that only links it.
+// Package chart draws the timeline of a drill as SVG. It is separate from package drill because the plot library with
+// its fonts adds 8 MB to a binary, and 1 to 2 MB to the resident memory of a process that merely links it.
 package chart
 
 import (
@@ -21,10 +21,10 @@
 	panelHeight = 5 * vg.Centimeter
 )
 
-// legendMargin is how much longer than its lines a panel is, so that their names have room.
+// legendMargin is the factor by which the X axis extends beyond the lines, so that the legend has room.
 const legendMargin = 1.15
 
-// colors of the lines, told apart also by those who see no red and green.
+// colors are the colors of the lines, which people with red-green color blindness can tell apart too.
 var colors = []color.Color{
 	color.RGBA{0, 0, 0, 255},
 	color.RGBA{0, 114, 178, 255},
@@ -32,7 +32,7 @@
 	color.RGBA{213, 94, 0, 255},
 }
 
-// SVG draws the panels below one another.
+// SVG draws the timeline's panels one below the other.
 func SVG(timeline drill.Timeline) ([]byte, error) {
 	canvas := vgsvg.New(panelWidth, panelHeight*vg.Length(len(timeline.Panels)))
 	page := draw.New(canvas)
--- a/internal/drill/cluster_test.go
+++ b/internal/drill/cluster_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestHostAddresses: the ends of the largest plan have valid addresses, each its own.
+// TestHostAddresses checks that all nodes of the largest possible plan have valid and distinct addresses.
 func TestHostAddresses(t *testing.T) {
 	c := &Cluster{subnet: "127.80"}
 	seen := map[netip.Addr]bool{}
@@ -13,7 +13,7 @@
 		for number := range count {
 			address, err := netip.ParseAddr(c.hostAddress(firstSubnet, number))
 			if err != nil || seen[address] {
-				t.Fatalf("end %d from subnet %d on has the address %v, %v", number, firstSubnet, address, err)
+				t.Fatalf("node %d from subnet %d on: got address %v, error %v, want a valid one used once", number, firstSubnet, address, err)
 			}
 			seen[address] = true
 		}
--- a/internal/drill/run.go
+++ b/internal/drill/run.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// timerFor returns a timer for the first of the events; without events, one that does not fire within the drill.
+// timerFor returns a timer for the first of the events; without events, one that fires after an hour.
 func (c *Cluster) timerFor(events []event) *time.Timer {
 	if len(events) == 0 {
 		return time.NewTimer(time.Hour)
