--- a/internal/drill/audit_attempts.go
+++ b/internal/drill/audit_attempts.go
@@ -48,8 +48,8 @@
 // checkRepeat checks an attempt against the next one of the same request.
 func checkRepeat(before, next *Attempt, found *findings) {
 	if ended := before.endedAt(); ended == 0 || ended > next.ReceivedAt+socketSlack {
-		found.add("%s was still in flight at %s (received at %.3f s) when it was sent to %s at %.3f s", next.ID, before.Endpoint,
-			before.ReceivedAt.Seconds(), next.Endpoint, next.ReceivedAt.Seconds())
+		found.add("%s was still in flight at %s (received at %.3f s) when it was sent to %s at %.3f s",
+			next.ID, before.Endpoint, before.ReceivedAt.Seconds(), next.Endpoint, next.ReceivedAt.Seconds())
 	}
 	isAnswered := before.AnsweredAt > 0 && before.AnsweredAt+socketSlack < next.ReceivedAt
 	if isAnswered && before.Executed && before.CanceledAt == 0 && before.conn.ended() == 0 {
@@ -80,8 +80,8 @@
 		for _, attempt := range r.Attempts {
 			isForbidden := attempt.ReceivedAt > drain.At+limit && attempt.ReceivedAt < end
 			if attempt.Endpoint == drain.Endpoint && isForbidden {
-				found.add("%s has been draining since %.2f s, but received %s at %.2f s from %s", drain.Endpoint, drain.At.Seconds(),
-					attempt.ID, attempt.ReceivedAt.Seconds(), attempt.From)
+				found.add("%s has been draining since %.2f s, but received %s at %.2f s from %s", drain.Endpoint,
+					drain.At.Seconds(), attempt.ID, attempt.ReceivedAt.Seconds(), attempt.From)
 			}
 		}
 	}
@@ -112,8 +112,8 @@
 			continue
 		}
 		if left := request.SentAt + r.clientLimit - attempt.ReceivedAt; attempt.Timeout > left+excess {
-			found.add("%s got a timeout of %v from %s at %.3f s with %v left; sent at %.3f s to proxy %d, first on its "+
-				"connection %v, resent %v", attempt.ID, attempt.Timeout, attempt.From,
+			found.add("%s got a timeout of %v from %s at %.3f s with %v left; sent at %.3f s to proxy %d, first on "+
+				"its connection %v, resent %v", attempt.ID, attempt.Timeout, attempt.From,
 				attempt.ReceivedAt.Seconds(), left, request.SentAt.Seconds(), request.Proxy, request.FirstOfConn,
 				request.Resent)
 		}
--- a/internal/drill/audit_processes.go
+++ b/internal/drill/audit_processes.go
@@ -33,8 +33,8 @@
 		found.add("ready within %s for share %g of %d starts", describeReady(slowest), invariant.share, len(readyTimes))
 	}
 	median := readyTimes[(len(readyTimes)-1)/2]
-	return fmt.Sprintf("of %d starts half were ready within %s, share %g within %s", len(readyTimes), describeReady(median), invariant.share,
-		describeReady(slowest))
+	return fmt.Sprintf("of %d starts half were ready within %s, share %g within %s", len(readyTimes),
+		describeReady(median), invariant.share, describeReady(slowest))
 }
 
 func describeReady(readyTime time.Duration) string {
--- a/internal/drill/client_conn.go
+++ b/internal/drill/client_conn.go
@@ -12,28 +12,28 @@
 	"sloequay/internal/emulator"
 )
 
-// overloadedError is the error of an answer by which a proxy rejects a request.
+// overloadedError is the error in the answer of a proxy that rejects a request.
 const overloadedError = "Overloaded"
 
 const (
-	// slowReaderPause is what a slow reader waits after each answer.
+	// slowReaderPause is how long a slow reader waits after each answer.
 	slowReaderPause = 30 * time.Millisecond
-	// maxOpenRequestsOfSlowReader is how many requests a slow reader has open.
+	// maxOpenRequestsOfSlowReader is how many requests a slow reader may have open.
 	maxOpenRequestsOfSlowReader = 4
 )
 
-// clientConn is a client's connection to a proxy. Its reader ends what is open when it ends.
+// clientConn is a client's connection to a proxy. When it ends, its reader ends or resends the requests open on it.
 type clientConn struct {
 	generator *loadGenerator
 	client    *emulator.Client
 	proxy     *proxy
-	exclusive bool      // it was made for one request
-	slow      *slowConn // its answers are read one after a pause; nil: it is no slow reader
+	exclusive bool      // it carries only one request
+	slow      *slowConn // the connection of a slow reader, which pauses after each answer; nil: not slow
 
 	mu       sync.Mutex
 	lastID   uint64
 	open     map[uint64]*pendingRequest
-	givenUp  map[uint64]bool // an answer may come still
+	givenUp  map[uint64]bool // message ids of requests whose answers may still come
 	isClosed bool
 }
 
@@ -56,7 +56,7 @@
 	return c.isClosed, len(c.open)
 }
 
-// add opens a request, and gives the id of its message.
+// add registers a request as open and returns its message id.
 func (c *clientConn) add(pending *pendingRequest) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,16 +66,16 @@
 	return c.lastID
 }
 
-// send opens a request and writes it, and gives the id of its message.
+// send registers a request as open, writes it, and returns its message id.
 func (c *clientConn) send(pending *pendingRequest) uint64 {
 	messageID := c.add(pending)
 	c.generator.cluster.Record.update(func() { pending.record.FirstOfConn = messageID == 1 })
-	// A write that fails is seen by the reader too, which ends all that is open.
+	// If the write fails, the reader fails too and ends all open requests.
 	_ = c.client.Send(pending.frame(messageID))
 	return messageID
 }
 
-// read takes the connection's answers until it ends.
+// read handles the connection's answers until the connection ends.
 func (c *clientConn) read() {
 	for {
 		reply, err := c.client.Read(time.Second)
@@ -122,7 +122,7 @@
 	return OutcomeFailed
 }
 
-// handleEnd ends what is open on a connection that has ended, or sends it again where the protocol allows.
+// handleEnd handles the end of the connection: it resends each open request if the protocol allows, or else ends it.
 func (c *clientConn) handleEnd(err error) {
 	c.mu.Lock()
 	c.isClosed = true
@@ -131,7 +131,7 @@
 	c.mu.Unlock()
 	_ = c.client.Conn.Close()
 	if c.generator.isStopped() {
-		return // the drill is over, and closed it
+		return // the connection was closed at the end of the drill
 	}
 	closedAt := c.closedAt()
 	for _, pending := range open {
@@ -149,7 +149,7 @@
 	}
 }
 
-// hasRoom reports whether one more request may be sent beside those that are open.
+// hasRoom reports whether one more request may be sent on the connection, given how many are open.
 func (c *clientConn) hasRoom(open int) bool {
 	if c.slow != nil {
 		return open < maxOpenRequestsOfSlowReader
@@ -157,14 +157,14 @@
 	return open < maxOpenRequests
 }
 
-// hasNoticedClose reports whether a slow reader's client has had the time to learn from its socket that the connection was
-// closed, though the reader has answers left to read. Others learn by reading.
+// hasNoticedClose reports whether the socket of a slow reader has known for closeNoticeTime that the connection was
+// closed, even though the reader still has answers to read. Other clients notice the close by reading.
 func (c *clientConn) hasNoticedClose() bool {
 	return c.slow != nil && c.slow.closedFor() >= closeNoticeTime
 }
 
-// resendTarget is the proxy to which a request goes again that crossed the close of its connection at a time, and was
-// not sent again yet. Without one it says why.
+// resendTarget returns the proxy to which a request is resent whose connection ended with err at closedAt: it must have
+// crossed the close and not have been resent before. If there is no such proxy, it returns the reason.
 func (c *clientConn) resendTarget(pending *pendingRequest, closedAt time.Time, err error) (target *proxy,
 	refusal ResendRefusal,
 ) {
@@ -187,13 +187,14 @@
 	return target, ""
 }
 
-// isOrderlyClose reports whether an error may be that of a close in good order. Bytes that come in the very moment of
-// the close have the system reset the connection.
+// isOrderlyClose reports whether an error can result from an orderly close. It may be a reset, because the system
+// resets the connection if bytes arrive at the moment of the close.
 func isOrderlyClose(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// closedAt is when a connection was closed whose end was read just now. A slow reader reads the end late.
+// closedAt returns when the connection was closed, given that its end has just been read. A slow reader reads the end
+// late, so its socket's time counts.
 func (c *clientConn) closedAt() time.Time {
 	if c.slow != nil {
 		return c.slow.closedAt()
@@ -201,7 +202,7 @@
 	return time.Now()
 }
 
-// giveUpUnanswered gives up what has no answer long after its time.
+// giveUpUnanswered gives up the requests that have no answer answerGrace after the client's limit.
 func (c *clientConn) giveUpUnanswered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -214,8 +215,8 @@
 	}
 }
 
-// cancelLater has the client give up a request after a time: it withdraws it, or closes the connection that it has to
-// itself.
+// cancelLater cancels a request after its delay, if it is still open: by a cancel message, or by closing the connection
+// if the request has it to itself.
 func (c *clientConn) cancelLater(messageID uint64, pending *pendingRequest) {
 	time.Sleep(pending.after)
 	c.mu.Lock()
--- a/internal/drill/client_conn_test.go
+++ b/internal/drill/client_conn_test.go
@@ -9,8 +9,8 @@
 	"sloequay/internal/emulator"
 )
 
-// closingListener takes one connection after another. Each is closed in good order when closeNow is sent to, once all
-// that has come by then was read.
+// closingListener accepts connections. On each value sent to closeNow it closes one of them in an orderly way, after
+// reading what has arrived by then.
 type closingListener struct {
 	net.Listener
 	closeNow chan struct{}
@@ -43,7 +43,7 @@
 	}
 }
 
-// drainingCluster has one proxy that runs, was ready and was sent SIGTERM.
+// drainingCluster returns a cluster whose only proxy is running, was ready and has been sent SIGTERM.
 func drainingCluster(address string) (*Cluster, *proxy) {
 	plan := NewPlan()
 	plan.DialAfterTerm = 200 * time.Millisecond
@@ -56,9 +56,10 @@
 	return c, p
 }
 
-// TestSlowReaderMeetsAClose: a slow reader meets the end of its connection long after the proxy has closed it. Whether
-// a request crossed the close, and whether that was in good order, is judged by when the proxy closed it.
-func TestSlowReaderMeetsAClose(t *testing.T) {
+// TestSlowReaderMeetsClose checks that the time at which the proxy closed a connection decides whether a request
+// crossed the close and whether the close was orderly. A slow reader reads the end of its connection long after that
+// time.
+func TestSlowReaderMeetsClose(t *testing.T) {
 	const (
 		soon = crossingWindow / 5
 		late = 2 * crossingWindow
@@ -66,15 +67,15 @@
 	for _, c := range []struct {
 		name        string
 		beforeClose time.Duration // from the request to the close
-		afterClose  time.Duration // from the close to the request, where that is longer than 0
-		killFirst   bool          // SIGKILL is sent before the close, and not after it
+		afterClose  time.Duration // from the close to the request; 0: the request comes first
+		killFirst   bool          // SIGKILL is sent before the close instead of after it
 		want        ResendRefusal
 	}{
-		{name: "it crosses the close, learned of after SIGKILL", beforeClose: soon, want: RefusedNoProxy},
-		{name: "the same, and it comes just after the close", afterClose: soon, want: RefusedNoProxy},
+		{name: "request crosses the close, which is read after SIGKILL", beforeClose: soon, want: RefusedNoProxy},
+		{name: "request just after the close, which is read after SIGKILL", afterClose: soon, want: RefusedNoProxy},
 		{name: "SIGKILL closes the connection", beforeClose: soon, killFirst: true, want: RefusedDisorderlyClose},
-		{name: "the proxy has it when it closes the connection", beforeClose: late, want: RefusedSentLongBefore},
-		{name: "it comes long after the close", afterClose: late, want: RefusedSentLongAfter},
+		{name: "request long before the close", beforeClose: late, want: RefusedSentLongBefore},
+		{name: "request long after the close", afterClose: late, want: RefusedSentLongAfter},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			listener := newClosingListener(t)
@@ -98,24 +99,24 @@
 				time.Sleep(c.afterClose)
 				conn.send(pending)
 			}
-			time.Sleep(late) // the reader has other answers to read
+			time.Sleep(late) // as if the reader had other answers to read first
 			if !c.killFirst {
 				p.run.Killed, p.run.KilledAt = true, cluster.now()
 			}
 			conn.read()
 			if got := pending.record.ResendRefusal; got != c.want {
-				t.Errorf("not sent again as %q, want %q", got, c.want)
+				t.Errorf("resend refusal: got %q, want %q", got, c.want)
 			}
 		})
 	}
 }
 
-// awaitEndSeen waits until a socket has met the end of its connection.
+// awaitEndSeen waits until a socket has seen the end of its connection.
 func awaitEndSeen(t *testing.T, watch *emulator.EndWatch) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); watch.SeenAt().IsZero(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the end of the connection was not seen")
+			t.Fatal("end of the connection: got no notice within 10 s")
 		}
 	}
 }
--- a/internal/drill/cluster_test.go
+++ b/internal/drill/cluster_test.go
@@ -13,7 +13,8 @@
 		for number := range count {
 			address, err := netip.ParseAddr(c.hostAddress(firstSubnet, number))
 			if err != nil || seen[address] {
-				t.Fatalf("node %d from subnet %d on: got address %v, error %v, want a valid one used once", number, firstSubnet, address, err)
+				t.Fatalf("node %d from subnet %d on: got address %v, error %v, want a valid unused one",
+					number, firstSubnet, address, err)
 			}
 			seen[address] = true
 		}
--- a/internal/drill/conn.go
+++ b/internal/drill/conn.go
@@ -8,30 +8,32 @@
 )
 
 const (
-	// retransmissionTimeout is what a lost segment costs a TCP stream: the least retransmissionTimeout time-out of Linux.
+	// retransmissionTimeout is the delay that a lost segment adds to a TCP stream: Linux's minimum retransmission
+	// timeout.
 	retransmissionTimeout = 200 * time.Millisecond
-	// cutPollInterval is how often what waits for a cut link looks whether it may go on.
+	// cutPollInterval is how often a connection that waits for a cut link checks whether the cut is over.
 	cutPollInterval   = 5 * time.Millisecond
 	maxSegment        = 32 << 10 // bytes
-	maxQueuedSegments = 256      // segments that wait for their time in one direction of one connection
+	maxQueuedSegments = 256      // segments waiting in one direction of one connection
 )
 
-// linkedConn is a connection whose bytes travel by the links: Read gives those from its far end, Write sends to it.
+// linkedConn is a connection that is subject to the faults of its links: Read delivers bytes from the remote node, and
+// Write sends bytes to it.
 type linkedConn struct {
 	net.Conn
 	network  *network
-	from, to string // from is the far end
+	from, to string // from is the remote node
 
 	closeOnce sync.Once
 	closed    chan struct{}
 
 	mu       sync.Mutex
-	queue    chan []byte // nil until a segment had to wait
+	queue    chan []byte // nil until a segment has to wait
 	writeErr error
-	endedAt  time.Time // when the far end closed, whether or not the links let that be known; zero: it has not
+	endedAt  time.Time // when either side closed, even if a cut link still hides it; zero: open
 }
 
-// ended is when the connection ended, in the drill's time; 0: it has not.
+// ended returns when the connection ended, in the drill's time; 0: it has not.
 func (c *linkedConn) ended() time.Duration {
 	if c == nil {
 		return 0
@@ -52,12 +54,12 @@
 	}
 }
 
-// remoteNode names who is at the other side of a connection that the network made.
+// remoteNode returns the name of the remote node of a connection made by the network.
 func remoteNode(conn net.Conn) string { return conn.(*linkedConn).from }
 
-// transmit waits until bytes may go on by a link, and says whether the connection still stands. The time that bytes
-// take counts from when it is called: what comes while one segment waits makes up the next, so that a segment is late
-// by once to twice the delay.
+// transmit waits until bytes have passed a link, and reports whether the connection is still open. The delay counts
+// from the call: bytes that arrive while one segment waits form the next segment, so a segment is late by one to two
+// delays.
 func (c *linkedConn) transmit(from, to string, count int) bool {
 	faults := c.network.faults(from, to)
 	wait := c.network.drawDelay(faults)
@@ -73,7 +75,7 @@
 	return c.waitWhileCut(from, to)
 }
 
-// waitWhileCut returns once a link is not cut, and reports whether the connection still stands.
+// waitWhileCut waits until a link is not cut, and reports whether the connection is still open.
 func (c *linkedConn) waitWhileCut(from, to string) bool {
 	for c.network.faults(from, to).cut {
 		if !c.sleep(cutPollInterval) {
@@ -83,7 +85,7 @@
 	return true
 }
 
-// sleep reports whether the connection still stands after a time.
+// sleep waits and reports whether the connection is still open.
 func (c *linkedConn) sleep(wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -95,7 +97,7 @@
 	}
 }
 
-// Read gives what has come from the far end, once it has arrived.
+// Read returns bytes from the remote node once they have passed the link.
 func (c *linkedConn) Read(buffer []byte) (int, error) {
 	count, err := c.Conn.Read(buffer[:min(len(buffer), maxSegment)])
 	if count > 0 && !c.transmit(c.from, c.to, count) {
@@ -106,12 +108,12 @@
 		c.recordEnd()
 	}
 	if count == 0 && err != nil {
-		c.waitWhileCut(c.from, c.to) // nor does the end of the connection arrive
+		c.waitWhileCut(c.from, c.to) // a cut link delays the end of the connection too
 	}
 	return count, err
 }
 
-// Write sends to the far end. It does not wait for the link: the bytes of a connection queue behind one another.
+// Write queues bytes for the remote node without waiting for the link.
 func (c *linkedConn) Write(data []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,7 +135,7 @@
 	}
 }
 
-// drainQueue sends what waits until the connection is closed or a write fails.
+// drainQueue sends the queued segments until the connection is closed or a write fails.
 func (c *linkedConn) drainQueue() {
 	for {
 		var segment []byte
@@ -155,7 +157,7 @@
 	}
 }
 
-// appendQueued adds what has queued meanwhile to a segment, up to its largest size.
+// appendQueued appends the segments that are queued by now, until the segment has maxSegment bytes.
 func (c *linkedConn) appendQueued(segment []byte) []byte {
 	for len(segment) < maxSegment {
 		select {
@@ -168,7 +170,7 @@
 	return segment
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *linkedConn) Close() error {
 	c.recordEnd()
 	c.closeOnce.Do(func() {
@@ -180,7 +182,7 @@
 	return c.Conn.Close()
 }
 
-// SetLinger is that of the socket, so that a close can be made a reset.
+// SetLinger sets the linger time of the socket, in seconds; 0 makes Close reset the connection.
 func (c *linkedConn) SetLinger(seconds int) error {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		return tcp.SetLinger(seconds)
--- a/internal/drill/draw.go
+++ b/internal/drill/draw.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// The streams of random numbers that plans are drawn from.
+// The random number streams from which plans are drawn.
 const (
 	planStream = 7
 	soakStream = 11
 )
 
-// The kinds of faults that are drawn, as many as the switches below have cases.
+// The numbers of fault kinds; they equal the numbers of cases in the switches below.
 const (
 	planFaultKinds = 9
 	soakFaultKinds = 9
 )
 
-// soakProxies is the size of a soak's fleet.
+// soakProxies is the number of proxies in soak and restart plans.
 const soakProxies = 8
 
-// planText collects the lines of a drawn plan.
+// planText builds the text of a randomly drawn plan.
 type planText struct{ strings.Builder }
 
 func (t *planText) line(format string, values ...any) { fmt.Fprintf(t, format+"\n", values...) }
 
-// parse reads the drawn plan, and keeps its text with it.
+// parse parses the drawn plan and stores its text in it.
 func (t *planText) parse(name string) (*Plan, error) {
 	plan, err := Parse(name, []byte(t.String()))
 	if err != nil {
@@ -37,7 +37,7 @@
 	return plan, nil
 }
 
-// Draw draws a plan at random. What it holds must hold in any cluster.
+// Draw draws a plan at random. Its invariants must hold in any cluster.
 func Draw(seed uint64) (*Plan, error) {
 	rng := rand.New(rand.NewPCG(seed, planStream))
 	text := &planText{}
@@ -53,7 +53,7 @@
 	return text.parse(fmt.Sprintf("seed %d", seed))
 }
 
-// drawPlanFault adds one fault. The order of the draws is part of what a seed means.
+// drawPlanFault adds one fault. The order of the random draws must not change: a seed must keep giving the same plan.
 func drawPlanFault(rng *rand.Rand, text *planText) {
 	drawSelector := func() string {
 		return drawWord(rng, "plaza:1", "doormans:0.3", "doorman:1", "boxes", "list", "hub", "clients")
@@ -82,9 +82,9 @@
 	}
 }
 
-// DrawSoak draws a plan at random in which two or three faults overlap at any time: processes that stop, end, are
-// killed, start and read their files anew, endpoints that drain, go down and are reset, a list service that fails,
-// clients that cancel.
+// DrawSoak draws a random plan in which two or three faults overlap at any time: processes are paused, terminated,
+// killed, started and reloaded, endpoints drain, crash and have their connections reset, the list service fails, and
+// clients cancel.
 func DrawSoak(seed uint64, duration time.Duration) (*Plan, error) {
 	rng := rand.New(rand.NewPCG(seed, soakStream))
 	text := &planText{}
@@ -108,7 +108,8 @@
 	return text.parse(fmt.Sprintf("soak, seed %d", seed))
 }
 
-// drawSoakFault adds one fault that begins at a time. The order of the draws is part of what a seed means.
+// drawSoakFault adds one fault that begins at a time. The order of the random draws must not change: a seed must keep
+// giving the same plan.
 func drawSoakFault(rng *rand.Rand, text *planText, at time.Duration) {
 	faultDuration := time.Duration(200+rng.IntN(1800)) * time.Millisecond
 	proxy := rng.IntN(soakProxies)
@@ -135,5 +136,5 @@
 	}
 }
 
-// drawWord draws one of some words.
+// drawWord returns one of the words at random.
 func drawWord(rng *rand.Rand, words ...string) string { return words[rng.IntN(len(words))] }
--- a/internal/drill/draw_restart.go
+++ b/internal/drill/draw_restart.go
@@ -6,30 +6,31 @@
 	"time"
 )
 
-// restartStream is the stream of random numbers that plans of restarts are drawn from.
+// restartStream is the random number stream from which plans of restarts are drawn.
 const restartStream = 13
 
 const (
-	// restartKinds is how many ways drawRestart has of ending a process.
+	// restartKinds is the number of ways in which drawRestart ends a process; it equals its number of cases.
 	restartKinds = 6
-	// reducedSockets are the descriptors of a proxy in a plan with idle clients, manyClients more than the clients' part.
+	// reducedSockets is the descriptor limit of each proxy in a plan with idle clients, and idleClientsPerProxy the
+	// number of idle clients at one proxy: more than the share of the descriptors that clients may use.
 	reducedSockets      = 256
 	idleClientsPerProxy = 160
-	// restartMargin is left from the kill to the next start of a proxy.
+	// restartMargin is the time from the kill of a proxy to its next start.
 	restartMargin = 800 * time.Millisecond
-	// firstRestart is when the fleet is up, and lastRestart how long before the plan's end the last kill is to come.
-	firstRestart   = 2500 * time.Millisecond
-	lastKillMargin = 1500 * time.Millisecond
+	// firstRestart is when the fleet is up, and lastRestartMargin the least time from the last start to the plan's end.
+	firstRestart      = 2500 * time.Millisecond
+	lastRestartMargin = 1500 * time.Millisecond
 )
 
-// restartDeadlines are the longest deadlines that plans of restarts have: with them the kill comes sooner or later.
+// restartDeadlines are the class deadlines used in plans of restarts. They vary how soon the kill comes.
 var restartDeadlines = []time.Duration{
 	600 * time.Millisecond, 1200 * time.Millisecond, 2 * time.Second, 3 * time.Second, 4 * time.Second,
 }
 
-// DrawRestarts draws a plan at random of planned restarts as the protocol has them: clients go on by open connections
-// until these are closed, SIGKILL comes at the earliest time, and signals come in series, with files that change,
-// processes that stop, endpoints that hang, slow readers and idle clients that fill the descriptors.
+// DrawRestarts draws a random plan of planned restarts as the protocol defines them: clients continue on open
+// connections until these are closed, and SIGKILL comes at the earliest time. Signals come in series, while settings
+// files change, processes pause, endpoints hang, and slow readers and idle clients use up the descriptors.
 func DrawRestarts(seed uint64, duration time.Duration) (*Plan, error) {
 	rng := rand.New(rand.NewPCG(seed, restartStream))
 	text := &planText{}
@@ -58,13 +59,13 @@
 	return text.parse(fmt.Sprintf("restarts, seed %d", seed))
 }
 
-// drawRestarts adds restarts of proxies in turn, of which some overlap.
+// drawRestarts adds restarts of the proxies, one each in random order; some of them overlap.
 func drawRestarts(rng *rand.Rand, text *planText, deadline, duration time.Duration) {
 	kill := (&Plan{Deadline: deadline}).earliestKill()
 	order := rng.Perm(soakProxies)
-	for turn, at := 0, firstRestart; at+kill+restartMargin <= duration-lastKillMargin; turn++ {
+	for turn, at := 0, firstRestart; at+kill+restartMargin <= duration-lastRestartMargin; turn++ {
 		if turn == len(order) {
-			return // a proxy is restarted once
+			return // each proxy is restarted only once
 		}
 		drawRestart(rng, text, order[turn], at)
 		if rng.IntN(2) == 0 {
@@ -76,18 +77,19 @@
 	}
 }
 
-// drawRestart ends a process at a time. The order of the draws is part of what a seed means.
+// drawRestart ends a process at a time. The order of the random draws must not change: a seed must keep giving the same
+// plan.
 func drawRestart(rng *rand.Rand, text *planText, proxy int, at time.Duration) {
 	selector := fmt.Sprintf("doorman:%d", proxy)
 	drawDelay := func(limit int) time.Duration { return time.Duration(1+rng.IntN(limit)) * time.Millisecond }
 	switch rng.IntN(restartKinds) {
 	case 0:
 		text.line("at %v finish %s", at, selector)
-	case 1: // SIGTERM again, and SIGHUP during the drain
+	case 1: // SIGTERM and SIGHUP again during the drain
 		text.line("at %v finish %s", at, selector)
 		text.line("at %v term %s", at+drawDelay(900), selector)
 		text.line("at %v hup %s", at+drawDelay(900), selector)
-	case 2: // SIGHUP in a burst with other files each time, some of them broken, and SIGTERM right after it
+	case 2: // a burst of SIGHUP with new, sometimes broken, files each time, then SIGTERM
 		for range 2 + rng.IntN(3) {
 			text.line("at %v files %s%s", at, selector, drawWord(rng, "", "", " broken"))
 			at += drawDelay(5)
@@ -95,15 +97,15 @@
 			at += drawDelay(20)
 		}
 		text.line("at %v finish %s", at, selector)
-	case 3: // it starts, and SIGTERM comes right after SIGHUP and before it is ready
+	case 3: // SIGHUP and SIGTERM right after a start, before the process is ready
 		text.line("at %v kill %s", at-time.Second, selector)
 		text.line("at %v start %s", at-drawDelay(100), selector)
 		text.line("at %v hup %s", at, selector)
 		text.line("at %v finish %s", at+drawDelay(20), selector)
-	case 4: // it stands still when SIGTERM comes
+	case 4: // paused when SIGTERM comes
 		text.line("at %v stop %s for %v", at-drawDelay(300), selector, 300*time.Millisecond+drawDelay(400))
 		text.line("at %v finish %s", at, selector)
-	case 5: // it stands still during the drain
+	case 5: // paused during the drain
 		text.line("at %v finish %s", at, selector)
 		text.line("at %v stop %s for %v", at+drawDelay(1000), selector, 100*time.Millisecond+drawDelay(400))
 	}
--- a/internal/drill/draw_test.go
+++ b/internal/drill/draw_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestDrawnPlans: every seed gives a plan that can be read, and the same one each time.
+// TestDrawnPlans checks that every seed gives a plan that can be parsed, and the same plan each time.
 func TestDrawnPlans(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := range uint64(200) {
@@ -16,12 +16,12 @@
 			t.Fatal(err)
 		}
 		if again, _ := Draw(seed); again.Text != p.Text {
-			t.Fatalf("seed %d gives two plans", seed)
+			t.Fatalf("seed %d: got two different plans, want the same", seed)
 		}
 		seen[p.Text[strings.Index(p.Text, "\n"):]] = true
 	}
 	if len(seen) < 190 {
-		t.Errorf("200 seeds give %d plans", len(seen))
+		t.Errorf("200 seeds: got %d different plans, want at least 190", len(seen))
 	}
 	for seed := range uint64(200) {
 		p, err := DrawSoak(seed, 12*sec)
@@ -29,12 +29,12 @@
 			t.Fatal(err)
 		}
 		if again, _ := DrawSoak(seed, 12*sec); again.Text != p.Text {
-			t.Fatalf("seed %d gives two plans for a soak", seed)
+			t.Fatalf("seed %d: got two different soak plans, want the same", seed)
 		}
 	}
 }
 
-// TestDrawnRestarts: every seed gives a plan that can be read, and the same one each time.
+// TestDrawnRestarts checks that every seed gives a plan of restarts that can be parsed, and the same plan each time.
 func TestDrawnRestarts(t *testing.T) {
 	for seed := range uint64(200) {
 		plan, err := DrawRestarts(seed, 14*sec)
@@ -42,15 +42,16 @@
 			t.Fatal(err)
 		}
 		if again, _ := DrawRestarts(seed, 14*sec); again.Text != plan.Text {
-			t.Fatalf("seed %d gives two plans for restarts", seed)
+			t.Fatalf("seed %d: got two different plans of restarts, want the same", seed)
 		}
 		if !strings.Contains(plan.Text, "finish doorman:") {
-			t.Errorf("seed %d ends no process:\n%s", seed, plan.Text)
+			t.Errorf("seed %d: got a plan without a restart, want at least one:\n%s", seed, plan.Text)
 		}
 	}
 }
 
-// TestDrawsAreStable: a seed that was kept gives the plan that it gave when it was kept.
+// TestDrawsAreStable checks that seeds still give the plans that they have always given, so that a recorded seed
+// reproduces its plan.
 func TestDrawsAreStable(t *testing.T) {
 	plans, soaks := fnv.New64a(), fnv.New64a()
 	for seed := range uint64(200) {
@@ -66,9 +67,9 @@
 		fmt.Fprint(soaks, soak.Text)
 	}
 	if got, want := plans.Sum64(), uint64(0xfe2d38dde6e51609); got != want {
-		t.Errorf("the drawn plans have the sum %#x, want %#x", got, want)
+		t.Errorf("checksum of the drawn plans: got %#x, want %#x", got, want)
 	}
 	if got, want := soaks.Sum64(), uint64(0x0bca0405425626ce); got != want {
-		t.Errorf("the drawn soaks have the sum %#x, want %#x", got, want)
+		t.Errorf("checksum of the drawn soak plans: got %#x, want %#x", got, want)
 	}
 }
--- a/internal/drill/endpoint.go
+++ b/internal/drill/endpoint.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// The classes of endpoints, as emulator.Settings names them.
+// The classes of endpoints, with the names that emulator.Settings gives them.
 const (
 	classCache  = "std"
 	classParent = "parent"
 	classOrigin = "origin"
 )
 
-// listedState is an endpoint's state as the list tells it.
+// listedState is the state of an endpoint in the published list.
 type listedState string
 
-// The states of the list.
+// The states of endpoints in the list.
 const (
 	listedUp       listedState = "up"
 	listedDraining listedState = "draining"
 )
 
 const (
-	// flowKBps is the pace of one answer in KB a second, as emulator.Settings has it.
+	// flowKBps is the rate of one response in KB per second, as in emulator.Settings.
 	flowKBps = 9500
 	// maxCached bounds how many objects an endpoint caches.
 	maxCached = 1 << 16
 )
 
-// endpoint is one cache, parent or origin: how it is listed, how much it can do, and what it has cached.
+// endpoint is an emulated cache, parent or origin: its entry in the list, its load and its cached objects.
 type endpoint struct {
 	id, zone, class, address string
 
@@ -37,25 +37,25 @@
 	state     listedState
 	startedAt time.Time // zero: long ago
 	downUntil time.Time
-	hangs     bool // it reads, and answers no request
+	hangs     bool // it reads requests but answers none
 	inFlight  int
-	recent    []workItem // of the overload window
+	recent    []workItem // within the overload window
 	cached    map[string]bool
 }
 
-// workItem is the cost of one request.
+// workItem is the cost of one request at the time it arrived.
 type workItem struct {
 	at   time.Time
-	cost float64 // seconds of one flow
+	cost float64 // seconds that its answer takes at flowKBps
 }
 
-// endpointListener is an endpoint's listener: while the endpoint is down connections are reset.
+// endpointListener is an endpoint's listener. It resets connections while the endpoint is down.
 type endpointListener struct {
 	net.Listener
 	endpoint *endpoint
 }
 
-// Accept gives the next connection that finds the endpoint up.
+// Accept returns the next connection that arrives while the endpoint is up.
 func (l *endpointListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -75,7 +75,8 @@
 	return time.Now().Before(e.downUntil)
 }
 
-// addWork books the cost of a request, and says whether the endpoint goes down by it. The caller holds the lock.
+// addWork adds the cost of a request to the endpoint's load, and reports whether the endpoint crashes from it. Origins
+// and endpoints that have warmed up never do. The caller holds the lock.
 func (e *endpoint) addWork(plan *Plan, cost float64) (overloaded bool) {
 	now := time.Now()
 	e.recent = append(e.recent, workItem{now, cost})
@@ -95,8 +96,8 @@
 	return sum > plan.OverloadFactor*capacity*plan.Weight*plan.OverloadWindow.Seconds()
 }
 
-// beginWork has an endpoint do its part of a request, and gives how long that takes; not ok: it is down or
-// hangs. After ok the caller calls finish.
+// beginWork adds a request to an endpoint's load and returns how long the endpoint takes for it. ok is false if the
+// endpoint is down, hangs or crashes from the load. If ok is true, the caller must call finishWork.
 func (c *Cluster) beginWork(e *endpoint, cost float64) (serviceTime time.Duration, ok bool) {
 	e.mu.Lock()
 	if e.hangs || time.Now().Before(e.downUntil) {
@@ -128,8 +129,8 @@
 	e.hangs = hangs
 }
 
-// crash has an endpoint lose its connections and what it has cached, and take nothing for a time. It is cold when it is
-// back.
+// crash resets an endpoint's connections, clears its cache and makes it refuse everything for a time. It is cold when
+// it is up again.
 func (c *Cluster) crash(e *endpoint, downFor time.Duration) {
 	e.mu.Lock()
 	e.downUntil = time.Now().Add(downFor)
@@ -140,7 +141,7 @@
 	c.emulators.ResetConnections(e.id)
 }
 
-// has reports whether the endpoint can answer with an object by itself.
+// has reports whether the endpoint can serve an object without a fill.
 func (e *endpoint) has(object string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -155,7 +156,7 @@
 	}
 }
 
-// setListedState has the list tell a new state of an endpoint.
+// setListedState publishes a new state of an endpoint in the list, and records the change.
 func (c *Cluster) setListedState(e *endpoint, state listedState) {
 	event := EndpointEvent{c.now(), e.id}
 	e.mu.Lock()
--- a/internal/drill/exchange.go
+++ b/internal/drill/exchange.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// sourceTimeout is how long an endpoint waits for a source that says nothing.
+	// sourceTimeout is how long an endpoint waits for a source that does not respond.
 	sourceTimeout = 300 * time.Millisecond
-	// sourceDelay is what it takes to fetch from the origin or a sibling, beside the pace of the answer.
+	// sourceDelay is the latency of a fetch from the origin or a sibling, in addition to the transfer time.
 	sourceDelay = 20 * time.Millisecond
 )
 
-// The classes of requests that clients send, as emulator.Settings has them.
+// The classes of the clients' requests, with the names that emulator.Settings gives them.
 const (
 	lookupClass = "lookup"
 	chargeClass = "charge" // keyed writes
 )
 
-// The fields and words of the endpoints' protocol that the emulated endpoints go by.
+// The fields and words of the endpoints' protocol that the emulated endpoints use.
 const (
 	fieldIdempotencyKey = "replay" // the key of a keyed request
 	fieldClass          = "profile"
@@ -30,7 +30,7 @@
 	fieldPart           = "nth"
 	fieldSource         = "via"
 	fieldOptions        = "opts"
-	fieldCacheRank      = "tier" // 0 or none: the object is not to be cached
+	fieldCacheRank      = "tier" // 0 or absent: the object must not be cached
 	fieldTimeout        = "max"  // milliseconds
 	optionCachedOnly    = "have-only"
 	optionBypassParent  = "through" // the source does not cache what it fetches
@@ -49,7 +49,7 @@
 	attempt  *Attempt
 }
 
-// serve answers an attempt as its endpoint does.
+// serve handles an attempt as its endpoint would.
 func (c *Cluster) serve(received *emulator.ReceivedRequest) {
 	x := &exchange{
 		cluster:  c,
@@ -74,7 +74,7 @@
 	}
 }
 
-// recordAttempt notes an attempt as it comes.
+// recordAttempt records an attempt when it arrives.
 func (c *Cluster) recordAttempt(received *emulator.ReceivedRequest) *Attempt {
 	conn, _ := received.Conn.(*linkedConn)
 	attempt := &Attempt{
@@ -99,7 +99,7 @@
 	return attempt
 }
 
-// recordCancellation notes an attempt that the proxy gave up.
+// recordCancellation records that the proxy canceled an attempt.
 func (c *Cluster) recordCancellation(received *emulator.ReceivedRequest) {
 	if received.Word != wordCancel {
 		return
@@ -112,10 +112,10 @@
 	})
 }
 
-// cost is that of any answer, in seconds of one flow.
+// cost returns the cost of an answer, which is the same for all: its transfer time in seconds at flowKBps.
 func (x *exchange) cost() float64 { return x.cluster.Plan.SizeKB / flowKBps }
 
-// answer sends an answer, once the record has it.
+// answer records the answer and sends it.
 func (x *exchange) answer(word, fields string) {
 	at := x.cluster.now()
 	executed := word == wordServed
@@ -127,13 +127,14 @@
 	x.received.Answer(word, fields, body)
 }
 
-// answerServed sends a good answer; more is further fields, if any.
+// answerServed sends a successful answer with further fields, if any.
 func (x *exchange) answerServed(more ...string) {
 	fields := append([]string{"tag=t1", fmt.Sprintf("minted=%d", time.Now().UnixMilli())}, more...)
 	x.answer(wordServed, strings.Join(fields, ","))
 }
 
-// serveCharge runs a keyed request. A cache lacks it unless it is told to pass it to the origin.
+// serveCharge executes a keyed request. An endpoint other than the origin answers a cache miss unless the request names
+// a source to pass it to.
 func (x *exchange) serveCharge(serviceTime time.Duration) {
 	time.Sleep(serviceTime)
 	if x.endpoint.class != classOrigin && x.received.Fields[fieldSource] == "" {
@@ -144,7 +145,7 @@
 	x.answerServed()
 }
 
-// fill answers with an object that the endpoint fetches from the source that the request names.
+// fill answers with an object that the endpoint fetches from the source named in the request.
 func (x *exchange) fill(object string, serviceTime time.Duration) {
 	source := x.cluster.endpoints[x.received.Fields[fieldSource]]
 	if source == nil || source == x.endpoint {
@@ -178,15 +179,15 @@
 	x.answerServed("remark="+remark, fmt.Sprintf("lag=%d", serviceTime.Milliseconds()))
 }
 
-// isCutFrom reports whether a link between the endpoint and a source is cut, either way.
+// isCutFrom reports whether the link between the endpoint and a source is cut in either direction.
 func (x *exchange) isCutFrom(source *endpoint) bool {
 	own, other := endpointNode(x.endpoint.id), endpointNode(source.id)
 	to, from := x.cluster.network.faults(own, other), x.cluster.network.faults(other, own)
 	return to.cut || from.cut
 }
 
-// fetchFromParent has a parent do its part, which fetches from the origin what it lacks. Not ok: the attempt is
-// answered. After ok the caller calls finish once the attempt is answered.
+// fetchFromParent adds the fetch to a parent's load; the parent fetches from the origin what it has not cached. If ok
+// is false, the attempt has been answered. Otherwise the caller must call finish once it has answered the attempt.
 func (x *exchange) fetchFromParent(parent *endpoint, object string) (fetchTime time.Duration, finish func(), ok bool) {
 	options := x.received.Fields[fieldOptions]
 	isHit := parent.has(object)
--- a/internal/drill/idle_clients.go
+++ b/internal/drill/idle_clients.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// maxIdleClients bounds those at one proxy.
+	// maxIdleClients bounds the idle clients at one proxy.
 	maxIdleClients = 1000
-	// partialMessageEvery is the number of idle clients of which one sends half a message and rests.
+	// partialMessageEvery makes one in so many idle clients send half a message before it goes idle.
 	partialMessageEvery = 3
-	// idleRedialInterval is how long a client that was closed waits until it comes again.
+	// idleRedialInterval is how long a client waits after its connection was closed before it reconnects.
 	idleRedialInterval = 100 * time.Millisecond
 )
 
-// idleClientsAction has idle clients fill the places of proxies until it is over.
+// idleClientsAction makes idle clients use up the connections of proxies while the step lasts.
 type idleClientsAction struct {
 	selector string
 	count    int // at each proxy
@@ -52,14 +52,14 @@
 	}, nil
 }
 
-// idleClients are clients that connect, send no request, and come again when they are closed.
+// idleClients are clients that connect, send no complete request, and reconnect when they are closed.
 type idleClients struct {
 	cluster *Cluster
 	stop    chan struct{}
 	running sync.WaitGroup
 }
 
-// connect adds clients of one proxy.
+// connect starts idle clients of one proxy.
 func (c *idleClients) connect(to *proxy, count int) {
 	for number := range count {
 		c.running.Add(1)
@@ -70,7 +70,7 @@
 	}
 }
 
-// firstBytes is what an idle client sends: nothing, or half a message.
+// firstBytes returns what an idle client sends: nothing, or half a message.
 func firstBytes(number int) []byte {
 	if number%partialMessageEvery != 0 {
 		return nil
@@ -79,13 +79,13 @@
 	return frame[:len(frame)/2]
 }
 
-// close ends all clients.
+// close stops all clients and waits for them.
 func (c *idleClients) close() {
 	close(c.stop)
 	c.running.Wait()
 }
 
-// keepConnected keeps one place of a proxy taken by a client that sends some bytes and rests.
+// keepConnected keeps one client connected to a proxy; on each connection it sends the given bytes and stays idle.
 func (c *idleClients) keepConnected(to *proxy, sent []byte) {
 	for {
 		if to.mayDial() {
@@ -99,7 +99,7 @@
 	}
 }
 
-// connectOnce connects once and rests until either side closes.
+// connectOnce connects and stays idle until either side closes the connection.
 func (c *idleClients) connectOnce(to *proxy, sent []byte) {
 	conn, err := c.cluster.network.dial(clientsNode, to.name, to.listen)
 	if err != nil {
@@ -119,7 +119,7 @@
 	<-ended
 }
 
-// awaitClose reads until the connection has ended. An idle client is sent nothing.
+// awaitClose reads until the connection has ended, and discards what it reads.
 func (c *idleClients) awaitClose(conn net.Conn) {
 	buffer := make([]byte, 1)
 	for {
--- a/internal/drill/invariants.go
+++ b/internal/drill/invariants.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// Invariant is one line `hold CHECK ...` of a plan: something that must hold.
+// Invariant is one line `hold CHECK ...` of a plan: a condition that must hold.
 type Invariant struct {
 	Line string // as written
 
 	name     string // of the check
 	bound    float64
-	share    float64       // of the starts, for the check "ready"
-	from, to time.Duration // of the drill; to 0: to its end
+	share    float64       // of the process starts, for the check "ready"
+	from, to time.Duration // times in the drill; to 0: its end
 }
 
-// checkForm is a check and how it is written in a plan.
+// checkForm is the syntax of a check in a plan, and its implementation.
 type checkForm struct {
-	minWords, maxWords int // behind the check's own word
+	minWords, maxWords int // after the check's name
 	usage              string
-	// check adds what breaks the invariant to found, and says in figures what was looked at. The caller holds the
-	// record's lock.
+	// check adds the violations of the invariant to found, and returns a summary of what was checked. The caller holds
+	// the record's lock.
 	check func(r *Record, invariant Invariant, found *findings) (summary string)
 }
 
-// checkForms has the checks by the word that a plan uses for them. A new check is an entry here, its method on Record,
-// and a fault in TestEachCheckCanFail without which it holds.
+// checkForms holds the checks by their names in plans. A new check needs an entry here, a method on Record, and a case
+// in TestEachCheckCanFail that makes it fail.
 var checkForms = map[string]checkForm{
 	"answers": {
 		usage: "each request has exactly one final answer, unless its proxy was killed or stopped",
@@ -110,7 +110,7 @@
 	},
 }
 
-// parseInvariant reads the words behind `hold`.
+// parseInvariant parses the words after `hold`.
 func parseInvariant(words []string) (Invariant, error) {
 	invariant := Invariant{Line: strings.Join(words, " "), share: 1}
 	if len(words) == 0 {
@@ -123,7 +123,7 @@
 	}
 	form, ok := checkForms[invariant.name]
 	if !ok {
-		return invariant, fmt.Errorf("unknown check %.40q; there are %s", invariant.name, sortedNames(checkForms))
+		return invariant, fmt.Errorf("unknown check %.40q; the checks are %s", invariant.name, sortedNames(checkForms))
 	}
 	if len(rest) < form.minWords || len(rest) > form.maxWords {
 		return invariant, fmt.Errorf("%s takes: %s", invariant.name, form.usage)
@@ -139,12 +139,12 @@
 	return invariant, nil
 }
 
-// parseSpan takes `from TIME` and `to TIME` off the end of a line, and gives the words before them.
+// parseSpan parses `from TIME` and `to TIME` at the end of a line, and returns the words before them.
 func (i *Invariant) parseSpan(words []string) ([]string, error) {
 	for n := len(words); n >= 2 && (words[n-2] == "from" || words[n-2] == "to"); n = len(words) {
 		at, err := time.ParseDuration(words[n-1])
 		if err != nil || at < 0 {
-			return nil, fmt.Errorf("expected a time behind %s, got %.40q", words[n-2], words[n-1])
+			return nil, fmt.Errorf("expected a time after %s, got %.40q", words[n-2], words[n-1])
 		}
 		if words[n-2] == "from" {
 			i.from = at
@@ -156,7 +156,7 @@
 	return words, nil
 }
 
-// parseBound reads a time, which it gives in seconds, or a number.
+// parseBound parses a time, which it returns in seconds, or a number.
 func parseBound(word string) (float64, error) {
 	if span, err := time.ParseDuration(word); err == nil && span > 0 {
 		return span.Seconds(), nil
@@ -168,8 +168,8 @@
 	return number, nil
 }
 
-// boundTime is the bound as a time.
+// boundTime returns the bound as a duration.
 func (i Invariant) boundTime() time.Duration { return time.Duration(i.bound * float64(time.Second)) }
 
-// covers reports whether the invariant is about a moment.
+// covers reports whether the invariant applies to a time of the drill.
 func (i Invariant) covers(at time.Duration) bool { return at >= i.from && (i.to == 0 || at < i.to) }
--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -11,40 +11,43 @@
 )
 
 const (
-	// maxOpenRequests is how many requests a connection carries, of 32 that the protocol allows.
+	// maxOpenRequests is how many requests the generator keeps open on one connection, of the 32 that the protocol
+	// allows.
 	maxOpenRequests = 24
-	// crossingWindow is how long after its sending a request that meets the close of its connection is sent again once,
-	// as the protocol has it.
+	// crossingWindow bounds the time between the sending of a request and the close of its connection within which the
+	// protocol has the request resent once.
 	crossingWindow = 50 * time.Millisecond
-	// closeNoticeTime is how long a client goes on by a connection whose close its socket has: what it sends so late
-	// crosses the close still.
+	// closeNoticeTime is how long a client continues to use a connection after its socket has received the close:
+	// requests sent in this time still cross the close.
 	closeNoticeTime = crossingWindow / 2
-	// answerGrace is how long after its limit an answer may still come, for what the machine itself is late.
+	// answerGrace is how long after the client's limit an answer is still accepted, to allow for delays of the machine
+	// itself.
 	answerGrace = 2 * time.Second
-	// maxCancelDelay is how long after its request a client that cancels does so at the latest.
+	// maxCancelDelay is the longest time from a request to its client's cancellation.
 	maxCancelDelay = 120 * time.Millisecond
-	// zoneSalt is added to a zone's number for the draws of its clients.
+	// zoneSalt is added to a zone's number to seed the random draws of its clients.
 	zoneSalt = 100
-	// zipfExponent and zipfOffset shape how often each object is asked for.
+	// zipfExponent and zipfOffset shape the distribution of the requested objects.
 	zipfExponent = 1.1
 	zipfOffset   = 8
 )
 
-// loadGenerator sends the clients' requests by open loop: they come when they come, whatever became of those before.
+// loadGenerator sends the clients' requests in an open loop: the arrivals do not depend on the outcome of earlier
+// requests.
 type loadGenerator struct {
 	cluster *Cluster
 	stop    chan struct{}
 	senders sync.WaitGroup
 
 	mu    sync.Mutex
-	conns map[int][]*clientConn // by proxy
+	conns map[int][]*clientConn // by the proxy's number
 }
 
 func newLoadGenerator(c *Cluster) *loadGenerator {
 	return &loadGenerator{cluster: c, stop: make(chan struct{}), conns: map[int][]*clientConn{}}
 }
 
-// start sends to the proxies of one zone until stop is closed.
+// start sends requests to the proxies of one zone until stop is closed.
 func (g *loadGenerator) start(zone int) {
 	g.senders.Add(1)
 	go func() {
@@ -85,7 +88,7 @@
 	}
 }
 
-// proxiesOf gives the proxies of a zone.
+// proxiesOf returns the proxies of a zone.
 func (c *Cluster) proxiesOf(zone int) []*proxy {
 	var proxies []*proxy
 	for _, p := range c.proxies {
@@ -96,8 +99,8 @@
 	return proxies
 }
 
-// targets gives the proxies that clients send to: those that serve, and of those that drain the ones to which they may
-// still connect or have a connection.
+// targets returns the proxies to which clients send: those that clients may dial, and draining ones to which there is
+// still a connection.
 func (g *loadGenerator) targets(proxies []*proxy) []*proxy {
 	var targets []*proxy
 	for _, p := range proxies {
@@ -108,14 +111,14 @@
 	return targets
 }
 
-// isConnected reports whether there is a connection to a proxy that requests may share.
+// isConnected reports whether there is a connection to a proxy that has room for another request.
 func (g *loadGenerator) isConnected(to *proxy) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.pruneConns(to) != nil
 }
 
-// otherServingProxy is another proxy of the zone that serves; nil: there is none.
+// otherServingProxy returns another serving proxy of the same zone; nil: there is none.
 func (g *loadGenerator) otherServingProxy(than *proxy) *proxy {
 	for _, p := range servingProxies(g.cluster.proxiesOf(than.zone)) {
 		if p != than {
@@ -135,14 +138,15 @@
 	return serving
 }
 
-// cancellation is whether a client cancels before it has its answer, and how.
+// cancellation says whether and how a client cancels a request before it has its answer.
 type cancellation struct {
 	cancels bool
-	closes  bool // by closing a connection that the request has to itself, not by a notice
+	closes  bool // by closing a connection that the request has to itself, instead of by a cancel message
 	after   time.Duration
 }
 
-// drawCancellation draws one. Without the plan's share nothing is drawn, so that the other draws stay as they are.
+// drawCancellation draws a cancellation at random. If the plan has no CancelShare, it draws nothing, so that the other
+// random draws stay the same.
 func (g *loadGenerator) drawCancellation(rng *rand.Rand) cancellation {
 	share := g.cluster.Plan.CancelShare
 	if share == 0 {
@@ -152,7 +156,8 @@
 	return cancellation{cancels: rng.Float64() < share, closes: rng.IntN(2) == 0, after: after}
 }
 
-// drawSlowReader draws whether a connection is read slowly. Without the plan's share nothing is drawn.
+// drawSlowReader draws at random whether a connection is read slowly. If the plan has no SlowReaderShare, it draws
+// nothing.
 func (g *loadGenerator) drawSlowReader(rng *rand.Rand) bool {
 	share := g.cluster.Plan.SlowReaderShare
 	return share > 0 && rng.Float64() < share
@@ -164,13 +169,13 @@
 	frame  func(messageID uint64) []byte
 	sentAt time.Time
 	cancellation
-	readsSlowly bool // its client, where the request has a connection dialed
+	readsSlowly bool // whether the client reads slowly, if a connection is dialed for the request
 }
 
 // ownsConn reports whether the request has a connection to itself.
 func (p *pendingRequest) ownsConn() bool { return p.cancels && p.closes }
 
-// newRequest makes a request. It is recorded once it is sent.
+// newRequest creates a request. It is not recorded until it is sent.
 func (g *loadGenerator) newRequest(to *proxy, class string, object uint64, plan cancellation) *pendingRequest {
 	cluster := g.cluster
 	id := cluster.requestIDs.Add(1)
@@ -189,14 +194,14 @@
 	return &pendingRequest{record: request, frame: frame, cancellation: plan}
 }
 
-// errNoConnection is returned where clients may not connect any more and have no connection with room.
-var errNoConnection = errors.New("no connection to a proxy that drains")
+// errNoConnection is returned for a draining proxy if clients may no longer dial it and no open connection has room.
+var errNoConnection = errors.New("no connection to a draining proxy")
 
-// send puts a request out, and has it canceled later if it is to be.
+// send sends a request, and schedules its cancellation if there is one.
 func (g *loadGenerator) send(to *proxy, pending *pendingRequest) {
 	conn, err := g.connFor(to, pending)
 	if errors.Is(err, errNoConnection) {
-		return // its client goes elsewhere
+		return // the client would go to another proxy
 	}
 	record := g.cluster.Record
 	record.update(func() { record.Requests = append(record.Requests, pending.record) })
@@ -210,7 +215,7 @@
 	}
 }
 
-// resend sends a request again that crossed the close of its connection.
+// resend sends a request again after it crossed the close of its connection.
 func (g *loadGenerator) resend(to *proxy, pending *pendingRequest) {
 	pending.record.Resent = true
 	g.cluster.Record.update(func() { pending.record.Proxy = to.number })
@@ -222,12 +227,13 @@
 	conn.send(pending)
 }
 
-// connFor finds a connection to a proxy that has room, or dials one, as for a request that has one to itself.
+// connFor returns a connection for a request: an open one with room, or a newly dialed one if there is none or the
+// request needs one to itself.
 func (g *loadGenerator) connFor(to *proxy, pending *pendingRequest) (*clientConn, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	shared := g.pruneConns(to)
-	// What crossed a close goes by a new connection.
+	// A resent request uses a new connection.
 	if shared != nil && !pending.ownsConn() && !pending.record.Resent {
 		return shared, nil
 	}
@@ -248,8 +254,8 @@
 	return conn, nil
 }
 
-// pruneConns drops the connections to a proxy that have ended, and gives one that others may share and that has room,
-// if there is any. The caller holds the lock.
+// pruneConns drops the closed connections to a proxy, and returns a shareable one that has room, or nil. The caller
+// holds the lock.
 func (g *loadGenerator) pruneConns(to *proxy) *clientConn {
 	var shared *clientConn
 	alive := g.conns[to.number][:0]
@@ -267,7 +273,7 @@
 	return shared
 }
 
-// recordOutcome ends a request for its client.
+// recordOutcome records the end of a request for its client.
 func (g *loadGenerator) recordOutcome(pending *pendingRequest, outcome Outcome) {
 	at := g.cluster.now()
 	g.cluster.Record.update(func() {
@@ -277,7 +283,7 @@
 	})
 }
 
-// finish sends nothing more and waits until what is open has its end.
+// finish stops sending and waits until all open requests have ended, within a time limit.
 func (g *loadGenerator) finish() {
 	close(g.stop)
 	g.senders.Wait()
@@ -300,7 +306,7 @@
 	return total
 }
 
-// isStopped reports whether the drill is over.
+// isStopped reports whether the generator has been stopped, at the drill's end.
 func (g *loadGenerator) isStopped() bool {
 	select {
 	case <-g.stop:
@@ -310,7 +316,7 @@
 	}
 }
 
-// close ends all connections. What is open then is left out of the record.
+// close closes all connections. Requests that are still open then get no outcome in the record.
 func (g *loadGenerator) close() {
 	if !g.isStopped() {
 		close(g.stop)
--- a/internal/drill/network.go
+++ b/internal/drill/network.go
@@ -8,43 +8,45 @@
 	"time"
 )
 
-// linkFaults is how bytes travel from one end to another: one direction of one pair. The zero value is sound.
+// linkFaults are the faults of one direction between two nodes. The zero value has no faults.
 type linkFaults struct {
-	cut            bool          // nothing arrives, and nothing says so
+	cut            bool          // bytes do not arrive, and neither side is told
 	refuse         bool          // new connections are reset as soon as they are made
 	delay          time.Duration // of each segment
-	jitter         time.Duration // at random, beyond delay
-	loss           float64       // share of segments lost: of TCP they come again after retransmission, of UDP never
-	duplicate      float64       // share of datagrams that come twice
-	reorder        float64       // share of datagrams that come behind the next ones
-	bytesPerSecond float64       // 0: any
+	jitter         time.Duration // the maximum of a random time added to delay
+	loss           float64       // share of segments lost; TCP resends them after retransmissionTimeout, UDP never
+	duplicate      float64       // share of datagrams delivered twice
+	reorder        float64       // share of datagrams delivered after later ones
+	bytesPerSecond float64       // 0: unlimited
 }
 
-// linkRule has faults for all pairs between two sets of ends. Later rules go first.
+// linkRule sets faults for all pairs between two sets of nodes. Of several matching rules the latest applies.
 type linkRule struct {
 	from, to nodeSet
 	faults   linkFaults
 }
 
-// network is all links between the ends of a drill. Ends are known by their IP address, so each process binds its own
-// when it dials. A connection passes the network at the listening side: listen and relay see who dials.
+// network simulates the links between the nodes of a drill. It identifies nodes by their IP addresses, so each process
+// binds its own address when it dials. A connection passes the network at the listening side, where listen and the
+// relays see who dials.
 //
-// What it can't play, as it runs over sound loopback sockets: a dial over a cut link succeeds and then hears nothing,
-// where on a real network it would time out; a refusal is a reset right after the connection was made.
+// It runs over healthy loopback sockets, so there are faults that it can't reproduce: a dial over a cut link succeeds
+// and then receives nothing, where it would time out on a real network; and a refused connection is established and
+// then reset.
 type network struct {
 	mu        sync.Mutex
 	names     map[netip.Addr]string
 	rules     []*linkRule
-	cache     map[[2]string]linkFaults // cleared when a rule comes or goes
+	cache     map[[2]string]linkFaults // effective faults by pair; cleared when the rules change
 	conns     map[*linkedConn]bool
 	rng       *rand.Rand
 	startedAt time.Time // of the drill
 
-	onConnection func(to string)              // an end has accepted one
-	onPeerBytes  func(from string, count int) // what a proxy sends to others
+	onConnection func(to string)              // called when a node has accepted a connection
+	onPeerBytes  func(from string, count int) // called with the bytes that a proxy sends to peers
 }
 
-// newNetwork makes one without ends.
+// newNetwork returns a network without nodes.
 func newNetwork(seed uint64, onConnection func(to string), onPeerBytes func(from string, count int)) *network {
 	return &network{
 		names:        map[netip.Addr]string{},
@@ -56,17 +58,17 @@
 	}
 }
 
-// join gives an address its end's name.
+// join registers the name of the node that has an address.
 func (n *network) join(address, node string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.names[netip.MustParseAddr(address)] = node
 }
 
-// nodeOf names the end that an address is of.
+// nodeOf returns the name of the node that has an address.
 func (n *network) nodeOf(address net.Addr) string { return n.nodeAt(address.String()) }
 
-// nodeAt names the end that an address, as text, is of.
+// nodeAt returns the name of the node that has an address, given as host:port.
 func (n *network) nodeAt(address string) string {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -80,10 +82,10 @@
 	return unknownNode
 }
 
-// unknownNode stands for an address that has not joined.
+// unknownNode is the name for an address that has not been registered.
 const unknownNode = "?"
 
-// setFaults puts faults in force, and returns what lifts them.
+// setFaults puts faults in force, and returns the function that removes them.
 func (n *network) setFaults(from, to nodeSet, faults linkFaults) (remove func()) {
 	rule := &linkRule{from, to, faults}
 	n.mu.Lock()
@@ -105,7 +107,7 @@
 	clear(n.cache)
 }
 
-// faults gives the faults in force from one end to another.
+// faults returns the faults in force from one node to another.
 func (n *network) faults(from, to string) linkFaults {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -122,7 +124,7 @@
 	return faults
 }
 
-// resetConnections resets the connections that stand between two sets of ends, whoever dialed.
+// resetConnections resets the established connections between two sets of nodes, whichever side dialed.
 func (n *network) resetConnections(from, to nodeSet) {
 	n.mu.Lock()
 	var matching []*linkedConn
@@ -138,7 +140,7 @@
 	}
 }
 
-// resetConn closes a connection by a reset.
+// resetConn closes a connection with a reset.
 func resetConn(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -146,7 +148,7 @@
 	_ = conn.Close()
 }
 
-// drawBool draws whether something of a probability drawBool.
+// drawBool returns true with the given probability.
 func (n *network) drawBool(probability float64) bool {
 	if probability <= 0 {
 		return false
@@ -156,7 +158,7 @@
 	return n.rng.Float64() < probability
 }
 
-// drawDelay draws how much later a segment arrives.
+// drawDelay returns the random delay of a segment.
 func (n *network) drawDelay(faults linkFaults) time.Duration {
 	delay := faults.delay
 	if faults.jitter > 0 {
@@ -167,7 +169,7 @@
 	return delay
 }
 
-// listen listens for an end that lives in this process. The connections that it accepts have the links' faults.
+// listen listens for a node that runs in this process. The accepted connections are subject to the links' faults.
 func (n *network) listen(node, address string) (net.Listener, error) {
 	inner, err := net.Listen("tcp", address)
 	if err != nil {
@@ -176,7 +178,7 @@
 	return &linkedListener{inner, n, node}, nil
 }
 
-// dial connects an end of this process to one that listens by itself.
+// dial connects a node of this process to a node with a listener of its own.
 func (n *network) dial(from, to, address string) (net.Conn, error) {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
@@ -193,14 +195,14 @@
 	return linked
 }
 
-// linkedListener accepts connections for an end.
+// linkedListener accepts the connections of a node.
 type linkedListener struct {
 	net.Listener
 	network *network
 	node    string
 }
 
-// Accept gives the next connection that the links let in.
+// Accept returns the next connection that the links do not refuse.
 func (l *linkedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
--- a/internal/drill/proxy.go
+++ b/internal/drill/proxy.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// readyPollInterval is how often a process that starts is asked whether it is ready.
+	// readyPollInterval is how often a starting process is polled for readiness.
 	readyPollInterval = 20 * time.Millisecond
-	// processorLimit keeps a process's collector threads few: hundreds of processes share one machine, and with as many
-	// threads each as it has cores they would get in each other's way.
+	// processorLimit limits the garbage collector's threads of each process: hundreds of processes share one machine,
+	// and would slow each other down with as many threads each as it has cores.
 	processorLimit = "GOMAXPROCS=2"
 )
 
@@ -28,7 +28,7 @@
 	logFile           = "log"
 )
 
-// proxy is one place for a process of the program: its address and folder stay, processes come and go.
+// proxy is a slot for a process of the program: it keeps its address and folder while processes come and go.
 type proxy struct {
 	cluster     *Cluster
 	number      int // from 0
@@ -37,17 +37,17 @@
 	listen      string
 	zone        int // from 1
 	dir, disk   string
-	clockOffset time.Duration // of its Unix clock, from its next start on
-	peerListen  string        // where it listens for other proxies
-	relay       *relay        // by which they reach it; nil: no peers
+	clockOffset time.Duration // of its Unix clock, from its next start
+	peerListen  string        // the address on which it listens for its peers
+	relay       *relay        // through which its peers reach it; nil: no peers
 
-	settingsWritten int // how often
+	settingsWritten int // how often its files have been written
 
 	mu    sync.Mutex
-	cmd   *exec.Cmd // nil: none runs
+	cmd   *exec.Cmd // nil: no process is running
 	run   *ProcessRun
-	ended chan struct{} // closed when the process has
-	// logOffset is the length of the log before the process.
+	ended chan struct{} // closed when the process has ended
+	// logOffset is the length of the log when the process was started.
 	logOffset int64
 }
 
@@ -70,7 +70,7 @@
 	return p, err
 }
 
-// listenBoth listens on one port of an address for both TCP and UDP.
+// listenBoth listens on one port of an IP address for both TCP and UDP.
 func listenBoth(ip string) (tcp net.Listener, udp net.PacketConn, err error) {
 	for range portAttempts {
 		tcp, err = net.Listen("tcp", net.JoinHostPort(ip, "0"))
@@ -83,10 +83,10 @@
 		}
 		_ = tcp.Close()
 	}
-	return nil, nil, fmt.Errorf("%s has no port that is free for TCP and UDP", ip)
+	return nil, nil, fmt.Errorf("%s: found no port that is free for both TCP and UDP", ip)
 }
 
-// freeAddress finds a port of an address that is free for TCP and UDP. The address belongs to one proxy, so that the
+// freeAddress finds a port of an IP address that is free for TCP and UDP. The IP address belongs to one proxy, so the
 // port stays free.
 func freeAddress(ip string) (string, error) {
 	tcp, udp, err := listenBoth(ip)
@@ -97,7 +97,7 @@
 	return tcp.Addr().String(), udp.Close()
 }
 
-// start starts a process, if none runs, and returns once it is there; it need not be ready.
+// start starts a process, if none is running, without waiting until it is ready.
 func (p *proxy) start(disk diskMode) error {
 	p.mu.Lock()
 	running := p.cmd != nil
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// prepareDisk leaves on the disk what a mode says.
+// prepareDisk puts the disk into the state that the mode requires.
 func (p *proxy) prepareDisk(disk diskMode) error {
 	if disk == withDisk {
 		return nil
@@ -152,13 +152,13 @@
 	}
 	if disk == oldDisk {
 		if err := os.CopyFS(p.disk, os.DirFS(p.savedDisk())); err != nil {
-			return fmt.Errorf("%s: no disk was kept: %w", p.name, err)
+			return fmt.Errorf("%s: can't restore the saved disk: %w", p.name, err)
 		}
 	}
 	return nil
 }
 
-// recordEnd waits for the end of a process.
+// recordEnd waits for a process and records its end.
 func (p *proxy) recordEnd(cmd *exec.Cmd, run *ProcessRun, ended chan struct{}) {
 	err := cmd.Wait()
 	at := p.cluster.now()
@@ -174,7 +174,7 @@
 	close(ended)
 }
 
-// recordReady asks a process until it says that it is ready, or has ended.
+// recordReady polls a process until it is ready or has ended, and records when it became ready.
 func (p *proxy) recordReady(run *ProcessRun, ended chan struct{}) {
 	for {
 		if emulator.Ready(p.listen) {
@@ -190,7 +190,7 @@
 	}
 }
 
-// keepDisk remembers the disk as it is now, for oldDisk.
+// keepDisk saves the disk's current contents for oldDisk.
 func (p *proxy) keepDisk() error {
 	_ = os.RemoveAll(p.savedDisk())
 	return os.CopyFS(p.savedDisk(), os.DirFS(p.disk))
--- a/internal/drill/proxy_settings.go
+++ b/internal/drill/proxy_settings.go
@@ -13,10 +13,10 @@
 	"sloequay/internal/emulator"
 )
 
-// maxSeeds is how many proxies the others ask to be let into the fleet.
+// maxSeeds is how many proxies serve as seeds through which peers join the fleet.
 const maxSeeds = 3
 
-// joinPeers gives each proxy a relay by which the others reach it, and all of them one key.
+// joinPeers gives each proxy a relay through which its peers reach it, and writes the key that all of them share.
 func (c *Cluster) joinPeers() error {
 	key := fmt.Sprintf("%016x%016x", c.seed, c.seed+1)
 	c.keyFile = filepath.Join(c.Dir, "peers.key")
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// peerSeeds are the addresses by which a peer comes into the fleet.
+// peerSeeds returns the addresses through which a peer joins the fleet.
 func (c *Cluster) peerSeeds() []string {
 	var seeds []string
 	for _, p := range c.proxies[:min(maxSeeds, len(c.proxies))] {
@@ -46,7 +46,7 @@
 	return seeds
 }
 
-// peerSettings is a proxy's settings for its peers.
+// peerSettings returns the peers section of a proxy's settings.
 func (p *proxy) peerSettings() string {
 	if !p.cluster.Plan.Peers {
 		return ""
@@ -55,7 +55,7 @@
 		p.relay.address(), strings.Join(p.cluster.peerSeeds(), " "), p.cluster.keyFile, filepath.Join(p.disk, "peers"))
 }
 
-// writeSettings puts a proxy's files into its folder.
+// writeSettings writes a proxy's configuration and settings files.
 func (p *proxy) writeSettings() error {
 	platform, err := p.platformSettings()
 	if err != nil {
@@ -85,7 +85,8 @@
 		os.WriteFile(filepath.Join(p.dir, settingsFile), []byte(settings), 0o600))
 }
 
-// platformSettings is the platform's settings for a proxy: those of the emulator with the plan's zones and slow start.
+// platformSettings returns the platform's settings for a proxy: those of the emulator with the plan's zones, deadline
+// and slow start.
 func (p *proxy) platformSettings() (map[string]any, error) {
 	var settings map[string]any
 	if err := json.Unmarshal([]byte(emulator.Settings), &settings); err != nil {
@@ -118,10 +119,11 @@
 	return settings, nil
 }
 
-// objectiveShare of a deadline is the longest latency objective that a class has with it.
+// objectiveShare is the longest latency objective that a class may have, as a share of its deadline.
 const objectiveShare = 0.4
 
-// setDeadlines gives all classes of the platform's settings one deadline, and objectives that it leaves time for.
+// setDeadlines sets one deadline for all classes of the platform's settings, and shortens their latency objectives to
+// fit.
 func setDeadlines(settings map[string]any, deadline time.Duration) {
 	milliseconds := float64(deadline.Milliseconds())
 	for _, entry := range settings["classes"].([]any) {
@@ -131,7 +133,7 @@
 	}
 }
 
-// breakSettings writes a configuration that can't be read, as one that is just being replaced.
+// breakSettings writes a truncated configuration, like that of a file that is being replaced.
 func (p *proxy) breakSettings() error {
 	return os.WriteFile(filepath.Join(p.dir, configurationFile), []byte(`{"listen":`), 0o600)
 }
--- a/internal/drill/proxy_signals.go
+++ b/internal/drill/proxy_signals.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// maxStartTime is how long SIGHUP waits for a process to have started, and startPollInterval how often it looks.
+	// maxStartTime is how long reload waits for a process to have started, and startPollInterval how often it checks.
 	maxStartTime      = 3 * time.Second
 	startPollInterval = 5 * time.Millisecond
 )
 
-// finish ends the process as at a planned restart: SIGTERM, and SIGKILL at the protocol's earliest time if it runs
-// still. It returns once it has ended.
+// finish ends the process as in a planned restart: SIGTERM, and SIGKILL at the protocol's earliest time if it is still
+// running. It returns once the process has ended.
 func (p *proxy) finish() error {
 	p.mu.Lock()
 	running, ended := p.cmd != nil, p.ended
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// reload sends SIGHUP to the process, if one runs, once it has taken its signals over: one that has just been started
-// ends by it, as any program does.
+// reload sends SIGHUP to the process, if one is running, once it handles signals: a process that has just been started
+// would be terminated by SIGHUP, like any program without a handler.
 func (p *proxy) reload() error {
 	p.mu.Lock()
 	running, ended, logOffset := p.cmd != nil, p.ended, p.logOffset
@@ -50,13 +50,13 @@
 	return nil
 }
 
-// hasStarted reports whether the log has the event of a start behind an offset.
+// hasStarted reports whether the log contains a start event after an offset.
 func (p *proxy) hasStarted(offset int64) bool {
 	text, err := os.ReadFile(filepath.Join(p.dir, logFile))
 	return err == nil && int64(len(text)) > offset && bytes.Contains(text[offset:], []byte("event=started"))
 }
 
-// signal sends a signal to the process, if one runs. It is to live on.
+// signal sends a signal that the process, if one is running, survives.
 func (p *proxy) signal(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,7 +65,7 @@
 	}
 }
 
-// terminate sends a signal by which the process, if one runs, is to terminate, and notes that it was told to.
+// terminate sends a signal that ends the process, if one is running, and records that it was told to end.
 func (p *proxy) terminate(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,7 +86,7 @@
 	_ = p.cmd.Process.Signal(signal)
 }
 
-// pause has the process, if one has run, stand still until resume.
+// pause stops the process, if one has run, until resume.
 func (p *proxy) pause() {
 	at, run := p.cluster.now(), p.lastRun()
 	if run == nil {
@@ -109,7 +109,7 @@
 	})
 }
 
-// close ends the process, at once.
+// close kills the process.
 func (p *proxy) close() {
 	p.terminate(syscall.SIGKILL)
 	p.wait()
@@ -118,7 +118,7 @@
 	}
 }
 
-// wait returns once no process runs there.
+// wait returns once no process is running.
 func (p *proxy) wait() {
 	p.mu.Lock()
 	ended := p.ended
--- a/internal/drill/proxy_state.go
+++ b/internal/drill/proxy_state.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// isServing reports whether clients are to send there.
+// isServing reports whether clients should send requests to the proxy.
 func (p *proxy) isServing() bool {
 	p.mu.Lock()
 	run, running := p.run, p.cmd != nil
@@ -15,11 +15,12 @@
 	return run.ReadyAt > 0 && !run.EndRequested
 }
 
-// mayDial reports whether clients may connect there: the proxy serves, or SIGTERM came so short a time ago that they
-// do not know.
+// mayDial reports whether clients may connect to the proxy: it is serving, or SIGTERM was sent so recently that clients
+// do not know of it yet.
 func (p *proxy) mayDial() bool { return p.isServing() || p.sinceTerm() < p.cluster.Plan.DialAfterTerm }
 
-// sinceTerm is how long ago the process that runs was sent SIGTERM; forever: it was not, or was not ready before.
+// sinceTerm returns how long ago SIGTERM was sent to the running process; forever if it was not sent, the process was
+// not ready before, or it has been killed.
 func (p *proxy) sinceTerm() time.Duration {
 	p.mu.Lock()
 	run, running := p.run, p.cmd != nil
@@ -35,11 +36,11 @@
 	return p.cluster.now() - run.TermAt
 }
 
-// isDraining reports whether clients go on by the connections that they have: after SIGTERM, until these are closed.
+// isDraining reports whether clients continue on their open connections: after SIGTERM, until these are closed.
 func (p *proxy) isDraining() bool { return p.cluster.Plan.DialAfterTerm > 0 && p.sinceTerm() < forever }
 
-// wasDrainingAt reports whether at a time the last process had been sent SIGTERM and not SIGKILL: it closed
-// connections in good order then.
+// wasDrainingAt reports whether the last process had been sent SIGTERM but not SIGKILL at a time, so that it closed
+// connections in an orderly way then.
 func (p *proxy) wasDrainingAt(at time.Time) bool {
 	run := p.lastRun()
 	if run == nil {
@@ -51,7 +52,7 @@
 	return run.TermAt > 0 && (!run.Killed || since < run.KilledAt)
 }
 
-// lastRun is the process that runs or ran last; nil: none has.
+// lastRun returns the process that is running or was the last to run; nil: none has been started.
 func (p *proxy) lastRun() *ProcessRun {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/drill/record.go
+++ b/internal/drill/record.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Record is what all ends saw, in times of the drill. It is audited once the drill is over.
+// Record is what all nodes observed, with times since the start of the drill. It is audited after the drill.
 type Record struct {
 	mu           sync.Mutex
-	clientLimit  time.Duration // that clients wait
-	earliestKill time.Duration // after SIGTERM, of a planned restart
+	clientLimit  time.Duration // how long clients wait
+	earliestKill time.Duration // the shortest time from SIGTERM to SIGKILL in a planned restart
 
 	Requests          []*Request
 	Attempts          []*Attempt
 	ListCalls         []ListCall
 	Connections       []Connection
 	ProcessRuns       []*ProcessRun
-	Overloads         []EndpointEvent  // endpoints that went down by their load
-	Drains            []EndpointEvent  // as the list told them
-	Undrains          []EndpointEvent  // drained endpoints that are up again
-	ClientDisruptions []Span           // in which the clients' own way to a proxy was disturbed
-	UnexpectedAnswers int              // answers to nothing that was open
-	PeerBytes         map[string][]int // bytes that a proxy sent to others, by second
-	Violations        []string         // of invariants, that the proxies found themselves
-	IdleClients       map[int][]Span   // by proxy: idle clients filled its places
-	Executions        map[string]int   // of keyed requests by key, repeats within the window dropped
+	Overloads         []EndpointEvent  // endpoints that crashed from overload
+	Drains            []EndpointEvent  // when the list published them
+	Undrains          []EndpointEvent  // endpoints listed as up again
+	ClientDisruptions []Span           // in which the connections between clients and proxies were disrupted
+	UnexpectedAnswers int              // answers to requests that were not open
+	PeerBytes         map[string][]int // bytes that each proxy sent to its peers, by second
+	Violations        []string         // invariant violations that the proxies detected themselves
+	IdleClients       map[int][]Span   // by proxy: when idle clients used up its connections
+	Executions        map[string]int   // of keyed requests by key, without repeats within the window
 
 	lastExecution map[string]time.Time
 	latest        map[attemptKey]*Attempt
 }
 
-// attemptKey names the attempts of one request at one endpoint.
+// attemptKey identifies the attempts of one request at one endpoint.
 type attemptKey struct{ request, endpoint string }
 
 func newRecord(plan *Plan) *Record {
@@ -45,33 +45,33 @@
 	}
 }
 
-// ResendRefusal is why a request whose connection ended is not sent again.
+// ResendRefusal is the reason why a request is not resent after its connection ended.
 type ResendRefusal string
 
-// The refusals.
+// The reasons for not resending a request.
 const (
-	RefusedAlreadyResent   ResendRefusal = "it was sent again before"
-	RefusedSentLongBefore  ResendRefusal = "it did not cross the close"
-	RefusedSentLongAfter   ResendRefusal = "it was sent after the close and does not cross it"
+	RefusedAlreadyResent   ResendRefusal = "it had already been resent"
+	RefusedSentLongBefore  ResendRefusal = "it was sent too long before the close to cross it"
+	RefusedSentLongAfter   ResendRefusal = "it was sent too long after the close to cross it"
 	RefusedDisorderlyClose ResendRefusal = "the close was not in good order"
 	RefusedNoProxy         ResendRefusal = "no other proxy of its zone serves"
 )
 
-// Outcome is what became of a request for its client.
+// Outcome is the result of a request for its client.
 type Outcome string
 
-// The outcomes. Of the first three the client has a final answer.
+// The outcomes. OutcomeServed, OutcomeRejected and OutcomeFailed are final answers.
 const (
 	OutcomeOpen         Outcome = ""
 	OutcomeServed       Outcome = "served"
 	OutcomeRejected     Outcome = "rejected"
 	OutcomeFailed       Outcome = "failed"
 	OutcomeCanceled     Outcome = "canceled"     // by its client
-	OutcomeDisconnected Outcome = "disconnected" // its connection ended, or none came up
-	OutcomeUnanswered   Outcome = "unanswered"   // long after its time
+	OutcomeDisconnected Outcome = "disconnected" // its connection ended, or could not be opened
+	OutcomeUnanswered   Outcome = "unanswered"   // no answer by answerGrace after the limit
 )
 
-// isFinal reports whether the client has a final answer.
+// isFinal reports whether the client has received a final answer.
 func (o Outcome) isFinal() bool {
 	return o == OutcomeServed || o == OutcomeRejected || o == OutcomeFailed
 }
@@ -84,29 +84,29 @@
 	EndedAt        time.Duration // 0: never
 	Answers        int
 	Outcome        Outcome
-	CanceledAt     time.Duration // by its client; 0: it was not
-	Resent         bool          // over a new connection, as the protocol allows once
-	FirstOfConn    bool          // it was the first on its connection
-	EndError       string        // by which its connection ended under it; empty: it did not
-	ClosedAt       time.Duration // when that was, by its client's socket
-	ResendRefusal  ResendRefusal // why it was not sent again then
+	CanceledAt     time.Duration // by its client; 0: not canceled
+	Resent         bool          // on a new connection, as the protocol allows once
+	FirstOfConn    bool          // whether it was the first on its connection
+	EndError       string        // with which its connection ended; empty: it did not
+	ClosedAt       time.Duration // when its connection was closed, by the client's socket
+	ResendRefusal  ResendRefusal // why it was not resent
 }
 
-// Attempt is one sending of a request to an endpoint, as the endpoint saw it.
+// Attempt is one sending of a request to an endpoint, as the endpoint observed it.
 type Attempt struct {
 	ID, Key, Class string // of the request
 	Endpoint, From string
 	ReceivedAt     time.Duration
 	AnsweredAt     time.Duration // 0: not answered
 	CanceledAt     time.Duration // 0: not canceled
-	Timeout        time.Duration // that the proxy says it waits
+	Timeout        time.Duration // how long the proxy says that it waits
 	Executed       bool
 
-	conn *linkedConn // by which it came; nil: not known
+	conn *linkedConn // on which it arrived; nil: unknown
 }
 
-// endedAt is when the attempt was out no more: it was answered or canceled, or its connection was closed. 0: it is out
-// still.
+// endedAt returns when the attempt was no longer in flight because it was answered or canceled, or its connection was
+// closed. 0: it is still in flight.
 func (a *Attempt) endedAt() time.Duration {
 	earliest := time.Duration(0)
 	for _, at := range []time.Duration{a.AnsweredAt, a.CanceledAt, a.conn.ended()} {
@@ -120,45 +120,45 @@
 // ListCall is one call to the list service.
 type ListCall struct {
 	At    time.Duration
-	From  string // the end that called
-	Query string // what was asked for
+	From  string // the node that called
+	Query string // what it requested
 }
 
-// Connection is one new connection to an end of links.
+// Connection is a new connection that a node accepted.
 type Connection struct {
 	At time.Duration
 	To string
 }
 
-// EndpointEvent is something that happened to an endpoint.
+// EndpointEvent is a change of an endpoint's state at a time.
 type EndpointEvent struct {
 	At       time.Duration
 	Endpoint string
 }
 
-// ProcessRun is one process of a proxy from its start to its end.
+// ProcessRun is one process of a proxy, from its start to its end.
 type ProcessRun struct {
 	Proxy        int
 	StartedAt    time.Duration
 	ReadyAt      time.Duration // 0: never
-	EndedAt      time.Duration // 0: it lived to the end of the drill
-	EndRequested bool          // the plan killed it, or told it to end
+	EndedAt      time.Duration // 0: it was running at the end of the drill
+	EndRequested bool          // whether the plan killed it or told it to end
 	TermAt       time.Duration // of the first SIGTERM; 0: none
 	Killed       bool          // by SIGKILL
 	KilledAt     time.Duration
 	Pauses       []Span
-	Error        string // of a process that ended by itself
+	Error        string // of a process that ended without being told to
 }
 
-// Span is a time from a moment to another; To 0: without end.
+// Span is the time from one moment to another. To is 0 if it has no end.
 type Span struct{ From, To time.Duration }
 
-// overlaps reports whether two times have a moment in common.
+// overlaps reports whether the span has a moment in common with the time from one moment to another.
 func (s Span) overlaps(from, to time.Duration) bool {
 	return s.From <= to && (s.To == 0 || from <= s.To)
 }
 
-// addPeerBytes counts bytes that a proxy sends to others.
+// addPeerBytes counts bytes that a proxy sends to its peers.
 func (r *Record) addPeerBytes(at time.Duration, from string, count int) {
 	r.update(func() {
 		second := int(at / time.Second)
@@ -171,7 +171,7 @@
 	})
 }
 
-// addExecution counts a keyed request that ran. Endpoints drop repeats within the class's window.
+// addExecution counts the execution of a keyed request. Endpoints drop repeats within the class's window.
 func (r *Record) addExecution(key string) {
 	now := time.Now()
 	r.update(func() {
@@ -182,7 +182,7 @@
 	})
 }
 
-// update runs a change under the lock.
+// update makes a change under the lock.
 func (r *Record) update(change func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/drill/relay.go
+++ b/internal/drill/relay.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	// reorderLag is how far, beyond twice the delay, a reordered datagram falls behind the next ones.
+	// reorderLag is how much later a reordered datagram arrives, in addition to twice the link's delay.
 	reorderLag       = 20 * time.Millisecond
 	maxDatagram      = 64 << 10 // bytes
-	portAttempts     = 20       // to find a port that is free for both TCP and UDP
+	portAttempts     = 20       // at finding a port that is free for both TCP and UDP
 	relayDialTimeout = time.Second
 )
 
-// relay stands before an end that is a process of its own: who wants to speak to it is told the relay's address, by TCP
-// and UDP on one port. It sees both ends of what passes, since everyone binds its own address.
+// relay stands in front of a node that runs as its own process: the other nodes are given the relay's address, which
+// has TCP and UDP on one port. It can tell both nodes of each connection or datagram because every node binds its own
+// address.
 type relay struct {
 	network *network
 	node    string
-	target  string // host:port, where the end listens
+	target  string // host:port on which the node listens
 	ip      net.IP // the address that the relay dials from
 	tcp     net.Listener
 	udp     net.PacketConn
-	out     *net.UDPConn // to the end
+	out     *net.UDPConn // to the node
 	done    chan struct{}
 	once    sync.Once
 }
 
-// newRelay starts one at an IP address with a free port, for an end that listens at target.
+// newRelay starts a relay on a free port of an IP address, for a node that listens at target.
 func (n *network) newRelay(node, ip, target string) (*relay, error) {
 	tcp, udp, err := listenBoth(ip)
 	if err != nil {
@@ -58,10 +59,10 @@
 	return r, nil
 }
 
-// address is where the relay listens.
+// address returns the address on which the relay listens.
 func (r *relay) address() string { return r.tcp.Addr().String() }
 
-// close ends it.
+// close stops the relay.
 func (r *relay) close() {
 	r.once.Do(func() {
 		close(r.done)
@@ -82,7 +83,7 @@
 	}
 }
 
-// relayStream connects a connection to the end, and copies both ways until either side ends.
+// relayStream connects an accepted connection to the node, and copies in both directions until either side ends.
 func (r *relay) relayStream(inbound net.Conn) {
 	dialer := net.Dialer{Timeout: relayDialTimeout, LocalAddr: &net.TCPAddr{IP: r.ip}}
 	outbound, err := dialer.Dial("tcp", r.target)
@@ -103,7 +104,7 @@
 	both.Wait()
 }
 
-// copyStream copies what an end sends until either side ends, and ends both.
+// copyStream copies what sender sends until either connection ends, and closes both.
 func (r *relay) copyStream(to, from net.Conn, sender string) {
 	defer to.Close()
 	defer from.Close()
@@ -135,7 +136,7 @@
 	}
 }
 
-// relayDatagram sends a datagram on by the link's faults.
+// relayDatagram forwards a datagram subject to the link's faults.
 func (r *relay) relayDatagram(sender string, datagram []byte) {
 	faults := r.network.faults(sender, r.node)
 	if faults.cut || faults.refuse || r.network.drawBool(faults.loss) {
--- a/internal/drill/slow_conn.go
+++ b/internal/drill/slow_conn.go
@@ -7,17 +7,17 @@
 	"sloequay/internal/emulator"
 )
 
-// slowReaderBuffer is the bytes that the system takes for a slow reader.
+// slowReaderBuffer is the socket's receive buffer of a slow reader, in bytes.
 const slowReaderBuffer = 8 << 10
 
-// slowConn is the connection of a slow reader. Its socket knows of the connection's end before the reader does, who has
-// answers left to read.
+// slowConn is the connection of a slow reader. Its socket learns of the connection's end earlier than the reader, which
+// still has answers to read.
 type slowConn struct {
 	net.Conn
 	end *emulator.EndWatch
 }
 
-// newSlowConn makes a connection that was dialed that of a slow reader.
+// newSlowConn turns a dialed connection into that of a slow reader.
 func newSlowConn(inner net.Conn) *slowConn {
 	conn := &slowConn{Conn: inner, end: &emulator.EndWatch{}}
 	if tcp, ok := inner.(*linkedConn).Conn.(*net.TCPConn); ok {
@@ -27,7 +27,7 @@
 	return conn
 }
 
-// closedAt is when the proxy closed the connection, whose end the reader has just met.
+// closedAt returns when the proxy closed the connection. The reader must have reached its end.
 func (c *slowConn) closedAt() time.Time {
 	if seenAt := c.end.SeenAt(); !seenAt.IsZero() {
 		return seenAt
@@ -35,7 +35,7 @@
 	return time.Now()
 }
 
-// closedFor is how long ago the proxy closed the connection, as far as the socket knows; 0: it has not.
+// closedFor returns how long ago the proxy closed the connection, as far as the socket knows; 0: it has not.
 func (c *slowConn) closedFor() time.Duration {
 	seenAt := c.end.SeenAt()
 	if seenAt.IsZero() {
--- a/internal/drill/timeline.go
+++ b/internal/drill/timeline.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// Timeline is what a drill's charts show: figures by second, in panels of lines.
+// Timeline is the data of a drill's charts: figures per second, in panels of lines.
 type Timeline struct {
 	Title  string  `json:"Title"`
 	Panels []Panel `json:"Panels"`
 }
 
-// Panel is lines over one another.
+// Panel is a chart of several lines.
 type Panel struct {
 	Title string   `json:"Title"`
 	Lines []Series `json:"Lines"`
 }
 
-// Series is a figure for each second.
+// Series is one line of a panel, with a value for each second.
 type Series struct {
 	Name   string    `json:"Name"`
 	Values []float64 `json:"Values"`
 }
 
-// JSON is the form in which it is kept in a report's folder.
+// JSON encodes the timeline for the file in a report's folder.
 func (t Timeline) JSON() []byte {
-	text, _ := json.MarshalIndent(t, "", " ") // it has no value that can't be encoded
+	text, _ := json.MarshalIndent(t, "", " ") // all of its values can be encoded
 	return text
 }
 
-// Timeline counts the record by seconds: requests, calls to the list service, connections, and proxies that are ready.
+// Timeline counts the record's requests, calls to the list service, connections and ready proxies by second.
 func (r *Result) Timeline() Timeline {
 	record := r.Cluster.Record
 	record.mu.Lock()
 	defer record.mu.Unlock()
-	seconds := max(1, int(r.Cluster.Plan.Duration/time.Second)) // whole ones: a part of one would look like a fall
+	seconds := max(1, int(r.Cluster.Plan.Duration/time.Second)) // whole ones: a partial one would look like a drop
 	sent := newSeries("sent", seconds)
 	byOutcome := map[Outcome]Series{}
 	for _, outcome := range []Outcome{OutcomeServed, OutcomeRejected, OutcomeFailed} {
@@ -67,7 +67,7 @@
 
 func newSeries(name string, seconds int) Series { return Series{name, make([]float64, seconds)} }
 
-// count adds one to the second of a time, if the series has that.
+// count adds one to the value of the second that contains a time, if the series covers it.
 func (s Series) count(at time.Duration) {
 	if second := int(at / time.Second); second >= 0 && second < len(s.Values) {
 		s.Values[second]++
