--- a/internal/drill/byzantine.go
+++ b/internal/drill/byzantine.go
@@ -56,8 +56,8 @@
 	return list
 }
 
-// byzantinePeer is a member of the fleet that holds its key and advertises a false list to all members. Its run loop
-// owns members and sends the messages; the transport's callbacks are passed to the loop.
+// byzantinePeer is a member of the fleet that holds its key and advertises a false endpoint list to all members. Its
+// run loop owns members and sends the messages; the transport's callbacks are passed to the loop.
 type byzantinePeer struct {
 	number    int // among the byzantine peers, from 0
 	transport *transport.Transport
--- a/internal/drill/client_conn.go
+++ b/internal/drill/client_conn.go
@@ -33,7 +33,7 @@
 	mu       sync.Mutex
 	lastID   uint64
 	open     map[uint64]*pendingRequest
-	givenUp  map[uint64]bool // message ids of requests whose answers may still come
+	givenUp  map[uint64]bool // by message id; answers to these are ignored
 	isClosed bool
 }
 
--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -119,9 +119,9 @@
 }
 
 // otherServingProxy returns another serving proxy of the same zone; nil: there is none.
-func (g *loadGenerator) otherServingProxy(than *proxy) *proxy {
-	for _, p := range servingProxies(g.cluster.proxiesOf(than.zone)) {
-		if p != than {
+func (g *loadGenerator) otherServingProxy(excluded *proxy) *proxy {
+	for _, p := range servingProxies(g.cluster.proxiesOf(excluded.zone)) {
+		if p != excluded {
 			return p
 		}
 	}
@@ -176,7 +176,7 @@
 func (p *pendingRequest) ownsConn() bool { return p.cancels && p.closes }
 
 // newRequest creates a request. It is not recorded until it is sent.
-func (g *loadGenerator) newRequest(to *proxy, class string, object uint64, plan cancellation) *pendingRequest {
+func (g *loadGenerator) newRequest(to *proxy, class string, object uint64, cancel cancellation) *pendingRequest {
 	cluster := g.cluster
 	id := cluster.requestIDs.Add(1)
 	request := &Request{ID: fmt.Sprintf("%016x", id), Class: class, Proxy: to.number, SentAt: cluster.now()}
@@ -191,7 +191,7 @@
 		fields["unique"] = request.Key
 	}
 	frame := func(messageID uint64) []byte { return emulator.Request(messageID, request.Class, fields, "") }
-	return &pendingRequest{record: request, frame: frame, cancellation: plan}
+	return &pendingRequest{record: request, frame: frame, cancellation: cancel}
 }
 
 // errNoConnection is returned for a draining proxy if clients may no longer dial it and no open connection has room.
--- a/internal/drill/plan.go
+++ b/internal/drill/plan.go
@@ -114,7 +114,7 @@
 	section.Each("doorman", func(words []string) error {
 		p.Settings = append(p.Settings, strings.Join(words, " "))
 		return nil
-	}, "a line of each proxy's settings; @dir, @ip, @name and @plaza stand for its own, @{ and @} for braces")
+	}, "a line of each proxy's settings; @dir, @ip, @name and @plaza expand to its own values, @{ and @} to braces")
 	section.Each("at", func(words []string) error {
 		step, err := parseStep(words)
 		p.Steps = append(p.Steps, step)
@@ -131,39 +131,39 @@
 
 // bindCluster binds the directives for the cluster's size, its load and the list service.
 func (p *Plan) bindCluster(section *config.Section) {
-	section.Int("doormans", &p.Proxies, 1, 1000, "proxies, as processes of the program")
-	section.Int("plazas", &p.Zones, 1, 16, "zones of caches")
-	section.Int("caches", &p.Caches, 1, 64, "of each zone")
-	section.Int("trunks", &p.Parents, 0, 16, "parents, at the hub")
-	section.Duration("lasts", &p.Duration, time.Second, time.Hour, "the drill")
-	section.Rate("rate", &p.RequestRate, 0.1, 1000, "requests to each proxy")
-	section.Int("objects", &p.Objects, 1, 1_000_000, "that are asked for")
-	section.Number("size", &p.SizeKB, 0.1, 2000, "KB of each")
+	section.Int("doormans", &p.Proxies, 1, 1000, "number of proxies, each a process of the program")
+	section.Int("plazas", &p.Zones, 1, 16, "number of zones with caches")
+	section.Int("caches", &p.Caches, 1, 64, "number of caches in each zone")
+	section.Int("trunks", &p.Parents, 0, 16, "number of parents, all in the hub")
+	section.Duration("lasts", &p.Duration, time.Second, time.Hour, "duration of the drill")
+	section.Rate("rate", &p.RequestRate, 0.1, 1000, "rate of requests to each proxy")
+	section.Int("objects", &p.Objects, 1, 1_000_000, "number of different objects requested")
+	section.Number("size", &p.SizeKB, 0.1, 2000, "size of each object in KB")
 	section.Number("charges", &p.ChargeShare, 0, 1, "share of requests that are keyed writes")
 	section.Number("leaves", &p.CancelShare, 0, 1, "share of requests that their clients cancel within 0.12 s")
-	section.Duration("limit", &p.ClientLimit, 50*time.Millisecond, time.Minute, "that a client waits")
-	section.Duration("deadline", &p.Deadline, 0, time.Minute, "of all classes; 0: as the emulators have them")
+	section.Duration("limit", &p.ClientLimit, 50*time.Millisecond, time.Minute, "how long a client waits for an answer")
+	section.Duration("deadline", &p.Deadline, 0, time.Minute, "deadline of all classes; 0: those of the emulator's settings")
 	section.Duration("stay", &p.DialAfterTerm, 0, time.Minute,
-		"after SIGTERM, in which clients still connect; they use open ones until these close; 0: they leave at once")
-	section.Int("sockets", &p.Sockets, 64, 1024, "descriptors of each proxy")
+		"how long clients still dial after SIGTERM; they use open connections until these close; 0: they stop at once")
+	section.Int("sockets", &p.Sockets, 64, 1024, "file descriptors of each proxy")
 	section.Choice("list", &p.ListService, []string{listWatchService, catalogueService}, "the list service")
-	section.Rate("list-rate", &p.ListRate, 0, 1e6, "calls that it answers; 0/s: any number")
-	section.Duration("spread", &p.StartSpread, 0, time.Minute, "over which `start` starts proxies")
-	section.Number("slow-readers", &p.SlowReaderShare, 0, 1, "share of clients' connections that are read slowly")
-	section.Flag("peers", &p.Peers, "proxies know of each other")
+	section.Rate("list-rate", &p.ListRate, 0, 1e6, "rate of calls that the list service answers; 0/s: unlimited")
+	section.Duration("spread", &p.StartSpread, 0, time.Minute, "time over which `start` spreads the starts of proxies")
+	section.Number("slow-readers", &p.SlowReaderShare, 0, 1, "share of client connections that are read slowly")
+	section.Flag("peers", &p.Peers, "the proxies form a fleet of peers")
 }
 
 // bindEndpoints binds the directives for the endpoints' capacity.
 func (p *Plan) bindEndpoints(section *config.Section) {
-	section.Number("share", &p.Weight, 1, 1000, "weight of an endpoint: answers at full pace together")
+	section.Number("share", &p.Weight, 1, 1000, "weight of an endpoint: concurrent answers at full rate")
 	section.Flag("cold", &p.FreshStart, "endpoints have just started")
-	section.Number("cold-from", &p.ColdCapacity, 0.01, 1, "of its capacity that an endpoint has at its start")
-	section.Duration("cold-for", &p.WarmUp, 0, time.Minute, "until it has all of it")
+	section.Number("cold-from", &p.ColdCapacity, 0.01, 1, "share of its full capacity that an endpoint has at its start")
+	section.Duration("cold-for", &p.WarmUp, 0, time.Minute, "time after its start until an endpoint has full capacity")
 	section.Number("fall", &p.OverloadFactor, 0, 100,
-		"multiple of its capacity at which an endpoint goes down; 0: never")
-	section.Duration("fall-for", &p.OverloadWindow, 100*time.Millisecond, time.Minute, "window for that")
+		"multiple of its current capacity above which a warming endpoint crashes; 0: never")
+	section.Duration("fall-for", &p.OverloadWindow, 100*time.Millisecond, time.Minute, "window over which the load is averaged for that")
 	section.Duration("down-for", &p.OverloadDowntime, 100*time.Millisecond, time.Minute,
-		"that an endpoint stays down then")
+		"how long an endpoint stays down after that")
 }
 
 // The protocol's times for a planned restart: SIGKILL comes no sooner after SIGTERM than killGrace plus the longest
--- a/internal/drill/steps_list.go
+++ b/internal/drill/steps_list.go
@@ -58,7 +58,7 @@
 	}}, nil
 }
 
-// byzantineAction adds a peer to the fleet that advertises a false endpoint list to a zone.
+// byzantineAction adds a peer that joins the fleet as a proxy of a zone and advertises a false endpoint list.
 type byzantineAction struct {
 	zone      int // from 1
 	falseList string
