--- a/internal/drill/audit_requests.go
+++ b/internal/drill/audit_requests.go
@@ -108,7 +108,7 @@
 }
 
 // isClosedUnread reports whether a request was the first on a connection that a proxy full of idle clients closed, and
-// reached no endpoint: the acceptance test allows the proxy to close new connections unread then.
+// reached no endpoint: the standing test allows the proxy to close new connections unread then.
 func (r *Record) isClosedUnread(request *Request) bool {
 	hasIdleClients := slices.ContainsFunc(r.IdleClients[request.Proxy], func(span Span) bool {
 		return span.overlaps(request.SentAt, request.EndedAt)
--- a/internal/drill/draw_restart.go
+++ b/internal/drill/draw_restart.go
@@ -18,7 +18,8 @@
 	idleClientsPerProxy = 160
 	// restartMargin is the time from the kill of a proxy to its next start.
 	restartMargin = 800 * time.Millisecond
-	// firstRestart is when the fleet is up, and lastRestartMargin the least time from the last start to the plan's end.
+	// firstRestart is the time of the first restart, when the fleet is up, and lastRestartMargin the least time from
+	// the last start to the plan's end.
 	firstRestart      = 2500 * time.Millisecond
 	lastRestartMargin = 1500 * time.Millisecond
 )
@@ -85,7 +86,7 @@
 	switch rng.IntN(restartKinds) {
 	case 0:
 		text.line("at %v finish %s", at, selector)
-	case 1: // SIGTERM and SIGHUP again during the drain
+	case 1: // a second SIGTERM, and SIGHUP, during the drain
 		text.line("at %v finish %s", at, selector)
 		text.line("at %v term %s", at+drawDelay(900), selector)
 		text.line("at %v hup %s", at+drawDelay(900), selector)
--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -14,8 +14,8 @@
 	// maxOpenRequests is how many requests the generator keeps open on one connection, of the 32 that the protocol
 	// allows.
 	maxOpenRequests = 24
-	// crossingWindow bounds the time between the sending of a request and the close of its connection within which the
-	// protocol has the request resent once.
+	// crossingWindow is the time between the sending of a request and the close of its connection within which the two
+	// cross, so that the protocol has the request resent once.
 	crossingWindow = 50 * time.Millisecond
 	// closeNoticeTime is how long a client continues to use a connection after its socket has received the close:
 	// requests sent in this time still cross the close.
--- a/internal/drill/plan.go
+++ b/internal/drill/plan.go
@@ -142,7 +142,7 @@
 	section.Number("charges", &p.ChargeShare, 0, 1, "share of requests that are keyed writes")
 	section.Number("leaves", &p.CancelShare, 0, 1, "share of requests that their clients cancel within 0.12 s")
 	section.Duration("limit", &p.ClientLimit, 50*time.Millisecond, time.Minute, "how long a client waits for an answer")
-	section.Duration("deadline", &p.Deadline, 0, time.Minute, "deadline of all classes; 0: those of the emulator's settings")
+	section.Duration("deadline", &p.Deadline, 0, time.Minute, "deadline of all classes; 0: those of the emulator")
 	section.Duration("stay", &p.DialAfterTerm, 0, time.Minute,
 		"how long clients still dial after SIGTERM; they use open connections until these close; 0: they stop at once")
 	section.Int("sockets", &p.Sockets, 64, 1024, "file descriptors of each proxy")
@@ -157,11 +157,12 @@
 func (p *Plan) bindEndpoints(section *config.Section) {
 	section.Number("share", &p.Weight, 1, 1000, "weight of an endpoint: concurrent answers at full rate")
 	section.Flag("cold", &p.FreshStart, "endpoints have just started")
-	section.Number("cold-from", &p.ColdCapacity, 0.01, 1, "share of its full capacity that an endpoint has at its start")
+	section.Number("cold-from", &p.ColdCapacity, 0.01, 1, "share of its capacity that an endpoint has at its start")
 	section.Duration("cold-for", &p.WarmUp, 0, time.Minute, "time after its start until an endpoint has full capacity")
 	section.Number("fall", &p.OverloadFactor, 0, 100,
 		"multiple of its current capacity above which a warming endpoint crashes; 0: never")
-	section.Duration("fall-for", &p.OverloadWindow, 100*time.Millisecond, time.Minute, "window over which the load is averaged for that")
+	section.Duration("fall-for", &p.OverloadWindow, 100*time.Millisecond, time.Minute,
+		"window over which the load is averaged for that")
 	section.Duration("down-for", &p.OverloadDowntime, 100*time.Millisecond, time.Minute,
 		"how long an endpoint stays down after that")
 }
