--- a/internal/drill/exchange.go
+++ b/internal/drill/exchange.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	// sourceTimeout is how long an endpoint waits for a source that says nothing.
+	// sourceTimeout is how long an endpoint waits for a source that does not respond.
 	sourceTimeout = 300 * time.Millisecond
-	// sourceDelay is what it takes to fetch from the origin or a sibling, beside the pace of the answer.
+	// sourceDelay is the latency of a fetch from the origin or a sibling, in addition to the transfer time.
 	sourceDelay = 20 * time.Millisecond
 )
 
-// The classes of requests that clients send, as emulator.Settings has them.
+// The classes of the clients' requests, with the names that emulator.Settings gives them.
 const (
 	lookupClass = "lookup"
 	chargeClass = "charge" // keyed writes
 )
 
-// The fields and words of the endpoints' protocol that the emulated endpoints go by.
+// The fields and words of the endpoints' protocol that the emulated endpoints use.
 const (
-	fieldRequest   = "replay" // the key of a keyed request
-	fieldClass     = "profile"
-	fieldObject    = "thing"
-	fieldPart      = "nth"
-	fieldSource    = "via"
-	fieldOptions   = "opts"
-	fieldTier      = "tier" // 0 or none: the object is not to be cached
-	fieldTimeout   = "max"  // milliseconds
-	optionHaveOnly = "have-only"
-	optionThrough  = "through" // the source does not cache what it fetches
-	wordRequest    = "ASK"
-	wordCancel     = "QUIT"
-	wordServed     = "ACK"
-	wordLacks      = "NOENT"
-	wordFailed     = "EIO"
+	fieldIdempotencyKey = "replay" // the key of a keyed request
+	fieldClass          = "profile"
+	fieldObject         = "thing"
+	fieldPart           = "nth"
+	fieldSource         = "via"
+	fieldOptions        = "opts"
+	fieldCacheRank      = "tier" // 0 or absent: the object must not be cached
+	fieldTimeout        = "max"  // milliseconds
+	optionCachedOnly    = "have-only"
+	optionBypassParent  = "through" // the source does not cache what it fetches
+	wordRequest         = "ASK"
+	wordCancel          = "QUIT"
+	wordServed          = "ACK"
+	wordCacheMiss       = "NOENT"
+	wordFailed          = "EIO"
 )
 
 // exchange is one attempt at one endpoint.
@@ -49,7 +49,7 @@
 	attempt  *Attempt
 }
 
-// serve answers an attempt as its endpoint does.
+// serve handles an attempt as its endpoint would.
 func (c *Cluster) serve(received *emulator.ReceivedRequest) {
 	x := &exchange{
 		cluster:  c,
@@ -57,33 +57,33 @@
 		received: received,
 		attempt:  c.recordAttempt(received),
 	}
-	took, ok := c.begin(x.endpoint, x.cost())
+	serviceTime, ok := c.beginWork(x.endpoint, x.cost())
 	if !ok {
 		return
 	}
-	defer x.endpoint.finish()
+	defer x.endpoint.finishWork()
 	object := received.Fields[fieldObject] + "." + received.Fields[fieldPart]
 	switch {
 	case x.attempt.Class == chargeClass:
-		x.serveCharge(took)
+		x.serveCharge(serviceTime)
 	case x.endpoint.has(object):
-		time.Sleep(took)
+		time.Sleep(serviceTime)
 		x.answerServed("remark=hit")
 	default:
-		x.fill(object, took)
+		x.fill(object, serviceTime)
 	}
 }
 
-// recordAttempt notes an attempt as it comes.
+// recordAttempt records an attempt when it arrives.
 func (c *Cluster) recordAttempt(received *emulator.ReceivedRequest) *Attempt {
 	conn, _ := received.Conn.(*linkedConn)
 	attempt := &Attempt{
 		ID:         received.ID,
-		Key:        received.Fields[fieldRequest],
+		Key:        received.Fields[fieldIdempotencyKey],
 		Class:      received.Fields[fieldClass],
 		Endpoint:   received.Endpoint,
-		From:       unknownEnd,
-		ReceivedAt: received.At.Sub(c.began),
+		From:       unknownNode,
+		ReceivedAt: received.At.Sub(c.startedAt),
 		conn:       conn,
 	}
 	if conn != nil {
@@ -99,7 +99,7 @@
 	return attempt
 }
 
-// recordCancellation notes an attempt that the proxy gave up.
+// recordCancellation records that the proxy canceled an attempt.
 func (c *Cluster) recordCancellation(received *emulator.ReceivedRequest) {
 	if received.Word != wordCancel {
 		return
@@ -112,10 +112,10 @@
 	})
 }
 
-// cost is that of any answer, in seconds of one flow.
+// cost returns the cost of an answer, which is the same for all: its transfer time in seconds at flowKBps.
 func (x *exchange) cost() float64 { return x.cluster.Plan.SizeKB / flowKBps }
 
-// answer sends an answer, once the record has it.
+// answer records the answer and sends it.
 func (x *exchange) answer(word, fields string) {
 	at := x.cluster.now()
 	executed := word == wordServed
@@ -127,28 +127,29 @@
 	x.received.Answer(word, fields, body)
 }
 
-// answerServed sends a good answer; more is further fields, if any.
+// answerServed sends a successful answer with further fields, if any.
 func (x *exchange) answerServed(more ...string) {
 	fields := append([]string{"tag=t1", fmt.Sprintf("minted=%d", time.Now().UnixMilli())}, more...)
 	x.answer(wordServed, strings.Join(fields, ","))
 }
 
-// serveCharge runs a keyed request. A cache lacks it unless it is told to pass it to the origin.
-func (x *exchange) serveCharge(took time.Duration) {
-	time.Sleep(took)
+// serveCharge executes a keyed request. An endpoint other than the origin answers a cache miss unless the request names
+// a source to pass it to.
+func (x *exchange) serveCharge(serviceTime time.Duration) {
+	time.Sleep(serviceTime)
 	if x.endpoint.class != classOrigin && x.received.Fields[fieldSource] == "" {
-		x.answer(wordLacks, "-")
+		x.answer(wordCacheMiss, "-")
 		return
 	}
 	x.cluster.Record.addExecution(x.attempt.Key)
 	x.answerServed()
 }
 
-// fill answers with an object that the endpoint fetches from the source that the request names.
-func (x *exchange) fill(object string, took time.Duration) {
+// fill answers with an object that the endpoint fetches from the source named in the request.
+func (x *exchange) fill(object string, serviceTime time.Duration) {
 	source := x.cluster.endpoints[x.received.Fields[fieldSource]]
 	if source == nil || source == x.endpoint {
-		x.answer(wordLacks, "-")
+		x.answer(wordCacheMiss, "-")
 		return
 	}
 	if x.isCutFrom(source) {
@@ -159,54 +160,54 @@
 	remark := "filled"
 	switch source.class {
 	case classParent:
-		fetchTook, finish, ok := x.fetchFromParent(source, object)
+		fetchTime, finish, ok := x.fetchFromParent(source, object)
 		if !ok {
 			return
 		}
 		defer finish()
-		took += fetchTook
+		serviceTime += fetchTime
 	case classOrigin:
 		remark = "via_origin"
-		took += sourceDelay
+		serviceTime += sourceDelay
 	default:
-		took += sourceDelay
+		serviceTime += sourceDelay
 	}
-	time.Sleep(took)
-	if tier := x.received.Fields[fieldTier]; tier != "" && tier != "0" {
+	time.Sleep(serviceTime)
+	if tier := x.received.Fields[fieldCacheRank]; tier != "" && tier != "0" {
 		x.endpoint.cache(object)
 	}
-	x.answerServed("remark="+remark, fmt.Sprintf("lag=%d", took.Milliseconds()))
+	x.answerServed("remark="+remark, fmt.Sprintf("lag=%d", serviceTime.Milliseconds()))
 }
 
-// isCutFrom reports whether a link between the endpoint and a source is cut, either way.
+// isCutFrom reports whether the link between the endpoint and a source is cut in either direction.
 func (x *exchange) isCutFrom(source *endpoint) bool {
-	own, other := endpointEnd(x.endpoint.id), endpointEnd(source.id)
+	own, other := endpointNode(x.endpoint.id), endpointNode(source.id)
 	to, from := x.cluster.network.faults(own, other), x.cluster.network.faults(other, own)
 	return to.cut || from.cut
 }
 
-// fetchFromParent has a parent do its part, which fetches from the origin what it lacks. Not ok: the attempt is
-// answered. After ok the caller calls finish once the attempt is answered.
-func (x *exchange) fetchFromParent(parent *endpoint, object string) (took time.Duration, finish func(), ok bool) {
+// fetchFromParent adds the fetch to a parent's load; the parent fetches from the origin what it has not cached. If ok
+// is false, the attempt has been answered. Otherwise the caller must call finish once it has answered the attempt.
+func (x *exchange) fetchFromParent(parent *endpoint, object string) (fetchTime time.Duration, finish func(), ok bool) {
 	options := x.received.Fields[fieldOptions]
 	isHit := parent.has(object)
-	if !isHit && strings.Contains(options, optionHaveOnly) {
-		x.answer(wordLacks, "remark=src_lacks")
+	if !isHit && strings.Contains(options, optionCachedOnly) {
+		x.answer(wordCacheMiss, "remark=src_lacks")
 		return 0, nil, false
 	}
-	took, ok = x.cluster.begin(parent, x.cost())
+	fetchTime, ok = x.cluster.beginWork(parent, x.cost())
 	if !ok {
 		x.answer(wordFailed, "remark=src_broke")
 		return 0, nil, false
 	}
 	if isHit {
-		return took, parent.finish, true
+		return fetchTime, parent.finishWork, true
 	}
 	finish = func() {
-		if !strings.Contains(options, optionThrough) {
+		if !strings.Contains(options, optionBypassParent) {
 			parent.cache(object)
 		}
-		parent.finish()
+		parent.finishWork()
 	}
-	return took + sourceDelay, finish, true
+	return fetchTime + sourceDelay, finish, true
 }
--- a/internal/drill/relay.go
+++ b/internal/drill/relay.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	// reorderLag is how far, beyond twice the delay, a reordered datagram falls behind the next ones.
+	// reorderLag is how much later a reordered datagram arrives, in addition to twice the link's delay.
 	reorderLag       = 20 * time.Millisecond
 	maxDatagram      = 64 << 10 // bytes
-	portAttempts     = 20       // to find a port that is free for both TCP and UDP
+	portAttempts     = 20       // at finding a port that is free for both TCP and UDP
 	relayDialTimeout = time.Second
 )
 
-// relay stands before an end that is a process of its own: who wants to speak to it is told the relay's address, by TCP
-// and UDP on one port. It sees both ends of what passes, since everyone binds its own address.
+// relay stands in front of a node that runs as its own process: the other nodes are given the relay's address, which
+// has TCP and UDP on one port. It can tell both nodes of each connection or datagram because every node binds its own
+// address.
 type relay struct {
 	network *network
-	end     string
-	target  string // host:port, where the end listens
+	node    string
+	target  string // host:port on which the node listens
 	ip      net.IP // the address that the relay dials from
 	tcp     net.Listener
 	udp     net.PacketConn
-	out     *net.UDPConn // to the end
+	out     *net.UDPConn // to the node
 	done    chan struct{}
 	once    sync.Once
 }
 
-// newRelay starts one at an IP address with a free port, for an end that listens at target.
-func (n *network) newRelay(end, ip, target string) (*relay, error) {
+// newRelay starts a relay on a free port of an IP address, for a node that listens at target.
+func (n *network) newRelay(node, ip, target string) (*relay, error) {
 	tcp, udp, err := listenBoth(ip)
 	if err != nil {
 		return nil, err
@@ -45,7 +46,7 @@
 	}
 	r := &relay{
 		network: n,
-		end:     end,
+		node:    node,
 		target:  target,
 		ip:      own,
 		tcp:     tcp,
@@ -58,10 +59,10 @@
 	return r, nil
 }
 
-// address is where the relay listens.
+// address returns the address on which the relay listens.
 func (r *relay) address() string { return r.tcp.Addr().String() }
 
-// close ends it.
+// close stops the relay.
 func (r *relay) close() {
 	r.once.Do(func() {
 		close(r.done)
@@ -72,38 +73,38 @@
 }
 
 func (r *relay) relayStreams() {
-	listener := &linkedListener{r.tcp, r.network, r.end}
+	listener := &linkedListener{r.tcp, r.network, r.node}
 	for {
-		near, err := listener.Accept()
+		inbound, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.relayStream(near)
+		go r.relayStream(inbound)
 	}
 }
 
-// relayStream connects a connection to the end, and copies both ways until either side ends.
-func (r *relay) relayStream(near net.Conn) {
+// relayStream connects an accepted connection to the node, and copies in both directions until either side ends.
+func (r *relay) relayStream(inbound net.Conn) {
 	dialer := net.Dialer{Timeout: relayDialTimeout, LocalAddr: &net.TCPAddr{IP: r.ip}}
-	far, err := dialer.Dial("tcp", r.target)
+	outbound, err := dialer.Dial("tcp", r.target)
 	if err != nil {
-		_ = near.Close()
+		_ = inbound.Close()
 		return
 	}
 	var both sync.WaitGroup
 	both.Add(2)
 	go func() {
 		defer both.Done()
-		r.copyStream(far, near, farEnd(near))
+		r.copyStream(outbound, inbound, remoteNode(inbound))
 	}()
 	go func() {
 		defer both.Done()
-		r.copyStream(near, far, r.end)
+		r.copyStream(inbound, outbound, r.node)
 	}()
 	both.Wait()
 }
 
-// copyStream copies what an end sends until either side ends, and ends both.
+// copyStream copies what sender sends until either connection ends, and closes both.
 func (r *relay) copyStream(to, from net.Conn, sender string) {
 	defer to.Close()
 	defer from.Close()
@@ -129,24 +130,24 @@
 		if err != nil {
 			return
 		}
-		sender := r.network.endOf(from)
+		sender := r.network.nodeOf(from)
 		r.network.onPeerBytes(sender, count)
 		r.relayDatagram(sender, buffer[:count])
 	}
 }
 
-// relayDatagram sends a datagram on by the link's faults.
+// relayDatagram forwards a datagram subject to the link's faults.
 func (r *relay) relayDatagram(sender string, datagram []byte) {
-	faults := r.network.faults(sender, r.end)
-	if faults.cut || faults.refuse || r.network.happens(faults.loss) {
+	faults := r.network.faults(sender, r.node)
+	if faults.cut || faults.refuse || r.network.drawBool(faults.loss) {
 		return
 	}
 	copies := 1
-	if r.network.happens(faults.duplicate) {
+	if r.network.drawBool(faults.duplicate) {
 		copies = 2
 	}
 	delay := r.network.drawDelay(faults)
-	if r.network.happens(faults.reorder) {
+	if r.network.drawBool(faults.reorder) {
 		delay += 2*faults.delay + reorderLag
 	}
 	data := append([]byte(nil), datagram...)
