--- a/test/catalogue_outage_test.go
+++ b/test/catalogue_outage_test.go
@@ -11,7 +11,7 @@
 	"sloequay/internal/emulator/consul"
 )
 
-var outageFor = flag.Duration("outage", 2500*time.Millisecond, "how long the catalogue's outages last")
+var outageDuration = flag.Duration("outage", 2500*time.Millisecond, "how long the catalogue's outages last")
 
 // TestCatalogueOutageKeepsServing: the agent fails in four ways. Every request is served as before, the agent is
 // asked no more than once a second, and what changed meanwhile holds once it is back.
@@ -34,7 +34,7 @@
 			cluster.Mark("cache", "c2", consul.Passing)
 			bed.waitLoggedTimes("event=catalogue-unreachable", 3)
 			before, from := agents[0].Requests(), time.Now()
-			time.Sleep(*outageFor) // the case's own length
+			time.Sleep(*outageDuration) // the case's own length
 			cluster.Mark("cache", "c1", "maintenance")
 			bed.waitInUse("c1") // nobody can know
 			polls, took := agents[0].Requests()-before, time.Since(from)
--- a/test/catalogue_test.go
+++ b/test/catalogue_test.go
@@ -313,7 +313,7 @@
 }
 
 var (
-	drains    = flag.Int("drains", 6, "how many seeded changes of the catalogue are measured")
+	drainCount    = flag.Int("drains", 6, "how many seeded changes of the catalogue are measured")
 	drainSeed = flag.Int64("drain-seed", 7, "their seed")
 )
 
@@ -328,7 +328,7 @@
 	load := bed.startLookups()
 	random := rand.New(rand.NewSource(*drainSeed))
 	var latencies []time.Duration
-	for range *drains {
+	for range *drainCount {
 		id := []string{"c1", "c2", "c3", "c4", "c5", "c6", "p1", "p2"}[random.Intn(8)]
 		service, _, _ := placement(id)
 		bed.waitInUse(id)
--- a/test/cpu_test.go
+++ b/test/cpu_test.go
@@ -14,7 +14,7 @@
 var (
 	cpuRequests = flag.Int("cpu-requests", 0, "requests by which the program's CPU is measured; 0: it is not")
 	cpuProgram  = flag.String("cpu-program", "", "another build of the program, to compare with")
-	cpuBy       = flag.String("cpu-by", "plain", "how callers show who they are: plain (identity is off), "+
+	cpuCallerKind       = flag.String("cpu-by", "plain", "how callers show who they are: plain (identity is off), "+
 		"unsigned, token, new-token, tls; or box-tls, where endpoints are behind TLS")
 )
 
@@ -38,7 +38,7 @@
 	}
 	const microsecondsPerTick = 10_000
 	each := float64(bed.cpuTicks()-before) * microsecondsPerTick / float64(*cpuRequests)
-	t.Logf("%d requests by %s, %.1f us of CPU each", *cpuRequests, *cpuBy, each)
+	t.Logf("%d requests by %s, %.1f us of CPU each", *cpuRequests, *cpuCallerKind, each)
 }
 
 // cpuTicks is the processor time that the program has used, its own and the system's for it, in hundredths of a
@@ -61,13 +61,13 @@
 func newCPUTestbed(t *testing.T) (*testbed, *client, func(int) string) {
 	t.Helper()
 	noToken := func(int) string { return "" }
-	if *cpuBy == "tls" {
+	if *cpuCallerKind == "tls" {
 		bed := newTLSTestbed(t, nil)
 		bed.start()
 		return bed.testbed, bed.dialTLS(bed.clientConfig("lane3.lanes.test")), noToken
 	}
 	bed := newTestbed(t, nil)
-	switch *cpuBy {
+	switch *cpuCallerKind {
 	case "plain":
 	case "unsigned":
 		bed.enableIdentity("unsigned staff")
@@ -81,7 +81,7 @@
 	default:
 		keys := bed.enableIdentity("checks 1000000/s\nchecks-connection 1000000/s\nchecks-source 1000000/s")
 		bed.start()
-		if *cpuBy == "token" {
+		if *cpuCallerKind == "token" {
 			token := keys.token("lane-1", "lanes", time.Hour)
 			return bed, bed.dial(), func(int) string { return token }
 		}
--- a/test/drill_test.go
+++ b/test/drill_test.go
@@ -14,14 +14,14 @@
 	drillProxies = flag.Int("drill-doormans", 0, "processes of a drill; 0: as the plan says")
 )
 
-// drillsAtOnce bounds the drills that run together: each is some ten processes, and what they hold has times.
-const drillsAtOnce = 4
+// maxConcurrentDrills bounds the drills that run together: each is some ten processes, and what they hold has times.
+const maxConcurrentDrills = 4
 
 // drillSlots is taken by each drill that runs.
-var drillSlots = make(chan bool, drillsAtOnce)
+var drillSlots = make(chan bool, maxConcurrentDrills)
 
-// playDrill plays a plan beside other drills, and fails unless all that it says must hold does.
-func playDrill(t *testing.T, plan *drill.Plan, seed uint64) {
+// runDrill plays a plan beside other drills, and fails unless all that it says must hold does.
+func runDrill(t *testing.T, plan *drill.Plan, seed uint64) {
 	t.Helper()
 	t.Parallel()
 	drillSlots <- true
@@ -61,7 +61,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				playDrill(t, plan, seed+1)
+				runDrill(t, plan, seed+1)
 			})
 		}
 	}
@@ -75,7 +75,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			playDrill(t, plan, seed+1)
+			runDrill(t, plan, seed+1)
 		})
 	}
 }
--- a/test/identity_test.go
+++ b/test/identity_test.go
@@ -150,7 +150,7 @@
 	open.answerAll()
 }
 
-var keyChanges = flag.Int("key-changes", 3, "how many changes of the keys' directory are measured")
+var keyChangeCount = flag.Int("key-changes", 3, "how many changes of the keys' directory are measured")
 
 // TestRevocationLatency measures how long after a change of the directory it holds in the running proxy. -key-changes
 // sets how many.
@@ -162,7 +162,7 @@
 	client := bed.dial()
 	var took []time.Duration
 	id := uint64(0)
-	for i := range *keyChanges {
+	for i := range *keyChangeCount {
 		subject := fmt.Sprint("lane-", i)
 		token := keys.token(subject, "lanes", time.Hour)
 		reason := func() string {
@@ -272,7 +272,7 @@
 	}
 }
 
-var floodFor = flag.Duration("flood", 300*time.Millisecond, "how long bad tokens are sent, and as long without")
+var floodDuration = flag.Duration("flood", 300*time.Millisecond, "how long bad tokens are sent, and as long without")
 
 // TestBadTokenFlood: one client sends ten thousand distinct bad tokens a second, as its answers come or without
 // looking at them and connecting anew when it is closed, and the others' requests are all served. -flood sets for how
@@ -299,13 +299,13 @@
 	flood := &tokenFlood{testbed: bed, token: token, reads: reads}
 	var alone, beside []time.Duration
 	for range 8 {
-		alone = append(alone, others.callFor(*floodFor/8)...)
+		alone = append(alone, others.callFor(*floodDuration/8)...)
 		stop, done := make(chan struct{}), make(chan struct{})
 		go func() {
 			defer close(done)
 			flood.run(stop)
 		}()
-		beside = append(beside, others.callFor(*floodFor/8)...)
+		beside = append(beside, others.callFor(*floodDuration/8)...)
 		if !reads {
 			bed.waitLogged("event=client-rate-limited")
 		}
--- a/test/idle_test.go
+++ b/test/idle_test.go
@@ -13,12 +13,12 @@
 // been seen to spin: a peer that is half closed or does not read is always ready for the poller, and what is refused
 // at once is tried again at once.
 
-// idleShare is how much of a core a proxy with nothing to do may use. It uses 0.01 to 0.03; a goroutine that spins
+// maxIdleCPUShare is how much of a core a proxy with nothing to do may use. It uses 0.01 to 0.03; a goroutine that spins
 // uses all it gets, on a busy machine less than the whole.
-const idleShare = 0.2
+const maxIdleCPUShare = 0.2
 
-// unanswered is an object that endpoints never answer for in these tests.
-const unanswered = "00000000000000aa"
+// unansweredObject is an object that endpoints never answer for in these tests.
+const unansweredObject = "00000000000000aa"
 
 // idleCase is something that could make a proxy look as if it had something to do.
 type idleCase struct {
@@ -36,7 +36,7 @@
 	{"clients have half closed their connections", nil, func(bed *testbed) {
 		for id := range uint64(20) {
 			client := bed.dial()
-			client.send(request(id+1, "footage", map[string]string{"item": unanswered, "limit": "60000"}, ""))
+			client.send(request(id+1, "footage", map[string]string{"item": unansweredObject, "limit": "60000"}, ""))
 			_ = client.conn.(*net.TCPConn).CloseWrite()
 		}
 	}},
@@ -63,7 +63,7 @@
 	}},
 	{"it leaves, and a request stays open", nil, func(bed *testbed) {
 		client := bed.dial()
-		client.send(request(1, "footage", map[string]string{"item": unanswered, "limit": "60000"}, ""))
+		client.send(request(1, "footage", map[string]string{"item": unansweredObject, "limit": "60000"}, ""))
 		bed.waitFirstAttempt()
 		bed.terminate()
 	}},
@@ -79,7 +79,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			bed := newTestbed(t, func(attempt *receivedRequest) {
-				if attempt.Fields["thing"] != unanswered {
+				if attempt.Fields["thing"] != unansweredObject {
 					attempt.Answer("ACK", "-", "sound")
 				}
 			})
@@ -92,10 +92,10 @@
 			}
 			// What the case itself brings about takes a moment; a spin does not end.
 			bed.waitUntil("the proxy waits", func() bool {
-				return cpuShare(t, bed.cmd.Process.Pid, 300*time.Millisecond) < idleShare
+				return cpuShare(t, bed.cmd.Process.Pid, 300*time.Millisecond) < maxIdleCPUShare
 			})
-			if share := cpuShare(t, bed.cmd.Process.Pid, time.Second); share > idleShare {
-				t.Errorf("it used %.2f of a core with nothing to do, want at most %.2f", share, idleShare)
+			if share := cpuShare(t, bed.cmd.Process.Pid, time.Second); share > maxIdleCPUShare {
+				t.Errorf("it used %.2f of a core with nothing to do, want at most %.2f", share, maxIdleCPUShare)
 			}
 			if usage, _ := readProcessUsage(bed.cmd.Process.Pid); len(usage.children) > 0 {
 				t.Errorf("it has the children %v, want none", usage.children)
@@ -106,7 +106,7 @@
 		t.Parallel()
 		bed := newTestbed(t, nil)
 		bed.startTestBinary(spinVariable)
-		bed.waitUntil("it is seen", func() bool { return cpuShare(t, bed.cmd.Process.Pid, time.Second) > idleShare })
+		bed.waitUntil("it is seen", func() bool { return cpuShare(t, bed.cmd.Process.Pid, time.Second) > maxIdleCPUShare })
 	})
 }
 
@@ -119,8 +119,8 @@
 			bed := newTLSTestbed(t, nil)
 			bed.startWithFaults("epoll_ctl_add/go=" + errno + "%0.5")
 			bed.dial().call(1, "lookup", nil) // it has started
-			if share := cpuShare(t, bed.cmd.Process.Pid, time.Second); share > idleShare {
-				t.Errorf("it used %.2f of a core with nothing to do, want at most %.2f", share, idleShare)
+			if share := cpuShare(t, bed.cmd.Process.Pid, time.Second); share > maxIdleCPUShare {
+				t.Errorf("it used %.2f of a core with nothing to do, want at most %.2f", share, maxIdleCPUShare)
 			}
 		})
 	}
--- a/test/watches_test.go
+++ b/test/watches_test.go
@@ -432,9 +432,9 @@
 		t.Fatalf("%d of %d answers came whole (%v), want all", whole, largeAnswerCount, err)
 	}
 	client.waitRequestsRead(largeAnswerCount + 1)
-	if share := cpuShare(t, bed.cmd.Process.Pid, time.Second); share > idleShare {
+	if share := cpuShare(t, bed.cmd.Process.Pid, time.Second); share > maxIdleCPUShare {
 		t.Errorf("it used %.2f of a core with nothing to do, want at most %.2f; %d changes were refused",
-			share, idleShare, bed.change.count())
+			share, maxIdleCPUShare, bed.change.count())
 	}
 	client.waitRequestsRead(largeAnswerCount + 2) // the connection lives on
 }
