--- a/test/cancellation_test.go
+++ b/test/cancellation_test.go
@@ -39,10 +39,10 @@
 	}
 }
 
-// TestCancelNotSentWhereForbidden: the settings forbid that attempts are called off, and a QUIT went out all the
+// TestNoCancellationWhenDisabled: the settings forbid that attempts are called off, and a QUIT went out all the
 // same. Now the attempt stays where it is: it takes its place on the connection until the time that the endpoint was
 // told is up, and no other one joins it under its id.
-func TestCancelNotSentWhereForbidden(t *testing.T) {
+func TestNoCancellationWhenDisabled(t *testing.T) {
 	for _, c := range []struct {
 		name, limit string
 		ends        func(bed *testbed, c *client)
@@ -94,8 +94,8 @@
 type waitingRequest struct {
 	name string
 	// wait brings the request to where it waits, and gives what ends that wait.
-	wait func(bed *testbed, c *client, pending chan *receivedRequest) (release func())
-	sent int // attempts for it that were sent by then
+	wait         func(bed *testbed, c *client, pending chan *receivedRequest) (release func())
+	attemptsSent int // attempts for it that were sent by then
 }
 
 var waitingRequests = []waitingRequest{
@@ -120,7 +120,7 @@
 				t.Parallel()
 				pending := make(chan *receivedRequest, 100)
 				bed := newTestbed(t, func(attempt *receivedRequest) { pending <- attempt }, "c2")
-				if c.sent == 0 {
+				if c.attemptsSent == 0 {
 					bed.setListedAddress("c1", bed.listenWithFullBacklog())
 					bed.platformLimits()["dial-timeout-ms"] = 60000
 				}
@@ -128,7 +128,7 @@
 				client := bed.dial()
 				release := c.wait(bed, client, pending)
 				way.abandon(client, 1)
-				if c.sent > 0 {
+				if c.attemptsSent > 0 {
 					bed.waitUntil("its attempt is called off", func() bool { return len(bed.cancellations()) > 0 })
 				} else {
 					bed.waitUntil("its leaving is noticed", func() bool {
@@ -147,8 +147,8 @@
 				sent := bed.received(func(attempt *receivedRequest) bool {
 					return attempt.Word == "ASK" && attempt.ID == hexID(1)
 				})
-				if len(sent) != c.sent {
-					t.Errorf("%d attempts were sent for the client that left, want %d", len(sent), c.sent)
+				if len(sent) != c.attemptsSent {
+					t.Errorf("%d attempts were sent for the client that left, want %d", len(sent), c.attemptsSent)
 				}
 			})
 		}
--- a/test/catalogue_outage_test.go
+++ b/test/catalogue_outage_test.go
@@ -13,9 +13,9 @@
 
 var outageDuration = flag.Duration("outage", 2500*time.Millisecond, "how long the catalogue's outages last")
 
-// TestCatalogueOutageKeepsServing: the agent fails in four ways. Every request is served as before, the agent is
+// TestServesDuringCatalogueOutage: the agent fails in four ways. Every request is served as before, the agent is
 // asked no more than once a second, and what changed meanwhile holds once it is back.
-func TestCatalogueOutageKeepsServing(t *testing.T) {
+func TestServesDuringCatalogueOutage(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fault consul.Fault
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestSuspectCatalogueResponseLosesNoEndpoint: answers that lack endpoints without their being gone lose none, and a
+// TestSuspectCatalogueResponseRemovesNoEndpoint: answers that lack endpoints without their being gone lose none, and a
 // real loss of most is believed within a second.
-func TestSuspectCatalogueResponseLosesNoEndpoint(t *testing.T) {
+func TestSuspectCatalogueResponseRemovesNoEndpoint(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fault consul.Fault
--- a/test/catalogue_test.go
+++ b/test/catalogue_test.go
@@ -313,8 +313,8 @@
 }
 
 var (
-	drainCount    = flag.Int("drains", 6, "how many seeded changes of the catalogue are measured")
-	drainSeed = flag.Int64("drain-seed", 7, "their seed")
+	drainCount = flag.Int("drains", 6, "how many seeded changes of the catalogue are measured")
+	drainSeed  = flag.Int64("drain-seed", 7, "their seed")
 )
 
 // TestDrainLatency measures how long after the catalogue's change of an endpoint the last new send to it goes out,
--- a/test/connections_test.go
+++ b/test/connections_test.go
@@ -208,31 +208,31 @@
 	}
 }
 
-// trickle is a responder by which the first attempt of request 1 is answered byte by byte without end, on the first
+// trickleResponder is a responder by which the first attempt of request 1 is answered byte by byte without end, on the first
 // connection; what stands behind it there waits, and all else is served. What it was asked goes to pending.
-type trickle struct {
-	pending chan *receivedRequest
-	first   atomic.Pointer[net.Conn] // on which the answer trickles
-	over    chan struct{}            // closed when the test ends
+type trickleResponder struct {
+	pending     chan *receivedRequest
+	trickleConn atomic.Pointer[net.Conn] // on which the answer trickles
+	done        chan struct{}            // closed when the test ends
 }
 
 // respond is for newTestbed.
-func (r *trickle) respond(attempt *receivedRequest) {
+func (r *trickleResponder) respond(attempt *receivedRequest) {
 	if attempt.ID != hexID(1) {
-		if conn := r.first.Load(); conn == nil || attempt.Conn != *conn {
+		if conn := r.trickleConn.Load(); conn == nil || attempt.Conn != *conn {
 			answerDone(attempt)
 		}
 		r.pending <- attempt
 		return
 	}
-	if !r.first.CompareAndSwap(nil, &attempt.Conn) {
+	if !r.trickleConn.CompareAndSwap(nil, &attempt.Conn) {
 		answerDone(attempt)
 		return
 	}
 	_, err := fmt.Fprintf(attempt.Conn, "%s ACK tag=t1 200000\r\n", attempt.ID)
 	for r.pending <- attempt; err == nil; {
 		select {
-		case <-r.over:
+		case <-r.done:
 			return
 		case <-time.After(10 * time.Millisecond):
 			_, err = io.WriteString(attempt.Conn, "x")
@@ -244,8 +244,8 @@
 // connection is late until the request of that answer is over, and goes elsewhere then; and nothing new is put behind
 // it.
 func TestTrickledResponseReleasesWaiting(t *testing.T) {
-	responder := &trickle{pending: make(chan *receivedRequest, 100), over: make(chan struct{})}
-	t.Cleanup(func() { close(responder.over) })
+	responder := &trickleResponder{pending: make(chan *receivedRequest, 100), done: make(chan struct{})}
+	t.Cleanup(func() { close(responder.done) })
 	bed := newTestbed(t, responder.respond, "c2")
 	bed.platformLimits()["attempts-cap"] = 6
 	bed.start()
@@ -254,13 +254,13 @@
 	nextReceived(t, responder.pending)
 	began := time.Now()
 	client.send(request(2, "lookup", map[string]string{"limit": "9000"}, ""))
-	if waiting := nextReceived(t, responder.pending); waiting.Conn != *responder.first.Load() {
+	if waiting := nextReceived(t, responder.pending); waiting.Conn != *responder.trickleConn.Load() {
 		t.Fatal("the second request went by another connection: nothing is tried")
 	}
 	time.Sleep(time.Until(began.Add(1200 * time.Millisecond))) // longer than anything new is put behind it
 	other := bed.dial()
 	answer := other.call(3, "lookup", map[string]string{"limit": "9000"})
-	if answer.Body != "done" || nextReceived(t, responder.pending).Conn == *responder.first.Load() {
+	if answer.Body != "done" || nextReceived(t, responder.pending).Conn == *responder.trickleConn.Load() {
 		t.Errorf("%+v, want it served by another connection", answer)
 	}
 	if answer := client.mustRead(); answer.ID != 1 || answer.Error == "" {
--- a/test/cpu_test.go
+++ b/test/cpu_test.go
@@ -12,9 +12,9 @@
 )
 
 var (
-	cpuRequests = flag.Int("cpu-requests", 0, "requests by which the program's CPU is measured; 0: it is not")
-	cpuProgram  = flag.String("cpu-program", "", "another build of the program, to compare with")
-	cpuCallerKind       = flag.String("cpu-by", "plain", "how callers show who they are: plain (identity is off), "+
+	cpuRequests   = flag.Int("cpu-requests", 0, "requests by which the program's CPU is measured; 0: it is not")
+	cpuProgram    = flag.String("cpu-program", "", "another build of the program, to compare with")
+	cpuCallerKind = flag.String("cpu-by", "plain", "how callers show who they are: plain (identity is off), "+
 		"unsigned, token, new-token, tls; or box-tls, where endpoints are behind TLS")
 )
 
--- a/test/drill_test.go
+++ b/test/drill_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestDrawnDrills plays plans drawn by lot.
-func TestDrawnDrills(t *testing.T) {
+// TestRandomDrills plays plans drawn by lot.
+func TestRandomDrills(t *testing.T) {
 	for seed := range uint64(*drillSeeds) {
 		t.Run(fmt.Sprint("seed ", seed+1), func(t *testing.T) {
 			plan, err := drill.Draw(seed + 1)
--- a/test/emulators_test.go
+++ b/test/emulators_test.go
@@ -75,10 +75,10 @@
 
 // nameServer emulates a name server over UDP that has A records.
 type nameServer struct {
-	mu      sync.Mutex
-	records map[string]string
-	names   []string // of the queries
-	conn    net.PacketConn
+	mu           sync.Mutex
+	records      map[string]string
+	queriedNames []string // of the queries
+	conn         net.PacketConn
 }
 
 // newNameServer starts one on a loopback port, with addresses by name.
@@ -102,7 +102,7 @@
 func (s *nameServer) queries() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]string(nil), s.names...)
+	return append([]string(nil), s.queriedNames...)
 }
 
 func (s *nameServer) serve() {
@@ -118,7 +118,7 @@
 		}
 		name := q.Question[0].Name
 		s.mu.Lock()
-		s.names = append(s.names, name)
+		s.queriedNames = append(s.queriedNames, name)
 		address := s.records[name]
 		s.mu.Unlock()
 		m := new(dns.Msg).SetReply(q)
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -27,17 +27,17 @@
 
 // faultCase is one kind of bad input.
 type faultCase struct {
-	name      string
-	respond   func(n int64, attempt *receivedRequest) // what the nth attempt of the case meets; nil: it is served
-	beside    func(r *faultRun)                       // runs beside a round, until over is closed; nil: nothing
-	after     func(r *faultRun)                       // puts right what beside has left; nil: nothing
-	client    clientFaults
-	minServed float64 // of the requests that were not taken back, the share that is to be served
+	name       string
+	respond    func(n int64, attempt *receivedRequest) // what the nth attempt of the case meets; nil: it is served
+	background func(r *faultRun)                       // runs beside a round, until over is closed; nil: nothing
+	cleanUp    func(r *faultRun)                       // puts right what beside has left; nil: nothing
+	client     clientFaults
+	minServed  float64 // of the requests that were not taken back, the share that is to be served
 }
 
 // clientFaults is how the case's clients behave; 0: none of it.
 type clientFaults struct {
-	withdrawEvery   int // each so manieth request is taken back at once
+	cancelEvery     int // each so manieth request is taken back at once
 	disconnectAfter int // after so many requests the client is gone, with what it has open, and comes anew
 	retries         int // a request that is not served comes again at once, so often
 }
@@ -45,7 +45,7 @@
 // faultRun is a case as it runs.
 type faultRun struct {
 	testbed       *testbed
-	over          chan struct{} // closed when the requests of a round have ended
+	roundOver     chan struct{} // closed when the requests of a round have ended
 	listVersion   int           // that the list service has told last
 	served, ended atomic.Int64
 	ids           atomic.Uint64
@@ -53,23 +53,23 @@
 
 var faultCases = []faultCase{
 	{name: "answers come malformed", respond: respondMalformed, minServed: 0.05},
-	{name: "connections are reset", respond: respondOrClose, beside: (*faultRun).resetConnections, minServed: 0.05},
-	{name: "lists are empty, torn, doubled, old and late", beside: (*faultRun).sendFaultyLists,
-		after: (*faultRun).sendSoundList, minServed: 0.05},
-	{name: "clients give up", client: clientFaults{withdrawEvery: 3, disconnectAfter: 20}, respond: respondSlowly,
+	{name: "connections are reset", respond: respondOrClose, background: (*faultRun).resetConnections, minServed: 0.05},
+	{name: "lists are empty, torn, doubled, old and late", background: (*faultRun).sendFaultyLists,
+		cleanUp: (*faultRun).sendValidList, minServed: 0.05},
+	{name: "clients give up", client: clientFaults{cancelEvery: 3, disconnectAfter: 20}, respond: respondSlowly,
 		minServed: 0.5},
 	{name: "clients come again too often", client: clientFaults{retries: 10}, respond: respondOrReject,
 		minServed: 0.05},
 	{name: "all of it at once", respond: respondMalformed,
-		client: clientFaults{withdrawEvery: 4, disconnectAfter: 15, retries: 3},
-		beside: func(r *faultRun) {
+		client: clientFaults{cancelEvery: 4, disconnectAfter: 15, retries: 3},
+		background: func(r *faultRun) {
 			r.sendFaultyLists()
 			r.testbed.endpoints.ResetConnections("c1")
-		}, after: (*faultRun).sendSoundList, minServed: 0.02},
+		}, cleanUp: (*faultRun).sendValidList, minServed: 0.02},
 }
 
-// respondServed answers with the object that was asked for.
-func respondServed(attempt *receivedRequest) {
+// respondWithObject answers with the object that was asked for.
+func respondWithObject(attempt *receivedRequest) {
 	attempt.Answer("ACK", fmt.Sprintf("tag=t1,minted=%d,remark=hit", time.Now().UnixMilli()), attempt.Fields["thing"])
 }
 
@@ -90,15 +90,15 @@
 		raw("%s ACK tag=t1 -7\r\n", attempt.ID)
 	case 5:
 		raw("ffffffffffffffff ACK tag=t1,minted=1 3\r\nbad\r\n")
-		respondServed(attempt)
+		respondWithObject(attempt)
 	case 6:
-		respondServed(attempt)
-		respondServed(attempt)
+		respondWithObject(attempt)
+		respondWithObject(attempt)
 	case 7: // never comes
 	case 8:
 		raw("%s ACK tag=t1 16\r\n7f3a9c21e0b4d655 and more\r\n", attempt.ID)
 	default:
-		respondServed(attempt)
+		respondWithObject(attempt)
 	}
 }
 
@@ -108,19 +108,19 @@
 		_ = attempt.Conn.Close()
 		return
 	}
-	respondServed(attempt)
+	respondWithObject(attempt)
 }
 
 // respondSlowly takes up to six milliseconds.
 func respondSlowly(n int64, attempt *receivedRequest) {
 	time.Sleep(time.Duration(n%4) * 2 * time.Millisecond)
-	respondServed(attempt)
+	respondWithObject(attempt)
 }
 
 // respondOrReject serves each third attempt.
 func respondOrReject(n int64, attempt *receivedRequest) {
 	if n%3 == 0 {
-		respondServed(attempt)
+		respondWithObject(attempt)
 		return
 	}
 	attempt.Answer("AGAIN", "-", "")
@@ -130,7 +130,7 @@
 func (r *faultRun) resetConnections() {
 	for n := 0; ; n++ {
 		select {
-		case <-r.over:
+		case <-r.roundOver:
 			return
 		case <-time.After(5 * time.Millisecond):
 			r.testbed.endpoints.ResetConnections([]string{"c1", "c2", "p1", "o1"}[n%4])
@@ -161,20 +161,20 @@
 		} {
 			select {
 			case bed.listFeed <- line:
-			case <-r.over:
+			case <-r.roundOver:
 			}
 		}
 		r.listVersion += 2
 		select {
-		case <-r.over:
+		case <-r.roundOver:
 			return
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// sendSoundList has the list service tell the complete list, and waits until an endpoint serves again.
-func (r *faultRun) sendSoundList() {
+// sendValidList has the list service tell the complete list, and waits until an endpoint serves again.
+func (r *faultRun) sendValidList() {
 	bed := r.testbed
 	standing := bed.dial()
 	standing.waitRequestsRead(1)
@@ -205,23 +205,23 @@
 
 // round has all clients send what they have to send.
 func (r *faultRun) round(c *faultCase) {
-	r.over = make(chan struct{})
+	r.roundOver = make(chan struct{})
 	var beside, clients sync.WaitGroup
-	if c.beside != nil {
+	if c.background != nil {
 		beside.Add(1)
-		go func() { defer beside.Done(); c.beside(r) }()
+		go func() { defer beside.Done(); c.background(r) }()
 	}
 	for range faultClients {
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
-			client := &faultClient{run: r, faults: c.client, left: requestsPerRound}
-			for client.left > 0 && client.connect() {
+			client := &faultClient{run: r, faults: c.client, unsent: requestsPerRound}
+			for client.unsent > 0 && client.connect() {
 			}
 		}()
 	}
 	clients.Wait()
-	close(r.over)
+	close(r.roundOver)
 	beside.Wait()
 }
 
@@ -229,14 +229,14 @@
 type faultClient struct {
 	run    *faultRun
 	faults clientFaults
-	left   int // requests that were not sent yet
+	unsent int // requests that were not sent yet
 
 	// Of the connection that stands:
-	protocol  *emulator.Client
-	open      map[uint64]int // retries that are left, by the request's id
-	again     []int          // the same, of requests that are to come again
-	withdrawn map[uint64]bool
-	sent      int
+	connection *emulator.Client
+	open       map[uint64]int // retries that are left, by the request's id
+	retryQueue []int          // the same, of requests that are to come again
+	canceled   map[uint64]bool
+	sent       int
 }
 
 // connect sends requests on a new connection until all have ended or the client leaves, and says whether it may come
@@ -244,70 +244,70 @@
 func (c *faultClient) connect() bool {
 	t := c.run.testbed.t
 	var err error
-	if c.protocol, err = emulator.Dial(c.run.testbed.address); err != nil {
+	if c.connection, err = emulator.Dial(c.run.testbed.address); err != nil {
 		t.Errorf("a client was not let in: %v", err)
 		return false
 	}
-	defer c.protocol.Conn.Close()
-	c.open, c.again, c.withdrawn, c.sent = map[uint64]int{}, nil, map[uint64]bool{}, 0
-	for c.left > 0 || len(c.open) > 0 || len(c.again) > 0 {
+	defer c.connection.Conn.Close()
+	c.open, c.retryQueue, c.canceled, c.sent = map[uint64]int{}, nil, map[uint64]bool{}, 0
+	for c.unsent > 0 || len(c.open) > 0 || len(c.retryQueue) > 0 {
 		if err := c.fillWindow(); err != nil {
 			t.Errorf("a request could not be sent: %v", err)
 			return false
 		}
-		if c.disconnects() {
+		if c.shouldDisconnect() {
 			return true // with what it has open
 		}
 		if len(c.open) == 0 {
 			continue
 		}
-		answer, err := c.protocol.Read(waitLimit)
+		answer, err := c.connection.Read(waitLimit)
 		if err != nil {
 			t.Errorf("%d requests have no answer: %v", len(c.open), err)
 			return true
 		}
-		c.take(answer)
+		c.handleAnswer(answer)
 	}
 	return true
 }
 
-// disconnects says whether the client is to leave now.
-func (c *faultClient) disconnects() bool {
+// shouldDisconnect says whether the client is to leave now.
+func (c *faultClient) shouldDisconnect() bool {
 	return c.faults.disconnectAfter > 0 && c.sent >= c.faults.disconnectAfter
 }
 
 // fillWindow sends requests until the window is full.
 func (c *faultClient) fillWindow() error {
-	for len(c.open) < openWindow && (c.left > 0 || len(c.again) > 0) && !c.disconnects() {
+	for len(c.open) < openWindow && (c.unsent > 0 || len(c.retryQueue) > 0) && !c.shouldDisconnect() {
 		retries := c.faults.retries
-		if len(c.again) > 0 {
-			retries, c.again = c.again[0], c.again[1:]
+		if len(c.retryQueue) > 0 {
+			retries, c.retryQueue = c.retryQueue[0], c.retryQueue[1:]
 		} else {
-			c.left--
+			c.unsent--
 		}
 		id := c.run.ids.Add(1)
 		c.open[id] = retries
 		c.sent++
 		fields := map[string]string{"item": faultObject(id), "limit": "1500"}
-		if err := c.protocol.Send(request(id, "footage", fields, "")); err != nil {
+		if err := c.connection.Send(request(id, "footage", fields, "")); err != nil {
 			return err
 		}
-		if c.faults.withdrawEvery > 0 && id%uint64(c.faults.withdrawEvery) == 0 {
-			_ = c.protocol.Send(cancelNotification(id))
+		if c.faults.cancelEvery > 0 && id%uint64(c.faults.cancelEvery) == 0 {
+			_ = c.connection.Send(cancelNotification(id))
 			delete(c.open, id)
-			c.withdrawn[id] = true
+			c.canceled[id] = true
 		}
 	}
 	return nil
 }
 
-// take takes an answer.
-func (c *faultClient) take(answer reply) {
+// handleAnswer takes an answer.
+func (c *faultClient) handleAnswer(answer reply) {
 	t := c.run.testbed.t
 	retries, open := c.open[answer.ID]
 	switch {
-	case c.withdrawn[answer.ID]: // it crossed the withdrawal, and may come once
-		delete(c.withdrawn, answer.ID)
+	case c.canceled[answer.ID]: // it crossed the withdrawal, and may come once
+		delete(c.canceled, answer.ID)
 		return
 	case !open:
 		t.Errorf("%+v is a second answer, or one to nothing", answer)
@@ -322,19 +322,19 @@
 			t.Errorf("request %d was served %q, want %q", answer.ID, answer.Body, want)
 		}
 	case retries > 0:
-		c.again = append(c.again, retries-1) // whatever `later` says
+		c.retryQueue = append(c.retryQueue, retries-1) // whatever `later` says
 	}
 }
 
-// TestFaultsReleaseEverything plays the fault cases.
-func TestFaultsReleaseEverything(t *testing.T) {
+// TestFaultsLeakNoResources plays the fault cases.
+func TestFaultsLeakNoResources(t *testing.T) {
 	for _, c := range faultCases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			var attempts atomic.Int64
 			bed := newTestbed(t, func(attempt *receivedRequest) {
 				if c.respond == nil {
-					respondServed(attempt)
+					respondWithObject(attempt)
 				} else {
 					c.respond(attempts.Add(1), attempt)
 				}
@@ -350,10 +350,10 @@
 			var states []map[string]int // at the end of each round
 			for round := range faultRounds {
 				run.round(&c)
-				if c.after != nil {
-					c.after(run)
+				if c.cleanUp != nil {
+					c.cleanUp(run)
 				}
-				states = append(states, run.waitNothingOpen(round, socket))
+				states = append(states, run.waitNoOpenRequests(round, socket))
 			}
 			expectNoGrowth(t, states[1], states[faultRounds-1])
 			share := float64(run.served.Load()) / float64(run.ended.Load())
@@ -365,8 +365,8 @@
 	}
 }
 
-// waitNothingOpen waits until nothing of a round is open any more, and gives how much the program holds then.
-func (r *faultRun) waitNothingOpen(round int, socket string) (state map[string]int) {
+// waitNoOpenRequests waits until nothing of a round is open any more, and gives how much the program holds then.
+func (r *faultRun) waitNoOpenRequests(round int, socket string) (state map[string]int) {
 	r.testbed.t.Helper()
 	r.testbed.waitUntil(fmt.Sprintf("what round %d left is gone", round), func() bool {
 		state = r.testbed.stateCounts(socket)
@@ -398,9 +398,9 @@
 	}
 }
 
-// TestWithdrawnRequestsReleaseTimers: a client that tells limits of an hour and takes each request back left two
+// TestCanceledRequestsReleaseTimers: a client that tells limits of an hour and takes each request back left two
 // timers each, with the request, for that hour.
-func TestWithdrawnRequestsReleaseTimers(t *testing.T) {
+func TestCanceledRequestsReleaseTimers(t *testing.T) {
 	bed := newTestbed(t, func(*receivedRequest) {})
 	socket := socketPath(t)
 	bed.addSettings("control " + socket)
--- a/test/identity_test.go
+++ b/test/identity_test.go
@@ -14,9 +14,9 @@
 	"sloequay/internal/emulator"
 )
 
-// TestRightsOfTokens: a stolen staff token posts charges by both fronts. All are rejected with the reason, and
+// TestTokenRights: a stolen staff token posts charges by both fronts. All are rejected with the reason, and
 // nothing reaches any endpoint; a lane controller's go through, as its own tenant whatever team it names.
-func TestRightsOfTokens(t *testing.T) {
+func TestTokenRights(t *testing.T) {
 	t.Parallel()
 	bed := newTestbed(t, nil)
 	keys := bed.enableIdentity("tenant open {\nright lookup\n}\nunsigned open")
@@ -184,7 +184,7 @@
 // signedQuery is a question that a shared key signs.
 type signedQuery struct {
 	name, key, secret string        // key: empty: it is not signed
-	signed            time.Duration // after now
+	timeOffset        time.Duration // after now
 	question          string
 	rcode, tsigError  int
 	text              string // of the extended error
@@ -199,7 +199,7 @@
 	if q.key == "" {
 		packet, err = message.Pack()
 	} else {
-		message.SetTsig(q.key, dns.HmacSHA256, 300, time.Now().Add(q.signed).Unix())
+		message.SetTsig(q.key, dns.HmacSHA256, 300, time.Now().Add(q.timeOffset).Unix())
 		packet, mac, err = dns.TsigGenerate(message, q.secret, "", false)
 	}
 	if err == nil {
@@ -284,18 +284,18 @@
 		name  string
 		reads bool // whether the client takes its answers
 	}{{"reading", true}, {"not reading", false}} {
-		t.Run(c.name, func(t *testing.T) { expectServedBesideFlood(t, c.reads) })
+		t.Run(c.name, func(t *testing.T) { expectServedDuringFlood(t, c.reads) })
 	}
 }
 
-// expectServedBesideFlood sends good tokens in turn without a flood of bad ones and beside it.
-func expectServedBesideFlood(t *testing.T, reads bool) {
+// expectServedDuringFlood sends good tokens in turn without a flood of bad ones and beside it.
+func expectServedDuringFlood(t *testing.T, reads bool) {
 	t.Helper()
 	bed := newTestbed(t, nil)
 	keys := bed.enableIdentity("")
 	bed.start()
 	token := keys.token("lane-1", "lanes", time.Hour)
-	others := &goodCaller{client: bed.dial(), token: token}
+	others := &validTokenCaller{client: bed.dial(), token: token}
 	flood := &tokenFlood{testbed: bed, token: token, reads: reads}
 	var alone, beside []time.Duration
 	for range 8 {
@@ -312,9 +312,9 @@
 		close(stop)
 		<-done
 	}
-	if reads && (flood.denied == 0 || flood.rejected == 0) {
-		t.Errorf("of %d bad tokens %d were checked and %d held off, want some of both", flood.sent, flood.denied,
-			flood.rejected)
+	if reads && (flood.signatureDenied == 0 || flood.rateLimited == 0) {
+		t.Errorf("of %d bad tokens %d were checked and %d held off, want some of both", flood.sent, flood.signatureDenied,
+			flood.rateLimited)
 	}
 	if charges := bed.attemptsOfClass("charge"); len(charges) > 0 {
 		t.Errorf("%d charges reached endpoints, want none", len(charges))
@@ -324,13 +324,13 @@
 		return took[min(len(took)-1, len(took)*q/100)]
 	}
 	t.Logf("%d bad tokens sent, %d checked, %d closes; others' 50th and 99th percentile "+
-		"%v and %v beside them (%d), %v and %v without (%d)", flood.sent, flood.denied, flood.closed,
+		"%v and %v beside them (%d), %v and %v without (%d)", flood.sent, flood.signatureDenied, flood.closedConnections,
 		percentile(beside, 50), percentile(beside, 99), len(beside),
 		percentile(alone, 50), percentile(alone, 99), len(alone))
 }
 
-// goodCaller asks with a good token.
-type goodCaller struct {
+// validTokenCaller asks with a good token.
+type validTokenCaller struct {
 	client *client
 	token  string
 	sent   uint64
@@ -338,7 +338,7 @@
 
 // callFor asks one request after another for a time, one at least, and gives how long each took. It fails if one is
 // not served.
-func (c *goodCaller) callFor(length time.Duration) (took []time.Duration) {
+func (c *validTokenCaller) callFor(length time.Duration) (took []time.Duration) {
 	c.client.t.Helper()
 	for end := time.Now().Add(length); time.Now().Before(end) || len(took) == 0; time.Sleep(3 * time.Millisecond) {
 		c.sent++
@@ -358,10 +358,10 @@
 	token   string // a good one, which the bad ones are made from
 	reads   bool   // it takes its answers
 
-	sent     int
-	denied   int // whose signature was checked
-	rejected int // told to come back later
-	closed   int // connections
+	sent              int
+	signatureDenied   int // whose signature was checked
+	rateLimited       int // told to come back later
+	closedConnections int // connections
 }
 
 // run sends ten thousand a second until stop is closed, and connects anew when it is closed.
@@ -399,7 +399,7 @@
 			if open++; err != nil {
 				_ = protocol.Conn.Close()
 				protocol = nil
-				f.closed++
+				f.closedConnections++
 			}
 			continue
 		}
@@ -426,9 +426,9 @@
 	case err != nil:
 		return fmt.Errorf("no answer came to a bad token: %w", err)
 	case answer.Error == "Denied" && answer.Fields["reason"] == "signature":
-		f.denied++
+		f.signatureDenied++
 	case answer.Error == "Overloaded" && answer.Fields["later"] != "":
-		f.rejected++
+		f.rateLimited++
 	default:
 		return fmt.Errorf("a bad token: %+v, want it denied for its signature, or rejected with a wait", answer)
 	}
--- a/test/idle_test.go
+++ b/test/idle_test.go
@@ -22,9 +22,9 @@
 
 // idleCase is something that could make a proxy look as if it had something to do.
 type idleCase struct {
-	name     string
-	prepare  func(bed *testbed) // before the program starts; nil: nothing
-	underway func(bed *testbed) // once it runs; nil: nothing
+	name        string
+	beforeStart func(bed *testbed) // before the program starts; nil: nothing
+	afterStart  func(bed *testbed) // once it runs; nil: nothing
 }
 
 var idleCases = []idleCase{
@@ -83,12 +83,12 @@
 					attempt.Answer("ACK", "-", "sound")
 				}
 			})
-			if c.prepare != nil {
-				c.prepare(bed)
+			if c.beforeStart != nil {
+				c.beforeStart(bed)
 			}
 			bed.start()
-			if c.underway != nil {
-				c.underway(bed)
+			if c.afterStart != nil {
+				c.afterStart(bed)
 			}
 			// What the case itself brings about takes a moment; a spin does not end.
 			bed.waitUntil("the proxy waits", func() bool {
@@ -110,9 +110,9 @@
 	})
 }
 
-// TestRefusedWatchOfNoticesDoesNotSpin guards against a goroutine that asks without end for notices of changed files,
+// TestFailedFileWatchDoesNotSpin guards against a goroutine that asks without end for notices of changed files,
 // as the system had no memory for a moment to watch where they come from. Each fault draws other calls that fail.
-func TestRefusedWatchOfNoticesDoesNotSpin(t *testing.T) {
+func TestFailedFileWatchDoesNotSpin(t *testing.T) {
 	for _, errno := range []string{"ENOMEM", "ENFILE", "ENOBUFS", "EMFILE"} {
 		t.Run(errno, func(t *testing.T) {
 			t.Parallel()
