--- a/test/catalogue_outage_test.go
+++ b/test/catalogue_outage_test.go
@@ -11,15 +11,19 @@
 	"sloequay/internal/emulator/consul"
 )
 
-var outageDuration = flag.Duration("outage", 2500*time.Millisecond, "how long the catalogue's outages last")
+var outageDuration = flag.Duration("outage", 2500*time.Millisecond, "duration of the catalogue outages")
 
-// TestServesDuringCatalogueOutage: the agent fails in four ways. Every request is served as before, the agent is
-// asked no more than once a second, and what changed meanwhile holds once it is back.
+// TestServesDuringCatalogueOutage checks that all requests are served while the catalogue's agent fails in each of four
+// ways, that the agent is polled at most once a second meanwhile, and that a change made during the outage takes effect
+// once the agent is back.
 func TestServesDuringCatalogueOutage(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fault consul.Fault
-	}{{"hangs", consul.Hang}, {"refuses", consul.Refuse}, {"resets", consul.Reset}, {"says 500", consul.Status500}} {
+	}{
+		{"hangs", consul.Hang}, {"refuses connections", consul.Refuse}, {"resets connections", consul.Reset},
+		{"responds 500", consul.Status500},
+	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			bed := newCatalogueTestbed(t, answerAsEmptyCaches, "c3")
@@ -29,47 +33,47 @@
 			load := bed.startLookups()
 			bed.waitInUse("c1")
 			agents[0].SetFault(c.fault, 0)
-			cluster.Mark("archive", "o1", consul.Passing) // so that what blocks is answered, and fails
+			cluster.Mark("archive", "o1", consul.Passing) // ends the open blocking queries, whose responses fail
 			cluster.Mark("trunk", "p1", consul.Passing)
 			cluster.Mark("cache", "c2", consul.Passing)
 			bed.waitLoggedTimes("event=catalogue-unreachable", 3)
-			before, from := agents[0].Requests(), time.Now()
-			time.Sleep(*outageDuration) // the case's own length
+			requestsBefore, outageStart := agents[0].Requests(), time.Now()
+			time.Sleep(*outageDuration) // the outage that is tested
 			cluster.Mark("cache", "c1", "maintenance")
-			bed.waitInUse("c1") // nobody can know
-			polls, took := agents[0].Requests()-before, time.Since(from)
+			bed.waitInUse("c1") // the proxy cannot know of the change yet
+			polls, took := agents[0].Requests()-requestsBefore, time.Since(outageStart)
 			agents[0].SetFault(consul.None, 0)
 			back := time.Now()
 			bed.waitUnused("c1", back, 1500*time.Millisecond)
 			load.stopAndExpectServed(t)
 			if limit := int(took/time.Second) + 2; c.fault != consul.Refuse && polls > limit {
-				t.Errorf("the agent was asked %d times in %v, want at most %d", polls, took, limit)
+				t.Errorf("the agent got %d requests in %v, want at most %d", polls, took, limit)
 			}
 			if bed.logged("event=endpoint-removed") {
-				t.Error("an endpoint was removed, want all kept")
+				t.Error("got event endpoint-removed, want all endpoints kept")
 			}
 			if n := bed.timesLogged("event=catalogue-reachable"); n != 3 {
-				t.Errorf("the agent's return is logged %d times, want once for each of 3 services", n)
+				t.Errorf("got event catalogue-reachable %d times, want once for each of 3 services", n)
 			}
 		})
 	}
 }
 
-// TestSuspectCatalogueResponseRemovesNoEndpoint: answers that lack endpoints without their being gone lose none, and a
-// real loss of most is believed within a second.
+// TestSuspectCatalogueResponseRemovesNoEndpoint checks that no endpoint is removed because of a faulty response that
+// lacks it, and that a real removal of most endpoints takes effect within a second.
 func TestSuspectCatalogueResponseRemovesNoEndpoint(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fault consul.Fault
-		by    time.Duration
-		log   string // what must be there
+		age   time.Duration // of stale responses
+		log   string        // text that must be logged
 	}{
-		{"an empty answer", consul.Empty200, 0, "event=list-loss-suspected"},
-		{"filtered by rights", consul.FilteredBy, 0, "reason=filtered"},
-		{"an index that goes back", consul.IndexBack, 0, "reason=index-went-back"},
-		{"a stale answer", consul.StaleBy, time.Minute, "reason=index-went-back"},
-		{"JSON that ends too soon", consul.Truncated, 0, "event=catalogue-response-rejected"},
-		{"a byte at a time", consul.Slow, 0, "event=catalogue-unreachable"},
+		{"an empty response", consul.Empty200, 0, "event=list-loss-suspected"},
+		{"a list filtered by ACLs", consul.FilteredBy, 0, "reason=filtered"},
+		{"an index that decreases", consul.IndexBack, 0, "reason=index-went-back"},
+		{"a stale response", consul.StaleBy, time.Minute, "reason=index-went-back"},
+		{"truncated JSON", consul.Truncated, 0, "event=catalogue-response-rejected"},
+		{"one byte at a time", consul.Slow, 0, "event=catalogue-unreachable"},
 		{"no leader", consul.NoLeader, 0, "reason=no-leader"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -79,13 +83,13 @@
 			bed.start()
 			bed.waitEndpointsKnown(7)
 			load := bed.startLookups()
-			// A change, so that what blocks is answered, and time for the answer.
+			// change ends the open blocking queries, and leaves time for their responses.
 			change := func() {
 				cluster.Mark("cache", "c2", consul.Passing)
 				time.Sleep(20 * time.Millisecond)
 			}
-			agents[0].SetFault(c.fault, c.by)
-			bed.waitUntil("the odd answer is noted", func() bool {
+			agents[0].SetFault(c.fault, c.age)
+			bed.waitUntil("the faulty response is logged", func() bool {
 				change()
 				return bed.logged(c.log)
 			})
@@ -95,10 +99,10 @@
 			agents[0].SetFault(consul.None, 0)
 			for _, event := range []string{"event=endpoint-removed", "event=endpoint-draining"} {
 				if bed.logged(event) {
-					t.Errorf("%q is logged, want no endpoint lost", event)
+					t.Errorf("got %q in the log, want no endpoint removed or draining", event)
 				}
 			}
-			bed.waitUntil("the true list is believed again", func() bool {
+			bed.waitUntil("a change in a valid response takes effect", func() bool {
 				cluster.Mark("cache", "c2", "maintenance")
 				return bed.logged("event=endpoint-draining endpoint=c2")
 			})
@@ -106,14 +110,15 @@
 			bed.waitUnused("c3", cluster.Written("c3"), time.Second)
 			bed.waitUnused("c1", cluster.Written("c1"), time.Second)
 			if !bed.logged("event=list-loss-confirmed") {
-				t.Error("the real loss was not suspected and confirmed")
+				t.Error("got no event list-loss-confirmed, want the real loss suspected and confirmed")
 			}
 			load.stopAndExpectServed(t)
 		})
 	}
 }
 
-// TestCatalogueAgentFailover: the agent in use dies between a change and its answer.
+// TestCatalogueAgentFailover checks that the proxy polls the second agent, and learns of a change within a second, when
+// the agent in use fails just as the change is made.
 func TestCatalogueAgentFailover(t *testing.T) {
 	t.Parallel()
 	bed := newCatalogueTestbed(t, answerAsEmptyCaches)
@@ -125,15 +130,16 @@
 	cluster.Mark("cache", "c1", consul.Critical)
 	bed.waitUnused("c1", cluster.Written("c1"), time.Second)
 	if !bed.logged("event=catalogue-agent-changed") {
-		t.Error("the change of agents is not in the log")
+		t.Error("got no event catalogue-agent-changed, want the failover logged")
 	}
 	if bed.logged("event=catalogue-unreachable") {
-		t.Error("the catalogue counts as unreachable, want the other agent used")
+		t.Error("got event catalogue-unreachable, want the other agent used")
 	}
 	load.stopAndExpectServed(t)
 }
 
-// TestStartFromSnapshot: a start while no source answers, with a snapshot that is sound, torn, or of a newer version.
+// TestStartFromSnapshot checks a start while the catalogue does not respond, with a snapshot that is valid, truncated,
+// or of a newer version. Only the valid one may be used.
 func TestStartFromSnapshot(t *testing.T) {
 	t.Parallel()
 	bed := newCatalogueTestbed(t, nil)
@@ -142,36 +148,36 @@
 	bed.addSettings("snapshot {", "file "+path, "every 100ms", "}")
 	bed.start()
 	serves := func() bool { return bed.dial().call(1, "footage", nil).Error == "" }
-	bed.waitUntil("it serves", serves)
-	var sound string
+	bed.waitUntil("the proxy serves", serves)
+	var valid string
 	bed.waitUntil("the snapshot has all endpoints", func() bool {
 		text, _ := os.ReadFile(path)
-		sound = string(text)
-		return strings.Count(sound, `"id"`) == 4
+		valid = string(text)
+		return strings.Count(valid, `"id"`) == 4
 	})
 	agents[0].SetFault(consul.Refuse, 0)
 	for _, c := range []struct {
 		name, text, log string
 		served          bool
 	}{
-		{"sound", sound, "event=snapshot-loaded", true},
-		{"torn", sound[:len(sound)/2], "event=snapshot-rejected", false},
-		{"newer", strings.Replace(sound, "list 1 ", "list 2 ", 1), "another version", false},
+		{"valid", valid, "event=snapshot-loaded", true},
+		{"truncated", valid[:len(valid)/2], "event=snapshot-rejected", false},
+		{"newer version", strings.Replace(valid, "list 1 ", "list 2 ", 1), "another version", false},
 	} {
 		bed.kill()
 		bed.log.reset()
 		writeFile(t, path, c.text)
 		bed.start()
 		if got := serves(); got != c.served || !bed.logged(c.log) {
-			t.Errorf("%s: served %v, want %v and %q in the log", c.name, got, c.served, c.log)
+			t.Errorf("%s: got served %v, want %v and %q in the log", c.name, got, c.served, c.log)
 		}
 	}
 	agents[0].SetFault(consul.None, 0)
-	bed.waitUntil("it serves once the catalogue answers", serves)
+	bed.waitUntil("the proxy serves once the catalogue responds", serves)
 }
 
-// TestNotReadyWithoutEndpoints: while the catalogue has not answered, clients are not taken in; once they are, the
-// endpoints are known.
+// TestNotReadyWithoutEndpoints checks that the proxy does not become ready before the catalogue has responded: all
+// endpoints must be known by then.
 func TestNotReadyWithoutEndpoints(t *testing.T) {
 	t.Parallel()
 	bed := newCatalogueTestbed(t, nil)
@@ -185,6 +191,6 @@
 	}()
 	bed.start()
 	if n := bed.timesLogged("event=endpoint-added"); n != 4 {
-		t.Errorf("%d endpoints were known when it was ready, want 4", n)
+		t.Errorf("got %d known endpoints when the proxy became ready, want 4", n)
 	}
 }
--- a/test/catalogue_test.go
+++ b/test/catalogue_test.go
@@ -14,7 +14,8 @@
 	"sloequay/internal/emulator/consul"
 )
 
-// TestCatalogueStatusStopsTraffic: what the catalogue says of an endpoint holds, under load, as target and as source.
+// TestCatalogueStatusStopsTraffic checks, under load, that an endpoint is no longer used when the catalogue marks it or
+// its node as down or drops it, neither as the target of attempts nor as the source of fills.
 func TestCatalogueStatusStopsTraffic(t *testing.T) {
 	t.Parallel()
 	bed := newCatalogueTestbed(t, answerAsEmptyCaches, "c3", "p2")
@@ -49,11 +50,12 @@
 	load.stopAndExpectServed(t)
 }
 
-// TestCriticalEndpointReleasesWaitingAttempts: an endpoint is marked critical while fills from it are under way and
-// attempts wait for its connection. What waits goes elsewhere at once, and nothing new goes there.
+// TestCriticalEndpointReleasesWaitingAttempts checks what happens when an endpoint becomes critical while fills from it
+// are in progress or attempts wait for a connection to it: waiting attempts go to other endpoints at once, and no new
+// ones are sent to it.
 func TestCriticalEndpointReleasesWaitingAttempts(t *testing.T) {
 	t.Parallel()
-	fills := make(chan *receivedRequest, 1000) // from p1, that are under way
+	fills := make(chan *receivedRequest, 1000) // open fills from p1
 	bed := newCatalogueTestbed(t, func(attempt *receivedRequest) {
 		if attempt.Fields["via"] == "p1" {
 			fills <- attempt
@@ -62,7 +64,7 @@
 		answerAsEmptyCaches(attempt)
 	})
 	cluster, _ := bed.enableCatalogue(1, "")
-	cluster.Put(bed.catalogueInstance("c1", bed.listenWithFullBacklog())) // no connection to c1 comes up
+	cluster.Put(bed.catalogueInstance("c1", bed.listenWithFullBacklog())) // dials to c1 do not complete
 	bed.platformLimits()["dial-timeout-ms"] = 60000
 	bed.start()
 	bed.waitEndpointsKnown(4)
@@ -72,22 +74,22 @@
 		fields := map[string]string{"limit": "60000", "item": hexID(id + 1), "ram": "1"}
 		client.send(request(id, "footage", fields, ""))
 	}
-	bed.waitFirstAttempt() // attempts wait for c1: c2 has no copies, and c1 is next
+	bed.waitFirstAttempt() // c2 has no copies and c1 is next, so attempts wait for the dial to c1
 	cluster.Mark("cache", "c1", consul.Critical)
 	bed.waitLogged("event=endpoint-removed endpoint=c1")
-	bed.waitUntil("all fills are under way", func() bool { return len(fills) == requests })
+	bed.waitUntil("all fills are in progress", func() bool { return len(fills) == requests })
 	fill := <-fills
 	cluster.Mark("trunk", "p1", consul.Critical)
 	bed.waitLogged("event=endpoint-removed endpoint=p1")
 	marked := time.Now()
-	go func() { // the fills that are under way end well
+	go func() { // completes the open fills
 		for attempt := fill; ; attempt = <-fills {
 			attempt.Answer("ACK", "tag=t1,minted=1,remark=filled,lag=1", attempt.Fields["thing"])
 		}
 	}()
 	for range requests {
 		if answer := client.mustRead(); answer.Error != "" {
-			t.Errorf("%+v, want it served", answer)
+			t.Errorf("got response %+v, want the request served", answer)
 		}
 	}
 	for id := uint64(100); id < 140; id++ {
@@ -95,33 +97,33 @@
 	}
 	for _, id := range []string{"c1", "p1"} {
 		if uses := bed.usesSince(id, marked); len(uses) > 0 {
-			t.Errorf("%s was used after it was gone: %+v", id, uses[0])
+			t.Errorf("%s was used after its removal: got attempt %+v, want none", id, uses[0])
 		}
 	}
 }
 
-// startHeartbeats has the list service say that it is there, until the test ends. The returned number is that of the
-// last event.
+// startHeartbeats has the list service send heartbeats until the test ends. Each carries the returned number, which the
+// caller must set to that of the last event.
 func (bed *testbed) startHeartbeats() *atomic.Int64 {
-	last := &atomic.Int64{}
-	last.Store(1)
-	over := make(chan struct{})
-	bed.t.Cleanup(func() { close(over) })
+	lastEvent := &atomic.Int64{}
+	lastEvent.Store(1)
+	done := make(chan struct{})
+	bed.t.Cleanup(func() { close(done) })
 	go func() {
 		for {
 			select {
-			case <-over:
+			case <-done:
 				return
-			case bed.listFeed <- fmt.Sprint(last.Load()):
+			case bed.listFeed <- fmt.Sprint(lastEvent.Load()):
 				time.Sleep(400 * time.Millisecond)
 			}
 		}
 	}()
-	return last
+	return lastEvent
 }
 
-// TestListServiceAndCatalogueDisagree: the list service and the catalogue say different things, and one of them is
-// silent.
+// TestListServiceAndCatalogueDisagree checks which source decides whether an endpoint is used when the list service and
+// the catalogue disagree, also while the catalogue is unreachable.
 func TestListServiceAndCatalogueDisagree(t *testing.T) {
 	t.Parallel()
 	bed := newTestbed(t, answerAsEmptyCaches)
@@ -129,22 +131,22 @@
 	bed.addSettings("list {", "flap-cut 0", "}")
 	bed.start()
 	bed.waitListPoll()
-	last := bed.startHeartbeats()
-	tell := func(number int, health string) {
-		last.Store(int64(number))
+	lastEvent := bed.startHeartbeats()
+	sendHealth := func(number int, health string) {
+		lastEvent.Store(int64(number))
 		bed.listFeed <- bed.healthChangeEvent(number, "c1", health)
 	}
 	load := bed.startLookups()
 	bed.waitInUse("c1")
-	cluster.Mark("cache", "c1", consul.Critical) // the list service has it up
+	cluster.Mark("cache", "c1", consul.Critical) // the list service says up
 	bed.waitUnused("c1", cluster.Written("c1"), time.Second)
 	cluster.Mark("cache", "c1", consul.Passing)
 	bed.waitInUse("c1")
-	tell(2, "draining") // the catalogue has it up
+	sendHealth(2, "draining") // the catalogue says up
 	bed.waitUnused("c1", time.Now(), time.Second)
 	agents[0].SetFault(consul.Refuse, 0)
 	bed.waitLoggedTimes("event=catalogue-unreachable", 3)
-	tell(3, "up") // and the catalogue's last word is up
+	sendHealth(3, "up") // the last response of the catalogue says up, too
 	bed.waitInUse("c1")
 	agents[0].SetFault(consul.None, 0)
 	bed.waitLoggedTimes("event=catalogue-reachable", 3)
@@ -152,13 +154,14 @@
 	bed.waitUnused("c1", cluster.Written("c1"), time.Second)
 	agents[0].SetFault(consul.Refuse, 0)
 	bed.waitLoggedTimes("event=catalogue-unreachable", 6)
-	tell(4, "draining")
-	tell(5, "up") // said after the catalogue fell silent: it overrules its last word
+	sendHealth(4, "draining")
+	sendHealth(5, "up") // later than the last response of the catalogue, which it overrides
 	bed.waitInUse("c1")
 	load.stopAndExpectServed(t)
 }
 
-// TestEndpointRegisteredAtNewAddress: an id comes back within 100 ms on another port, under another registration.
+// TestEndpointRegisteredAtNewAddress checks that an endpoint that is registered again on another port, within 100 ms of
+// its removal, is used only at its new address.
 func TestEndpointRegisteredAtNewAddress(t *testing.T) {
 	t.Parallel()
 	bed := newCatalogueTestbed(t, answerAsEmptyCaches)
@@ -170,7 +173,7 @@
 	cluster.Remove("cache", "c1")
 	bed.addEndpoint("c1")
 	newAddress := bed.endpointAddress("c1")
-	time.Sleep(80 * time.Millisecond) // the case's own time
+	time.Sleep(80 * time.Millisecond) // time between the removal and the new registration
 	cluster.Put(bed.catalogueInstance("c1", newAddress))
 	sentTo := func(address string, since time.Time) []*receivedRequest {
 		return bed.received(func(attempt *receivedRequest) bool {
@@ -181,17 +184,17 @@
 	}
 	bed.waitUntil("the new address is in use", func() bool { return len(sentTo(newAddress, time.Time{})) > 3 })
 	if stale := sentTo(oldAddress, cluster.Written("c1").Add(time.Second)); len(stale) > 0 {
-		t.Errorf("the old address was sent %d attempts a second after the new registration, want none", len(stale))
+		t.Errorf("got %d attempts at the old address more than 1 s after the new registration, want none", len(stale))
 	}
 	first := sentTo(newAddress, time.Time{})[0].At
 	if stale := sentTo(oldAddress, first); len(stale) > 0 {
-		t.Errorf("the old address was sent %d attempts after the new one was in use, want none", len(stale))
+		t.Errorf("got %d attempts at the old address after the first at the new one, want none", len(stale))
 	}
 	load.stopAndExpectServed(t)
 }
 
-// TestFlappingCheckIsDamped: a check that flaps a hundred times a second costs a bounded number of changes, and the
-// endpoint is down when it is marked down for good.
+// TestFlappingCheckIsDamped checks that a health check that flaps a hundred times a second causes a bounded number of
+// logged changes, and that the endpoint is out of use once its check stays critical.
 func TestFlappingCheckIsDamped(t *testing.T) {
 	t.Parallel()
 	bed := newCatalogueTestbed(t, answerAsEmptyCaches)
@@ -208,13 +211,13 @@
 	cluster.Mark("cache", "c1", consul.Critical)
 	bed.waitUnused("c1", cluster.Written("c1"), time.Second)
 	if n := bed.timesLogged("endpoint=c1"); n > 30 {
-		t.Errorf("%d lines of an endpoint that flapped, want at most 30", n)
+		t.Errorf("got %d log lines about the flapping endpoint, want at most 30", n)
 	}
 	load.stopAndExpectServed(t)
 }
 
-// TestUnusableCatalogueInstances: instances of no use are left out, each logged once and not with every answer; and
-// the token is read again for each question.
+// TestUnusableCatalogueInstances checks that unusable instances are ignored and logged once each, not with every
+// response, and that the token file is read again for each query.
 func TestUnusableCatalogueInstances(t *testing.T) {
 	t.Parallel()
 	bed := newCatalogueTestbed(t, nil)
@@ -229,26 +232,29 @@
 	unknownSite.Meta["site"] = "nowhere"
 	cluster.Put(unknownSite)
 	bed.start()
-	bed.waitLogged("reason=filtered") // for want of rights
+	bed.waitLogged("reason=filtered") // the wrong token has no rights
 	writeFile(t, token, "right\n")
 	bed.waitEndpointsKnown(4)
-	for range 10 { // each change is an answer
+	for range 10 { // each change causes a response
 		cluster.Mark("cache", "c2", consul.Warning)
 		cluster.Mark("cache", "c2", consul.Passing)
 		time.Sleep(30 * time.Millisecond)
 	}
-	for _, want := range []string{`instance=node-c9/c9 error="c9: port 0 is not in the range 1 to 65535"`, `site \"nowhere\" is not in the settings`} {
+	for _, want := range []string{
+		`instance=node-c9/c9 error="c9: port 0 is not in the range 1 to 65535"`,
+		`site \"nowhere\" is not in the settings`,
+	} {
 		if n := bed.timesLogged(want); n != 1 {
-			t.Errorf("%q is logged %d times, want once", want, n)
+			t.Errorf("got %q logged %d times, want once", want, n)
 		}
 	}
 	if bed.logged("right") && bed.logged("wrong") {
-		t.Error("a token is in the log")
+		t.Error("got tokens in the log, want none")
 	}
 }
 
-// TestCatalogueInvalidations: a key below the prefix has copies of before its time refused, and what is no purge is
-// logged once.
+// TestCatalogueInvalidations checks that a purge key below the configured prefix makes the proxy ask for copies newer
+// than the purge, and that a key that is not a valid purge is logged once.
 func TestCatalogueInvalidations(t *testing.T) {
 	t.Parallel()
 	bed := newTestbed(t, nil)
@@ -263,22 +269,22 @@
 		client.call(id, "footage", fields)
 		return bed.lastAttempt().Fields["fresh"] != ""
 	}
-	bed.waitUntil("the purge holds", func() bool { return asksForFresh(nil) })
+	bed.waitUntil("the purge applies to the object", func() bool { return asksForFresh(nil) })
 	if asksForFresh(map[string]string{"item": "00000000000000aa"}) {
-		t.Error("another object is asked for as if it were purged")
+		t.Error("got field fresh in an attempt for another object, want it for the purged one only")
 	}
 	bed.waitLogged("event=catalogue-purge-key-rejected")
 	cluster.SetKV("our/purges/group/3", fmt.Append(nil, time.Now().UnixMilli()))
-	bed.waitUntil("a purge of the group holds for others of it", func() bool {
+	bed.waitUntil("the purge of the group applies to its other objects", func() bool {
 		return asksForFresh(map[string]string{"item": "00000000000000ab"})
 	})
 	if n := bed.timesLogged("event=catalogue-purge-key-rejected"); n != 1 {
-		t.Errorf("the odd key is logged %d times, want once", n)
+		t.Errorf("got the invalid key logged %d times, want once", n)
 	}
 }
 
-// TestCatalogueRegistration: the proxy is in the catalogue while it runs, also after its agent has forgotten it, and
-// takes itself out first thing at its end.
+// TestCatalogueRegistration checks that the proxy is registered in the catalogue while it runs, also after its agent
+// has lost the registration, and that it deregisters at the beginning of a shutdown, while a request is still open.
 func TestCatalogueRegistration(t *testing.T) {
 	t.Parallel()
 	bed := newTestbed(t, nil)
@@ -290,12 +296,12 @@
 			instances[0].Checks[0].Status == consul.Passing &&
 			fmt.Sprint(instances[0].Address, ":", instances[0].Port) == bed.address
 	}
-	bed.waitUntil("it is registered", registered)
+	bed.waitUntil("the proxy is registered", registered)
 	agents[0].Restart()
-	bed.waitUntil("it is registered again", registered)
+	bed.waitUntil("the proxy is registered again", registered)
 	time.Sleep(1200 * time.Millisecond) // longer than the TTL
 	if !registered() {
-		t.Errorf("it is not kept: %+v", cluster.Instances("proxy"))
+		t.Errorf("got instances %+v after the TTL, want the registration kept", cluster.Instances("proxy"))
 	}
 	client := bed.dial()
 	bed.setResponder(func(attempt *receivedRequest) {
@@ -305,20 +311,20 @@
 	client.send(request(1, "footage", nil, ""))
 	bed.waitFirstAttempt()
 	bed.signal(syscall.SIGTERM)
-	bed.waitUntil("it has taken itself out", func() bool { return len(cluster.Instances("proxy")) == 0 })
+	bed.waitUntil("the proxy has deregistered", func() bool { return len(cluster.Instances("proxy")) == 0 })
 	if answer := client.mustRead(); answer.Body != "late" {
-		t.Errorf("%+v, want the open request served after that", answer)
+		t.Errorf("got response %+v, want the open request served after the deregistration", answer)
 	}
 	bed.waitExit()
 }
 
 var (
-	drainCount = flag.Int("drains", 6, "how many seeded changes of the catalogue are measured")
-	drainSeed  = flag.Int64("drain-seed", 7, "their seed")
+	drainCount = flag.Int("drains", 6, "number of seeded catalogue changes to measure")
+	drainSeed  = flag.Int64("drain-seed", 7, "seed of the catalogue changes")
 )
 
-// TestDrainLatency measures how long after the catalogue's change of an endpoint the last new send to it goes out,
-// over seeded changes under 150 requests a second. -drains sets how many.
+// TestDrainLatency measures the time from a catalogue change that takes an endpoint out of use to the last attempt that
+// uses it, over seeded changes under 150 requests a second. The flag -drains sets the number of changes.
 func TestDrainLatency(t *testing.T) {
 	t.Parallel()
 	bed := newCatalogueTestbed(t, answerAsEmptyCaches, "c3", "c4", "c5", "c6", "p2")
@@ -343,10 +349,10 @@
 			cluster.Remove(service, id)
 			removed = true
 		}
-		marked := cluster.Written(id)
-		bed.waitUnused(id, marked, time.Second)
+		changedAt := cluster.Written(id)
+		bed.waitUnused(id, changedAt, time.Second)
 		uses := bed.received(usesEndpoint(id))
-		latencies = append(latencies, max(0, uses[len(uses)-1].At.Sub(marked)))
+		latencies = append(latencies, max(0, uses[len(uses)-1].At.Sub(changedAt)))
 		if removed {
 			cluster.Put(bed.catalogueInstance(id, bed.endpointAddress(id)))
 		} else {
@@ -355,10 +361,10 @@
 	}
 	load.stopAndExpectServed(t)
 	slices.Sort(latencies)
-	t.Logf("all: %v", latencies)
-	at := func(q float64) time.Duration {
+	t.Logf("all latencies: %v", latencies)
+	quantile := func(q float64) time.Duration {
 		return latencies[min(len(latencies)-1, int(q*float64(len(latencies))))]
 	}
-	t.Logf("%d changes: median %v, 99th percentile %v, worst %v", len(latencies), at(0.5), at(0.99),
+	t.Logf("%d changes: median %v, 99th percentile %v, worst %v", len(latencies), quantile(0.5), quantile(0.99),
 		latencies[len(latencies)-1])
 }
--- a/test/clock_test.go
+++ b/test/clock_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestClockSteps: the Unix clock steps back an hour and forward a day while requests are under way. None is lost or
-// late; what goes by stamps, tokens, revocations and purges, goes by the clock as it is.
+// TestClockSteps checks that requests are neither lost nor late when the Unix clock steps back an hour and forward a
+// day while they are open, and that timestamps, tokens, revocations and purges are judged by the current Unix time.
 func TestClockSteps(t *testing.T) {
 	t.Parallel()
 	bed := newTestbed(t, nil)
@@ -18,14 +18,14 @@
 	if bed.programPath, err = buildClockstepProgram(); err != nil {
 		t.Fatal(err)
 	}
-	driftFile, nextDrift := filepath.Join(t.TempDir(), "drift"), filepath.Join(t.TempDir(), "next")
-	bed.env = append(bed.env, "SLOEQUAY_CLOCK="+driftFile)
+	offsetFile, nextOffsetFile := filepath.Join(t.TempDir(), "offset"), filepath.Join(t.TempDir(), "next")
+	bed.env = append(bed.env, "SLOEQUAY_CLOCK="+offsetFile)
 	bed.start()
 	steps := 0
-	setDrift := func(drift time.Duration) {
+	setOffset := func(offset time.Duration) {
 		t.Helper()
-		writeFile(t, nextDrift, fmt.Sprint(int64(drift)))
-		replaceFile(t, nextDrift, driftFile)
+		writeFile(t, nextOffsetFile, fmt.Sprint(int64(offset)))
+		replaceFile(t, nextOffsetFile, offsetFile)
 		steps++
 		bed.waitLoggedTimes("event=clock-stepped", steps)
 	}
@@ -41,14 +41,14 @@
 		t.Helper()
 		for range 20 {
 			if answer := lookup(valid); answer.Error != "" {
-				t.Fatalf("%s: %+v, want it served", when, answer)
+				t.Fatalf("%s: got response %+v, want the request served", when, answer)
 			}
 		}
 	}
 	expectReason := func(when, token, want string) {
 		t.Helper()
 		if answer := lookup(token); answer.Fields["reason"] != want {
-			t.Errorf("%s: %+v, want it rejected for the reason %q", when, answer, want)
+			t.Errorf("%s: got response %+v, want a rejection with the reason %q", when, answer, want)
 		}
 	}
 	expectServed("before the first step")
@@ -64,30 +64,31 @@
 		bed.setResponder(nil)
 		answerDone(attempt)
 		if answer := client.mustRead(); answer.Error != "" || answer.ID != id {
-			t.Errorf("the request that was open %s: %+v, want it served", when, answer)
+			t.Errorf("request that was open %s: got response %+v, want it served", when, answer)
 		}
 	}
 	hold()
-	setDrift(-time.Hour)
+	setOffset(-time.Hour)
 	release("when the clock stepped back an hour")
-	expectServed("an hour back")
-	expectReason("a revoked token an hour back", stolen, "revoked")
+	expectServed("after the step back")
+	expectReason("a revoked token after the step back", stolen, "revoked")
 	hold()
-	setDrift(24 * time.Hour)
+	setOffset(24 * time.Hour)
 	release("when the clock stepped forward a day")
-	expectReason("a token of two hours a day later", valid, "expired")
-	// A purge is stamped by a right clock; a day ahead the proxy must not take it for a day old.
-	setDrift(0)
-	expectServed("back at the right time")
-	expectReason("a token whose revocation had ended a day ahead", stolen, "revoked")
+	expectReason("a token of two hours after the step forward", valid, "expired")
+	// The purge has the timestamp of a correct clock. The proxy, whose clock was a day ahead, must not take it for a day
+	// old.
+	setOffset(0)
+	expectServed("after the step to the correct time")
+	expectReason("a token whose revocation had ended while the clock was a day ahead", stolen, "revoked")
 	bed.listFeed <- objectInvalidation(2, "7f3a9c21e0b4d655", time.Now().UnixMilli())
-	bed.waitUntil("a purge holds", func() bool {
+	bed.waitUntil("the purge applies", func() bool {
 		lookup(valid)
 		return bed.lastAttempt().Fields["fresh"] != ""
 	})
 	for _, fault := range []string{"snapshot-write-failed", "event=keys-rejected"} {
 		if bed.logged(fault) {
-			t.Errorf("%q is logged, want the steps to break nothing", fault)
+			t.Errorf("got %q in the log, want no failure because of the steps", fault)
 		}
 	}
 }
--- a/test/commands_test.go
+++ b/test/commands_test.go
@@ -9,7 +9,8 @@
 	"sloequay/internal/emulator/consul"
 )
 
-// TestEndpointsCommand: the command prints the merged view, with who decided.
+// TestEndpointsCommand checks that the endpoints command prints the view merged from all sources, with the source that
+// decided the state of each endpoint.
 func TestEndpointsCommand(t *testing.T) {
 	t.Parallel()
 	bed := newTestbed(t, nil)
@@ -30,7 +31,7 @@
 		`p1 +up +127.0.0.1:\d+ +hub +parent +bulletin`,
 	} {
 		if !matches(want, out) {
-			t.Errorf("no line fits %q in\n%s", want, out)
+			t.Errorf("got no line that matches %q in\n%s", want, out)
 		}
 	}
 	agents[0].SetFault(consul.Refuse, 0)
@@ -39,12 +40,13 @@
 	out = view()
 	for _, want := range []string{"consul:cache +unheard", "# catalogue-unreachable"} {
 		if !matches(want, out) {
-			t.Errorf("without the catalogue's agent no line fits %q in\n%s", want, out)
+			t.Errorf("without the catalogue's agent: got no line that matches %q in\n%s", want, out)
 		}
 	}
 }
 
-// TestTryCommand: the newcomer's command runs to its end, and all it shows is as it should be.
+// TestTryCommand checks that the try command, the demonstration for newcomers, runs to its end and prints all of its
+// steps.
 func TestTryCommand(t *testing.T) {
 	t.Parallel()
 	out := mustRunProgram(t, "try")
@@ -52,13 +54,13 @@
 		"c1 drains", "c2 is killed", "the catalogue stops answering", "failed 0", "last send to c1",
 	} {
 		if !strings.Contains(out, want) {
-			t.Errorf("%q is not in\n%s", want, out)
+			t.Errorf("got no %q in\n%s", want, out)
 		}
 	}
 }
 
-// TestContractsCommand: what is over-committed is told with figures, and a running proxy says how its contracts
-// stand.
+// TestContractsCommand checks that the contracts command reports over-commitment with figures, and shows the usage of
+// the contracts in a running proxy.
 func TestContractsCommand(t *testing.T) {
 	t.Parallel()
 	pending := make(chan *receivedRequest, 10)
@@ -74,16 +76,16 @@
 		t.Helper()
 		for _, want := range wants {
 			if err != nil || !matches(want, out) {
-				t.Errorf("%v, want no error and a line that fits %q in\n%s", err, want, out)
+				t.Errorf("got error %v, want none and a line that matches %q in\n%s", err, want, out)
 			}
 		}
 	}
 	const overCommitted = "installation requests: 110/s are guaranteed below, of 100/s"
 	if out, err := run("--check"); err == nil || !strings.Contains(out, overCommitted) {
-		t.Errorf("--check: %v, want an error and %q in\n%s", err, overCommitted, out)
+		t.Errorf("--check: got error %v, want one and %q in\n%s", err, overCommitted, out)
 	}
 	if out, err := run("--show"); err == nil {
-		t.Errorf("--show while no proxy runs: no error, and it printed\n%s", out)
+		t.Errorf("--show while no proxy runs: got no error, want one; output:\n%s", out)
 	}
 	bed.start()
 	client := bed.dial()
@@ -97,12 +99,12 @@
 	out, err = run("--explain", "nobody", "lookup")
 	expect(out, err, "refused: no contract for nobody")
 	if info, err := os.Stat(socket); err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("the operators' socket: %v, %v, want it for its owner alone", info, err)
+		t.Errorf("operators' socket: got %v, error %v, want mode 0600", info, err)
 	}
 	answerDone(attempt)
 	client.mustRead()
 	bed.kill()
-	bed.start() // the socket that a killed proxy left is no hindrance
+	bed.start() // the socket file that the killed proxy left must not prevent it
 	out, err = run("--show")
 	expect(out, err, "version 1, 0 open")
 }
