--- a/test/connections_test.go
+++ b/test/connections_test.go
@@ -11,8 +11,9 @@
 	"time"
 )
 
-// TestBusyConnectionTakesAttempts: a busy connection had further attempts wait for a new one's dial, and on a day at
-// full load that took longer than the wanted time. Here new ones never come up, and the old one must do.
+// TestBusyConnectionTakesAttempts guards against attempts that wait for the dial of a new connection because the
+// existing one is busy: at full load that took longer than the latency objective. Here no new connection can be
+// established, so the existing one must carry all attempts.
 func TestBusyConnectionTakesAttempts(t *testing.T) {
 	release := make(chan struct{})
 	bed := newTestbed(t, func(attempt *receivedRequest) {
@@ -32,23 +33,23 @@
 	close(release)
 	for range count {
 		if answer := client.mustRead(); answer.Body != "c1" {
-			t.Errorf("%+v, want it from c1", answer)
+			t.Errorf("got response %+v, want it from c1", answer)
 		}
 	}
 }
 
-// TestUnresponsiveConnection: a connection that was cut off stays open and says nothing; what waited on it did so
-// until its deadline, and a QUIT on it does not arrive. It is found by a NOOP and closed, and its requests go out on
-// another.
+// TestUnresponsiveConnection checks that a connection that was cut off but stays open is detected by a NOOP and
+// closed, and that its requests are sent on another connection. It guards against requests that wait on it until their
+// deadlines; a QUIT on it does not arrive.
 func TestUnresponsiveConnection(t *testing.T) {
 	bed := newTestbed(t, nil, "c2")
-	cut := func(attempt *receivedRequest) bool { return attempt.Conn == bed.attempts()[0].Conn }
+	onFirstConnection := func(attempt *receivedRequest) bool { return attempt.Conn == bed.attempts()[0].Conn }
 	bed.setResponder(func(attempt *receivedRequest) {
-		if !cut(attempt) {
+		if !onFirstConnection(attempt) {
 			attempt.Answer("ACK", "-", "again")
 		}
 	})
-	bed.endpoints.IgnoreHealthChecks(cut)
+	bed.endpoints.IgnoreHealthChecks(onFirstConnection)
 	bed.start()
 	client := bed.dial()
 	for id := range uint64(3) {
@@ -56,16 +57,17 @@
 	}
 	for range 3 {
 		if answer := client.mustRead(); answer.Body != "again" {
-			t.Errorf("%+v, want it from another connection", answer)
+			t.Errorf("got response %+v, want it from another connection", answer)
 		}
 	}
 	if !bed.logged("upstream-unresponsive") {
-		t.Error("the unresponsive connection is not in the log")
+		t.Error("got no event upstream-unresponsive, want the connection logged")
 	}
 }
 
-// TestLostResponse: one answer never comes, on a connection that lives. Its attempt is called off once later ones for
-// more have come, and the next one is sent only when the endpoint has read the QUIT: it answers the NOOP behind it.
+// TestLostResponse checks a response that never arrives on a live connection. Its attempt must be canceled once
+// responses to later attempts for more data have arrived, and the next attempt may be sent only when the endpoint has
+// read the QUIT, which it shows by answering the NOOP that follows.
 func TestLostResponse(t *testing.T) {
 	bed := newTestbed(t, nil, "c2")
 	bed.setResponder(func(attempt *receivedRequest) {
@@ -73,63 +75,64 @@
 			attempt.Answer("ACK", "-", attempt.Fields["nth"])
 		}
 	})
-	read := make(chan bool)
+	quitRead := make(chan bool)
 	bed.endpoints.IgnoreHealthChecks(func(attempt *receivedRequest) bool {
 		if quits := bed.cancellations(); len(quits) > 0 && attempt.Conn == quits[0].Conn {
-			time.Sleep(50 * time.Millisecond) // in which a next attempt that does not wait would come
-			same := func(attempt *receivedRequest) bool { return attempt.Word == "ASK" && attempt.ID == quits[0].ID }
-			if sent := bed.received(same); len(sent) > 1 {
-				t.Errorf("%d attempts went out before the QUIT was read for certain, want the first alone", len(sent))
+			time.Sleep(50 * time.Millisecond) // a second attempt that does not wait would arrive meanwhile
+			sameID := func(attempt *receivedRequest) bool { return attempt.Word == "ASK" && attempt.ID == quits[0].ID }
+			if sent := bed.received(sameID); len(sent) > 1 {
+				t.Errorf("got %d attempts before the NOOP after the QUIT was answered, want only the first", len(sent))
 			}
-			close(read)
+			close(quitRead)
 		}
 		return false
 	})
 	bed.start()
 	client := bed.dial()
-	patient := func(nth, size string) map[string]string {
+	requestFields := func(nth, size string) map[string]string {
 		return map[string]string{"nth": nth, "ram": size, "limit": "60000"}
 	}
-	client.send(request(1, "footage", patient("1", "40"), ""))
+	client.send(request(1, "footage", requestFields("1", "40"), ""))
 	bed.waitAttempts(1)
 	for id := uint64(2); id <= 4; id++ {
-		client.call(id, "footage", patient(strconv.FormatUint(id, 10), "80"))
+		client.call(id, "footage", requestFields(strconv.FormatUint(id, 10), "80"))
 	}
-	<-read
+	<-quitRead
 	if answer := client.mustRead(); answer.ID != 1 || answer.Body != "1" {
-		t.Errorf("%+v, want the answer of the second attempt", answer)
+		t.Errorf("got response %+v, want that to the second attempt", answer)
 	}
 }
 
-// TestDuplicateResponse: an endpoint answers an attempt twice, the second time when the next one for the same request
-// is out on the same connection. It was taken for that one's answer, and a third attempt went out beside it.
+// TestDuplicateResponse checks an endpoint that responds twice to an attempt, the second time when the next attempt
+// for the same request is open on the same connection. It guards against taking that for the response to the open
+// attempt and sending a third one in parallel.
 func TestDuplicateResponse(t *testing.T) {
 	for _, c := range []struct{ name, class, word, fields string }{
-		{"a write that was over already", "charge", "STALE", "-"},
-		{"a read that found nothing", "lookup", "NOENT", "remark=src_lacks"},
-		{"an endpoint that failed", "lookup", "EIO", "-"},
+		{"a write that had already ended", "charge", "STALE", "-"},
+		{"a read that finds nothing", "lookup", "NOENT", "remark=src_lacks"},
+		{"an endpoint that fails", "lookup", "EIO", "-"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			// At the second attempt the answer is one more to that before; the second itself is being worked on.
+			// The response to the second attempt stands for a second one to the first: the second attempt stays open.
 			bed := newTestbed(t, func(attempt *receivedRequest) { attempt.Answer(c.word, c.fields, "") }, "c2")
 			bed.start()
 			client := bed.dial()
 			client.call(1, c.class, map[string]string{"unique": "k1", "limit": "1500"})
-			var out *receivedRequest // the attempt that is out for all that its endpoint said
+			var open *receivedRequest // the attempt that has no response of its own yet
 			seen := map[string]bool{}
 			ofRequest := func(line *receivedRequest) bool { return line.ID == hexID(1) }
 			for _, line := range bed.received(ofRequest) {
 				switch key := fmt.Sprint(line.Endpoint, line.Conn.LocalAddr(), line.Conn.RemoteAddr()); {
 				case line.Word == "QUIT":
-					if out != nil && out.Conn == line.Conn {
-						out = nil
+					if open != nil && open.Conn == line.Conn {
+						open = nil
 					}
-				case out != nil:
-					t.Fatalf("an attempt to %s went out beside one at %s, want one at a time",
-						line.Endpoint, out.Endpoint)
+				case open != nil:
+					t.Fatalf("got an attempt at %s while one is open at %s, want one at a time",
+						line.Endpoint, open.Endpoint)
 				case seen[key]:
-					out = line
+					open = line
 				default:
 					seen[key] = true
 				}
@@ -138,13 +141,13 @@
 	}
 }
 
-// TestResetNewConnectionsDoNotEject: two connections that were reset as they came up had the endpoint ejected for
-// seconds, as each request that waited for them was held against it.
+// TestResetNewConnectionsDoNotEject guards against ejecting an endpoint for seconds after two new connections were
+// reset, because each request that waited for them counted as a failure.
 func TestResetNewConnectionsDoNotEject(t *testing.T) {
 	bed := newTestbed(t, nil, "c2")
 	listener := bed.listenOn("127.0.0.1:0")
 	bed.setListedAddress("c1", listener.Addr().String())
-	sound := make(chan net.Conn)
+	accepted := make(chan net.Conn)
 	go func() {
 		for n := 0; ; n++ {
 			conn, err := listener.Accept()
@@ -156,10 +159,10 @@
 				_ = conn.Close()
 				continue
 			}
-			sound <- conn
+			accepted <- conn
 		}
 	}()
-	go bed.endpoints.Serve("c1", channelListener{listener, sound})
+	go bed.endpoints.Serve("c1", channelListener{listener, accepted})
 	bed.start()
 	client := bed.dial()
 	for id := range uint64(4) {
@@ -167,26 +170,26 @@
 	}
 	for range 4 {
 		if answer := client.mustRead(); answer.Error != "" {
-			t.Errorf("%+v, want it served", answer)
+			t.Errorf("got response %+v, want the request served", answer)
 		}
 	}
 	if bed.logged("ejected") {
-		t.Error("the endpoint was ejected")
+		t.Error("got the endpoint ejected, want it kept")
 	}
 }
 
-// TestLivenessChecks: when a connection on which an answer waits is asked by NOOP whether it lives. Every check is
-// priced and answered from the endpoint's budget of health checks, which all proxies of a fleet share. Checks after
-// each 100 ms of quiet, due or not, came with a fifth of all attempts on a fleet day, and a slow endpoint drew dozens
-// for one answer; all were answered READY. Its size makes the answer due in about 0.47 s.
+// TestLivenessChecks checks when a NOOP is sent on a connection with an open attempt. Every check counts against the
+// endpoint's budget of health checks, which all proxies of a fleet share. The test guards against checks after each
+// 100 ms without data, whether the response is late or not: they came with a fifth of all attempts, a slow endpoint
+// got dozens for one response, and all were answered READY. The object's size makes the response due in about 0.47 s.
 func TestLivenessChecks(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		takes    time.Duration
 		min, max int
 	}{
-		{"an answer that is not late is waited for without a check", 300 * time.Millisecond, 0, 0},
-		{"a late answer of an endpoint that answers the check is slow: one check, two at most",
+		{"no check while the response is not late", 300 * time.Millisecond, 0, 0},
+		{"one or two checks if the response is late and the endpoint answers them",
 			1200 * time.Millisecond, 1, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -199,24 +202,25 @@
 			client := bed.dial()
 			answer := client.call(1, "footage", map[string]string{"ram": "2000", "limit": "60000"})
 			if answer.Body != "sound" {
-				t.Fatalf("%+v, want it served", answer)
+				t.Fatalf("got response %+v, want the request served", answer)
 			}
 			if n := len(bed.received(hasWord("NOOP"))); n < c.min || n > c.max {
-				t.Errorf("%d NOOPs, want %d to %d", n, c.min, c.max)
+				t.Errorf("got %d NOOPs, want %d to %d", n, c.min, c.max)
 			}
 		})
 	}
 }
 
-// trickleResponder is a responder by which the first attempt of request 1 is answered byte by byte without end, on the first
-// connection; what stands behind it there waits, and all else is served. What it was asked goes to pending.
+// trickleResponder responds to the first attempt of request 1 byte by byte without end. Later attempts on the same
+// connection get no response, as it would have to follow that one; all others are served. Every attempt is sent to
+// pending.
 type trickleResponder struct {
 	pending     chan *receivedRequest
-	trickleConn atomic.Pointer[net.Conn] // on which the answer trickles
+	trickleConn atomic.Pointer[net.Conn] // connection of the endless response
 	done        chan struct{}            // closed when the test ends
 }
 
-// respond is for newTestbed.
+// respond is the responder to pass to newTestbed.
 func (r *trickleResponder) respond(attempt *receivedRequest) {
 	if attempt.ID != hexID(1) {
 		if conn := r.trickleConn.Load(); conn == nil || attempt.Conn != *conn {
@@ -240,9 +244,9 @@
 	}
 }
 
-// TestTrickledResponseReleasesWaiting: an answer comes byte by byte and does not end. What stands behind it on its
-// connection is late until the request of that answer is over, and goes elsewhere then; and nothing new is put behind
-// it.
+// TestTrickledResponseReleasesWaiting checks a response that arrives byte by byte and does not end. An attempt behind
+// it on the same connection must go to another connection once the request of that response is over, and no new
+// attempt may be sent behind it.
 func TestTrickledResponseReleasesWaiting(t *testing.T) {
 	responder := &trickleResponder{pending: make(chan *receivedRequest, 100), done: make(chan struct{})}
 	t.Cleanup(func() { close(responder.done) })
@@ -255,25 +259,25 @@
 	began := time.Now()
 	client.send(request(2, "lookup", map[string]string{"limit": "9000"}, ""))
 	if waiting := nextReceived(t, responder.pending); waiting.Conn != *responder.trickleConn.Load() {
-		t.Fatal("the second request went by another connection: nothing is tried")
+		t.Fatal("got the second request on another connection, want it behind the endless response")
 	}
-	time.Sleep(time.Until(began.Add(1200 * time.Millisecond))) // longer than anything new is put behind it
+	time.Sleep(time.Until(began.Add(1200 * time.Millisecond))) // from now on nothing new may be sent on that connection
 	other := bed.dial()
 	answer := other.call(3, "lookup", map[string]string{"limit": "9000"})
 	if answer.Body != "done" || nextReceived(t, responder.pending).Conn == *responder.trickleConn.Load() {
-		t.Errorf("%+v, want it served by another connection", answer)
+		t.Errorf("got response %+v, want the request served on another connection", answer)
 	}
 	if answer := client.mustRead(); answer.ID != 1 || answer.Error == "" {
-		t.Errorf("%+v, want the first request failed when its time is up", answer)
+		t.Errorf("got response %+v, want an error for the first request at its time limit", answer)
 	}
 	answer = client.mustRead()
 	if took := time.Since(began); answer.ID != 2 || answer.Body != "done" || took > 6*time.Second {
-		t.Errorf("%+v after %v, want the second request served soon after that", answer, took)
+		t.Errorf("got response %+v after %v, want the second request served within 6 s", answer, took)
 	}
 }
 
-// TestEndpointHalfCloses: an endpoint ends its side of a connection, with a request out or just answered. That is
-// read as the end of both sides: the request goes on by another connection, once.
+// TestEndpointHalfCloses checks that a connection counts as closed when the endpoint closes its side of it, with a
+// request open or just answered. The request must be sent once more, on another connection.
 func TestEndpointHalfCloses(t *testing.T) {
 	for _, class := range []string{"lookup", "charge"} {
 		t.Run(class, func(t *testing.T) {
@@ -291,18 +295,18 @@
 			for id := range uint64(10) {
 				answer := client.call(id+1, class, map[string]string{"unique": fmt.Sprint("k", id)})
 				if answer.Body != "done" {
-					t.Fatalf("%+v, want it served", answer)
+					t.Fatalf("got response %+v, want the request served", answer)
 				}
 			}
 			if attempts := bed.attempts(); len(attempts) != 20 {
-				t.Errorf("%d attempts went out for ten requests, want two for each", len(attempts))
+				t.Errorf("got %d attempts for ten requests, want two for each", len(attempts))
 			}
 		})
 	}
 }
 
-// TestEndpointClosesAsNextRequestArrives: an endpoint ends a connection with its answer, and the client's next
-// request comes as that end does, in both orders.
+// TestEndpointClosesAsNextRequestArrives checks an endpoint that closes or resets its connection right after a
+// response, while the client's next request arrives, in both orders.
 func TestEndpointClosesAsNextRequestArrives(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -313,7 +317,7 @@
 			bed := newTestbed(t, func(attempt *receivedRequest) {
 				answerDone(attempt)
 				if c.reset {
-					time.Sleep(time.Millisecond) // or it would take the answer with it
+					time.Sleep(time.Millisecond) // otherwise the reset would discard the response
 					_ = attempt.Conn.(*net.TCPConn).SetLinger(0)
 				}
 				_ = attempt.Conn.Close()
@@ -324,26 +328,26 @@
 				class := []string{"lookup", "charge"}[id%2]
 				answer := client.call(id+1, class, map[string]string{"unique": fmt.Sprint("k", id)})
 				if answer.Body != "done" {
-					t.Fatalf("request %d: %+v, want it served", id, answer)
+					t.Fatalf("request %d: got response %+v, want it served", id, answer)
 				}
 				if c.reset {
-					time.Sleep(time.Duration(id%8) * 300 * time.Microsecond) // round the moment of the reset
+					time.Sleep(time.Duration(id%8) * 300 * time.Microsecond) // around the time of the reset
 				}
 			}
 		})
 	}
 }
 
-// TestEndpointThatDoesNotRead: what was written for an endpoint that does not read waited with us, and went out
-// whenever it read again: after a drain, a purge, or the client's leaving.
+// TestEndpointThatDoesNotRead guards against attempts that are buffered in the proxy while an endpoint does not read,
+// and are sent whenever it reads again: after a drain, a purge, or the client's disconnection.
 func TestEndpointThatDoesNotRead(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		checks  bool // whether the settings allow NOOP
-		streams int  // attempts on a connection
+		checks  bool // whether the platform's settings allow NOOP
+		streams int  // maximum number of attempts on a connection
 	}{
-		{"many connections, each within what the system holds", true, 32},
-		{"one connection beyond that, and no word that it lives may be asked for", false, 1000},
+		{"many connections, each within the kernel's buffers", true, 32},
+		{"one connection beyond the kernel's buffers, without health checks", false, 1000},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			bed := newTestbed(t, nil, "c1", "c2", "p1")
@@ -354,18 +358,19 @@
 	}
 }
 
-// expectUnreadAttemptsDropped has the origin read nothing while clients send large requests and leave. It fails
-// unless, of each connection that the program closed, the origin reads no more than its own socket holds.
+// expectUnreadAttemptsDropped has the origin read nothing while clients send large requests and leave. It fails the
+// test unless, on each connection that the program closed, the origin reads no more attempts than its own socket
+// holds.
 func expectUnreadAttemptsDropped(t *testing.T, bed *testbed) {
 	t.Helper()
 	address, read := bed.listenWithoutReading()
 	bed.setListedAddress("o1", address)
 	bed.start()
-	const requests, each = 150, 25
+	const requests, perClient = 150, 25
 	body := strings.Repeat("x", 48000)
 	var clients []*client
 	for n := range uint64(requests) {
-		if n%each == 0 {
+		if n%perClient == 0 {
 			clients = append(clients, bed.dial())
 		}
 		fields := map[string]string{"unique": fmt.Sprint("k", n), "limit": "3000", "item": hexID(n + 1)}
@@ -375,18 +380,18 @@
 	for _, c := range clients {
 		_ = c.conn.Close()
 	}
-	time.Sleep(300 * time.Millisecond) // from here on nothing may go out for them
+	time.Sleep(300 * time.Millisecond) // from now on nothing may be sent for these clients
 	counts := make(chan []int)
 	read <- counts
-	const holds = 3 // attempts that the endpoint's own socket holds, and that nobody can call back
-	got, within := <-counts, 0
+	const maxBuffered = 3 // attempts in the endpoint's own socket buffer, which cannot be canceled
+	got, withinLimit := <-counts, 0
 	for _, n := range got {
-		if n <= holds {
-			within++
+		if n <= maxBuffered {
+			withinLimit++
 		}
 	}
-	if closed := bed.timesLogged("event=upstream-unresponsive"); within < closed {
-		t.Errorf("%d connections were closed, and of its connections the endpoint read %v complete attempts later, "+
-			"want at most %d on as many as were closed", closed, got, holds)
+	if closed := bed.timesLogged("event=upstream-unresponsive"); withinLimit < closed {
+		t.Errorf("%d connections were closed, and the endpoint then read %v complete attempts on its connections, "+
+			"want at most %d on as many as were closed", closed, got, maxBuffered)
 	}
 }
--- a/test/cpu_test.go
+++ b/test/cpu_test.go
@@ -12,14 +12,14 @@
 )
 
 var (
-	cpuRequests   = flag.Int("cpu-requests", 0, "requests by which the program's CPU is measured; 0: it is not")
-	cpuProgram    = flag.String("cpu-program", "", "another build of the program, to compare with")
-	cpuCallerKind = flag.String("cpu-by", "plain", "how callers show who they are: plain (identity is off), "+
-		"unsigned, token, new-token, tls; or box-tls, where endpoints are behind TLS")
+	cpuRequests   = flag.Int("cpu-requests", 0, "number of requests to measure CPU time with; 0: skip the measurement")
+	cpuProgram    = flag.String("cpu-program", "", "another build of the program, to be measured instead")
+	cpuCallerKind = flag.String("cpu-by", "plain", "how callers authenticate: plain (identity is disabled), "+
+		"unsigned, token, new-token, tls; or box-tls, with TLS to the endpoints")
 )
 
-// TestCPU sends requests in a steady window of 16 and tells the CPU that the program took for each, its start left
-// out. It asserts nothing and runs by its flag alone: two builds are compared by running it for each in turn.
+// TestCPU measures the CPU time of the program per request, without its start, while 16 requests are open at any time.
+// It checks nothing and runs only with -cpu-requests: two builds are compared by running it for each in turn.
 func TestCPU(t *testing.T) {
 	if *cpuRequests == 0 {
 		t.Skip("needs -cpu-requests")
@@ -41,8 +41,7 @@
 	t.Logf("%d requests by %s, %.1f us of CPU each", *cpuRequests, *cpuCallerKind, each)
 }
 
-// cpuTicks is the processor time that the program has used, its own and the system's for it, in hundredths of a
-// second.
+// cpuTicks returns the CPU time that the program has used in user and kernel mode, in hundredths of a second.
 func (bed *testbed) cpuTicks() int {
 	bed.t.Helper()
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", bed.cmd.Process.Pid))
@@ -56,8 +55,8 @@
 	return user + system
 }
 
-// newCPUTestbed runs the program for callers of a kind, and gives a client and the token of each request; empty:
-// none.
+// newCPUTestbed starts the program for callers of the kind in -cpu-by. It returns a client and a function that returns
+// the token of the request with an id, or "" if it has none.
 func newCPUTestbed(t *testing.T) (*testbed, *client, func(int) string) {
 	t.Helper()
 	noToken := func(int) string { return "" }
@@ -92,7 +91,7 @@
 	return bed, bed.dial(), noToken
 }
 
-// signTokens makes as many tokens, each with an id of its own.
+// signTokens signs count tokens, each with its own id.
 func signTokens(t *testing.T, keys keyring, count int) []string {
 	t.Helper()
 	content, err := keydir.Read(keys.dir)
--- a/test/dns_test.go
+++ b/test/dns_test.go
@@ -12,14 +12,15 @@
 	"github.com/miekg/dns"
 )
 
-// TestDNSQueries asks one question each.
+// TestDNSQueries checks the responses to single queries, both valid and invalid.
 func TestDNSQueries(t *testing.T) {
-	const full, silent = "00000000000000ff", "00000000000000fe" // objects that endpoints reject, or never answer for
+	// Objects that endpoints reject, and for which they never respond.
+	const rejectedObject, unanswered = "00000000000000ff", "00000000000000fe"
 	bed := newTestbed(t, func(attempt *receivedRequest) {
 		switch attempt.Fields["thing"] {
-		case full:
+		case rejectedObject:
 			attempt.Answer("AGAIN", "-", "")
-		case silent:
+		case unanswered:
 		default:
 			attempt.Answer("ACK", "tag=t1,remark=hit", "bytes")
 		}
@@ -47,8 +48,8 @@
 			{"n0.aa.lookup._", dns.TypeA, failed("FORMERR", `object "aa"`)},
 			{"n0.00000000000000aa.charge._", dns.TypeA, failed("FORMERR", "this class needs a key")},
 			{"n0.00000000000000aa.footage.lanes", dns.TypeA, failed("REFUSED", `later=1000 budget="lanes class"`)},
-			{"n0." + full + ".lookup._", dns.TypeA, failed("REFUSED", "later=125")},
-			{"k-slow.n0." + silent + ".charge._", dns.TypeA, failed("REFUSED", "later=350")},
+			{"n0." + rejectedObject + ".lookup._", dns.TypeA, failed("REFUSED", "later=125")},
+			{"k-slow.n0." + unanswered + ".charge._", dns.TypeA, failed("REFUSED", "later=350")},
 		} {
 			c.want.ID = uint16(i)
 			resolver.query(c.want.ID, c.name, c.qtype)
@@ -60,7 +61,7 @@
 	resolver := bed.dialDNS("udp")
 	_ = resolver.conn.WriteMsg(new(dns.Msg).SetQuestion("www.example.org.", dns.TypeA))
 	if answer := resolver.mustRead(); answer.Rcode != "REFUSED" {
-		t.Errorf("another zone: %+v, want it REFUSED", answer)
+		t.Errorf("query of another zone: got response %+v, want REFUSED", answer)
 	}
 	for _, raw := range []string{
 		"x",
@@ -70,13 +71,13 @@
 		_, _ = resolver.conn.Write([]byte(raw))
 	}
 	if answer := resolver.mustRead(); answer.Rcode != "FORMERR" || answer.ID != 7 {
-		t.Errorf("what can't be read: %+v, want FORMERR to query 7", answer)
+		t.Errorf("malformed queries: got response %+v, want FORMERR to query 7", answer)
 	}
 	resolver.expectNoFurtherAnswer()
 }
 
-// TestDNSRetransmitsAreIdempotent: a charge is retried while its first attempt is out. There must be one attempt, one
-// answer to each query that was taken, and the same result again within the key's window.
+// TestDNSRetransmitsAreIdempotent checks a charge that is sent again while its first attempt is open. There must be one
+// attempt, one response to each accepted query, and the same result again within the window of the idempotency key.
 func TestDNSRetransmitsAreIdempotent(t *testing.T) {
 	release := make(chan struct{})
 	bed := newTestbed(t, func(attempt *receivedRequest) {
@@ -89,10 +90,10 @@
 	first, retry, tcp := bed.dialDNS("udp"), bed.dialDNS("udp"), bed.dialDNS("tcp")
 	first.query(1, name, dns.TypeTXT)
 	bed.waitAttempts(1)
-	first.query(1, name, dns.TypeTXT) // a retransmit
+	first.query(1, name, dns.TypeTXT) // a retransmission
 	retry.query(2, strings.ToUpper(name), dns.TypeTXT)
 	tcp.query(3, name, dns.TypeTXT)
-	// All questions have been read once something asked behind them is answered.
+	// All queries have been read once a later query of the same client is answered.
 	for _, resolver := range []*dnsClient{first, retry, tcp} {
 		resolver.expectNoFurtherAnswer()
 	}
@@ -107,22 +108,22 @@
 	}
 	retry.query(4, name, dns.TypeTXT) // within the window
 	if diff := cmp.Diff(dnsAnswer{ID: 4, Rcode: "NOERROR", RecordData: served}, retry.mustRead()); diff != "" {
-		t.Errorf("asked again (-want +got):\n%s", diff)
+		t.Errorf("query 4, within the key's window (-want +got):\n%s", diff)
 	}
 	if attempts := bed.attempts(); len(attempts) != 1 || attempts[0].Endpoint != "o1" {
-		t.Errorf("%d attempts, want one at the origin", len(attempts))
+		t.Errorf("got %d attempts, want one, at the origin", len(attempts))
 	}
 }
 
-// TestDNSDrainingEndpoint: half a second ago an endpoint began to drain, and name servers still give its address. It
-// must not be named, and nothing may be sent to it after 1 s.
+// TestDNSDrainingEndpoint checks an endpoint that began to drain half a second ago and whose address name servers still
+// return. Responses must not name it, and nothing may be sent to it after 1 s.
 func TestDNSDrainingEndpoint(t *testing.T) {
 	pending := make(chan *receivedRequest, 64)
 	bed := newTestbed(t, nil)
 	bed.startNameServer(map[string]string{"c2.plaza.test.": "127.0.0.1", "c3.plaza.test.": "127.0.0.1"})
-	// c2 is listed by name. So is c3, and its name leads to the address of c1: a record that is out of date.
+	// c2 and c3 are listed by host name. The record of c3 is out of date: it has the address of c1.
 	bed.setListedAddress("c2", strings.Replace(bed.endpointAddress("c2"), "127.0.0.1", "c2.plaza.test", 1))
-	outOfDate := strings.Replace(bed.endpointAddress("c1"), "127.0.0.1", "c3.plaza.test", 1)
+	outdatedAddress := strings.Replace(bed.endpointAddress("c1"), "127.0.0.1", "c3.plaza.test", 1)
 	bed.enableDNS("resolver " + bed.nameServer.address())
 	bed.start()
 	bed.waitListPoll()
@@ -139,54 +140,55 @@
 	})
 	bed.setResponder(func(attempt *receivedRequest) {
 		if attempt.Endpoint == "c1" {
-			pending <- attempt // its answer comes half a second after the endpoint began to drain
+			pending <- attempt // answered below, half a second after the endpoint began to drain
 			return
 		}
 		attempt.Answer("ACK", "remark=hit", "")
 	})
-	var out *receivedRequest
-	bed.waitUntil("an attempt is out at c1", func() bool {
+	var openAttempt *receivedRequest
+	bed.waitUntil("an attempt is open at c1", func() bool {
 		query(dns.TypeSRV)
 		select {
-		case out = <-pending:
+		case openAttempt = <-pending:
 		case <-time.After(20 * time.Millisecond):
 			resolver.mustRead()
 		}
-		return out != nil
+		return openAttempt != nil
 	})
 	namesC2 := func(answer dnsAnswer) bool {
 		return len(answer.RecordData) == 1 && strings.HasPrefix(answer.RecordData[0], "c2:")
 	}
 	began := time.Now()
 	bed.listFeed <- listEvent(2, false, bed.endpointEntry("c1", "draining"),
-		listEntry("c3", outOfDate, "edge", "std", "up", 0))
-	time.Sleep(500 * time.Millisecond) // the case's own half second
-	out.Answer("ACK", "remark=hit", "")
+		listEntry("c3", outdatedAddress, "edge", "std", "up", 0))
+	time.Sleep(500 * time.Millisecond) // time between the beginning of the drain and the response
+	openAttempt.Answer("ACK", "remark=hit", "")
 	if answer := resolver.mustRead(); answer.Rcode != "NOERROR" || !namesC2(answer) {
-		t.Errorf("the answer to the attempt that was out: %+v, want c2 named", answer)
+		t.Errorf("attempt open at the drain: got response %+v, want c2 named", answer)
 	}
 	for time.Since(began) < 1500*time.Millisecond {
 		query(dns.TypeSRV)
 		if answer := resolver.mustRead(); !namesC2(answer) {
-			t.Fatalf("query %d: %+v, want c2 named", id, answer)
+			t.Fatalf("query %d: got response %+v, want c2 named", id, answer)
 		}
 	}
 	resolver.expectNoFurtherAnswer()
 	drained := began.Add(time.Second)
-	after := bed.received(func(attempt *receivedRequest) bool {
+	linesAfterDrain := bed.received(func(attempt *receivedRequest) bool {
 		return attempt.Endpoint == "c1" && attempt.At.After(drained)
 	})
-	if len(after) > 0 {
-		t.Errorf("%d lines reached the drained endpoint after 1 s, the first %+v, want none", len(after), after[0])
+	if len(linesAfterDrain) > 0 {
+		t.Errorf("got %d lines at the drained endpoint after 1 s, the first %+v, want none", len(linesAfterDrain),
+			linesAfterDrain[0])
 	}
 	ids := map[string]bool{}
 	for _, attempt := range bed.attempts() {
 		if ids[attempt.ID] && attempt.Endpoint == "c1" {
-			t.Errorf("request %s went to c1 twice", attempt.ID)
+			t.Errorf("got another attempt of request %s at c1, want none", attempt.ID)
 		}
 		ids[attempt.ID] = true
 	}
 	if !slices.Contains(bed.nameServer.queries(), "c3.plaza.test.") {
-		t.Error("c3 was never looked up, so the case was not played")
+		t.Error("got no DNS query for c3, want its outdated record looked up")
 	}
 }
--- a/test/drill_test.go
+++ b/test/drill_test.go
@@ -10,17 +10,18 @@
 )
 
 var (
-	drillSeeds   = flag.Int("drill-seeds", 1, "seeds that each shipped plan is played with, and drawn plans")
-	drillProxies = flag.Int("drill-doormans", 0, "processes of a drill; 0: as the plan says")
+	drillSeeds   = flag.Int("drill-seeds", 1, "number of seeds to run each shipped plan with, and of random plans")
+	drillProxies = flag.Int("drill-doormans", 0, "number of proxies in a drill; 0: as the plan says")
 )
 
-// maxConcurrentDrills bounds the drills that run together: each is some ten processes, and what they hold has times.
+// maxConcurrentDrills limits the drills that run at the same time: each runs about ten processes, and its invariants
+// have time limits.
 const maxConcurrentDrills = 4
 
-// drillSlots is taken by each drill that runs.
+// drillSlots is a semaphore in which each running drill holds a slot.
 var drillSlots = make(chan bool, maxConcurrentDrills)
 
-// runDrill plays a plan beside other drills, and fails unless all that it says must hold does.
+// runDrill runs a plan in parallel with other drills, and fails the test unless all invariants of the plan hold.
 func runDrill(t *testing.T, plan *drill.Plan, seed uint64) {
 	t.Helper()
 	t.Parallel()
@@ -36,7 +37,7 @@
 	reportChecks(t, seed, result)
 }
 
-// reportChecks tells what a drill's checks found, and fails the test where one did not hold.
+// reportChecks logs the results of a drill's checks, and fails the test if one did not hold.
 func reportChecks(t *testing.T, seed uint64, result *drill.Result) {
 	t.Helper()
 	for _, check := range result.Checks {
@@ -48,11 +49,11 @@
 	}
 }
 
-// TestDrills plays the plans that ship, by processes of the program.
+// TestDrills runs the shipped plans with processes of the program.
 func TestDrills(t *testing.T) {
 	paths, err := filepath.Glob("../deploy/drill/*.conf")
 	if err != nil || len(paths) < 10 {
-		t.Fatalf("%d plans: %v, want at least 10", len(paths), err)
+		t.Fatalf("got %d plans, error %v, want at least 10", len(paths), err)
 	}
 	for _, path := range paths {
 		for seed := range uint64(*drillSeeds) {
@@ -67,7 +68,7 @@
 	}
 }
 
-// TestRandomDrills plays plans drawn by lot.
+// TestRandomDrills runs randomly drawn plans.
 func TestRandomDrills(t *testing.T) {
 	for seed := range uint64(*drillSeeds) {
 		t.Run(fmt.Sprint("seed ", seed+1), func(t *testing.T) {
--- a/test/emulators_test.go
+++ b/test/emulators_test.go
@@ -10,23 +10,23 @@
 	"github.com/miekg/dns"
 )
 
-// listServiceBuffer is how many lines and polls a list service takes without a reader.
+// listServiceBuffer is the number of lines, and of polls, that a list service buffers.
 const listServiceBuffer = 64
 
-// listService emulates an endpoint list watch: it sends each line of feed to whoever is connected. The line "!" ends
-// the connection; what begins with "~" is sent without the end of its line.
+// listService emulates the service that serves the endpoint list: it sends each line of feed to the connected client.
+// The line "!" closes the connection; a line that begins with "~" is sent without the "~" and without a line end.
 type listService struct {
 	feed     chan string
-	polls    chan string // what each connection asked for
+	polls    chan string // the line that each connection sent first
 	listener net.Listener
 }
 
-// newListService starts one on a loopback port. It serves one connection at a time.
+// newListService starts a list service on a loopback port. It serves one connection at a time.
 func newListService() (*listService, error) {
 	return newListServiceAt("127.0.0.1:0")
 }
 
-// newListServiceAt starts one at an address.
+// newListServiceAt starts a list service at an address.
 func newListServiceAt(address string) (*listService, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -41,10 +41,10 @@
 	return s, nil
 }
 
-// address is where it listens.
+// address returns the address that the list service listens on.
 func (s *listService) address() string { return s.listener.Addr().String() }
 
-// close ends it.
+// close stops the list service.
 func (s *listService) close() { _ = s.listener.Close() }
 
 func (s *listService) serve() {
@@ -73,15 +73,15 @@
 	}
 }
 
-// nameServer emulates a name server over UDP that has A records.
+// nameServer emulates a UDP name server with A records.
 type nameServer struct {
 	mu           sync.Mutex
-	records      map[string]string
-	queriedNames []string // of the queries
+	records      map[string]string // addresses by name
+	queriedNames []string          // in the order of the queries
 	conn         net.PacketConn
 }
 
-// newNameServer starts one on a loopback port, with addresses by name.
+// newNameServer starts a name server with the given records, addresses by name, on a loopback port.
 func newNameServer(records map[string]string) (*nameServer, error) {
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -92,13 +92,13 @@
 	return s, nil
 }
 
-// address is where it listens.
+// address returns the address that the name server listens on.
 func (s *nameServer) address() string { return s.conn.LocalAddr().String() }
 
-// close ends it.
+// close stops the name server.
 func (s *nameServer) close() { _ = s.conn.Close() }
 
-// queries gives the names that it was asked for.
+// queries returns the names that were queried, in order.
 func (s *nameServer) queries() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -13,54 +13,54 @@
 	"sloequay/internal/emulator"
 )
 
-// A fault case plays the input that the fleet's bad days bring: answers that can't be read, connections reset, lists
-// torn, late, doubled and empty, clients that give up or come again at once. On each, every request that was not
-// taken back gets exactly one final answer, what is served is what an endpoint made, and once a round is over the
-// proxy holds what it held before: rounds are compared, so that what grows by a little each time is seen.
+// A fault case feeds the proxy the bad input of a faulty fleet: malformed responses, reset connections, lists that are
+// truncated, late, duplicated or empty, clients that cancel or retry at once. In each case every request that was not
+// canceled must get exactly one final response, a served body must be the one that an endpoint sent, and once a round
+// is over the proxy must hold as much state as before: rounds are compared, so that slow growth is detected.
 
 const (
 	faultRounds      = 5
 	faultClients     = 8
-	requestsPerRound = 50 // of a client
-	openWindow       = 8  // requests that a client has open
+	requestsPerRound = 50 // for each client
+	openWindow       = 8  // maximum number of open requests of a client
 )
 
 // faultCase is one kind of bad input.
 type faultCase struct {
 	name       string
-	respond    func(n int64, attempt *receivedRequest) // what the nth attempt of the case meets; nil: it is served
-	background func(r *faultRun)                       // runs beside a round, until over is closed; nil: nothing
-	cleanUp    func(r *faultRun)                       // puts right what beside has left; nil: nothing
+	respond    func(n int64, attempt *receivedRequest) // responds to the nth attempt of the case; nil: respondWithObject
+	background func(r *faultRun)                       // runs during a round, until roundOver is closed; nil: nothing
+	cleanUp    func(r *faultRun)                       // restores a valid state after background; nil: nothing
 	client     clientFaults
-	minServed  float64 // of the requests that were not taken back, the share that is to be served
+	minServed  float64 // minimum share of the requests not canceled that must be served
 }
 
-// clientFaults is how the case's clients behave; 0: none of it.
+// clientFaults is the faulty behaviour of a case's clients; 0 disables each kind.
 type clientFaults struct {
-	cancelEvery     int // each so manieth request is taken back at once
-	disconnectAfter int // after so many requests the client is gone, with what it has open, and comes anew
-	retries         int // a request that is not served comes again at once, so often
+	cancelEvery     int // cancel each request whose id is a multiple of this
+	disconnectAfter int // requests after which the client disconnects, with open requests, and connects again
+	retries         int // how many times a request that is not served is sent again at once
 }
 
-// faultRun is a case as it runs.
+// faultRun is the state of a running fault case.
 type faultRun struct {
 	testbed       *testbed
-	roundOver     chan struct{} // closed when the requests of a round have ended
-	listVersion   int           // that the list service has told last
+	roundOver     chan struct{} // closed when all requests of the round have ended
+	listVersion   int           // of the last event of the list service
 	served, ended atomic.Int64
 	ids           atomic.Uint64
 }
 
 var faultCases = []faultCase{
-	{name: "answers come malformed", respond: respondMalformed, minServed: 0.05},
+	{name: "responses are malformed", respond: respondMalformed, minServed: 0.05},
 	{name: "connections are reset", respond: respondOrClose, background: (*faultRun).resetConnections, minServed: 0.05},
-	{name: "lists are empty, torn, doubled, old and late", background: (*faultRun).sendFaultyLists,
+	{name: "lists are empty, truncated, duplicated, old and late", background: (*faultRun).sendFaultyLists,
 		cleanUp: (*faultRun).sendValidList, minServed: 0.05},
-	{name: "clients give up", client: clientFaults{cancelEvery: 3, disconnectAfter: 20}, respond: respondSlowly,
-		minServed: 0.5},
-	{name: "clients come again too often", client: clientFaults{retries: 10}, respond: respondOrReject,
+	{name: "clients cancel and disconnect", client: clientFaults{cancelEvery: 3, disconnectAfter: 20},
+		respond: respondSlowly, minServed: 0.5},
+	{name: "clients retry too often", client: clientFaults{retries: 10}, respond: respondOrReject,
 		minServed: 0.05},
-	{name: "all of it at once", respond: respondMalformed,
+	{name: "all faults at once", respond: respondMalformed,
 		client: clientFaults{cancelEvery: 4, disconnectAfter: 15, retries: 3},
 		background: func(r *faultRun) {
 			r.sendFaultyLists()
@@ -68,12 +68,13 @@
 		}, cleanUp: (*faultRun).sendValidList, minServed: 0.02},
 }
 
-// respondWithObject answers with the object that was asked for.
+// respondWithObject serves the requested object.
 func respondWithObject(attempt *receivedRequest) {
 	attempt.Answer("ACK", fmt.Sprintf("tag=t1,minted=%d,remark=hit", time.Now().UnixMilli()), attempt.Fields["thing"])
 }
 
-// respondMalformed answers one attempt after another in each of the ways that the operators' page lists.
+// respondMalformed responds to nine of 36 attempts with one fault each, which are those that the operators' page lists,
+// and serves the others.
 func respondMalformed(n int64, attempt *receivedRequest) {
 	raw := func(format string, args ...any) { _, _ = fmt.Fprintf(attempt.Conn, format, args...) }
 	switch n % 36 {
@@ -94,7 +95,7 @@
 	case 6:
 		respondWithObject(attempt)
 		respondWithObject(attempt)
-	case 7: // never comes
+	case 7: // no response
 	case 8:
 		raw("%s ACK tag=t1 16\r\n7f3a9c21e0b4d655 and more\r\n", attempt.ID)
 	default:
@@ -102,7 +103,7 @@
 	}
 }
 
-// respondOrClose closes each ninth attempt's connection once the attempt was read.
+// respondOrClose closes the connection of each ninth attempt, and serves the others.
 func respondOrClose(n int64, attempt *receivedRequest) {
 	if n%9 == 0 {
 		_ = attempt.Conn.Close()
@@ -111,13 +112,13 @@
 	respondWithObject(attempt)
 }
 
-// respondSlowly takes up to six milliseconds.
+// respondSlowly serves after up to 6 ms.
 func respondSlowly(n int64, attempt *receivedRequest) {
 	time.Sleep(time.Duration(n%4) * 2 * time.Millisecond)
 	respondWithObject(attempt)
 }
 
-// respondOrReject serves each third attempt.
+// respondOrReject serves each third attempt and rejects the others.
 func respondOrReject(n int64, attempt *receivedRequest) {
 	if n%3 == 0 {
 		respondWithObject(attempt)
@@ -126,7 +127,7 @@
 	attempt.Answer("AGAIN", "-", "")
 }
 
-// resetConnections resets those of one endpoint after another, whether new, idle or under a request.
+// resetConnections resets the connections of one endpoint after another, whether new, idle or in use.
 func (r *faultRun) resetConnections() {
 	for n := 0; ; n++ {
 		select {
@@ -138,24 +139,23 @@
 	}
 }
 
-// sendFaultyLists has the list service tell what can't be used, then what takes all endpoints away, and break off in
-// between.
+// sendFaultyLists has the list service send invalid events, then lists without endpoints, and disconnect in between.
 func (r *faultRun) sendFaultyLists() {
 	bed := r.testbed
 	for {
 		next := r.listVersion + 1
 		for _, line := range []string{
-			`{"no":` + strconv.Itoa(next) + `,"roster":{"seq":1,"who`, // torn
+			`{"no":` + strconv.Itoa(next) + `,"roster":{"seq":1,"who`, // truncated
 			"!",
-			listEvent(next, true), // hosts are none at all
+			listEvent(next, true), // hosts is null
 			"!",
-			listEvent(next, true, listEntry("c1", "nowhere", "edge", "std", "up", 0)), // no address
+			listEvent(next, true, listEntry("c1", "nowhere", "edge", "std", "up", 0)), // not an address
 			"!",
-			emptyListEvent(next), // all endpoints are gone
-			emptyListEvent(next), // twice
+			emptyListEvent(next), // no endpoints
+			emptyListEvent(next), // duplicate
 			strconv.Itoa(next),
 			listEvent(1, false, listEntry("c9", "127.0.0.1:1", "edge", "std", "up", 0)), // old
-			strconv.Itoa(next + 5), // five were missed, it says
+			strconv.Itoa(next + 5), // says that events were missed
 			listEvent(next+1, true, bed.listedEndpoints[0], bed.listedEndpoints[0], bed.listedEndpoints[1],
 				bed.listedEndpoints[2], bed.listedEndpoints[3]),
 		} {
@@ -173,13 +173,13 @@
 	}
 }
 
-// sendValidList has the list service tell the complete list, and waits until an endpoint serves again.
+// sendValidList has the list service send the complete list, and waits until an endpoint serves again.
 func (r *faultRun) sendValidList() {
 	bed := r.testbed
-	standing := bed.dial()
-	standing.waitRequestsRead(1)
+	idleClient := bed.dial()
+	idleClient.waitRequestsRead(1)
 	bed.waitUntil("an endpoint serves again", func() bool {
-		// Numbers that the program has already, or that skip some, have it ask again: then the next one will do.
+		// After an event number that it already has, or that skips some, the program polls again; a later number will do.
 		r.listVersion++
 		for _, line := range []string{listEvent(r.listVersion, true, bed.listedEndpoints...), "!"} {
 			select {
@@ -187,29 +187,29 @@
 			default:
 			}
 		}
-		protocol, err := emulator.Dial(bed.address)
+		connection, err := emulator.Dial(bed.address)
 		if err != nil {
 			return false
 		}
-		defer protocol.Conn.Close()
+		defer connection.Conn.Close()
 		id := r.ids.Add(1)
-		_ = protocol.Send(request(id, "footage", map[string]string{"item": faultObject(id)}, ""))
-		answer, err := protocol.Read(waitLimit)
+		_ = connection.Send(request(id, "footage", map[string]string{"item": faultObject(id)}, ""))
+		answer, err := connection.Read(waitLimit)
 		return err == nil && answer.Error == ""
 	})
-	_ = standing.conn.Close()
+	_ = idleClient.conn.Close()
 }
 
-// faultObject is the object that a request asks for: one of fifty.
+// faultObject returns the id of the object that a request asks for, one of fifty.
 func faultObject(request uint64) string { return hexID(request%50 + 1) }
 
-// round has all clients send what they have to send.
+// round runs the clients until each has sent all of its requests.
 func (r *faultRun) round(c *faultCase) {
 	r.roundOver = make(chan struct{})
-	var beside, clients sync.WaitGroup
+	var background, clients sync.WaitGroup
 	if c.background != nil {
-		beside.Add(1)
-		go func() { defer beside.Done(); c.background(r) }()
+		background.Add(1)
+		go func() { defer background.Done(); c.background(r) }()
 	}
 	for range faultClients {
 		clients.Add(1)
@@ -222,48 +222,48 @@
 	}
 	clients.Wait()
 	close(r.roundOver)
-	beside.Wait()
+	background.Wait()
 }
 
-// faultClient sends its requests, a window of them at a time, and holds the proxy to one answer each.
+// faultClient sends its requests, up to openWindow at a time, and fails the test unless each gets one response.
 type faultClient struct {
 	run    *faultRun
 	faults clientFaults
-	unsent int // requests that were not sent yet
+	unsent int // number of requests not sent yet
 
-	// Of the connection that stands:
+	// State of the current connection.
 	connection *emulator.Client
-	open       map[uint64]int // retries that are left, by the request's id
-	retryQueue []int          // the same, of requests that are to come again
+	open       map[uint64]int // remaining retries of the open requests, by id
+	retryQueue []int          // remaining retries of each request to be sent again
 	canceled   map[uint64]bool
 	sent       int
 }
 
-// connect sends requests on a new connection until all have ended or the client leaves, and says whether it may come
-// anew.
+// connect sends requests on a new connection until all have ended or the client disconnects, and reports whether the
+// client may connect again.
 func (c *faultClient) connect() bool {
 	t := c.run.testbed.t
 	var err error
 	if c.connection, err = emulator.Dial(c.run.testbed.address); err != nil {
-		t.Errorf("a client was not let in: %v", err)
+		t.Errorf("connecting a client: %v", err)
 		return false
 	}
 	defer c.connection.Conn.Close()
 	c.open, c.retryQueue, c.canceled, c.sent = map[uint64]int{}, nil, map[uint64]bool{}, 0
 	for c.unsent > 0 || len(c.open) > 0 || len(c.retryQueue) > 0 {
 		if err := c.fillWindow(); err != nil {
-			t.Errorf("a request could not be sent: %v", err)
+			t.Errorf("sending a request: %v", err)
 			return false
 		}
 		if c.shouldDisconnect() {
-			return true // with what it has open
+			return true // with open requests
 		}
 		if len(c.open) == 0 {
 			continue
 		}
 		answer, err := c.connection.Read(waitLimit)
 		if err != nil {
-			t.Errorf("%d requests have no answer: %v", len(c.open), err)
+			t.Errorf("got no response to %d requests: %v", len(c.open), err)
 			return true
 		}
 		c.handleAnswer(answer)
@@ -271,7 +271,7 @@
 	return true
 }
 
-// shouldDisconnect says whether the client is to leave now.
+// shouldDisconnect reports whether the client must disconnect now.
 func (c *faultClient) shouldDisconnect() bool {
 	return c.faults.disconnectAfter > 0 && c.sent >= c.faults.disconnectAfter
 }
@@ -301,16 +301,16 @@
 	return nil
 }
 
-// handleAnswer takes an answer.
+// handleAnswer checks and counts a response.
 func (c *faultClient) handleAnswer(answer reply) {
 	t := c.run.testbed.t
 	retries, open := c.open[answer.ID]
 	switch {
-	case c.canceled[answer.ID]: // it crossed the withdrawal, and may come once
+	case c.canceled[answer.ID]: // the response crossed the cancellation, and may arrive once
 		delete(c.canceled, answer.ID)
 		return
 	case !open:
-		t.Errorf("%+v is a second answer, or one to nothing", answer)
+		t.Errorf("got response %+v, want none that is a second one or to an unknown request", answer)
 		return
 	}
 	delete(c.open, answer.ID)
@@ -319,14 +319,15 @@
 	case answer.Error == "":
 		c.run.served.Add(1)
 		if want := faultObject(answer.ID); answer.Body != want {
-			t.Errorf("request %d was served %q, want %q", answer.ID, answer.Body, want)
+			t.Errorf("request %d: got body %q, want %q", answer.ID, answer.Body, want)
 		}
 	case retries > 0:
-		c.retryQueue = append(c.retryQueue, retries-1) // whatever `later` says
+		c.retryQueue = append(c.retryQueue, retries-1) // without the wait that the field later asks for
 	}
 }
 
-// TestFaultsLeakNoResources plays the fault cases.
+// TestFaultsLeakNoResources runs the fault cases, and checks that the state of the program does not grow with each
+// round.
 func TestFaultsLeakNoResources(t *testing.T) {
 	for _, c := range faultCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -342,12 +343,12 @@
 			socket := socketPath(t)
 			bed.addSettings("control " + socket)
 			bed.start()
-			go func() { // what the program asks of the list service is not looked at
+			go func() { // discards the polls of the list service
 				for range bed.listPolls {
 				}
 			}()
 			run := &faultRun{testbed: bed, listVersion: 1}
-			var states []map[string]int // at the end of each round
+			var states []map[string]int // state counts at the end of each round
 			for round := range faultRounds {
 				run.round(&c)
 				if c.cleanUp != nil {
@@ -358,17 +359,17 @@
 			expectNoGrowth(t, states[1], states[faultRounds-1])
 			share := float64(run.served.Load()) / float64(run.ended.Load())
 			if share < c.minServed {
-				t.Errorf("%.2f of %d requests were served, want at least %.2f", share, run.ended.Load(), c.minServed)
+				t.Errorf("got a share of %.2f of %d requests served, want at least %.2f", share, run.ended.Load(), c.minServed)
 			}
 			bed.expectRunning()
 		})
 	}
 }
 
-// waitNoOpenRequests waits until nothing of a round is open any more, and gives how much the program holds then.
+// waitNoOpenRequests waits until no request of a round is open, and returns the counts of the state that remains.
 func (r *faultRun) waitNoOpenRequests(round int, socket string) (state map[string]int) {
 	r.testbed.t.Helper()
-	r.testbed.waitUntil(fmt.Sprintf("what round %d left is gone", round), func() bool {
+	r.testbed.waitUntil(fmt.Sprintf("no request of round %d is open", round), func() bool {
 		state = r.testbed.stateCounts(socket)
 		return state["pool.0.open"]+state["pool.0.module"]+state["pool.0.sent"] == 0
 	})
@@ -376,30 +377,30 @@
 	return state
 }
 
-// expectNoGrowth compares how much the program holds after the second round and after the last. Rounds differ by what
-// is just being closed; what is kept would be there for each request.
+// expectNoGrowth compares the state counts after the second round and after the last. Rounds may differ by state that
+// is just being released; a leak would remain for each request.
 func expectNoGrowth(t *testing.T, second, last map[string]int) {
 	t.Helper()
 	const roundRequests = faultClients * requestsPerRound
 	for kind, n := range last {
 		switch kind {
-		case "pool.0.given-up": // kept for 10 s, as late answers may come
+		case "pool.0.given-up": // kept for 10 s, because late responses may arrive
 			continue
-		case "pool.0.timers": // see below
+		case "pool.0.timers": // checked below
 			continue
 		}
 		if limit := second[kind] + roundRequests/4; n > limit {
-			t.Errorf("%s: %d after round 2, %d after round %d, want at most %d", kind, second[kind], n,
+			t.Errorf("%s: got %d after round 2 and %d after round %d, want at most %d", kind, second[kind], n,
 				faultRounds, limit)
 		}
 	}
 	if n, limit := last["pool.0.timers"], 2*roundRequests+1024; n > limit {
-		t.Errorf("%d timers are held with nothing open, want at most %d", n, limit)
+		t.Errorf("got %d timers without open requests, want at most %d", n, limit)
 	}
 }
 
-// TestCanceledRequestsReleaseTimers: a client that tells limits of an hour and takes each request back left two
-// timers each, with the request, for that hour.
+// TestCanceledRequestsReleaseTimers guards against two timers per canceled request that, together with the request, are
+// kept until the time limit of the request, here an hour.
 func TestCanceledRequestsReleaseTimers(t *testing.T) {
 	bed := newTestbed(t, func(*receivedRequest) {})
 	socket := socketPath(t)
@@ -409,13 +410,13 @@
 	for id := uint64(1); id <= 3000; id++ {
 		client.send(request(id, "footage", map[string]string{"limit": "3600000"}, ""))
 		client.send(cancelNotification(id))
-		if id%16 == 0 { // else they would be taken back in the round they came in, and not be taken up
+		if id%16 == 0 { // otherwise they would be canceled in the round they arrive in, and not be processed
 			client.waitRequestsRead(id)
 			bed.waitUntil("nothing is open", func() bool { return bed.stateCounts(socket)["pool.0.open"] == 0 })
 		}
 	}
 	if n, limit := bed.stateCounts(socket)["pool.0.timers"], 1100; n > limit {
-		t.Errorf("%d timers are held with nothing open, want at most %d", n, limit)
+		t.Errorf("got %d timers without open requests, want at most %d", n, limit)
 	}
 	bed.signal(syscall.SIGTERM)
 	bed.waitExit()
--- a/test/idle_test.go
+++ b/test/idle_test.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// The fleet's platform holds a thread that neither waits nor ends for 20 s of real time for a crash, and one core is
-// shared by many proxies: whoever has nothing to do must wait. Each case is one in which programs of this kind have
-// been seen to spin: a peer that is half closed or does not read is always ready for the poller, and what is refused
-// at once is tried again at once.
+// The fleet's platform treats a thread that neither blocks nor ends for 20 s of real time as crashed, and many proxies
+// share one core: a proxy without work must block. Each case is one in which programs of this kind are known to spin:
+// a peer that is half-closed or does not read is always ready for the poller, and an operation that fails at once is
+// retried at once.
 
-// maxIdleCPUShare is how much of a core a proxy with nothing to do may use. It uses 0.01 to 0.03; a goroutine that spins
-// uses all it gets, on a busy machine less than the whole.
+// maxIdleCPUShare is the share of a core that a proxy without work may use. It uses 0.01 to 0.03; a goroutine that
+// spins uses all that it gets, which on a busy machine is less than the whole core.
 const maxIdleCPUShare = 0.2
 
-// unansweredObject is an object that endpoints never answer for in these tests.
+// unansweredObject is an object that endpoints never answer for in tests that use it.
 const unansweredObject = "00000000000000aa"
 
-// idleCase is something that could make a proxy look as if it had something to do.
+// idleCase is a situation in which a proxy without work could spin.
 type idleCase struct {
 	name        string
-	beforeStart func(bed *testbed) // before the program starts; nil: nothing
-	afterStart  func(bed *testbed) // once it runs; nil: nothing
+	beforeStart func(bed *testbed) // called before the program starts; nil: nothing
+	afterStart  func(bed *testbed) // called once the program runs; nil: nothing
 }
 
 var idleCases = []idleCase{
-	{"nobody comes", nil, nil},
+	{"no clients connect", nil, nil},
 	{"the list service refuses connections", func(bed *testbed) { bed.config["bulletin"] = "127.0.0.1:1" }, nil},
 	{"the list service closes each connection at once", func(bed *testbed) {
 		bed.config["bulletin"] = bed.listenAndClose()
@@ -61,7 +61,7 @@
 			client.send(request(id+1, "footage", map[string]string{"limit": "60000"}, ""))
 		}
 	}},
-	{"it leaves, and a request stays open", nil, func(bed *testbed) {
+	{"the proxy drains with an open request", nil, func(bed *testbed) {
 		client := bed.dial()
 		client.send(request(1, "footage", map[string]string{"item": unansweredObject, "limit": "60000"}, ""))
 		bed.waitFirstAttempt()
@@ -69,11 +69,11 @@
 	}},
 }
 
-// TestIdleProxyDoesNotSpin: a proxy that has nothing to do, or only peers that make it look as if it had, waits. It
-// never has children.
+// TestIdleProxyDoesNotSpin checks that a proxy without work blocks, whatever its peers do, and that it has no child
+// processes.
 func TestIdleProxyDoesNotSpin(t *testing.T) {
 	if _, err := os.Stat("/proc/self/schedstat"); err != nil {
-		t.Skip("no schedstat here")
+		t.Skip("needs /proc/self/schedstat")
 	}
 	for _, c := range idleCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -90,37 +90,40 @@
 			if c.afterStart != nil {
 				c.afterStart(bed)
 			}
-			// What the case itself brings about takes a moment; a spin does not end.
-			bed.waitUntil("the proxy waits", func() bool {
+			// The work that the case itself causes ends after a moment; a spin does not.
+			bed.waitUntil("the proxy is idle", func() bool {
 				return cpuShare(t, bed.cmd.Process.Pid, 300*time.Millisecond) < maxIdleCPUShare
 			})
 			if share := cpuShare(t, bed.cmd.Process.Pid, time.Second); share > maxIdleCPUShare {
-				t.Errorf("it used %.2f of a core with nothing to do, want at most %.2f", share, maxIdleCPUShare)
+				t.Errorf("got a CPU usage of %.2f cores without work, want at most %.2f", share, maxIdleCPUShare)
 			}
 			if usage, _ := readProcessUsage(bed.cmd.Process.Pid); len(usage.children) > 0 {
-				t.Errorf("it has the children %v, want none", usage.children)
+				t.Errorf("got child processes %v, want none", usage.children)
 			}
 		})
 	}
-	t.Run("a goroutine that spins is seen", func(t *testing.T) {
+	t.Run("a spinning goroutine is detected", func(t *testing.T) {
 		t.Parallel()
 		bed := newTestbed(t, nil)
 		bed.startTestBinary(spinVariable)
-		bed.waitUntil("it is seen", func() bool { return cpuShare(t, bed.cmd.Process.Pid, time.Second) > maxIdleCPUShare })
+		bed.waitUntil("the spin is detected", func() bool {
+			return cpuShare(t, bed.cmd.Process.Pid, time.Second) > maxIdleCPUShare
+		})
 	})
 }
 
-// TestFailedFileWatchDoesNotSpin guards against a goroutine that asks without end for notices of changed files,
-// as the system had no memory for a moment to watch where they come from. Each fault draws other calls that fail.
+// TestFailedFileWatchDoesNotSpin guards against a goroutine that reads file notifications in an endless loop because
+// the system could not add their descriptor to Go's poller, for example for lack of memory. Each errno fails another
+// random half of these calls.
 func TestFailedFileWatchDoesNotSpin(t *testing.T) {
 	for _, errno := range []string{"ENOMEM", "ENFILE", "ENOBUFS", "EMFILE"} {
 		t.Run(errno, func(t *testing.T) {
 			t.Parallel()
 			bed := newTLSTestbed(t, nil)
 			bed.startWithFaults("epoll_ctl_add/go=" + errno + "%0.5")
-			bed.dial().call(1, "lookup", nil) // it has started
+			bed.dial().call(1, "lookup", nil) // shows that the program has started
 			if share := cpuShare(t, bed.cmd.Process.Pid, time.Second); share > maxIdleCPUShare {
-				t.Errorf("it used %.2f of a core with nothing to do, want at most %.2f", share, maxIdleCPUShare)
+				t.Errorf("got a CPU usage of %.2f cores without work, want at most %.2f", share, maxIdleCPUShare)
 			}
 		})
 	}
