--- a/test/cancellation_test.go
+++ b/test/cancellation_test.go
@@ -19,7 +19,9 @@
 	bed.start()
 	waitCancellations := func(count int) {
 		t.Helper()
-		bed.waitUntil(fmt.Sprint(count, " QUIT lines have arrived"), func() bool { return len(bed.cancellations()) == count })
+		bed.waitUntil(fmt.Sprint(count, " QUIT lines have arrived"), func() bool {
+			return len(bed.cancellations()) == count
+		})
 	}
 	one, two := bed.dial(), bed.dial()
 	longLimit := map[string]string{"limit": "60000"} // otherwise the deadline would cancel the attempts
--- a/test/catalogue_outage_test.go
+++ b/test/catalogue_outage_test.go
@@ -43,8 +43,8 @@
 			bed.waitInUse("c1") // the proxy cannot know of the change yet
 			polls, took := agents[0].Requests()-requestsBefore, time.Since(outageStart)
 			agents[0].SetFault(consul.None, 0)
-			back := time.Now()
-			bed.waitUnused("c1", back, 1500*time.Millisecond)
+			recoveredAt := time.Now()
+			bed.waitUnused("c1", recoveredAt, 1500*time.Millisecond)
 			load.stopAndExpectServed(t)
 			if limit := int(took/time.Second) + 2; c.fault != consul.Refuse && polls > limit {
 				t.Errorf("the agent got %d requests in %v, want at most %d", polls, took, limit)
--- a/test/clock_test.go
+++ b/test/clock_test.go
@@ -76,11 +76,11 @@
 	setOffset(24 * time.Hour)
 	release("when the clock stepped forward a day")
 	expectReason("a token of two hours after the step forward", valid, "expired")
-	// The purge has the timestamp of a correct clock. The proxy, whose clock was a day ahead, must not take it for a day
-	// old.
+	// The purge has the timestamp of a correct clock. The proxy, whose clock was a day ahead, must not take it for a
+	// day old.
 	setOffset(0)
 	expectServed("after the step to the correct time")
-	expectReason("a token whose revocation had ended while the clock was a day ahead", stolen, "revoked")
+	expectReason("a token whose revocation ended at the step forward", stolen, "revoked")
 	bed.listFeed <- objectInvalidation(2, "7f3a9c21e0b4d655", time.Now().UnixMilli())
 	bed.waitUntil("the purge applies", func() bool {
 		lookup(valid)
--- a/test/connections_test.go
+++ b/test/connections_test.go
@@ -114,7 +114,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			// The response to the second attempt stands for a second one to the first: the second attempt stays open.
+			// The response to the second attempt stands in for a duplicate response to the first: the second attempt
+			// counts as open.
 			bed := newTestbed(t, func(attempt *receivedRequest) { attempt.Answer(c.word, c.fields, "") }, "c2")
 			bed.start()
 			client := bed.dial()
@@ -196,12 +197,12 @@
 			t.Parallel()
 			bed := newTestbed(t, func(attempt *receivedRequest) {
 				time.Sleep(c.takes)
-				attempt.Answer("ACK", "-", "sound")
+				attempt.Answer("ACK", "-", "served")
 			}, "c2")
 			bed.start()
 			client := bed.dial()
 			answer := client.call(1, "footage", map[string]string{"ram": "2000", "limit": "60000"})
-			if answer.Body != "sound" {
+			if answer.Body != "served" {
 				t.Fatalf("got response %+v, want the request served", answer)
 			}
 			if n := len(bed.received(hasWord("NOOP"))); n < c.min || n > c.max {
@@ -244,10 +245,10 @@
 	}
 }
 
-// TestTrickledResponseReleasesWaiting checks a response that arrives byte by byte and does not end. An attempt behind
-// it on the same connection must go to another connection once the request of that response is over, and no new
+// TestTrickledResponseReleasesWaitingAttempts checks a response that arrives byte by byte and does not end. An attempt
+// behind it on the same connection must go to another connection once the request of that response is over, and no new
 // attempt may be sent behind it.
-func TestTrickledResponseReleasesWaiting(t *testing.T) {
+func TestTrickledResponseReleasesWaitingAttempts(t *testing.T) {
 	responder := &trickleResponder{pending: make(chan *receivedRequest, 100), done: make(chan struct{})}
 	t.Cleanup(func() { close(responder.done) })
 	bed := newTestbed(t, responder.respond, "c2")
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -28,7 +28,7 @@
 // faultCase is one kind of bad input.
 type faultCase struct {
 	name       string
-	respond    func(n int64, attempt *receivedRequest) // responds to the nth attempt of the case; nil: respondWithObject
+	respond    func(n int64, attempt *receivedRequest) // to the nth attempt of the case; nil: respondWithObject
 	background func(r *faultRun)                       // runs during a round, until roundOver is closed; nil: nothing
 	cleanUp    func(r *faultRun)                       // restores a valid state after background; nil: nothing
 	client     clientFaults
@@ -179,7 +179,8 @@
 	idleClient := bed.dial()
 	idleClient.waitRequestsRead(1)
 	bed.waitUntil("an endpoint serves again", func() bool {
-		// After an event number that it already has, or that skips some, the program polls again; a later number will do.
+		// After an event number that it already has, or that skips some, the program polls again; a later number will
+		// do.
 		r.listVersion++
 		for _, line := range []string{listEvent(r.listVersion, true, bed.listedEndpoints...), "!"} {
 			select {
@@ -359,7 +360,8 @@
 			expectNoGrowth(t, states[1], states[faultRounds-1])
 			share := float64(run.served.Load()) / float64(run.ended.Load())
 			if share < c.minServed {
-				t.Errorf("got a share of %.2f of %d requests served, want at least %.2f", share, run.ended.Load(), c.minServed)
+				t.Errorf("got a share of %.2f of %d requests served, want at least %.2f", share, run.ended.Load(),
+					c.minServed)
 			}
 			bed.expectRunning()
 		})
--- a/test/identity_test.go
+++ b/test/identity_test.go
@@ -240,7 +240,7 @@
 	for i, c := range []signedQuery{
 		{"a charge of a lane", "lane-3.", lane, 0, charge("u1"), dns.RcodeSuccess, 0, ""},
 		{"the same charge again", "lane-3.", lane, 0, charge("u1"), dns.RcodeSuccess, 0, ""},
-		{"another lane with the same idempotency key", "lane-4.", other, 0, charge("u1"), dns.RcodeRefused, 0, "key-in-use"},
+		{"another lane with the same key", "lane-4.", other, 0, charge("u1"), dns.RcodeRefused, 0, "key-in-use"},
 		{"a charge of a terminal", "terminal-7.", staff, 0, charge("u2"), dns.RcodeRefused, 0, "right"},
 		{"a lookup of a terminal", "terminal-7.", staff, 0, lookup, dns.RcodeSuccess, 0, ""},
 		{"an unsigned charge", "", "", 0, charge("u3"), dns.RcodeRefused, 0, "unsigned"},
@@ -343,18 +343,18 @@
 
 // callFor sends requests one after another for the given duration, at least one, and returns their latencies. It fails
 // the test if one is not served.
-func (c *validTokenCaller) callFor(duration time.Duration) (latencies []time.Duration) {
+func (c *validTokenCaller) callFor(duration time.Duration) (took []time.Duration) {
 	c.client.t.Helper()
-	for end := time.Now().Add(duration); time.Now().Before(end) || len(latencies) == 0; time.Sleep(3 * time.Millisecond) {
+	for end := time.Now().Add(duration); time.Now().Before(end) || len(took) == 0; time.Sleep(3 * time.Millisecond) {
 		c.sent++
 		began := time.Now()
 		fields := map[string]string{"token": c.token, "ram": "1", "txn": hexID(began.UnixNano())}
 		if answer := c.client.call(c.sent, "lookup", fields); answer.Error != "" {
 			c.client.t.Fatalf("valid token: got response %+v, want the request served", answer)
 		}
-		latencies = append(latencies, time.Since(began))
+		took = append(took, time.Since(began))
 	}
-	return latencies
+	return took
 }
 
 // tokenFlood sends charges with distinct tokens whose signatures are invalid.
@@ -435,7 +435,7 @@
 	case answer.Error == "Overloaded" && answer.Fields["later"] != "":
 		f.rateLimited++
 	default:
-		return fmt.Errorf("bad token: got response %+v, want reason signature or a rejection with a time to retry", answer)
+		return fmt.Errorf("bad token: got response %+v, want reason signature or a time to retry", answer)
 	}
 	return nil
 }
--- a/test/idle_test.go
+++ b/test/idle_test.go
@@ -17,7 +17,7 @@
 // spins uses all that it gets, which on a busy machine is less than the whole core.
 const maxIdleCPUShare = 0.2
 
-// unansweredObject is an object that endpoints never answer for in tests that use it.
+// unansweredObject is an object for which endpoints never respond in the tests that use it.
 const unansweredObject = "00000000000000aa"
 
 // idleCase is a situation in which a proxy without work could spin.
@@ -80,7 +80,7 @@
 			t.Parallel()
 			bed := newTestbed(t, func(attempt *receivedRequest) {
 				if attempt.Fields["thing"] != unansweredObject {
-					attempt.Answer("ACK", "-", "sound")
+					attempt.Answer("ACK", "-", "served")
 				}
 			})
 			if c.beforeStart != nil {
@@ -113,8 +113,8 @@
 }
 
 // TestFailedFileWatchDoesNotSpin guards against a goroutine that reads file notifications in an endless loop because
-// the system could not add their descriptor to Go's poller, for example for lack of memory. Each errno fails another
-// random half of these calls.
+// the system could not add their descriptor to Go's poller, for example for lack of memory. With each errno, another
+// random half of these calls fails.
 func TestFailedFileWatchDoesNotSpin(t *testing.T) {
 	for _, errno := range []string{"ENOMEM", "ENFILE", "ENOBUFS", "EMFILE"} {
 		t.Run(errno, func(t *testing.T) {
