--- a/test/catalogue_outage_test.go
+++ b/test/catalogue_outage_test.go
@@ -162,7 +162,10 @@
 	}{
 		{"valid", valid, "event=snapshot-loaded", true},
 		{"truncated", valid[:len(valid)/2], "event=snapshot-rejected", false},
-		{"newer version", strings.Replace(valid, "list 1 ", "list 2 ", 1), "unsupported snapshot version: got 2, want 1", false},
+		{
+			"newer version", strings.Replace(valid, "list 1 ", "list 2 ", 1),
+			"unsupported snapshot version: got 2, want 1", false,
+		},
 	} {
 		bed.kill()
 		bed.log.reset()
