--- a/internal/upstream/dial_failure.go
+++ b/internal/upstream/dial_failure.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// maxDialLateness is how much later than its limit the time-out of a dial may be reported. If it is later still,
-	// this machine stood still during the dial.
+	// maxDialLateness is how late after its limit the timeout of a dial may be reported. A later report shows that this
+	// machine stood still during the dial.
 	maxDialLateness = 100 * time.Millisecond
 	// Pauses before redials while this machine lacks a resource or a route, until DialTimeout.
 	minRedialPause = 10 * time.Millisecond
@@ -35,7 +35,7 @@
 	end    broker.End
 }
 
-// classifyDial interprets the error of a dial that failed after the elapsed time and was limited to limit.
+// classifyDial interprets the error of a dial that failed after the elapsed time and had the timeout limit.
 func classifyDial(err error, elapsed, limit time.Duration) dialFailure {
 	var netErr net.Error
 	switch {
@@ -54,11 +54,11 @@
 // dialProgress tracks the dials of one connection.
 //
 // Invariants: redials with a pause start within the limit after the first dial. Their pauses double from minRedialPause
-// to maxRedialPause. Only the first redialOnce is followed.
+// to maxRedialPause. Only the first redialOnce leads to a redial.
 type dialProgress struct {
 	startedAt       time.Duration // of the first dial
 	lastStartedAt   time.Duration // of the latest dial
-	hasRedialedOnce bool          // whether a redialOnce was followed
+	hasRedialedOnce bool          // whether a redialOnce has led to a redial
 	pause           time.Duration // of the last redialUntilLimit
 }
 
--- a/internal/upstream/dial_failure_test.go
+++ b/internal/upstream/dial_failure_test.go
@@ -44,7 +44,7 @@
 }
 
 // TestDialProgress checks for random failures that redials with a pause start within the limit, that pauses double up
-// to their maximum, and that a redialOnce is followed only once.
+// to their maximum, and that only the first redialOnce leads to a redial.
 func TestDialProgress(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const start = time.Minute
@@ -59,7 +59,7 @@
 			pause, ok := progress.next(now, redial, limit)
 			switch {
 			case redial == redialOnce && (pause != 0 || ok == redialedOnce):
-				t.Fatalf("redialOnce: got redial %v, pause %v; followed before: %v", ok, pause, redialedOnce)
+				t.Fatalf("redialOnce: got redial %v, pause %v; redialed before: %v", ok, pause, redialedOnce)
 			case redial == redialUntilLimit && (pause != wantPause || ok != (now+pause <= start+limit)):
 				t.Fatalf("redialUntilLimit: got redial %v after %v, pause %v, want pause %v within %v",
 					ok, now-start, pause, wantPause, limit)
--- a/internal/upstream/id_history.go
+++ b/internal/upstream/id_history.go
@@ -44,7 +44,8 @@
 func (h *idHistory) isRepeated(id, digest string) bool { return h.entries[id].digest == digest }
 
 // isAmbiguous reports whether a late response under an id could be taken for the response to a new attempt. A duplicate
-// of a remembered response is recognized, which only helps if the endpoint can confirm the end of the attempt.
+// of a remembered response is recognized by its digest, but that helps only if the endpoint can confirm the end of the
+// attempt (canConfirm, see connection.confirmRepeated).
 func (h *idHistory) isAmbiguous(id string, canConfirm bool) bool {
 	entry, ok := h.entries[id]
 	return ok && (entry.digest == "" || !canConfirm)
--- a/internal/upstream/id_history_test.go
+++ b/internal/upstream/id_history_test.go
@@ -33,16 +33,16 @@
 			wasCanceled := known && entry.digest == "" && age <= 10*time.Second
 			wasAnswered := known && entry.digest != "" && age <= time.Second
 			if got := history.contains(id); got != (wasCanceled || wasAnswered) {
-				t.Fatalf("got contains %v with %+v %v ago", got, entry, age)
+				t.Fatalf("contains: got %v with the last entry %+v, made %v ago", got, entry, age)
 			}
 			if got := history.isAmbiguous(id, true); got != wasCanceled {
-				t.Fatalf("got ambiguous %v, with confirmation possible and %+v %v ago", got, entry, age)
+				t.Fatalf("isAmbiguous(true): got %v with the last entry %+v, made %v ago", got, entry, age)
 			}
 			if got := history.isAmbiguous(id, false); got != (wasCanceled || wasAnswered) {
-				t.Fatalf("got ambiguous %v, without confirmation possible and with %+v %v ago", got, entry, age)
+				t.Fatalf("isAmbiguous(false): got %v with the last entry %+v, made %v ago", got, entry, age)
 			}
 			if got := history.isRepeated(id, digest); got != (wasAnswered && entry.digest == digest) {
-				t.Fatalf("got repeated %v with %+v %v ago", got, entry, age)
+				t.Fatalf("isRepeated: got %v with the last entry %+v, made %v ago", got, entry, age)
 			}
 		}
 	})
--- a/internal/upstream/liveness/monitor.go
+++ b/internal/upstream/liveness/monitor.go
@@ -25,14 +25,14 @@
 	// minQuietTime is how long nothing must have been read before a connection with a past-due attempt is checked. An
 	// endpoint that is merely slow answers the check at once, ahead of its queued requests.
 	minQuietTime = 100 * time.Millisecond
-	// recheckAfter is the same if all past-due attempts were due before the endpoint last answered a check: they are
-	// slow, not cut off. Checks cost the endpoint work, so one slow response must not cause a series of them.
+	// recheckAfter replaces minQuietTime if all past-due attempts were due before the endpoint last answered a check:
+	// they are slow, not cut off. Checks cost the endpoint work, so one slow response must not cause a series of them.
 	recheckAfter = time.Second
 	// suspectAfter is how long a check may be unanswered before new attempts use another connection.
 	suspectAfter = 30 * time.Millisecond
 	// checkTimeout is how long a check may be unanswered, with no byte read, before the connection is Unresponsive.
 	checkTimeout     = 120 * time.Millisecond
-	minStepsPerCheck = 3 // more steps than this must pass: after a standstill nothing is known about the endpoint
+	minStepsPerCheck = 3 // a check times out only after more steps, so not because of a standstill of this process
 	// retireAfter is how long nothing may be read on a connection that can't be checked before it is retired.
 	retireAfter = 600 * time.Millisecond
 	// maxPartialAge is how long a response may be arriving before no new attempt may wait behind it. The largest
@@ -68,7 +68,8 @@
 	anyAwaited  bool // whether the request of any of them still waits for it
 }
 
-// Add adds an attempt whose response was due at dueAt, which has passed. It is awaited if it has not ended.
+// Add adds an attempt whose response was due at dueAt, a time that has passed. awaited reports whether its request
+// still waits for it.
 func (a *PastDueAttempts) Add(dueAt time.Duration, awaited bool) {
 	a.hasAny = true
 	a.latestDueAt = max(a.latestDueAt, dueAt)
--- a/internal/upstream/liveness/monitor_test.go
+++ b/internal/upstream/liveness/monitor_test.go
@@ -154,7 +154,7 @@
 	return rapid.IntRange(low, high).Draw(p.t, what)
 }
 
-// advance advances the time: most often by a step's interval, sometimes by a standstill.
+// advance advances the clock, most often by StepInterval, and sometimes by the length of a standstill.
 func (p *modelTest) advance() {
 	lengths := []int{1, 20, 20, 20, 20, 25, 60, 400, 1100}
 	p.model.now += time.Duration(rapid.SampledFrom(lengths).Draw(p.t, "ms")) * time.Millisecond
--- a/internal/upstream/liveness/unflushed_test.go
+++ b/internal/upstream/liveness/unflushed_test.go
@@ -27,7 +27,7 @@
 				waited = now - queuedAt[flushed]
 			}
 			if stuck && waited+unflushedResolution <= maxUnflushed || !stuck && waited > maxUnflushed {
-				t.Fatalf("got stuck %v after the oldest byte has waited %v", stuck, waited)
+				t.Fatalf("isStuck: got %v after the oldest byte had waited %v", stuck, waited)
 			}
 			if bound := int(maxUnflushed/unflushedResolution) + 30; len(queued.queue) > bound && !stuck {
 				t.Fatalf("got %d entries, want fewer", len(queued.queue))
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -40,7 +40,7 @@
 	Classes        []policy.Class
 	DialTimeout    time.Duration
 	IdleTimeout    time.Duration // after which endpoints close an idle connection; 0: never
-	Streams        int           // attempts and checks on a connection from which it takes no more attempts
+	Streams        int           // load (attempts and checks) at which a connection takes no more attempts
 	MaxConnections int           // limit on descriptors: a connection takes one, a dial two
 	ChecksAllowed  bool          // whether endpoints answer liveness checks
 	CancelAllowed  bool          // whether endpoints accept cancellations
@@ -137,8 +137,8 @@
 }
 
 // Cancel cancels an attempt that may be in flight. With AwaitEnd an AttemptEnded follows. If endpoints answer checks,
-// it follows only once the endpoint is known to have read the cancellation: otherwise the endpoint could read it after
-// another one reads the next attempt, or never.
+// it follows only once the endpoint is known to have read the cancellation. Otherwise another endpoint could read the
+// next attempt before this one reads the cancellation, if it ever does.
 //
 // If endpoints accept no cancellations, the attempt stays on its connection until its deadline, which the endpoint was
 // told. A later response to it has no effect because the attempt has ended.
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -34,10 +34,10 @@
 		}
 		ended := r.attemptEnded(nil)
 		if r.id != "r1" || r.code != c.code || r.digest != c.digest || !r.code.endsAttempt() {
-			t.Errorf("%q: got response %+v", c.text, r)
+			t.Errorf("%q: got response %+v, want id r1 and the expected code and digest", c.text, r)
 		}
 		if ended.End != c.end || ended.Note != c.note {
-			t.Errorf("%q: got attempt end %+v", c.text, ended)
+			t.Errorf("%q: got attempt end %+v, want the expected end and note", c.text, ended)
 		}
 		for n := range len(c.text) {
 			if _, used, err := parseResponse([]byte(c.text[:n])); used != 0 || err != nil {
@@ -47,7 +47,7 @@
 	}
 	for _, text := range []string{"p1 READY - 0\r\n\r\n", "p1 AILING - 0\r\n\r\n"} {
 		if r, used, err := parseResponse([]byte(text)); err != nil || used != len(text) || r.code.endsAttempt() {
-			t.Errorf("%q: got used %d, error %v, response %+v, want that of a check", text, used, err, r)
+			t.Errorf("%q: got used %d, error %v, response %+v, want the answer to a check", text, used, err, r)
 		}
 	}
 	for _, text := range []string{
--- a/internal/upstream/selection.go
+++ b/internal/upstream/selection.go
@@ -22,8 +22,8 @@
 // selection chooses among the connections to an endpoint, which are considered one after another.
 //
 // Invariants: the chosen connection is usable, the attempt's id is free on it, and no other such connection is better.
-// Another connection is wanted if there is no such connection, or if the chosen one has half of its maximum load and
-// none is being dialed. In the second case the connection is opened ahead of need: no attempt waits for it.
+// Another connection is wanted if there is no such connection, or if the chosen one has at least half of its maximum
+// load and none is being dialed. In the second case the connection is opened ahead of need: no attempt waits for it.
 type selection struct {
 	best      candidate
 	bestIndex int
--- a/internal/upstream/selection_test.go
+++ b/internal/upstream/selection_test.go
@@ -41,7 +41,7 @@
 		}
 		slices.SortStableFunc(usable, func(a, b int) int { return rank(a) - rank(b) })
 		if choice.isFound != (len(usable) > 0) {
-			t.Fatalf("got found %v with %d usable connections", choice.isFound, len(usable))
+			t.Fatalf("isFound: got %v with %d usable connections, want true if any", choice.isFound, len(usable))
 		}
 		wantsAnother := true
 		if choice.isFound {
@@ -52,7 +52,7 @@
 			wantsAnother = isFilling && !isDialing
 		}
 		if got := choice.wantsAnother(maxLoad); got != wantsAnother {
-			t.Fatalf("got another connection wanted %v, want %v", got, wantsAnother)
+			t.Fatalf("wantsAnother: got %v, want %v", got, wantsAnother)
 		}
 	})
 }
--- a/internal/upstream/stats.go
+++ b/internal/upstream/stats.go
@@ -7,7 +7,7 @@
 type Stats struct {
 	Written        int // attempts written to a connection
 	LivenessChecks int
-	CancelConfirms int // those of LivenessChecks that confirm a cancellation
+	CancelConfirms int // checks, included in LivenessChecks, that were sent to confirm a cancellation
 	Unresponsive   int // connections closed because a check was not answered or the endpoint did not read
 	Dials          int // connections started; redials of a connection do not count
 	DialFailed     int // connections whose last dial failed
