--- a/internal/atomicfile/atomicfile_test.go
+++ b/internal/atomicfile/atomicfile_test.go
@@ -21,7 +21,7 @@
 		t.Errorf("got mode %v, error %v, want 0640", info.Mode(), err)
 	}
 	occupied := filepath.Join(directory, "occupied")
-	if err := os.MkdirAll(filepath.Join(occupied, "by a child"), 0o700); err != nil {
+	if err := os.MkdirAll(filepath.Join(occupied, "child"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if err := Replace(occupied, []byte("x"), 0o600); err == nil {
--- a/internal/digesttest/digesttest.go
+++ b/internal/digesttest/digesttest.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// differences describes how lines differ from the text of a file, which is the expected one.
+// differences describes how lines differ from the expected ones, which are the text of a file.
 func differences(text string, lines []string) (found []string) {
 	body, endsWithNewline := strings.CutSuffix(text, "\n")
 	if !endsWithNewline {
--- a/internal/digesttest/digesttest_test.go
+++ b/internal/digesttest/digesttest_test.go
@@ -30,7 +30,7 @@
 		got = append(got, event)
 	}
 	if last := got[len(got)-1]; len(got) != 8 || last != "4 a" || queue.Scheduled() != 9 {
-		t.Errorf("got events %q with %d scheduled, want 8 events, the last 4 a, 9 scheduled", got, queue.Scheduled())
+		t.Errorf("got events %q, Scheduled %d, want 8 events, the last \"4 a\", Scheduled 9", got, queue.Scheduled())
 	}
 }
 
--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -14,7 +14,7 @@
 	maxPendingAccepts = 4
 	minAcceptPause    = 5 * time.Millisecond // after a failed accept
 	maxAcceptPause    = 100 * time.Millisecond
-	// minAcceptWait: an accept that takes at least this long found the accept queue empty.
+	// minAcceptWait is the duration from which an accept is known to have found the accept queue empty.
 	minAcceptWait = time.Millisecond
 )
 
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -128,9 +128,9 @@
 // Queued returns how many bytes were passed to Send so far.
 func (c *Conn) Queued() uint64 { return c.queued }
 
-// Written returns how many of the queued bytes may have been sent to the peer; later ones were never written. It
-// includes bytes that the system has not accepted: these are written once more when the connection closes, and a peer
-// that has closed only its own side reads them. It is valid until the handler's Closed returns.
+// Written returns how many of the queued bytes may have reached the peer; the bytes after them were never written. It
+// includes bytes that the system has not accepted yet: closing the connection tries once more to write them, and a peer
+// that has closed only its own side still reads them. It is valid until the handler's Closed returns.
 func (c *Conn) Written() uint64 { return c.queued - uint64(len(c.outbound)) }
 
 // Flushed returns how many of the queued bytes the system has accepted.
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -102,7 +102,7 @@
 	runOnLoop(func() { // Written includes unsent bytes, which may be sent when the connection closes
 		written, flushed := handler.conn.Written(), handler.conn.Flushed()
 		if written != size || flushed > uint64(size-unsent) && l.UnsentBytes() == unsent {
-			t.Errorf("got written %d, flushed %d of %d bytes with %d unsent, want all written, all others flushed",
+			t.Errorf("got written %d, flushed %d of %d bytes with %d unsent, want all written, no unsent byte flushed",
 				written, flushed, size, unsent)
 		}
 	})
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -126,8 +126,8 @@
 // Consume removes the first n bytes of In. Handlers call it in Received.
 func (c *Conn) Consume(n int) { c.In = c.In[n:] }
 
-// DeferRead is called by a handler in Received that has done nothing and needs no round. The handler calls Redeliver
-// when it can continue.
+// DeferRead tells the loop that this call of Received has done nothing and needs no round. The handler calls it in
+// Received, and calls Redeliver when it can continue.
 func (c *Conn) DeferRead() { c.isReadDeferred = true }
 
 // Redeliver calls the handler's Received again, before it returns, with the bytes that were not consumed. It must not
