--- a/internal/frontend/connlimit/connlimit_test.go
+++ b/internal/frontend/connlimit/connlimit_test.go
@@ -146,7 +146,7 @@
 			case model.client != nil:
 				clients = append(clients, model)
 			case !wasFull || evictable:
-				t.Fatalf("not admitted with %d clients connected, one of them evictable: %v", len(clients), evictable)
+				t.Fatalf("client not admitted with %d connected; one could be evicted: %v", len(clients), evictable)
 			}
 		}
 		removeEvicted := func() {
--- a/internal/frontend/rpc/msgpack/msgpack.go
+++ b/internal/frontend/rpc/msgpack/msgpack.go
@@ -9,7 +9,7 @@
 // of the one before.
 const (
 	codeNil      = 0xc0
-	codeUnused   = 0xc1 // never a value
+	codeUnused   = 0xc1 // not assigned by the format
 	codeFalse    = 0xc2
 	codeTrue     = 0xc3
 	codeBin8     = 0xc4
--- a/internal/frontend/rpc/msgpack/reader.go
+++ b/internal/frontend/rpc/msgpack/reader.go
@@ -140,7 +140,7 @@
 		r.take(1 + 1<<(code-codeFixExt1)) // the extension's type and its data
 	case code >= codeStr8 && code <= codeStr32:
 		r.take(uint32(r.number(1 << (code - codeStr8))))
-	case isFixMap(code) || isFixArray(code) || code >= codeArray16 && code <= codeMap32: // empty
+	case isFixMap(code) || isFixArray(code) || code >= codeArray16 && code <= codeMap32: // no elements follow
 	default:
 		r.wrongType(code, "a value")
 	}
