--- a/internal/proxy/authenticator.go
+++ b/internal/proxy/authenticator.go
@@ -37,8 +37,8 @@
 	jobs          chan *identity.SignatureJob
 	tsigKeys      *tsig.Keys            // for DNS
 	tls           *tlslistener.Listener // nil: no TLS listener
-	keys          keydir.Content        // content of the directory of keys in force
-	lastKeysError string                // last logged error about the directory of keys; empty once it is valid again
+	keys          keydir.Content        // content of the key directory in force
+	lastKeysError string                // last logged error about the key directory; empty once it is valid again
 }
 
 // newAuthenticator returns the authenticator of a server whose loop is running, and opens the TLS listener.
@@ -198,7 +198,7 @@
 // expire removes expired entries, such as cached tokens.
 func (a *authenticator) expire(now time.Duration) { a.stateMachine.Expire(now, expiryBatchSize) }
 
-// clockStepped applies the content of the directory of keys again after a step of the Unix clock: revocations that had
+// clockStepped applies the content of the key directory again after a step of the Unix clock: revocations that had
 // ended only because the clock was ahead must hold again after it is set back.
 func (a *authenticator) clockStepped() {
 	if a.settings.keyDirectory != "" {
@@ -206,14 +206,14 @@
 	}
 }
 
-// keySet holds the keys and revocations made from the content of the directory of keys.
+// keySet holds the keys and revocations made from the content of the key directory.
 type keySet struct {
 	keys        *identity.Keys
 	tsigKeys    *tsig.Keys
 	revocations *identity.Revocations
 }
 
-// replaceKeys puts the content of the directory of keys in force. If it is invalid or err is not nil, the old content
+// replaceKeys puts the content of the key directory in force. If it is invalid or err is not nil, the old content
 // stays in force, and the error is logged unless it is the same as the last one.
 func (a *authenticator) replaceKeys(content keydir.Content, err error) {
 	var next keySet
@@ -240,7 +240,7 @@
 		"revocations", next.revocations.Len())
 }
 
-// makeKeySet checks the content of the directory of keys against the keys in force, and returns the key set made of it.
+// makeKeySet checks the content of the key directory against the keys in force, and returns the key set made of it.
 func (a *authenticator) makeKeySet(content keydir.Content) (keySet, error) {
 	keys, err := a.stateMachine.Keys().Replace(content.Keys)
 	if err != nil {
@@ -271,7 +271,7 @@
 	return inForce, nil
 }
 
-// watchFiles reloads the directory of keys and the files of the TLS listener when they change, until the process ends.
+// watchFiles reloads the key directory and the files of the TLS listener when they change, until the process ends.
 func (a *authenticator) watchFiles() {
 	never := make(chan struct{})
 	if directory := a.settings.keyDirectory; directory != "" {
@@ -287,7 +287,7 @@
 	}
 }
 
-// reloadKeys reads the directory of keys and puts its content in force on the event loop. It runs on another goroutine.
+// reloadKeys reads the key directory and puts its content in force on the event loop. It runs on another goroutine.
 func (a *authenticator) reloadKeys() error {
 	content, err := keydir.Read(a.settings.keyDirectory)
 	a.server.loop.Post(func() {
--- a/internal/proxy/descriptors/descriptors.go
+++ b/internal/proxy/descriptors/descriptors.go
@@ -16,8 +16,8 @@
 	// clientDivisor divides the total: the quotient is for clients. Usually clients use at most a third of the total;
 	// the rest of their part is for clients that stay connected.
 	clientDivisor = 2
-	// protocolDivisor divides the clients' descriptors: the quotient is the limit for DNS. It also divides those that
-	// DNS leaves: that quotient is the maximum number of TLS connections.
+	// protocolDivisor divides the clients' descriptors to get the limit for DNS, and then the rest of them to get the
+	// maximum number of TLS connections.
 	protocolDivisor = 4
 	// tlsExtraDescriptors is the number of descriptors of a client's TLS connection in addition to the one that the RPC
 	// server counts: the socket pair that connects it to the event loop.
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -182,7 +182,8 @@
 // sourceIndex returns the index of the source of one of the machine's lists.
 func (f *fleet) sourceIndex(list int) int { return f.server.plan.firstCatalogueSource + list }
 
-// serviceSeen records an answer of the catalogue that brings no list. It counts for each list that has none pending.
+// serviceSeen tells the machine that the catalogue gave an answer without a list. It does so for each list index
+// for which no list is pending.
 func (f *fleet) serviceSeen() {
 	for list := range f.pendingLists {
 		if f.pendingLists[list] == nil {
--- a/internal/proxy/identity_settings.go
+++ b/internal/proxy/identity_settings.go
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// resolve computes the rights of all tenants, and checks the directory of keys.
+// resolve computes the rights of all tenants, and checks the key directory.
 func (i *identitySettings) resolve() error {
 	if err := i.resolveRoles(); err != nil {
 		return err
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -19,7 +19,7 @@
 	platform             *platformconfig.Settings
 	settings             *Settings
 	members              *membership.Table
-	firstCatalogueSource int // index of the catalogue's first service among the sources of members
+	firstCatalogueSource int // index of the catalogue's first service among the sources of endpoints
 	decoder              listwatch.Decoder
 	initialEvents        []membership.SourceEvent // the endpoint list in the platform configuration, as watch events
 	lastInitialEvent     int64                    // event number of the last one, after which the watch continues
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -22,8 +22,8 @@
 	"sloequay/internal/upstream/resolver"
 )
 
-// unsentDivisor divides the process's memory: responses that clients have not read yet may fill the quotient. Above it
-// memory is short, see rpc.Config.MemoryShort.
+// unsentDivisor divides the process's memory to get the limit on responses that clients have not read yet. Above the
+// limit memory is short, see rpc.Config.MemoryShort.
 const unsentDivisor = 5
 
 // server is the assembled proxy. Its methods run on the event loop unless their comments say otherwise.
