--- a/internal/peer/decisions_test.go
+++ b/internal/peer/decisions_test.go
@@ -79,9 +79,9 @@
 	}
 }
 
-// TestDecisionsStayAsTheyWere applies seeded random events to views and compares a digest of all results with the one
+// TestDecisions applies seeded random events to views and compares a digest of all results with the one
 // recorded for each seed. A refactoring must not change any line of the file.
-func TestDecisionsStayAsTheyWere(t *testing.T) {
+func TestDecisions(t *testing.T) {
 	counts := map[string]int{}
 	digesttest.Format{OmitResultCount: true}.Check(t, decisionSeeds, func(seed uint64, recorder *digesttest.Recorder) {
 		playView(seed, recorder, counts)
--- a/internal/peer/transport/codec.go
+++ b/internal/peer/transport/codec.go
@@ -10,8 +10,8 @@
 const (
 	maxMessageBytes  = 256 << 10
 	maxMetadataBytes = 512 // memberlist's limit
-	// maxInitialLength is how many elements of a list are allocated at most before any of them is decoded, whatever
-	// length the list announces.
+	// maxInitialLength is the maximum number of elements of a list that are allocated before any of them is decoded,
+	// whatever length the list announces.
 	maxInitialLength = 1024
 )
 
--- a/internal/peer/transport/config.go
+++ b/internal/peer/transport/config.go
@@ -71,7 +71,7 @@
 	section.Words("seed", &c.Seeds, checkAddress, "addresses of some proxies; a few that start first are enough")
 	section.Text("key-file", &c.KeyFile, nil,
 		"file with the fleet's keys of 16, 24 or 32 bytes in base64, one per line; the first one encrypts")
-	section.Text("remember", &c.MembersFile, checkFolder,
+	section.Text("remember", &c.MembersFile, checkDirectory,
 		"file on a persistent disk for addresses of other proxies, which are seeds at the next start")
 	section.Int("askers", &c.Pollers, 1, 100, "number of proxies in a zone that poll the list service")
 	section.Int("fleet", &c.FleetSize, 0, 100_000, "number of proxies in the fleet, for the time over which they "+
@@ -96,10 +96,10 @@
 	return nil
 }
 
-// checkFolder returns an error if the folder of a file does not exist.
-func checkFolder(path string) error {
+// checkDirectory returns an error if the directory of a file does not exist.
+func checkDirectory(path string) error {
 	if info, err := os.Stat(filepath.Dir(path)); err != nil || !info.IsDir() {
-		return fmt.Errorf("folder of %.120s does not exist", path)
+		return fmt.Errorf("directory of %.120s does not exist", path)
 	}
 	return nil
 }
--- a/internal/peer/transport/join_test.go
+++ b/internal/peer/transport/join_test.go
@@ -62,7 +62,7 @@
 func TestMembersFileIncludesLateMembers(t *testing.T) {
 	f := newFleet(t)
 	key := f.keyFile("key", "0123456789abcdef")
-	membersFile := filepath.Join(f.folder, "members")
+	membersFile := filepath.Join(f.directory, "members")
 	_, receiver := f.open(1, "a", key, membersFile)
 	f.open(2, "b", key, "")
 	f.waitUntil("the first peer is saved", func() bool { return len(readMembersFile(membersFile)) == 1 })
@@ -118,7 +118,7 @@
 func TestRestartedProxyJoinsDespiteUnreachableMembers(t *testing.T) {
 	f := newFleet(t)
 	key := f.keyFile("key", "0123456789abcdef")
-	membersFile := filepath.Join(f.folder, "members")
+	membersFile := filepath.Join(f.directory, "members")
 	var unreachable strings.Builder
 	for i := range maxSavedMembers {
 		fmt.Fprintln(&unreachable, f.unusedAddress(100+i))
--- a/internal/peer/transport/transport_test.go
+++ b/internal/peer/transport/transport_test.go
@@ -61,19 +61,19 @@
 
 // fleet opens transports, each on a loopback address of its own. The first one is the seed of all others.
 type fleet struct {
-	t      *testing.T
-	folder string
-	prefix string // first three bytes of the addresses
-	seed   string
+	t         *testing.T
+	directory string
+	prefix    string // first three bytes of the addresses
+	seed      string
 }
 
 func newFleet(t *testing.T) *fleet {
-	return &fleet{t: t, folder: t.TempDir(), prefix: fmt.Sprintf("127.%d.%d", 40+rand.IntN(30), rand.IntN(250))}
+	return &fleet{t: t, directory: t.TempDir(), prefix: fmt.Sprintf("127.%d.%d", 40+rand.IntN(30), rand.IntN(250))}
 }
 
 // keyFile writes a key file and returns its path.
 func (f *fleet) keyFile(name, key string) string {
-	path := filepath.Join(f.folder, name)
+	path := filepath.Join(f.directory, name)
 	if err := os.WriteFile(path, []byte(base64.StdEncoding.EncodeToString([]byte(key))+"\n"), 0o600); err != nil {
 		f.t.Fatal(err)
 	}
@@ -139,7 +139,7 @@
 func TestMembersExchangeOnlyValidMessages(t *testing.T) {
 	f := newFleet(t)
 	keyFile := f.keyFile("right", "0123456789abcdef")
-	membersFile := filepath.Join(f.folder, "peers")
+	membersFile := filepath.Join(f.directory, "peers")
 	a, receivedByA := f.open(1, "a", keyFile, "")
 	_, receivedByB := f.open(2, "b", keyFile, membersFile)
 	c, receivedByC := f.open(3, "c", keyFile, "")
