--- a/internal/identity/keyset.go
+++ b/internal/identity/keyset.go
@@ -103,7 +103,7 @@
 type Rotation struct {
 	Publish time.Duration // from publication until the new key is accepted; every reader must have it by then
 	Accept  time.Duration // from acceptance until the new key signs
-	Overlap time.Duration // from then until the old key retires; as long as the longest lifetime of a token
+	Overlap time.Duration // from when the new key signs until the old one retires; at least a token's maximum lifetime
 }
 
 // Rotate sets the times of the next key, and the times when the current keys stop signing and retire.
