--- a/internal/eventlog/async.go
+++ b/internal/eventlog/async.go
@@ -10,7 +10,7 @@
 
 // AsyncWriter writes lines in a goroutine of its own, so that a slow reader of the log never blocks the caller.
 //
-// Bounds: at most maxWaitingLines lines are queued; further lines are dropped.
+// Bounds: at most maxQueuedLines lines are queued; further lines are dropped.
 type AsyncWriter struct {
 	lines chan []byte
 	done  chan struct{} // closed after Close, once all queued lines are written
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -15,7 +15,7 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// MaxLinesPerSecond limits the lines that are written, so that the log cannot fill up the machine.
+// MaxLinesPerSecond limits the lines that are written, so that the log cannot use up the machine's storage.
 const MaxLinesPerSecond = 50
 
 // Events maps the name of every event to its level. docs/on-call.md describes the events; a test compares the names.
--- a/internal/platformconfig/platformconfig.go
+++ b/internal/platformconfig/platformconfig.go
@@ -85,7 +85,7 @@
 		return nil, err
 	}
 	settings.Policy = policyConfig
-	// New validates what is left: at least one class, no negative times of classes, and a zone in range.
+	// policy.New validates the rest: at least one class, no negative times of classes, and a zone in range.
 	if _, err := policy.New(settings.Policy, settings.Seed); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
