--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -80,7 +80,7 @@
 
 // runDrill runs a plan and prints the outcome of its checks.
 func runDrill(out io.Writer, plan *drill.Plan, options drillOptions) error {
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
@@ -94,7 +94,7 @@
 		return err
 	}
 	fmt.Fprintf(out, "%s: %d proxies, seed %d, %v\n", plan.File, plan.Proxies, options.seed, plan.Duration)
-	result, err := drill.Run(plan, self, dir, options.seed, out)
+	result, err := drill.Run(plan, executable, dir, options.seed, out)
 	if err != nil {
 		return err
 	}
@@ -102,7 +102,7 @@
 		return err
 	}
 	if options.reportDir != "" {
-		if err := writeTimeline(out, result, self, dir); err != nil {
+		if err := writeTimeline(out, result, executable, dir); err != nil {
 			return err
 		}
 	}
@@ -127,12 +127,12 @@
 }
 
 // writeTimeline writes the timeline into the report directory, and plots it.
-func writeTimeline(out io.Writer, result *drill.Result, self, dir string) error {
+func writeTimeline(out io.Writer, result *drill.Result, executable, dir string) error {
 	if err := os.WriteFile(filepath.Join(dir, "timeline.json"), result.Timeline().JSON(), 0o600); err != nil {
 		return err
 	}
 	fmt.Fprintln(out, "the logs and timeline.json are in", dir)
-	drawTimeline(out, filepath.Join(filepath.Dir(self), "chart"), dir)
+	drawTimeline(out, filepath.Join(filepath.Dir(executable), "chart"), dir)
 	return nil
 }
 
--- a/internal/cli/key_rotate.go
+++ b/internal/cli/key_rotate.go
@@ -32,9 +32,9 @@
 	flags := command.Flags()
 	flags.DurationVar(&options.rotation.Publish, "publish", time.Minute,
 		"time until the new key is accepted: every reader must have the file by then")
-	flags.DurationVar(&options.rotation.Accept, "accept", time.Minute, "time from then until it signs")
+	flags.DurationVar(&options.rotation.Accept, "accept", time.Minute, "time from acceptance until the new key signs")
 	flags.DurationVar(&options.rotation.Overlap, "overlap", 24*time.Hour,
-		"time from then until the old key retires: no token may be valid for longer")
+		"time from when the new key signs until the old key retires: no token may be valid for longer")
 	return command
 }
 
--- a/internal/cli/token_verify.go
+++ b/internal/cli/token_verify.go
@@ -64,7 +64,7 @@
 	return identity.Verify(token, key)
 }
 
-// newRevocations returns the revocations of a directory of keys.
+// newRevocations returns the revocations in a key directory.
 func newRevocations(content keydir.Content) *identity.Revocations {
 	revoked := identity.NewRevocations(len(content.Revoked) + 1)
 	for _, revocation := range content.Revoked {
--- a/internal/cli/try.go
+++ b/internal/cli/try.go
@@ -32,8 +32,8 @@
 	return command
 }
 
-// runTry runs a short scenario under requests by both frontends: an endpoint drains, another is killed, and the
-// catalogue fails for a while.
+// runTry runs a short scenario while it sends requests to both frontends: an endpoint drains, another is killed, and
+// the catalogue fails for a while.
 func runTry(out io.Writer, options tryOptions) (err error) {
 	var environment tryEnvironment
 	defer func() { err = errors.Join(err, environment.close()) }()
