--- a/internal/frontend/connlimit/connlimit_test.go
+++ b/internal/frontend/connlimit/connlimit_test.go
@@ -266,7 +266,7 @@
 		}
 		admitted := limiter.Admit(admitAt, nil, nil)
 		if evicted != c.want || (admitted != nil) != (c.want != "") {
-			t.Errorf("%s: got client %q evicted and admission %v, want another result", name, evicted, admitted != nil)
+			t.Errorf("%s: got client %q evicted, admission %v, want those of the case", name, evicted, admitted != nil)
 		}
 	}
 }
--- a/internal/snapshot/disk/disk_test.go
+++ b/internal/snapshot/disk/disk_test.go
@@ -110,8 +110,8 @@
 	if _, _, err := Read(path, now, limits(time.Hour, 1, 1)); !errors.Is(err, snapshot.ErrInvalid) {
 		t.Errorf("endpoint of a zone that is not in the settings: got error %v, want ErrInvalid", err)
 	}
-	if err := Write(filepath.Join(t.TempDir(), "no", "such", "folder"), data); err == nil {
-		t.Error("Write to a missing folder: got no error, want one")
+	if err := Write(filepath.Join(t.TempDir(), "no", "such", "directory"), data); err == nil {
+		t.Error("Write to a missing directory: got no error, want one")
 	}
 }
 
@@ -126,7 +126,7 @@
 	}
 	got, _, err := snapshot.Decode(data, now, time.Hour)
 	if err != nil || len(got) != 1 || got[0].Source != "bulletin" {
-		t.Errorf("got reports %+v, error %v, want only that of the bulletin", got, err)
+		t.Errorf("got reports %+v, error %v, want only that of source bulletin", got, err)
 	}
 }
 
