--- a/internal/frontend/connlimit/connlimit_test.go
+++ b/internal/frontend/connlimit/connlimit_test.go
@@ -146,7 +146,7 @@
 			case model.client != nil:
 				clients = append(clients, model)
 			case !wasFull || evictable:
-				t.Fatalf("not admitted with %d clients connected, one of them evictable: %v", len(clients), evictable)
+				t.Fatalf("client not admitted with %d connected; one could be evicted: %v", len(clients), evictable)
 			}
 		}
 		removeEvicted := func() {
@@ -266,7 +266,7 @@
 		}
 		admitted := limiter.Admit(admitAt, nil, nil)
 		if evicted != c.want || (admitted != nil) != (c.want != "") {
-			t.Errorf("%s: got client %q evicted and admission %v, want another result", name, evicted, admitted != nil)
+			t.Errorf("%s: got client %q evicted, admission %v, want those of the case", name, evicted, admitted != nil)
 		}
 	}
 }
