--- a/internal/policy/guards.go
+++ b/internal/policy/guards.go
@@ -14,17 +14,17 @@
 // is served (maxAge). send checks the first four, and startAttempt sets the MaxAge that the fifth allows.
 
 const (
-	// retryWindowShare is the share of Class.DedupWindow in which repeats are sent: an attempt has yet to be
-	// written, sent and read after the decision.
+	// retryWindowShare is the share of Class.DedupWindow in which repeats are sent: after the decision, an
+	// attempt still has to be written, transmitted and read.
 	retryWindowShare = 0.8
 
 	// warmupBudgetShare is the share of the configured budget that is used, since cost estimates are rough.
 	warmupBudgetShare = 0.7
 	// restartBudgetShare is the share of that budget that is used in the first window after this proxy's own
-	// start, for endpoints that started before it: what it sent them before a restart counts in that window
-	// too. So seven in ten proxies may restart at once, and the fleet stays within the configured budget.
+	// start, for endpoints that started before it: what it sent them before its restart counts in that window
+	// too. So the fleet stays within the configured budget if up to seven in ten proxies restart at once.
 	restartBudgetShare = 0.5
-	maxSkipTime        = 250 * time.Millisecond // for an endpoint without budget, as costs change meanwhile
+	maxSkipTime        = 250 * time.Millisecond // for an endpoint without budget, as cost estimates change
 
 	joinFillsAfterPurge = time.Second // by then, most fills that began before a purge are over
 )
@@ -86,7 +86,8 @@
 func bothReady(via route) bool { return via.endpoint.State == Ready && via.source.State == Ready }
 
 // withinWarmupBudget enforces rule 4, controlled fail-back: an endpoint that has just started gets at most
-// this proxy's share of what it bears in any OverloadWindow. Without budget it is skipped until it has some.
+// this proxy's share of the load that it can bear in any OverloadWindow. An endpoint without budget is
+// skipped until it has some.
 func (e *Engine) withinWarmupBudget(request *openRequest, endpoint *endpointState) bool {
 	initialShare, warmupTime := e.cfg.ColdStartShare, e.cfg.WarmupTime
 	multiple := e.cfg.OverloadMultiple
--- a/internal/policy/health.go
+++ b/internal/policy/health.go
@@ -7,7 +7,7 @@
 	"sloequay/internal/policy/outlier"
 )
 
-// inconclusiveForEndpoint are the outcomes that tell nothing about the endpoint or the source behind it.
+// inconclusiveForEndpoint are the outcomes that say nothing about the endpoint or the source behind it.
 var inconclusiveForEndpoint = []Status{
 	StatusCanceled, StatusNotExecuted, StatusBudgetExhausted, StatusUnavailable,
 }
@@ -75,7 +75,7 @@
 	}
 	outcome := outlier.Failure
 	if event.Note == NoteSourceLost {
-		outcome = outlier.HardFailure // as sure a sign as a refused connection: outcomes of sources are rare
+		outcome = outlier.HardFailure // like a refused connection, because outcomes of sources are rare
 	}
 	e.observe(attempt.source, outcome)
 }
@@ -85,8 +85,8 @@
 	if event.Status == StatusAtCapacity || event.Status == StatusTimeout {
 		return
 	}
-	// All attempts in flight on a connection end with it. They count as one failure, as one bad response is
-	// no fault yet.
+	// When a connection is reset, all attempts in flight on it end. They count as one failure, because a
+	// single bad response does not show a fault.
 	if event.Status == StatusReset && attempt.endpoint.LastResetAt == e.now {
 		return
 	}
@@ -118,7 +118,7 @@
 func (e *Engine) recordSlowFill(attempt *attemptState) {
 	source := attempt.source
 	if source.Role != endpointset.Parent || attempt.cachedOnly || source.LastFillAt < attempt.sentAt {
-		e.observe(source, outlier.Failure) // a parent that answers nothing is not waiting for the origin
+		e.observe(source, outlier.Failure) // a parent without a fill since then is not waiting for the origin
 		return
 	}
 	verdict := source.Health.Record(outlier.Failure, e.endpoints.OthersSlowRate(e.now, source))
--- a/internal/policy/health_test.go
+++ b/internal/policy/health_test.go
@@ -7,8 +7,8 @@
 	"sloequay/internal/policy/outlier"
 )
 
-// TestLongResponsesAreNotSilence guards against ejecting live caches as silent: three long responses in flight at once
-// did so dozens of times a day.
+// TestLongResponsesAreNotSilence guards against ejecting a live cache as silent because it is sending three long
+// responses at once.
 func TestLongResponsesAreNotSilence(t *testing.T) {
 	h := newHarness(t, testConfig())
 	for id := RequestID(1); id <= 12; id++ {
@@ -36,7 +36,7 @@
 	}
 }
 
-// TestSlowRejectionIsAttributedToSource: a cache reports a dead parent as being at capacity, after the dial time-out.
+// TestSlowRejectionIsAttributedToSource: a cache reports a dead parent as being at capacity, after the dial timeout.
 // The caches were skipped for it.
 func TestSlowRejectionIsAttributedToSource(t *testing.T) {
 	h := newHarness(t, testConfig())
@@ -181,7 +181,7 @@
 	}
 }
 
-// ejections tells which of two parents were ejected during some fills.
+// ejections reports which of two parents were ejected during some fills.
 type ejections struct {
 	counts map[EndpointID]int  // number of ejections of each
 	atEnd  map[EndpointID]bool // whether each is ejected at the end
@@ -288,8 +288,9 @@
 	}
 }
 
-// TestDeadParentsAreEjected: two parents of a lost zone respond to nothing. The slow fills of each were excused by
-// those of the other. A hit at a cache names a parent that gets no request, and is no sign that the parent responds.
+// TestDeadParentsAreEjected: two parents of a lost zone respond to nothing. The slow fills of each did not count
+// because of those of the other. A hit at a cache names a parent that gets no request, and is no sign that the parent
+// responds.
 func TestDeadParentsAreEjected(t *testing.T) {
 	for _, hits := range []bool{false, true} {
 		h := newParentsHarness(t)
--- a/internal/policy/placement.go
+++ b/internal/policy/placement.go
@@ -31,7 +31,7 @@
 
 func (r route) isFill() bool { return r.source != r.endpoint }
 
-// cachedOnFirstRequest reports whether a part is cached on its first request already. In a zone with n
+// cachedOnFirstRequest reports whether a part is cached as early as its first request. In a zone with n
 // proxies a hash picks n-1 in n of the parts; otherwise each proxy would fill a part once before it is
 // cached.
 func (e *Engine) cachedOnFirstRequest(part gaptable.Part) bool {
@@ -111,8 +111,8 @@
 	return false
 }
 
-// sendToCache tries a cache with each source: the parents, for a fill or else for their cached copy, and the
-// origin.
+// sendToCache tries a cache with one source after another: with each parent, first for a fill and then for
+// the parent's cached copy only, and at last with the origin.
 func (e *Engine) sendToCache(request *openRequest, cache *endpointState, parents *ranking) bool {
 	for source := range parents.AllThen(e.endpoints.Origin) {
 		if !e.eligible(request, source) {
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	tickInterval = 10 * time.Millisecond // of checks of health, hedges and deadlines; far below any objective
+	tickInterval = 10 * time.Millisecond // between health, hedge and deadline checks; far below any objective
 	tickToken    = 1
 	purgeSlack   = time.Second      // how long a purge is kept beyond its propagation
 	minObjective = time.Millisecond // lower bound of the initial cost estimate of a class
@@ -39,14 +39,14 @@
 	fillTiming   rto.Estimator // of fills
 
 	prices            fairness.Prices
-	fillLimiter       aimd.Limiter // of probable fills
-	cachedOnlyLimiter aimd.Limiter // of fills from the parents' cached copies
+	fillLimiter       aimd.Limiter // limits probable fills
+	cachedOnlyLimiter aimd.Limiter // limits fills from the parents' cached copies
 }
 
 // classState is a class with what the engine has learned about it.
 type classState struct {
 	Class
-	cost   classcost.Estimate // of a request's transfer time, like the sizes in shares
+	cost   classcost.Estimate // estimates transfer times, which are also the sizes that shares tracks
 	shares fairness.Shares
 }
 
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -14,7 +14,7 @@
 // objectiveShare is the share of a request's objective that its estimated response time may reach.
 const objectiveShare = 0.85
 
-// inconclusiveForSource are the outcomes that tell nothing about the source behind a cache.
+// inconclusiveForSource are the outcomes that say nothing about the source behind a cache.
 var inconclusiveForSource = append([]Status{StatusConnectFailed, StatusReset}, inconclusiveForEndpoint...)
 
 // giveUp ends a request: with a rejection if a retry is safe, since no attempt may have run or its class can
@@ -28,7 +28,7 @@
 	e.finish(request)
 }
 
-// RetryAfter returns how long a client is to wait before it retries a rejected request; 0: it is not told.
+// RetryAfter returns how long a client should wait before it retries a rejected request; 0: no advice.
 func (c *Config) RetryAfter(class *Class) time.Duration {
 	return retryafter.Advisor{Max: c.MaxRetryAfter}.Rejected(class.LatencyObjective)
 }
@@ -47,8 +47,8 @@
 	return r.class.LatencyObjective.Seconds() + r.class.ObjectiveStretch*seconds
 }
 
-// limiterFull reports whether a limiter has no capacity left for a request. Where there is capacity for only
-// a fraction of a fill, that is the probability of being admitted.
+// limiterFull reports whether a limiter has no capacity left for a request. If there is capacity for only a
+// fraction of a fill, the request is admitted with that fraction as the probability.
 func (e *Engine) limiterFull(request *openRequest, limiter *aimd.Limiter) bool {
 	draw := rendezvous.Draw(uint64(request.id))
 	return limiter.Full(e.endpoints.LinkCapacity(), e.prices.Weight(request.price), draw)
@@ -58,7 +58,7 @@
 func (e *Engine) recordFill(request *openRequest, attempt *attemptState, event ResponseEvent) {
 	isOK := event.Status == StatusOK
 	if isOK && (event.Note == NoteFilled || event.Note == NoteFilledOrigin) {
-		attempt.source.LastFillAt = e.now // only fills: a hit at the cache tells nothing about the source
+		attempt.source.LastFillAt = e.now // only fills: a hit at the cache says nothing about the source
 	}
 	if attempt.limiter == nil || event.Note == NoteHit ||
 		slices.Contains(inconclusiveForSource, event.Status) {
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -17,8 +17,8 @@
 	n       int
 }
 
-// maxInconclusive is how many attempts of a request may end without telling anything about their endpoints.
-// After such an end, the next attempt is decided on the same facts as the last one.
+// maxInconclusive is how many attempts of a request may end without saying anything about their endpoints.
+// After such an end, the next attempt is decided from the same information as the last one.
 const maxInconclusive = 6
 
 // openRequest is an open request.
@@ -44,7 +44,7 @@
 	// The first reset is retried at the same endpoint; the next one counts as the endpoint's failure.
 	responseLost bool
 	cancels      int // number of attempts canceled to send another
-	inconclusive int // number of attempts that ended without telling anything about their endpoints
+	inconclusive int // number of attempts that ended without saying anything about their endpoints
 
 	attempts []attemptState
 	inFlight int
@@ -141,7 +141,7 @@
 }
 
 // retryIsFutile reports whether another attempt would probably end like the last one: the budget that blocked
-// it is used up, or too many attempts have ended without telling anything about their endpoints.
+// it is used up, or too many attempts have ended without saying anything about their endpoints.
 func (r *openRequest) retryIsFutile(status Status) bool {
 	return status == StatusBudgetExhausted || r.inconclusive >= maxInconclusive
 }
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -56,7 +56,7 @@
 	isOriginWrite := request.class.Write && attempt.endpoint.Role == endpointset.Origin
 	if isOriginWrite && elapsed > writeObjectiveShare*objective {
 		attempt.slow = true
-		e.fillLimiter.DecreaseByMaxStep() // writes wait behind fills there, and have more weight
+		e.fillLimiter.DecreaseByMaxStep() // writes wait behind fills at the origin, and have more weight
 		return
 	}
 	if attempt.limiter != nil && attempt.isFill() && elapsed > objective {
@@ -66,7 +66,8 @@
 }
 
 // retryUnanswered retries a request whose only attempt in flight is lost. With hedging it sends a second
-// attempt, also if the first one waits for an ejected endpoint; otherwise it cancels the first one.
+// attempt, even if the first one is only waiting for an ejected endpoint; without hedging, it cancels the
+// first one.
 func (e *Engine) retryUnanswered(request *openRequest) {
 	mayRetry := request.class.Idempotency != NotIdempotent && request.deadline-e.now >= minTimeLeft
 	if request.inFlight != 1 || !mayRetry {
@@ -116,7 +117,7 @@
 	if excessSeconds <= e.timing(attempt).Timeout()*backoff+(busySlowdown-1)*attempt.expectedSeconds {
 		return
 	}
-	e.timing(attempt).Observe(excessSeconds) // so that the time-out rises if all responses are slow
+	e.timing(attempt).Observe(excessSeconds) // so that the timeout rises if all responses are slow
 	attempt.replaced = true
 	request.cancels++
 	e.emit(CancelAttempt{request.id, n})
--- a/internal/policy/simulation_test.go
+++ b/internal/policy/simulation_test.go
@@ -37,20 +37,20 @@
 // simulation runs one seed: it simulates the clients, the endpoints and the endpoint list, and digests the engine's
 // actions.
 type simulation struct {
-	random    *rand.Rand
-	engine    *policy.Engine
-	config    policy.Config
-	now       time.Duration
-	agenda    digesttest.EventQueue[policy.Event]
-	endpoints []policy.Endpoint
-	modes     map[policy.EndpointID]behaviour
-	ejected   map[policy.EndpointID]bool
-	requests  map[policy.RequestID]*clientRequest
-	lastID    policy.RequestID
-	meanGap   time.Duration
-	objects   *rand.Zipf
-	recorder  *digesttest.Recorder
-	counts    map[string]int
+	random     *rand.Rand
+	engine     *policy.Engine
+	config     policy.Config
+	now        time.Duration
+	eventQueue digesttest.EventQueue[policy.Event]
+	endpoints  []policy.Endpoint
+	modes      map[policy.EndpointID]behaviour
+	ejected    map[policy.EndpointID]bool
+	requests   map[policy.RequestID]*clientRequest
+	lastID     policy.RequestID
+	meanGap    time.Duration
+	objects    *rand.Zipf
+	recorder   *digesttest.Recorder
+	counts     map[string]int
 }
 
 func newSimulation(
@@ -90,9 +90,9 @@
 	s.endpoints = append(s.endpoints, endpoint)
 }
 
-// plan adds an event to the agenda, due after a delay.
+// plan adds an event to the queue, due after a delay.
 func (s *simulation) plan(delay time.Duration, event policy.Event) {
-	s.agenda.Schedule(s.now+delay, event)
+	s.eventQueue.Schedule(s.now+delay, event)
 }
 
 // milliseconds draws a duration below a number of milliseconds.
@@ -374,7 +374,7 @@
 			s.now = until + s.milliseconds(1500) // a standstill: events due meanwhile come late
 			until = s.now
 		}
-		for at, event := range s.agenda.PopDue(until) {
+		for at, event := range s.eventQueue.PopDue(until) {
 			s.now = max(s.now, at)
 			s.deliver(event)
 			if until-s.now > time.Minute { // deliver events of a quiet time at its end, as it would have too many ticks
--- a/internal/policy/types.go
+++ b/internal/policy/types.go
@@ -12,7 +12,7 @@
 // RequestID identifies one request of one client. A client's retry has a new ID; IDs are never reused.
 type RequestID uint32
 
-// Idempotency tells whether the requests of a class may be executed more than once.
+// Idempotency says whether the requests of a class may be executed more than once.
 type Idempotency int
 
 // The kinds of idempotency.
@@ -104,7 +104,7 @@
 // Endpoint is an entry of the endpoint list.
 type Endpoint = endpointset.Entry
 
-// ListKind tells whether a list is complete, a delta or missing.
+// ListKind says whether a list is complete, a delta or missing.
 type ListKind = endpointset.ListKind
 
 // The kinds of lists.
@@ -144,7 +144,7 @@
 	return false
 }
 
-// Note tells how a response was produced, to the extent that endpoints are configured to report it.
+// Note says how a response was produced, to the extent that endpoints are configured to report it.
 type Note int
 
 // The notes on a response.
