--- a/internal/policy/aimd/aimd_test.go
+++ b/internal/policy/aimd/aimd_test.go
@@ -12,11 +12,11 @@
 	limiter := New()
 	limiter.InFlight, limiter.Limit = 1, 0.25
 	if limiter.Increase(8); limiter.Limit <= 0.25 {
-		t.Errorf("limit %.3f after a fill within its objective, want more than 0.25", limiter.Limit)
+		t.Errorf("after a fill within its objective: got limit %.3f, want more than 0.25", limiter.Limit)
 	}
 	raised := limiter.Limit
 	if limiter.Decrease(8); limiter.Limit >= raised {
-		t.Errorf("limit %.3f after a slow fill, want less than %.3f", limiter.Limit, raised)
+		t.Errorf("after a slow fill: got limit %.3f, want less than %.3f", limiter.Limit, raised)
 	}
 }
 
@@ -40,7 +40,8 @@
 			isOutOfBounds := limiter.Limit < MinLimit || limiter.Limit > 2*InitialLimit
 			isDecreasedTooFar := limiter.Limit < old*limiter.minDecreaseFactor-1e-9
 			if isOutOfBounds || isDecreasedTooFar || inTime && limiter.Limit < old || !inTime && limiter.Limit > old {
-				t.Fatalf("limit %v, previous limit %v, fill in time %v", limiter.Limit, old, inTime)
+				t.Fatalf("got limit %v, previous limit %v, fill in time %v, want a change in that direction in bounds",
+					limiter.Limit, old, inTime)
 			}
 			draw := rapid.Float64Range(0, 0.99).Draw(t, "draw")
 			if limiter.Full(linkCapacity, 1.5, draw) && !limiter.Full(linkCapacity, 0.5, draw) {
@@ -54,24 +55,24 @@
 func TestDecreaseByMaxStep(t *testing.T) {
 	for _, limiter := range []Limiter{New(), NewCachedOnly()} {
 		if limiter.DecreaseByMaxStep(); limiter.Limit != InitialLimit*limiter.minDecreaseFactor {
-			t.Errorf("limit %v after one decrease, want %v", limiter.Limit, InitialLimit*limiter.minDecreaseFactor)
+			t.Errorf("after one decrease: got limit %v, want %v", limiter.Limit, InitialLimit*limiter.minDecreaseFactor)
 		}
 		for range 100 {
 			limiter.DecreaseByMaxStep()
 		}
 		if limiter.Limit != MinLimit {
-			t.Errorf("limit %v after 100 decreases, want %v", limiter.Limit, MinLimit)
+			t.Errorf("after 100 decreases: got limit %v, want %v", limiter.Limit, MinLimit)
 		}
 	}
 }
 
 // TestDecreaseIsBoundedForSmallLinkShare guards against one slow fill halving the limit of a proxy with a fifth of a
-// link. It cost 0.017 of G on a day with 120 proxies and a zone that was cut off.
+// link, as it did in a fleet of 120 proxies with a zone that was cut off.
 func TestDecreaseIsBoundedForSmallLinkShare(t *testing.T) {
 	for _, test := range []struct{ linkCapacity, want float64 }{{0.2, 0.75 * InitialLimit}, {20, 0.9 * InitialLimit}} {
 		limiter := New()
 		if limiter.Decrease(test.linkCapacity); limiter.Limit < test.want-1e-9 || limiter.Limit > test.want+1e-9 {
-			t.Errorf("link capacity %v: limit %v after one slow fill, want %v",
+			t.Errorf("link capacity %v, after one slow fill: got limit %v, want %v",
 				test.linkCapacity, limiter.Limit, test.want)
 		}
 	}
--- a/internal/policy/classcost/classcost_test.go
+++ b/internal/policy/classcost/classcost_test.go
@@ -43,7 +43,7 @@
 	estimate := New(1)
 	estimate.RecordSendingTime(0.1)
 	if math.Abs(estimate.Cost()-0.1) > 1e-9 || estimate.Mean() < 0.9 {
-		t.Errorf("after one sending time of 0.1 s: cost %v s, want 0.1 s; mean %v s, want at least 0.9 s",
+		t.Errorf("after one sending time of 0.1 s: got cost %v s, want 0.1 s; got mean %v s, want at least 0.9 s",
 			estimate.Cost(), estimate.Mean())
 	}
 }
--- a/internal/policy/endpointset/endpoint.go
+++ b/internal/policy/endpointset/endpoint.go
@@ -12,7 +12,7 @@
 const (
 	averageHalfLife = 2 * time.Second // of the average number of attempts in flight
 	slownessWeight  = 0.04            // of a new response in an endpoint's slowness
-	minSlowness     = 0.7             // reported weights are rough: no endpoint is taken for much faster
+	minSlowness     = 0.7             // lower bound: reported weights are too rough to show a faster endpoint
 )
 
 // Endpoint is an endpoint of the list with what the proxy knows about it.
--- a/internal/policy/endpointset/endpointset_test.go
+++ b/internal/policy/endpointset/endpointset_test.go
@@ -46,7 +46,7 @@
 			linkCapacity = max(linkCapacity, modelLinkCapacity(model))
 			compareRankings(t, set, model)
 			if math.Abs(set.LinkCapacity()-linkCapacity) > 1e-9 {
-				t.Fatalf("link capacity %v, want %v", set.LinkCapacity(), linkCapacity)
+				t.Fatalf("got link capacity %v, want %v", set.LinkCapacity(), linkCapacity)
 			}
 			for _, endpoint := range set.All() {
 				if rapid.Bool().Draw(t, "attempt starts") {
@@ -110,13 +110,13 @@
 	slices.Sort(caches)
 	slices.Sort(parents)
 	if got := ids(set.Caches.Members()); !slices.Equal(got, caches) {
-		t.Fatalf("caches %v, want %v", got, caches)
+		t.Fatalf("got caches %v, want %v", got, caches)
 	}
 	if got := ids(set.Parents.Members()); !slices.Equal(got, parents) {
-		t.Fatalf("parents %v, want %v", got, parents)
+		t.Fatalf("got parents %v, want %v", got, parents)
 	}
 	if (set.Origin != nil) != hasOrigin {
-		t.Fatalf("origin %v, want an origin: %v", set.Origin, hasOrigin)
+		t.Fatalf("got origin %v, want one: %v", set.Origin, hasOrigin)
 	}
 }
 
@@ -151,7 +151,7 @@
 	endpoint.RecordSlowness(9)
 	set.Eject(time.Second, endpoint, 0)
 	if !set.Skipped(endpoint, time.Second) || endpoint.Usable(time.Second) {
-		t.Error("an ejected endpoint is usable or not skipped")
+		t.Error("ejected endpoint: got it usable or not skipped, want it unusable and skipped")
 	}
 	set.Apply(2*time.Second, ListDelta, []Entry{{ID: 1, State: Ready, StartedAt: 2 * time.Second}})
 	if endpoint.Health.Ejected() || endpoint.Slowness() != 1 || !slices.Equal(endpoint.InFlight(), []int{7}) {
@@ -172,15 +172,15 @@
 	endpoint := set.Get(1)
 	endpoint.Start(now, 1)
 	if got, want := set.Load(now, endpoint), 2/defaultWeight; math.Abs(got-want) > 1e-9 {
-		t.Errorf("load %v at first, want %v", got, want)
+		t.Errorf("at first: got load %v, want %v", got, want)
 	}
 	now += averageHalfLife
 	if got, want := set.Load(now, endpoint), (2+0.5*4)/defaultWeight; math.Abs(got-want) > 1e-9 {
-		t.Errorf("load %v after a half-life, want %v", got, want)
+		t.Errorf("after a half-life: got load %v, want %v", got, want)
 	}
 	endpoint.RecordSlowness(26)
 	if got, want := set.Load(now, endpoint), 2*(2+0.5*4)/defaultWeight; math.Abs(got-want) > 1e-9 {
-		t.Errorf("load %v of an endpoint with a slowness of 2, want %v", got, want)
+		t.Errorf("endpoint with a slowness of 2: got load %v, want %v", got, want)
 	}
 }
 
--- a/internal/policy/endpointset/silence_test.go
+++ b/internal/policy/endpointset/silence_test.go
@@ -76,7 +76,7 @@
 					got = append(got, cache.ID)
 				}
 				if want := model.silent(); !slices.Equal(got, want) {
-					t.Fatalf("silent caches %v, want %v", got, want)
+					t.Fatalf("got silent caches %v, want %v", got, want)
 				}
 			}
 			if len(set.suspects) > len(entries) {
--- a/internal/policy/fairness/fairness.go
+++ b/internal/policy/fairness/fairness.go
@@ -15,7 +15,8 @@
 import "math"
 
 // MinAdmissionRatio is the lowest ratio of the admitted share of the largest requests to that of their class. The
-// target is two thirds on quiet days and one half on others; the kind of day is not known, so it is always two thirds.
+// target is two thirds at low load and one half under overload. Which of them applies is not known here, so the ratio
+// is always two thirds.
 const MinAdmissionRatio = 2.0 / 3
 
 // band is a range of sizes of a class's requests.
--- a/internal/policy/gaptable/gaptable.go
+++ b/internal/policy/gaptable/gaptable.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	singleSeconds   = 60.0 // the single table holds the requests of so many seconds
+	singleSeconds   = 60.0 // seconds of requests for which the single table has rows
 	multipleSeconds = 20.0
 	cachingSeconds  = 12.0
 	minRows         = 64 // of each table, also at the start, when the rate is unknown
--- a/internal/policy/outlier/health.go
+++ b/internal/policy/outlier/health.go
@@ -19,7 +19,7 @@
 	maxSuspicion = 7.0                    // log odds against a live endpoint being silent for so long
 )
 
-// Outcome is the result of one use of an endpoint, as far as it tells something about the endpoint.
+// Outcome is the result of one use of an endpoint, as far as it says something about the endpoint.
 type Outcome int
 
 // The outcomes.
--- a/internal/policy/outlier/health_test.go
+++ b/internal/policy/outlier/health_test.go
@@ -15,12 +15,12 @@
 	for _, want := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 4 * time.Second} {
 		health.Eject(now, Failing)
 		if got := health.NextTrialAt() - now; got != want {
-			t.Errorf("next trial due after %v, want %v", got, want)
+			t.Errorf("got next trial due after %v, want %v", got, want)
 		}
 	}
 	health.Readmit()
 	if health.Eject(now, Failing); health.NextTrialAt()-now != baseEjectionTime {
-		t.Errorf("after a readmission: next trial due after %v, want %v",
+		t.Errorf("after a readmission: got next trial due after %v, want %v",
 			health.NextTrialAt()-now, baseEjectionTime)
 	}
 }
@@ -32,17 +32,17 @@
 	now := 100 * time.Second
 	health.Eject(now, Failing)
 	if health.Available(health.NextTrialAt() - 1) {
-		t.Error("available before the trial is due")
+		t.Error("ejected endpoint before its trial is due: got available, want unavailable")
 	}
 	now = health.NextTrialAt()
 	if !health.Available(now) {
-		t.Error("not available when the trial is due")
+		t.Error("ejected endpoint when its trial is due: got unavailable, want available")
 	}
 	if health.StartAttempt(); health.Available(now) {
-		t.Error("available while the trial is in flight")
+		t.Error("ejected endpoint while its trial is in flight: got available, want unavailable")
 	}
 	if health.EndAttempt(); !health.Available(now) {
-		t.Error("not available after the trial has ended")
+		t.Error("ejected endpoint after the end of its trial: got unavailable, want available")
 	}
 }
 
@@ -112,7 +112,7 @@
 				}
 			}
 			if health.odds < 0 || health.odds > 2*EjectionThreshold {
-				t.Fatalf("odds %v, want 0 to twice EjectionThreshold", health.odds)
+				t.Fatalf("got odds %v, want 0 to twice EjectionThreshold", health.odds)
 			}
 			if !health.Ejected() && (health.trialInFlight || health.EjectedForSlowness()) {
 				t.Fatalf("not ejected, but with a trial in flight or ejected for slowness: %+v", health)
--- a/internal/policy/outlier/outlier.go
+++ b/internal/policy/outlier/outlier.go
@@ -86,7 +86,7 @@
 	updatedAt time.Duration
 }
 
-// decay returns what is left now of a value of an earlier time.
+// decay returns what is left at now of a value that was recorded at from.
 func (g *PeerGroup) decay(value float64, from, now time.Duration) float64 {
 	if g.halfLife <= 0 || now <= from {
 		return value
@@ -105,8 +105,8 @@
 
 // OthersSlowRate returns the mean slow rate of the other members, in a group of the given size: 0 if there are none,
 // and FaultyErrorRate if the mean exceeds sharedCauseRate, so that a slow outcome then leaves the Odds unchanged. No
-// Baseline is used: in a group of two, one slow member makes half of all outcomes slow, and a Baseline would come to
-// take that for usual.
+// Baseline is used: in a group of two, one slow member makes half of all outcomes slow, and a Baseline would soon
+// treat that as the usual rate.
 func (g *PeerGroup) OthersSlowRate(member *Member, now time.Duration, members int) float64 {
 	if members < 2 {
 		return 0
--- a/internal/policy/rto/rto_test.go
+++ b/internal/policy/rto/rto_test.go
@@ -12,21 +12,21 @@
 		slow.Observe(1)
 	}
 	if timeout := steady.Timeout(); timeout < 0.1 || timeout > 0.11 {
-		t.Errorf("responses 0.1 s late: timeout %.3f s, want 0.1 to 0.11 s", timeout)
+		t.Errorf("responses 0.1 s late: got timeout %.3f s, want 0.1 to 0.11 s", timeout)
 	}
 	if timeout := varied.Timeout(); timeout < 0.4 || timeout > 0.6 {
-		t.Errorf("responses 0 and 0.2 s late: timeout %.3f s, want about 0.5 s, the mean plus four deviations of 0.1 s",
+		t.Errorf("responses 0 and 0.2 s late: got timeout %.3f s, want about 0.5 s, the mean plus 4 deviations of 0.1 s",
 			timeout)
 	}
 	if timeout := slow.Timeout(); timeout < 1 {
-		t.Errorf("responses 1 s late: timeout %.3f s, want at least 1 s", timeout)
+		t.Errorf("responses 1 s late: got timeout %.3f s, want at least 1 s", timeout)
 	}
 	early := New()
 	for range 400 {
 		early.Observe(-0.3)
 	}
 	if early.Timeout() < MinTimeout {
-		t.Errorf("responses 0.3 s early: timeout %.3f s, want at least %.3f s",
+		t.Errorf("responses 0.3 s early: got timeout %.3f s, want at least %.3f s",
 			early.Timeout(), MinTimeout)
 	}
 }
