--- a/internal/broker/attempt.go
+++ b/internal/broker/attempt.go
@@ -14,7 +14,7 @@
 	Number       int // from 0
 	Endpoint     *Endpoint
 	Source       *Endpoint     // where Endpoint fills from; Endpoint itself: no fill
-	CacheRank    int           // 0: no copy, no change; 1 to 3: the cache rank of the copy
+	CacheRank    int           // of the cached copy, 1 to 3; 0: cache no copy, keep an existing one as it is
 	MaxAge       time.Duration // maximum age of a copy that may be served; 0: the limit of the class
 	JoinFill     bool          // may wait for a fill that is in progress
 	CachedOnly   bool          // the source serves only what it has cached
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -70,8 +70,8 @@
 }
 
 // SetOffset sets the offset of the Unix clock from the times passed to the broker. A reported start of an endpoint is
-// converted only once, so that later steps of the Unix clock do not move it. After a step a stamp is taken for the
-// latest time that it may mean: an endpoint then counts as too young rather than too old.
+// converted only once, so that later steps of the Unix clock do not move it. After a step, a stamp is converted
+// to the latest time that it may stand for, so that an endpoint counts as too young rather than too old.
 func (b *Broker) SetOffset(offset time.Duration) {
 	b.offsets.Observe(offset)
 	b.members.SetOffset(offset)
--- a/internal/broker/crossings_test.go
+++ b/internal/broker/crossings_test.go
@@ -90,7 +90,7 @@
 	requestFirst eventOrder = "request first"
 )
 
-// TestDrainCrossesRequest has a request and a list change of its endpoint or source arrive in one round, in both
+// TestDrainCrossesRequest delivers a request and a list change of its endpoint or source in one round, in both
 // orders.
 func TestDrainCrossesRequest(t *testing.T) {
 	const cache1, cache2, parent1 = 0, 1, 2
@@ -180,7 +180,7 @@
 	retried    bool           // at another endpoint
 }
 
-// TestTwoEventsInOneRound has two events of one request arrive in one round, in both orders. The allowed outcomes are
+// TestTwoEventsInOneRound delivers two events of one request in one round, in both orders. The allowed outcomes are
 // the same for both.
 func TestTwoEventsInOneRound(t *testing.T) {
 	served := []ResponseKind{ResponseServed}
@@ -292,7 +292,7 @@
 	}
 }
 
-// TestPurgeCrossesRequest has a purge and a request for its object, or for one of its group, arrive in one round, in
+// TestPurgeCrossesRequest delivers a purge and a request for its object, or for one of its group, in one round, in
 // both orders. Only a copy from after the purge may be served.
 func TestPurgeCrossesRequest(t *testing.T) {
 	const group = 7
--- a/internal/broker/endpoints.go
+++ b/internal/broker/endpoints.go
@@ -150,7 +150,7 @@
 }
 
 // startTime converts a reported start to the broker's clock; 0: long ago. A start more than maxFutureStart ahead was
-// stamped by a clock that was stepped, so it is taken for now.
+// stamped by a clock that was stepped, so now is used instead.
 func startTime(reported, now time.Duration, offsets *clock.Offsets) time.Duration {
 	if reported == 0 {
 		return 0
--- a/internal/broker/purge.go
+++ b/internal/broker/purge.go
@@ -8,7 +8,8 @@
 )
 
 // purgeSlack is how long the broker keeps a purge beyond the time in which endpoints drop older copies by themselves.
-// The policy keeps it for less, because MaySend checks an attempt that waited for its connection again at its write.
+// It is longer than the policy's: an attempt may wait for its connection after the policy's decision, and MaySend
+// checks it against the purges again when it is written.
 const purgeSlack = 2 * time.Second
 
 // stampLogInterval is the minimum time between two log entries on implausible stamps.
--- a/internal/broker/request.go
+++ b/internal/broker/request.go
@@ -44,7 +44,7 @@
 	deadline  time.Duration // by which the response must be on its way
 	attempts  []*Attempt
 	grant     quota.Grant      // charged for the request and its attempts while it is open
-	blockedBy *quota.Rejection // by the budget that blocked the latest attempt; nil: none did
+	blockedBy *quota.Rejection // rejection by the budget that blocked the latest attempt; nil: none did
 }
 
 // requestState is the state of a request. The package's doc comment lists the transitions.
--- a/internal/broker/retries.go
+++ b/internal/broker/retries.go
@@ -52,7 +52,7 @@
 	return b.chargeFirst(attempt)
 }
 
-// chargeFirst charges an attempt that is not a retry, and deposits it in the retry budgets.
+// chargeFirst charges an attempt that is not a retry, and makes its deposits in the retry budgets.
 func (b *Broker) chargeFirst(attempt *Attempt) *exhaustedBudget {
 	grant := attempt.Request.grant
 	if rejection := grant.SpendAttempt(b.now); rejection != nil {
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -20,36 +20,37 @@
 			Window: time.Duration(rapid.IntRange(1, 5000).Draw(t, "window")) * time.Millisecond,
 		}
 		type moment struct {
-			at              time.Duration
-			firsts, retries int
-			tokens          float64
+			at                     time.Duration
+			firstAttempts, retries int
+			tokens                 float64
 		}
 		var budget Budget
 		now := start
 		past := []moment{{at: now, tokens: budget.Available(now, config)}}
-		firsts, retries := 0, 0
+		firstAttempts, retries := 0, 0
 		for range rapid.IntRange(1, 200).Draw(t, "attempts") {
 			now += time.Duration(rapid.IntRange(0, 800).Draw(t, "pause")) * time.Millisecond
 			if rapid.Bool().Draw(t, "first") {
 				budget.Deposit(now, config)
-				firsts++
+				firstAttempts++
 			} else if budget.Available(now, config) >= 1 {
 				budget.Withdraw()
 				retries++
 			}
 			for _, since := range past {
 				span := now - since.at
-				bound := config.Share*float64(firsts-since.firsts) + config.Floor*span.Seconds() + since.tokens
+				bound := config.Share*float64(firstAttempts-since.firstAttempts) +
+					config.Floor*span.Seconds() + since.tokens
 				if got := float64(retries - since.retries); got > bound+1e-6 {
 					t.Fatalf("got %g retries in %v, want at most %g", got, span, bound)
 				}
 			}
-			past = append(past, moment{now, firsts, retries, budget.Available(now, config)})
+			past = append(past, moment{now, firstAttempts, retries, budget.Available(now, config)})
 		}
 	})
 }
 
-// TestRetryStormIsBounded has an endpoint fail all requests, 200 a second, each with up to five retries: the total
+// TestRetryStormIsBounded lets an endpoint fail all requests, 200 a second, each with up to five retries: the total
 // number of attempts must stay within 1.2 times the first attempts. A client that sends one request an hour must still
 // get its retry, because of the floor.
 func TestRetryStormIsBounded(t *testing.T) {
