--- a/internal/concurrency/concurrency.go
+++ b/internal/concurrency/concurrency.go
@@ -175,8 +175,8 @@
 	l.rejected = false
 }
 
-// decrease cuts the limit, the deeper the more overload there was. The cut starts from the largest number of open
-// requests in the window if that is below the limit, because a limit far above it bounds nothing.
+// decrease cuts the limit by more for a higher overload share. The cut starts from the largest number of open requests
+// in the window if that is below the limit, because a limit far above that number has no effect.
 func (l *Limit) decrease(now time.Duration, overloadShare float64) {
 	penalty := overloadPenalty * (overloadShare - l.config.MaxOverloadShare)
 	factor := max(minDecreaseFactor, l.config.DecreaseFactor-penalty)
--- a/internal/invalidation/invalidation.go
+++ b/internal/invalidation/invalidation.go
@@ -1,5 +1,5 @@
-// Package invalidation keeps the purges that cached copies may still predate, and computes in constant time how old a
-// copy may be.
+// Package invalidation keeps the recent purges, since caches may still hold copies from before them, and computes in
+// constant time how old a copy may be.
 //
 // Caches drop the purged copies by themselves within Propagation of a purge. A purge is live, and must be observed
 // here, until Propagation plus Slack after it was issued.
@@ -39,7 +39,7 @@
 type Ledger struct {
 	config         Config
 	purges         *expiry.Set[key]
-	newestGroup    time.Duration // newest purge of any group, the last of them to expire
+	newestGroup    time.Duration // newest purge of any group; no other group purge expires later
 	newestOverflow time.Duration // newest purge for which there was no space
 }
 
@@ -103,7 +103,7 @@
 	return age
 }
 
-// Expire drops the expired purges: no copy can be older than they are any more.
+// Expire drops the expired purges, since caches have dropped all copies from before them.
 func (l *Ledger) Expire(now time.Duration) {
 	liveSince := l.liveSince(now)
 	l.purges.DropBefore(liveSince)
--- a/internal/invalidation/invalidation_test.go
+++ b/internal/invalidation/invalidation_test.go
@@ -17,14 +17,14 @@
 	issued time.Duration
 }
 
-// newestByScan is the reference for Ledger.Newest: a linear scan of all purges, as the broker once did at each write.
+// newestByScan is the reference for Ledger.Newest: a linear scan of all purges.
 func newestByScan(all []purge, liveSince time.Duration, object uint64, group int) (at time.Duration, ok bool) {
 	for _, purged := range all {
-		concerns := purged.object == object
+		applies := purged.object == object
 		if purged.object == 0 {
-			concerns = group == AnyGroup || purged.group == group
+			applies = group == AnyGroup || purged.group == group
 		}
-		if concerns && purged.issued >= liveSince && purged.issued > 0 {
+		if applies && purged.issued >= liveSince && purged.issued > 0 {
 			at, ok = max(at, purged.issued), true
 		}
 	}
--- a/internal/quota/grant.go
+++ b/internal/quota/grant.go
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// Release ends the request without a signal about the load, and returns its share of the limits on what is open. Either
-// Release or ReleaseWithOutcome must be called, exactly once.
+// Release ends the request without a signal about the load, and returns what it holds of the limits on open requests
+// and their bytes. Either Release or ReleaseWithOutcome must be called, exactly once.
 func (g Grant) Release(now time.Duration) { g.ReleaseWithOutcome(now, concurrency.NoSignal, 0) }
 
 // ReleaseWithOutcome is like Release, and reports to the concurrency limit how the request ended and how long it took.
--- a/internal/quota/kind.go
+++ b/internal/quota/kind.go
@@ -9,7 +9,8 @@
 // Kind is what a budget counts, or another reason to reject a request.
 type Kind uint8
 
-// The kinds: rates first, then what is open until it is released, then reasons for a rejection that are not budgets.
+// The kinds: first the rates, then the open requests and their bytes, which count until the requests are released, and
+// then the reasons for a rejection that are not budgets.
 const (
 	Requests       Kind = iota // per second
 	PriorityWeight             // per second
--- a/internal/quota/node.go
+++ b/internal/quota/node.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// minOpenWait and maxOpenWait bound the Retry-After where too much is open, which is the average time between two
-	// releases.
+	// minOpenWait and maxOpenWait bound the Retry-After of a request that exceeds a limit on open requests or their
+	// bytes. It is the average time between two releases.
 	minOpenWait = 5 * time.Millisecond
 	maxOpenWait = 5 * time.Second
-	// defaultOpenWait is that Retry-After before two releases have been seen.
+	// defaultOpenWait is the Retry-After until two releases have been seen.
 	defaultOpenWait = 100 * time.Millisecond
 	// releaseSmoothing is the weight of the newest time between two releases in their moving average.
 	releaseSmoothing = 0.2
@@ -31,8 +31,8 @@
 	releaseInterval float64 // moving average of the time between two releases, in nanoseconds
 }
 
-// draw says which limits a cost of one kind is charged to: limit is the nearest one, source that whose guaranteed part
-// the cost is drawn from. A nil source means that only ceilings apply.
+// draw holds the limits that a cost of one kind is charged to: limit is the nearest one, and source is the one from
+// whose guaranteed part the cost is drawn. A nil source means that only ceilings apply.
 type draw struct{ limit, source *rate }
 
 // draws holds a draw for each kind of rate, without a limit if the request costs nothing of the kind or none applies.
@@ -48,7 +48,7 @@
 	return n
 }
 
-// applyLimits sets the limits of the rates from the spec. A limit that existed before keeps what was used of it.
+// applyLimits sets the limits of the rates from the spec. A limit that existed before keeps its usage.
 func (n *node) applyLimits() {
 	for k := range n.rates {
 		old := n.rates[k]
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// checkOpenLimits returns a rejection if the cost exceeds a limit on what is open at some node of the path. A request
-// larger than the limit is admitted if nothing else is open.
+// checkOpenLimits returns a rejection if the cost exceeds a limit on open requests or their bytes at some node of the
+// path. A request larger than the limit is admitted if no other is open.
 func (n *node) checkOpenLimits(cost Cost) *Rejection {
 	for p := n; p != nil; p = p.parent {
 		for k, open := range p.openUnits {
@@ -201,8 +201,8 @@
 	}
 }
 
-// idle reports whether the node and all nodes below it have nothing open and full buckets, so that new nodes would have
-// the same state.
+// idle reports whether the node and all nodes below it have no open requests and full buckets, so that new nodes would
+// have the same state.
 func (n *node) idle(now time.Duration) bool {
 	if n.inFlight > 0 {
 		return false
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,12 +1,12 @@
 // Package quota enforces the teams' contracts as a tree of budgets: the installation, its tenants, their services and
-// the services' classes. A node may limit any Kind: rates, and what is open until it is released. The guaranteed part
+// the services' classes. A node may limit rates, and the open requests and their bytes (see Kind). The guaranteed part
 // of a node is reserved for it; what the node does not use is lent to others by weight, and available to it again at
 // once. The settings have the contracts in the block `contracts`.
 //
 // Invariants, for contracts that are not over-committed: within any window, a node admits at most its ceiling's rate
 // times the window, plus its burst, plus one request that is larger than the burst; a request within the guaranteed
-// part of its node is admitted, whatever the load of others; releasing a grant returns what it holds open, to the last
-// unit.
+// part of its node is admitted, whatever the load of others; releasing a grant returns exactly the open units that it
+// holds.
 //
 // Bounds: there are nodes only for the tenants that are named in the contracts and in use. An admission looks at the
 // nodes on one path, and at two more for the sweep. It does no I/O; the caller passes the time.
@@ -30,7 +30,7 @@
 	othersName = "others"
 )
 
-// Ledger holds the contracts in force and what is used of them. A nil Ledger admits every request. It is not safe for
+// Ledger holds the contracts in force and their usage. A nil Ledger admits every request. It is not safe for
 // concurrent use.
 type Ledger struct {
 	Version int // of the contracts: 1, and one more with each ReplaceContracts
--- a/internal/quota/rate.go
+++ b/internal/quota/rate.go
@@ -32,7 +32,7 @@
 	prevBorrower, nextBorrower *rate
 }
 
-// newRate returns a node's limit of a kind by its spec. It keeps what was used of the old limit; nil: there was none.
+// newRate returns a node's limit of a kind by its spec. It keeps the usage of the old limit; nil: there was none.
 func newRate(n *node, kind Kind, old *rate) *rate {
 	guaranteed, ceiling := n.spec.meters(kind)
 	r := &rate{
--- a/internal/quota/spec.go
+++ b/internal/quota/spec.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// minLendTime sets the least that a node can lend at once, beyond the bursts that it guarantees to the nodes below:
-	// what its rate amounts to in this time.
+	// minLendTime times a node's guaranteed rate is the least that the node can lend at once, beyond the bursts that it
+	// guarantees to the nodes below.
 	minLendTime = 100 * time.Millisecond
-	// defaultBurstSeconds is the burst of a node whose contract does not set one.
+	// defaultBurstSeconds replaces Spec.Burst in a node whose contract does not set one.
 	defaultBurstSeconds = 1.0
 	// roundingFactor is the factor by which rounding may make the sum of many parts exceed their total.
 	roundingFactor = 1 + 1e-9
@@ -23,7 +23,7 @@
 	Weight   float64 // share of the spare units, relative to its siblings; 0: 1
 	Rates    [rateKinds]Limit
 	MaxOpen  [openKinds]float64 // by kind, from OpenRequests on; 0: no limit
-	Burst    time.Duration      // a burst is what a rate amounts to in this time; 0: one second
+	Burst    time.Duration      // the burst of each rate is the rate times this duration; 0: one second
 	Classes  []string           // classes that a tenant may use; empty: all
 	Children []*Spec
 
--- a/internal/quota/tree_test.go
+++ b/internal/quota/tree_test.go
@@ -77,7 +77,7 @@
 // TestTreeAgainstModel compares a ledger of random contracts with a simple model, for random requests. At each
 // admission, the charges to every node on the path must keep its ceiling over all windows that end now. A request
 // within the guaranteed part of a leaf, which the model counts by a token bucket, must be admitted. A rejection must
-// take nothing, and nothing may be open at the end.
+// take nothing, and no request may be open at the end.
 func TestTreeAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		root, paths := drawTree(t)
@@ -173,7 +173,7 @@
 	}
 }
 
-// checkEnd releases all grants, and checks that nothing is open then and that idle tenants are dropped.
+// checkEnd releases all grants, and checks that no request is open then and that idle tenants are dropped.
 func (m *treeModel) checkEnd() {
 	for _, grant := range m.open {
 		grant.Release(m.now)
--- a/internal/quota/usage.go
+++ b/internal/quota/usage.go
@@ -14,8 +14,8 @@
 	Node       string
 	Kind       Kind
 	Guaranteed float64 // of a rate: units per second
-	Ceiling    float64 // of a rate: units per second; of what is open: the limit
-	Left       float64 // of a rate: guaranteed units not used yet; of what is open: how much more may be open
+	Ceiling    float64 // of a rate: units per second; of OpenRequests and OpenBytes: the limit
+	Left       float64 // of a rate: guaranteed units not used yet; of OpenRequests and OpenBytes: what may be added
 	Borrowable float64 // of a rate: units that its own ceiling lets it borrow now
 }
 
--- a/internal/route/migration.go
+++ b/internal/route/migration.go
@@ -35,7 +35,7 @@
 // MigrationConfig holds the settings of a migration.
 type MigrationConfig struct {
 	Steps       []float64     // shares of the new pool, rising, the last 1; empty: 1%, 5%, 25%, 50%, all
-	Hold        time.Duration // how long a step must do well before the next one
+	Hold        time.Duration // how long a step must last without a rollback before the next one
 	MinResults  int           // results of the new pool needed to judge a step
 	Tolerance   float64       // accepted excess of the failure share over the old pool's; 0: 0.02
 	MaxAttempts int           // rollbacks after which the migration is abandoned; 0: 3
@@ -65,7 +65,7 @@
 const (
 	Advancing  Phase = iota // the results of the current step are being collected
 	BackingOff              // waiting for the next attempt after a rollback
-	Completed               // all requests go to the new pool, and the last step did well
+	Completed               // all requests go to the new pool, and the last step succeeded
 	Abandoned               // all requests go to the old pool for good
 )
 
@@ -141,7 +141,7 @@
 		if changed { // the new pool had no requests meanwhile: retry the first step
 			m.step = 0
 		}
-		m.restartStep(now) // an earlier step must do well again before the next
+		m.restartStep(now) // an earlier step must last for Hold again before the next
 		return changed
 	}
 	switch {
