--- a/internal/membership/consul/blockingquery/blockingquery.go
+++ b/internal/membership/consul/blockingquery/blockingquery.go
@@ -43,7 +43,7 @@
 	confirmRequested bool          // see Confirm
 	indexRegressed   bool          // a response had a lower index: verify it by a query in consistent mode
 	askLeader        bool          // the last response was too stale: query once in default mode
-	lastPartial      bool          // block only briefly: rights or a leader may return without an index change
+	lastPartial      bool          // block only briefly: permissions or a leader may return without an index change
 	unavailable      bool          // see Unavailable
 
 	canceled []uint64 // serials of queries to cancel by the next Step
--- a/internal/membership/consul/blockingquery/blockingquery_test.go
+++ b/internal/membership/consul/blockingquery/blockingquery_test.go
@@ -31,7 +31,7 @@
 				simulation.run(to)
 				queries := simulation.agents[0].queriesSince(from)
 				if maxQueries := int(length/time.Second) + 1; queries > maxQueries {
-					t.Errorf("%v for %v: %d queries, want at most %d", fault, length, queries, maxQueries)
+					t.Errorf("%v for %v: got %d queries, want at most %d", fault, length, queries, maxQueries)
 				}
 				simulation.run(to + 2*time.Second)
 				if !simulation.isCurrent() {
@@ -69,7 +69,7 @@
 				simulations.run(to)
 				queries := simulations[0].agents[0].queriesSince(from)
 				if maxQueries := int(length/time.Second) + 1; queries > maxQueries {
-					t.Errorf("%v for %v: %d queries, want at most %d", fault, length, queries, maxQueries)
+					t.Errorf("%v for %v: got %d queries, want at most %d", fault, length, queries, maxQueries)
 				}
 				simulations.run(to + 2*time.Second)
 				for i, simulation := range simulations {
@@ -218,7 +218,7 @@
 			[]Verdict{{}}, Query{Index: 20, Wait: wait}},
 		{"no change during the full wait time", Default, []ResponseMeta{complete, complete},
 			[]Verdict{{}, {Disposition: Unchanged}}, Query{Index: 20, Wait: wait}},
-		{"token lacks rights", Default, []ResponseMeta{{Index: 20, KnownLeader: true, Filtered: true}},
+		{"token lacks permissions", Default, []ResponseMeta{{Index: 20, KnownLeader: true, Filtered: true}},
 			[]Verdict{{Disposition: Partial, Reason: Filtered}}, Query{Index: 20, Wait: RetryInterval}},
 		{"no leader", Stale, []ResponseMeta{{Index: 20}},
 			[]Verdict{{Disposition: Partial, Reason: NoLeader}}, Query{Index: 20, Wait: RetryInterval, Mode: Stale}},
@@ -259,10 +259,10 @@
 	}
 }
 
-// TestListCompleteAfterRightsRestored: after a response that leaves entries out, the next query does not block for
-// long, because no index changes when a token gets its rights. The list then counts as complete despite its unchanged
-// index.
-func TestListCompleteAfterRightsRestored(t *testing.T) {
+// TestListCompleteAfterPermissionsRestored: after a response that leaves entries out, the next query does not block for
+// long, because no index changes when a token gets its permissions. The list then counts as complete despite its
+// unchanged index.
+func TestListCompleteAfterPermissionsRestored(t *testing.T) {
 	complete := ResponseMeta{Index: 10, KnownLeader: true}
 	for name, incomplete := range map[string]ResponseMeta{
 		"filtered":  {Index: 10, KnownLeader: true, Filtered: true},
@@ -331,7 +331,7 @@
 		started = watch.Step(start + 2*time.Second)[0].Start
 		filtered := ResponseMeta{Index: 20, KnownLeader: true, Filtered: true}
 		if verdict, _ = watch.ListReceived(start, started.Serial, filtered); verdict.Confirms {
-			t.Error("got a response without full rights that confirms, want none")
+			t.Error("got a response without full permissions that confirms, want none")
 		}
 	}
 }
--- a/internal/membership/consul/blockingquery/simulation_test.go
+++ b/internal/membership/consul/blockingquery/simulation_test.go
@@ -34,7 +34,7 @@
 	return count
 }
 
-// simulation runs a watch against fake agents in simulated time. Of the list it has only the version number.
+// simulation runs a watch against fake agents in simulated time. Of the list, it simulates only the version number.
 type simulation struct {
 	watch               *Watch
 	agents              []*fakeAgent
--- a/internal/membership/consul/blockingquery/verdict.go
+++ b/internal/membership/consul/blockingquery/verdict.go
@@ -21,7 +21,7 @@
 	Index       uint64
 	KnownLeader bool
 	LastContact time.Duration // time since the responding server last contacted its leader
-	Filtered    bool          // results were left out because the token lacks rights
+	Filtered    bool          // results were left out because the token lacks permissions
 }
 
 // complete reports whether the metadata allows the response to count as the complete list.
@@ -45,7 +45,7 @@
 const (
 	ReasonNone     Reason = iota
 	NoLeader              // the agent knows no leader
-	Filtered              // the token lacks rights
+	Filtered              // the token lacks permissions
 	TooStale              // the responding server's last contact with its leader is too long ago
 	IndexRegressed        // the index is below that of the last accepted response
 	IndexZero             // the index is 0
--- a/internal/membership/consul/purges_test.go
+++ b/internal/membership/consul/purges_test.go
@@ -64,7 +64,7 @@
 		}
 	}
 	if _, logged := recorder.recorded(); len(logged) != 1 {
-		t.Errorf("logged %q, want one rejected key", logged)
+		t.Errorf("got log %q, want one rejected key", logged)
 	}
 }
 
--- a/internal/membership/consul/register_test.go
+++ b/internal/membership/consul/register_test.go
@@ -51,7 +51,7 @@
 				c.name, err, len(cluster.Instances("proxy")))
 		}
 		if _, logged := recorder.recorded(); !hasEvent(logged, "catalogue-deregistered") {
-			t.Errorf("%s: logged %q, want catalogue-deregistered", c.name, logged)
+			t.Errorf("%s: got log %q, want catalogue-deregistered", c.name, logged)
 		}
 	}
 }
--- a/internal/membership/consul/registrar/registrar.go
+++ b/internal/membership/consul/registrar/registrar.go
@@ -67,7 +67,7 @@
 	}
 	switch {
 	case r.deregistering:
-		// Also without a confirmed registration: an unanswered one may have reached the agent.
+		// Deregister even if no registration was confirmed: an unanswered one may have reached the agent.
 		r.inFlight = Deregister
 	case r.registered:
 		r.inFlight = Renew
