--- a/internal/membership/listwatch/listwatch.go
+++ b/internal/membership/listwatch/listwatch.go
@@ -23,8 +23,9 @@
 
 const (
 	maxLineBytes = 1 << 20 // enough for the complete list of a large fleet
-	// maxSilence is how long a connection may be silent, although a heartbeat is due every second. What a stalled watch
-	// withholds counts as reported 4 s later: a dial and a second of draining must fit into that time as well.
+	// maxSilence is how long a connection may be silent, although a heartbeat is due every second. An event withheld by
+	// a stalled watch counts as reported 4 s later. Within these 4 s, the silence must be detected, the watch must be
+	// dialed again, and a second must be left for draining.
 	maxSilence    = 1600 * time.Millisecond
 	dialTimeout   = time.Second
 	minRetryDelay = 100 * time.Millisecond
@@ -67,7 +68,7 @@
 }
 
 // extendedTimeout doubles a timeout for each connection in a row that went unanswered, up to a bound. Otherwise a slow
-// or overloaded watch could be dropped shortly before each of its answers, and never be heard.
+// or overloaded watch could be dropped shortly before each of its answers, so that none would arrive.
 func (w *Watcher) extendedTimeout(base time.Duration) time.Duration {
 	return base << min(w.unanswered, maxTimeoutDoublings)
 }
--- a/internal/membership/loss.go
+++ b/internal/membership/loss.go
@@ -85,7 +85,7 @@
 	return lossAccepted
 }
 
-// suspectLoss keeps the reports on the endpoints that a list lacks. A new suspicion has the source fetched again.
+// suspectLoss keeps the reports on the endpoints that a list lacks. A new suspicion requests another fetch.
 func (t *Table) suspectLoss(update sourceUpdate, kind loss, lost []*endpointRecord, total int) {
 	state := &t.sources[update.source]
 	if state.suspicion == nil || state.suspicion.loss != kind {
@@ -129,8 +129,8 @@
 	state.suspicion = nil
 }
 
-// stepSuspicion has a suspected source fetched again when that is due. An empty list is never accepted as a loss, so
-// one fetch is enough for it.
+// stepSuspicion requests another fetch of a suspected source when it is due. An empty list is never accepted as a
+// loss, so one fetch is enough for it.
 func (t *Table) stepSuspicion(now time.Duration, source int) {
 	suspicion := t.sources[source].suspicion
 	if suspicion == nil || suspicion.loss == lossOfAll || now < suspicion.nextRefetch {
--- a/internal/membership/loss_test.go
+++ b/internal/membership/loss_test.go
@@ -11,7 +11,7 @@
 type lossStep struct {
 	list      List
 	published int  // number of published endpoints after it
-	refetch   bool // whether it has the source fetched again
+	refetch   bool // whether it requests another fetch of the source
 	notes     []NoteKind
 }
 
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -69,7 +69,7 @@
 func (t *Table) SetOffset(offset time.Duration) { t.clockOffset = offset }
 
 // ReplaceList applies a list of a source. A complete list withdraws the source's reports on endpoints that it lacks,
-// unless the loss is suspected. Of several entries for one ID only the first is used.
+// unless the loss is suspected. If several entries have the same ID, only the first is used.
 func (t *Table) ReplaceList(now time.Duration, source int, list List) {
 	state := &t.sources[source]
 	t.SourceSeen(now, source)
@@ -93,7 +93,7 @@
 	t.noteOverLimit(source)
 }
 
-// ApplyDelta applies changes from a source. Of an endpoint that is gone only the ID is used.
+// ApplyDelta applies changes from a source. For an endpoint that is gone, only the ID is used.
 func (t *Table) ApplyDelta(now time.Duration, source int, version uint64, endpoints []Endpoint) {
 	state := &t.sources[source]
 	t.SourceSeen(now, source)
--- a/internal/membership/source.go
+++ b/internal/membership/source.go
@@ -16,8 +16,8 @@
 	suspicion   *suspicion        // nil: no loss is suspected
 }
 
-// stepSource does what is due for a source: it overrules the reports of one that has been silent for too long, and has
-// a suspected list fetched again.
+// stepSource performs the work that is due for a source: it overrules the reports of one that has been silent for too
+// long, and requests another fetch of a suspected list.
 func (t *Table) stepSource(now time.Duration, source int) {
 	s := &t.sources[source]
 	if t.cfg.MaxSilence > 0 && s.silent && now >= s.lastSeen+t.cfg.MaxSilence {
