--- a/internal/bootstrap/bootstrap.go
+++ b/internal/bootstrap/bootstrap.go
@@ -121,7 +121,7 @@
 	m.advance(now)
 	if !m.peersSeen && len(peers) > 0 && m.config.PeersEnabled {
 		m.peersSeen = true
-		// The peers may start to poll only now: no poller in view means isolation only after some time.
+		// The peers may only just be starting to poll, so wait before the lack of a poller counts as isolation.
 		m.isolatedPollAt = max(m.isolatedPollAt, m.now+SettleTime+MinPollWindow+m.jitter())
 	}
 	m.setMembers(peers)
@@ -174,7 +174,7 @@
 	return m.step()
 }
 
-// Step carries out what is due by now.
+// Step performs the work that is due by now.
 func (m *Machine) Step(now time.Duration) []Effect {
 	m.advance(now)
 	return m.step()
@@ -239,7 +239,7 @@
 
 func (m *Machine) advance(now time.Duration) { m.now = max(m.now, now) }
 
-// step carries out what is due, and returns all effects since the last call.
+// step performs the work that is due, and returns all effects since the last call.
 func (m *Machine) step() []Effect {
 	for i := range m.lists {
 		m.updateQuorumSeenAt(&m.lists[i])
--- a/internal/bootstrap/checksum.go
+++ b/internal/bootstrap/checksum.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// SortEndpoints returns a copy sorted by ID, as checksums need it. Of several endpoints with the same ID it keeps the
+// SortEndpoints returns a copy sorted by ID, as checksums need it. If several endpoints have the same ID, it keeps the
 // first.
 func SortEndpoints(endpoints []membership.Endpoint) []membership.Endpoint {
 	endpoints = slices.Clone(endpoints)
--- a/internal/bootstrap/fetch.go
+++ b/internal/bootstrap/fetch.go
@@ -145,7 +145,7 @@
 	l.candidate = &candidate{endpointList: fetched, fetchedAt: m.now}
 }
 
-// receiveBusy redirects the fetch to the peer named in the message, or has it retried after a backoff with jitter.
+// receiveBusy redirects the fetch to the peer named in the message, or schedules a retry after a backoff with jitter.
 func (m *Machine) receiveBusy(peer string, busy *Busy) {
 	l := m.list(busy.List)
 	if l == nil || l.fetch == nil || l.fetch.Sum != busy.Sum || l.fetch.peer != peer {
--- a/internal/bootstrap/fleet_test.go
+++ b/internal/bootstrap/fleet_test.go
@@ -85,7 +85,7 @@
 		{"in 30 s without events", of30.quietCalls, of300.quietCalls},
 	} {
 		if float64(calls.big) > 1.5*float64(calls.small) {
-			t.Errorf("300 proxies make %d calls %s, want at most 1.5 times the %d of 30 proxies",
+			t.Errorf("300 proxies: got %d calls %s, want at most 1.5 times the %d of 30 proxies",
 				calls.big, calls.when, calls.small)
 		}
 	}
--- a/internal/bootstrap/polling.go
+++ b/internal/bootstrap/polling.go
@@ -63,7 +63,7 @@
 	case pollersInView:
 		m.isolatedPollAt = 0
 	case m.isolatedPollAt == 0:
-		m.isolatedPollAt = m.now + m.jitter() // the whole zone loses its pollers at once
+		m.isolatedPollAt = m.now + m.jitter() // random, because the whole zone loses its pollers at the same time
 	case m.now >= m.isolatedPollAt:
 		return pollIsolated
 	}
@@ -130,7 +130,8 @@
 // isConfirming reports whether this proxy is polling to confirm a list.
 func (m *Machine) isConfirming() bool { return m.now < m.confirmUntil }
 
-// stepSourceStatus reports for each list if the service, as seen through the pollers, became silent or answers again.
+// stepSourceStatus reports for each list whether the service, as seen through the pollers, has become silent or answers
+// again.
 func (m *Machine) stepSourceStatus() {
 	maxSilence := MaxMissedHeartbeats * m.heartbeatInterval()
 	for i := range m.lists {
