--- a/internal/membership/consul/blockingquery/blockingquery_test.go
+++ b/internal/membership/consul/blockingquery/blockingquery_test.go
@@ -46,7 +46,7 @@
 		}
 	}
 	if maxDelay >= time.Second {
-		t.Errorf("got the change made in an outage %v after it, want less than 1 s", maxDelay)
+		t.Errorf("got the change made during an outage %v after the outage, want less than 1 s", maxDelay)
 	}
 	t.Logf("largest delay after an outage: %v", maxDelay)
 }
@@ -84,7 +84,7 @@
 		}
 	}
 	if maxDelay >= time.Second {
-		t.Errorf("got the change made in an outage %v after it, want less than 1 s", maxDelay)
+		t.Errorf("got the change made during an outage %v after the outage, want less than 1 s", maxDelay)
 	}
 	t.Logf("largest delay after an outage: %v", maxDelay)
 }
@@ -284,7 +284,8 @@
 			}
 			verdict, ok := watch.ListReceived(now, query.Serial, meta)
 			if !ok || (verdict.Disposition == Complete) != (meta == complete) {
-				t.Fatalf("%s: after %v: got disposition %v, ok %v", name, now-start, verdict.Disposition, ok)
+				t.Fatalf("%s: after %v: got disposition %v, ok %v, want Complete for a complete response only",
+					name, now-start, verdict.Disposition, ok)
 			}
 			if verdict.Disposition == Complete {
 				break
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -45,7 +45,7 @@
 	notes       noteBuffer
 	overLimit   int // endpoints that the current call dropped because the table was full
 	revision    uint64
-	clockOffset time.Duration // what to add to a time for Unix time
+	clockOffset time.Duration // added to a time to get Unix time
 }
 
 // New returns an empty table.
--- a/internal/policy/aimd/aimd.go
+++ b/internal/policy/aimd/aimd.go
@@ -18,7 +18,7 @@
 const (
 	// InitialLimit is the limit at the start, as a multiple of the proxy's link capacity.
 	InitialLimit = 1.5
-	// MinLimit is the lowest limit. It is above zero so that some fills go on and show a recovery.
+	// MinLimit is the lowest limit. It is above zero so that some fills continue and show when capacity has recovered.
 	MinLimit = 0.08
 
 	maxLimit      = 2 * InitialLimit
--- a/internal/policy/endpointset/endpoint.go
+++ b/internal/policy/endpointset/endpoint.go
@@ -39,7 +39,7 @@
 
 func newEndpoint[A comparable]() *Endpoint[A] { return &Endpoint[A]{slowness: 1} }
 
-// restart resets what is known about the endpoint for its new process. Attempts in flight stay.
+// restart resets everything learned about the endpoint, as it has a new process. Attempts in flight stay.
 func (e *Endpoint[A]) restart(now time.Duration) {
 	*e = Endpoint[A]{inFlight: e.inFlight, slowness: 1, isSuspect: e.isSuspect}
 	e.Health.RestartWait(now)
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -123,8 +123,8 @@
 	e.emit(CancelAttempt{request.id, n})
 }
 
-// recordOvertaken counts a response for each attempt that it overtook: one that was sent earlier to the same
-// endpoint, has a shorter expected transfer time and waits for the same source.
+// recordOvertaken counts a response against each attempt that it overtook: those that were sent earlier to
+// the same endpoint, have a shorter expected transfer time and wait for the same source.
 func recordOvertaken(request *openRequest, completed *attemptState) {
 	for _, ref := range completed.endpoint.InFlight() {
 		attempt := &ref.request.attempts[ref.n]
@@ -138,7 +138,7 @@
 	}
 }
 
-// timing returns the estimator for what responses like an attempt's take beyond their transfer time.
+// timing returns the estimator of how long responses of an attempt's kind take beyond their transfer time.
 func (e *Engine) timing(attempt *attemptState) *rto.Estimator {
 	if attempt.limiter != nil {
 		return &e.fillTiming
--- a/internal/policy/rto/rto_test.go
+++ b/internal/policy/rto/rto_test.go
@@ -15,7 +15,7 @@
 		t.Errorf("responses 0.1 s late: got timeout %.3f s, want 0.1 to 0.11 s", timeout)
 	}
 	if timeout := varied.Timeout(); timeout < 0.4 || timeout > 0.6 {
-		t.Errorf("responses 0 and 0.2 s late: got timeout %.3f s, want about 0.5 s, the mean plus 4 deviations of 0.1 s",
+		t.Errorf("responses 0 and 0.2 s late: got timeout %.3f s, want about 0.5 s, mean plus 4 deviations of 0.1 s",
 			timeout)
 	}
 	if timeout := slow.Timeout(); timeout < 1 {
--- a/internal/quota/node.go
+++ b/internal/quota/node.go
@@ -35,7 +35,8 @@
 // whose guaranteed part the cost is drawn. A nil source means that only ceilings apply.
 type draw struct{ limit, source *rate }
 
-// draws holds a draw for each kind of rate, without a limit if the request costs nothing of the kind or none applies.
+// draws holds a draw for each kind of rate. Its limit is nil if the request costs nothing of the kind, or if no limit
+// applies.
 type draws [rateKinds]draw
 
 // newNode returns a node for a spec, below a parent; nil: it is the root.
--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -19,8 +19,8 @@
 	// arrivalWindow is how long after the signal new clients may arrive: they open connections for up to 400 ms and
 	// send requests on them for another 200 ms; the rest allows for the delay of a busy event loop.
 	arrivalWindow = 900 * time.Millisecond
-	// excusedWindow is how long after the signal a request may arrive that is allowed to be still open when the
-	// platform kills the process. A later request must be answered before the kill.
+	// excusedWindow is the time after the signal within which an arriving request may still be open when the platform
+	// kills the process. A later request must be answered before the kill.
 	excusedWindow = 700 * time.Millisecond
 	// signalMargin shortens excusedWindow, because the platform counts from when it sent the signal, slightly before
 	// the process receives it. Clients send no requests that late, so none loses time by it.
