--- a/internal/policy/endpointset/endpoint.go
+++ b/internal/policy/endpointset/endpoint.go
@@ -12,7 +12,7 @@
 const (
 	averageHalfLife = 2 * time.Second // of the average number of attempts in flight
 	slownessWeight  = 0.04            // of a new response in an endpoint's slowness
-	minSlowness     = 0.7             // reported weights are rough: no endpoint is taken for much faster
+	minSlowness     = 0.7             // lower bound: reported weights are too rough to show a faster endpoint
 )
 
 // Endpoint is an endpoint of the list with what the proxy knows about it.
@@ -39,7 +39,7 @@
 
 func newEndpoint[A comparable]() *Endpoint[A] { return &Endpoint[A]{slowness: 1} }
 
-// restart resets what is known about the endpoint for its new process. Attempts in flight stay.
+// restart resets everything learned about the endpoint, as it has a new process. Attempts in flight stay.
 func (e *Endpoint[A]) restart(now time.Duration) {
 	*e = Endpoint[A]{inFlight: e.inFlight, slowness: 1, isSuspect: e.isSuspect}
 	e.Health.RestartWait(now)
