--- a/internal/drill/audit_requests.go
+++ b/internal/drill/audit_requests.go
@@ -124,7 +124,7 @@
 }
 
 // wasPausedUntilKill reports whether a request was open during a pause that lasted until the kill and began before the
-// request was due: the process could rightly have waited until the pause, and could do nothing from then on.
+// request was due: the process was allowed to wait until the pause, and could do nothing from then on.
 func (p *ProcessRun) wasPausedUntilKill(sent, due time.Duration) bool {
 	return sent <= p.KilledAt && slices.ContainsFunc(p.Pauses, func(pause Span) bool {
 		return pause.From <= due && pause.overlaps(p.KilledAt, p.KilledAt)
--- a/internal/drill/endpoint.go
+++ b/internal/drill/endpoint.go
@@ -75,8 +75,8 @@
 	return time.Now().Before(e.downUntil)
 }
 
-// addWork adds the cost of a request to the endpoint's load, and reports whether the endpoint crashes from it. Origins
-// and endpoints that have warmed up never do. The caller holds the lock.
+// addWork adds the cost of a request to the endpoint's load, and reports whether the load makes the endpoint crash.
+// Origins and endpoints that have warmed up never crash from load. The caller holds the lock.
 func (e *endpoint) addWork(plan *Plan, cost float64) (overloaded bool) {
 	now := time.Now()
 	e.recent = append(e.recent, workItem{now, cost})
--- a/internal/drill/idle_clients.go
+++ b/internal/drill/idle_clients.go
@@ -12,7 +12,7 @@
 const (
 	// maxIdleClients bounds the idle clients at one proxy.
 	maxIdleClients = 1000
-	// partialMessageEvery makes one in so many idle clients send half a message before it goes idle.
+	// partialMessageEvery is the interval, in idle clients, at which one sends half a message before it goes idle.
 	partialMessageEvery = 3
 	// idleRedialInterval is how long a client waits after its connection was closed before it reconnects.
 	idleRedialInterval = 100 * time.Millisecond
--- a/internal/drill/plan_test.go
+++ b/internal/drill/plan_test.go
@@ -14,7 +14,7 @@
 		{"at 1s vanish doormans\nhold answers", `p:1: at: unknown step "vanish"`},
 		{"at soon kill doormans\nhold answers", `p:1: at: expected a time such as 5s, got "soon"`},
 		{"at 1s cut list\nhold answers", "p:1: at: cut takes WHO WHO [one-way]"},
-		{"at 1s lose list doormans 3\nhold answers", `p:1: at: lose: expected a share of 0 to 1, got "3"`},
+		{"at 1s lose list doormans 3\nhold answers", `p:1: at: lose: expected a share from 0 to 1, got "3"`},
 		{"at 1s list dance\nhold answers", "p:1: at: list takes hang"},
 		{"hold love", `p:1: hold: unknown check "love"`},
 		{"hold served", "p:1: hold: served takes: SHARE"},
--- a/internal/drill/proxy_settings.go
+++ b/internal/drill/proxy_settings.go
@@ -72,7 +72,7 @@
 		return err
 	}
 	p.settingsWritten++
-	settings += fmt.Sprintf("# written for the %d. time\nbind %s\n%s", p.settingsWritten, p.ip, p.peerSettings())
+	settings += fmt.Sprintf("# revision %d\nbind %s\n%s", p.settingsWritten, p.ip, p.peerSettings())
 	if p.clockOffset != 0 {
 		settings += fmt.Sprintf("clock-ahead %v\n", p.clockOffset)
 	}
--- a/internal/drill/steps.go
+++ b/internal/drill/steps.go
@@ -58,7 +58,7 @@
 }
 
 // errUsage reports that a step's words do not have its form; parseStep replaces it by an error with the usage.
-var errUsage = errors.New("not in the step's form")
+var errUsage = errors.New("words do not match the step's form")
 
 // stepForms holds the form of each step by its name in plans. A new step needs an entry here, a parse function and an
 // action with a prepare method.
@@ -66,14 +66,14 @@
 	"start":        {1, 2, "WHO [with-disk|without-disk|old-disk]", parseStart},
 	"kill":         {1, 1, "WHO: SIGKILL", parseKill},
 	"term":         {1, 1, "WHO: SIGTERM", parseTerminate},
-	"finish":       {1, 1, "WHO: SIGTERM, and SIGKILL at the protocol's earliest time after it", parseFinish},
-	"stop":         {1, 1, "WHO: SIGSTOP; SIGCONT when it is over", parsePause},
+	"finish":       {1, 1, "WHO: SIGTERM, then SIGKILL at the earliest time that the protocol allows", parseFinish},
+	"stop":         {1, 1, "WHO: SIGSTOP, then SIGCONT when the step ends", parsePause},
 	"hup":          {1, 1, "WHO: SIGHUP", parseReload},
-	"files":        {1, 2, "WHO [broken]: their configuration is written anew, or with a fault", parseFiles},
-	"crowd":        {2, 2, "WHO N: so many idle clients at each, some with half a message", parseIdleClients},
-	"clock":        {2, 2, "WHO TIME: what its Unix clock is ahead, from its next start on", parseClock},
-	"roll":         {2, 3, "WHO GAP [TIMES]: kill and start again each in turn", parseRollingRestart},
-	"keep-disk":    {1, 1, "WHO: remember the disk, for old-disk", parseKeepDisk},
+	"files":        {1, 2, "WHO [broken]: rewrite the configuration files, truncated if broken", parseFiles},
+	"crowd":        {2, 2, "WHO N: connect N idle clients to each; some send half a message", parseIdleClients},
+	"clock":        {2, 2, "WHO TIME: set the Unix clock ahead by TIME from the next start on", parseClock},
+	"roll":         {2, 3, "WHO GAP [TIMES]: kill and restart one after another", parseRollingRestart},
+	"keep-disk":    {1, 1, "WHO: save the contents of the disk for old-disk", parseKeepDisk},
 	"cut":          {2, 3, "WHO WHO [one-way]", parseCut},
 	"refuse":       {2, 2, "WHO WHO", parseRefuse},
 	"reset":        {2, 2, "WHO WHO", parseReset},
@@ -85,10 +85,10 @@
 	"list":         {1, 2, "hang, refuse, empty, old TIME, rate N/s or well", parseListFault},
 	"drain":        {1, 1, "BOX", parseDrain},
 	"up":           {1, 1, "BOX", parseUndrain},
-	"die":          {1, 1, "BOX: it is back, cold, when that is over", parseCrash},
-	"hang":         {1, 1, "BOX: it reads and answers no request", parseHang},
-	"liar":         {2, 2, "PLAZA empty, dead or many: a member of the fleet that tells such a list", parseByzantine},
-	"same-address": {1, 1, "N: the list names so many ids that share one address", parseSameAddress},
+	"die":          {1, 1, "BOX: crash, and come back cold when the step ends", parseCrash},
+	"hang":         {1, 1, "BOX: read requests but answer none", parseHang},
+	"liar":         {2, 2, "PLAZA empty, dead or many: add a peer that advertises such a false list", parseByzantine},
+	"same-address": {1, 1, "N: add N endpoints to the list that share one address", parseSameAddress},
 }
 
 // parseStep parses the words after `at`.
@@ -126,7 +126,7 @@
 func parseCount(word string, lowest, highest int) (int, error) {
 	n, err := strconv.Atoi(word)
 	if err != nil || n < lowest || n > highest {
-		return 0, fmt.Errorf("expected a number of %d to %d, got %.40q", lowest, highest, word)
+		return 0, fmt.Errorf("expected a number from %d to %d, got %.40q", lowest, highest, word)
 	}
 	return n, nil
 }
--- a/internal/drill/steps_network.go
+++ b/internal/drill/steps_network.go
@@ -74,7 +74,7 @@
 func parseShare(step, word string) (float64, error) {
 	share, err := strconv.ParseFloat(word, 64)
 	if err != nil || !(share >= 0 && share <= 1) {
-		return 0, linkError(step, "a share of 0 to 1", word)
+		return 0, linkError(step, "a share from 0 to 1", word)
 	}
 	return share, nil
 }
