--- a/internal/emulator/consul/cluster.go
+++ b/internal/emulator/consul/cluster.go
@@ -17,8 +17,8 @@
 	Critical = "critical"
 )
 
-// Maintenance is the status by which SetStatus and SetNodeStatus put an instance or a node into maintenance. No check
-// has this status.
+// Maintenance is the status that a caller passes to SetStatus or SetNodeStatus to put an instance or a node into
+// maintenance. It is never the status of a check.
 const Maintenance = "maintenance"
 
 // IDs, or prefixes of IDs, that Consul itself gives to checks.
--- a/internal/emulator/consul/kv.go
+++ b/internal/emulator/consul/kv.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// maxValue is the largest value of a key, in bytes; the rest is cut off.
+// maxValue is the largest value of a key, in bytes; longer values are truncated.
 const maxValue = 512 << 10
 
 // kvEntry is one key in a response to /v1/kv. Its fields are in alphabetical order.
--- a/internal/emulator/endpoint_conn.go
+++ b/internal/emulator/endpoint_conn.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// record keeps a line for Received. The caller holds the lock.
+// record adds a line to those that Received returns. The caller holds the lock.
 func (e *Endpoints) record(line *ReceivedRequest) {
 	e.received = append(e.received, line)
 	if len(e.received) > maxReceived {
