--- a/test/harness_load_test.go
+++ b/test/harness_load_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// count adds a number of requests to those that ended with an outcome.
+// count adds requests to the number of those that ended with the given outcome.
 func (load *traffic) count(outcome string, requests int) {
 	load.mu.Lock()
 	defer load.mu.Unlock()
--- a/test/harness_syscalls_test.go
+++ b/test/harness_syscalls_test.go
@@ -377,7 +377,7 @@
 	return nil
 }
 
-// injectedFailureText returns the text in the program's log for each call that failed by count or by file.
+// injectedFailureText returns the text that is logged for each call that the named fault fails by count or by file.
 func injectedFailureText(name string) string { return "faults: " + name + " call failed" }
 
 // startWithFaults starts the test binary as the program with failing system calls; faults has the form of
