--- a/test/catalogue_outage_test.go
+++ b/test/catalogue_outage_test.go
@@ -33,7 +33,7 @@
 			load := bed.startLookups()
 			bed.waitInUse("c1")
 			agents[0].SetFault(c.fault, 0)
-			cluster.SetStatus("archive", "o1", consul.Passing) // ends the open blocking queries, whose responses fail
+			cluster.SetStatus("archive", "o1", consul.Passing) // ends the open queries; their responses fail
 			cluster.SetStatus("trunk", "p1", consul.Passing)
 			cluster.SetStatus("cache", "c2", consul.Passing)
 			bed.waitLoggedTimes("event=catalogue-unreachable", 3)
--- a/test/catalogue_test.go
+++ b/test/catalogue_test.go
@@ -194,7 +194,7 @@
 }
 
 // TestFlappingCheckIsDamped checks that a health check that flaps a hundred times a second causes a bounded number of
-// logged changes, and that the endpoint is out of use once its check stays critical.
+// logged changes, and that the endpoint is no longer used once its check stays critical.
 func TestFlappingCheckIsDamped(t *testing.T) {
 	t.Parallel()
 	bed := newCatalogueTestbed(t, answerAsEmptyCaches)
--- a/test/connections_test.go
+++ b/test/connections_test.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// TestUnresponsiveConnection checks that a connection that was cut off but stays open is detected by a NOOP and
-// closed, and that its requests are sent on another connection. It guards against requests that wait on it until their
-// deadlines; a QUIT on it does not arrive.
+// TestUnresponsiveConnection checks that the program detects by a NOOP that a connection was cut off without a close,
+// closes it, and sends its requests on another connection. It guards against requests that wait on such a connection
+// until their deadlines; a QUIT sent on it does not arrive.
 func TestUnresponsiveConnection(t *testing.T) {
 	bed := newTestbed(t, nil, "c2")
 	onFirstConnection := func(attempt *receivedRequest) bool { return attempt.Conn == bed.attempts()[0].Conn }
--- a/test/dns_test.go
+++ b/test/dns_test.go
@@ -77,7 +77,8 @@
 }
 
 // TestDNSRetransmitsAreIdempotent checks a charge that is sent again while its first attempt is open. There must be one
-// attempt, one response to each accepted query, and the same result again within the window of the idempotency key.
+// attempt and one response to each accepted query, and a later query within the window of the idempotency key must get
+// the same result.
 func TestDNSRetransmitsAreIdempotent(t *testing.T) {
 	release := make(chan struct{})
 	bed := newTestbed(t, func(attempt *receivedRequest) {
--- a/test/drill_test.go
+++ b/test/drill_test.go
@@ -37,14 +37,14 @@
 	reportChecks(t, seed, result)
 }
 
-// reportChecks logs the results of a drill's checks, and fails the test if one did not hold.
+// reportChecks logs the results of a drill's checks, and fails the test unless all of them held.
 func reportChecks(t *testing.T, seed uint64, result *drill.Result) {
 	t.Helper()
 	for _, check := range result.Checks {
 		if check.OK {
-			t.Logf("held: %s: %s", check.Invariant.Line, check.Details)
+			t.Logf("invariant holds: %s: %s", check.Invariant.Line, check.Details)
 		} else {
-			t.Errorf("seed %d, did not hold: %s: %s", seed, check.Invariant.Line, check.Details)
+			t.Errorf("seed %d: invariant does not hold: %s: %s", seed, check.Invariant.Line, check.Details)
 		}
 	}
 }
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -412,7 +412,7 @@
 	for id := uint64(1); id <= 3000; id++ {
 		client.send(request(id, "footage", map[string]string{"limit": "3600000"}, ""))
 		client.send(cancelNotification(id))
-		if id%16 == 0 { // otherwise they would be canceled in the round they arrive in, and not be processed
+		if id%16 == 0 { // a request canceled in the round in which it arrives is not processed
 			client.waitRequestsRead(id)
 			bed.waitUntil("nothing is open", func() bool { return bed.stateCounts(socket)["pool.0.open"] == 0 })
 		}
