--- a/test/last_moment_test.go
+++ b/test/last_moment_test.go
@@ -334,7 +334,7 @@
 		switch {
 		case request.end == endClosed, request.end == endUnanswered && !isBlocked &&
 			(!l.scenario.hasOpenRequest || beforeKill >= crossingWindow):
-			t.Errorf("request %d, sent %v before the kill: got the outcome: %s; want an answer",
+			t.Errorf("request %d, sent %v before the kill: got outcome %s, want an answer",
 				request.id, beforeKill, request.end)
 		case request.end == endUnanswered && isBlocked && len(bed.attemptsOfRequest(request.id)) > 0:
 			t.Errorf("request %d, sent %v before the kill: an endpoint received it, want it rejected at once",
--- a/test/listwatch_test.go
+++ b/test/listwatch_test.go
@@ -62,7 +62,7 @@
 				bed.listFeed <- text
 			}
 			bed.waitLogMatches(`event=endpoint-list-stale error="?` + c.wantLogged)
-			bed.listFeed <- "!" // the emulator serves one connection at a time
+			bed.listFeed <- "!" // closes the connection: the emulator serves one at a time
 			bed.expectListPoll("after 1")
 			bed.listFeed <- bed.healthChangeEvent(2, "c1", "draining")
 			bed.listFeed <- bed.healthChangeEvent(2, "c1", "up") // a duplicate event number, to be ignored
@@ -99,7 +99,7 @@
 		}
 		if id == 1 {
 			bed.waitLogged("event=endpoint-list-stale")
-			bed.listFeed <- "!" // the emulator serves one connection at a time
+			bed.listFeed <- "!" // closes the connection: the emulator serves one at a time
 		}
 	}
 }
--- a/test/quota_test.go
+++ b/test/quota_test.go
@@ -69,36 +69,36 @@
 	bed.addSettings("contracts {", "requests 225/s", "burst 100ms",
 		"adaptive {", "start 12", "least 10", "most 14", "}",
 		"team quiet {", "requests 90/s", "burst 500ms", "}",
-		"team loud {", "requests 110/s 130/s", "burst 50ms", "}", "}")
+		"team noisy {", "requests 110/s 130/s", "burst 50ms", "}", "}")
 	bed.start()
-	alone, beside, loud := &teamLoad{team: "quiet"}, &teamLoad{team: "quiet"}, &teamLoad{team: "loud"}
+	alone, mixed, noisy := &teamLoad{team: "quiet"}, &teamLoad{team: "quiet"}, &teamLoad{team: "noisy"}
 	alone.send(bed, 60, 2*time.Second, "000a")
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		// First within its budget, so that the endpoints and the policy module have seen the load.
-		(&teamLoad{team: "loud"}).send(bed, 100, time.Second, "000d")
-		loud.send(bed, 390, 3*time.Second, "000b")
+		(&teamLoad{team: "noisy"}).send(bed, 100, time.Second, "000d")
+		noisy.send(bed, 390, 3*time.Second, "000b")
 	}()
-	beside.send(bed, 60, 4*time.Second, "000c")
+	mixed.send(bed, 60, 4*time.Second, "000c")
 	<-done
-	aloneShare, besideShare := float64(alone.onTime)/float64(alone.sent), float64(beside.onTime)/float64(beside.sent)
-	t.Logf("quiet team: on-time share %.3f alone, %.3f beside; loud team: %d sent, %d served, rejected by %v",
-		aloneShare, besideShare, loud.sent, loud.served, loud.budgets)
-	if besideShare < 0.95*aloneShare {
-		t.Errorf("quiet team: got an on-time share of %.3f beside the loud one, want at least %.3f, 0.95 of that alone",
-			besideShare, 0.95*aloneShare)
+	shareAlone, shareMixed := float64(alone.onTime)/float64(alone.sent), float64(mixed.onTime)/float64(mixed.sent)
+	t.Logf("quiet team: on-time share %.3f alone, %.3f with noisy team; noisy team: %d sent, %d served, rejected by %v",
+		shareAlone, shareMixed, noisy.sent, noisy.served, noisy.budgets)
+	if shareMixed < 0.95*shareAlone {
+		t.Errorf("quiet team: got on-time share %.3f with the noisy team, want at least %.3f, 0.95 of that alone",
+			shareMixed, 0.95*shareAlone)
 	}
-	if loud.rejected == 0 || len(loud.withoutBudget) > 0 {
-		t.Errorf("loud team: got %d rejections by a budget and %d others: %v, want some and none", loud.rejected,
-			len(loud.withoutBudget), loud.withoutBudget)
+	if noisy.rejected == 0 || len(noisy.withoutBudget) > 0 {
+		t.Errorf("noisy team: got %d rejections by a budget and %d others: %v, want some and none", noisy.rejected,
+			len(noisy.withoutBudget), noisy.withoutBudget)
 	}
-	if n := loud.duplicates + alone.duplicates + beside.duplicates; n > 0 {
+	if n := noisy.duplicates + alone.duplicates + mixed.duplicates; n > 0 {
 		t.Errorf("got %d answers to requests that were not open, want none", n)
 	}
-	for budget := range loud.budgets {
-		if !strings.HasPrefix(budget, "loud ") && !strings.HasPrefix(budget, "installation ") {
-			t.Errorf("loud team: rejected by the budget %q, want one of its own or of the installation", budget)
+	for budget := range noisy.budgets {
+		if !strings.HasPrefix(budget, "noisy ") && !strings.HasPrefix(budget, "installation ") {
+			t.Errorf("noisy team: rejected by the budget %q, want one of its own or of the installation", budget)
 		}
 	}
 }
@@ -174,8 +174,8 @@
 }
 
 // TestRetryBudgetBoundsAttempts has endpoints fail two attempts in five for a while; if they failed all, the policy
-// module itself would stop sending. With a retry budget, the proxy must write at most 1.2 attempts per request, and
-// without one more than that. Afterwards requests must be served again.
+// module itself would stop sending. The proxy must write at most 1.2 attempts per request with a retry budget, and more
+// than 1.2 without one. Afterwards requests must be served again.
 func TestRetryBudgetBoundsAttempts(t *testing.T) {
 	t.Parallel()
 	with := attemptsPerRequest(t, "contracts {", "retries {", "team-share 0.1", "}", "team lanes {", "}", "}")
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -55,16 +55,16 @@
 // examples uncommented it is still valid and enables all of them, and that parsing the output of check --print yields
 // the same settings.
 func TestShippedSettings(t *testing.T) {
-	if on := enabledBlocks(parseSettings(t, "shipped", shippedSettings(t))); len(on) > 0 {
-		t.Errorf("blocks enabled in the shipped file: got %v, want none", on)
+	if enabled := enabledBlocks(parseSettings(t, "shipped", shippedSettings(t))); len(enabled) > 0 {
+		t.Errorf("blocks enabled in the shipped file: got %v, want none", enabled)
 	}
 	examples, dir := exampleSettings(t), makeSettingsDir(t)
 	for _, name := range []string{"keys", "boxes-ca.pem", "doorman.pem", "doorman.key", "peers.key"} {
 		examples = strings.ReplaceAll(examples, "./"+name, filepath.Join(dir, name))
 	}
 	settings := parseSettings(t, "examples", examples)
-	if on := enabledBlocks(settings); len(on) != 7 {
-		t.Errorf("blocks enabled by the examples: got %v, want all 7", on)
+	if enabled := enabledBlocks(settings); len(enabled) != 7 {
+		t.Errorf("blocks enabled by the examples: got %v, want all 7", enabled)
 	}
 	if settings.Catalogue == nil || len(settings.Catalogue.Services) != 3 {
 		t.Error("the examples do not name 3 catalogue services")
--- a/test/shutdown_test.go
+++ b/test/shutdown_test.go
@@ -143,7 +143,7 @@
 	at := bed.terminate()
 	answer := client.mustRead()
 	if elapsed := time.Since(at); answer.Error != "Internal" || elapsed < 1600*time.Millisecond {
-		t.Errorf("got %+v %v after SIGTERM, want an error no sooner than after 1.6 s", answer, elapsed)
+		t.Errorf("got answer %+v %v after SIGTERM, want an error no sooner than after 1.6 s", answer, elapsed)
 	}
 }
 
@@ -157,7 +157,7 @@
 	nextReceived(t, pending)
 	answer := client.mustRead()
 	if elapsed := time.Since(at); answer.Error == "" || elapsed > 3700*time.Millisecond {
-		t.Errorf("got %+v %v after SIGTERM, want an error within 3.7 s", answer, elapsed)
+		t.Errorf("got answer %+v %v after SIGTERM, want an error within 3.7 s", answer, elapsed)
 	}
 }
 
@@ -175,7 +175,7 @@
 	nextReceived(t, pending)
 	answer := client.mustRead()
 	if elapsed := time.Since(at); answer.Error == "" || elapsed > 3700*time.Millisecond {
-		t.Errorf("got %+v %v after SIGTERM was sent, want an error within 3.7 s", answer, elapsed)
+		t.Errorf("got answer %+v %v after SIGTERM was sent, want an error within 3.7 s", answer, elapsed)
 	}
 }
 
@@ -194,7 +194,7 @@
 	nextReceived(t, pending)
 	answer := client.mustRead()
 	if elapsed := time.Since(at); answer.Error == "" || elapsed > 1300*time.Millisecond {
-		t.Errorf("got %+v %v after SIGTERM was sent, want an error within 1.3 s", answer, elapsed)
+		t.Errorf("got answer %+v %v after SIGTERM was sent, want an error within 1.3 s", answer, elapsed)
 	}
 }
 
--- a/test/standstill_test.go
+++ b/test/standstill_test.go
@@ -112,8 +112,8 @@
 	})
 }
 
-// TestStandstillShortensDNSDeadlines guards against DNS queries whose time runs only from when the program reads them,
-// after a standstill, by UDP and on an open TCP connection.
+// TestStandstillShortensDNSDeadlines guards against a DNS query whose time starts only when the program reads it after
+// a standstill. It covers UDP and an open TCP connection.
 func TestStandstillShortensDNSDeadlines(t *testing.T) {
 	for _, network := range []string{"udp", "tcp"} {
 		t.Run(network, func(t *testing.T) {
--- a/test/syscalls_test.go
+++ b/test/syscalls_test.go
@@ -83,8 +83,9 @@
 	}
 }
 
-// TestOpensControlSocketDespiteFailedCalls fails each of the sockets that the program creates at its start in turn, for
-// lack of descriptors. In addition, the socket file of a killed process occupies the path of the operators' socket.
+// TestOpensControlSocketDespiteFailedCalls has one of the socket calls at the program's start fail for lack of
+// descriptors, each of them in turn. In addition, the socket file of a killed process occupies the path of the
+// operators' socket.
 func TestOpensControlSocketDespiteFailedCalls(t *testing.T) {
 	const sockets = 12 // created at the start
 	for call := range sockets {
--- a/test/tls_test.go
+++ b/test/tls_test.go
@@ -256,8 +256,8 @@
 	}
 }
 
-// TestTLSListenerLogsLostClients has a duplicate fail with an error that is not retried. The log must say why the
-// client lost its connection.
+// TestTLSListenerLogsLostClients has the duplication of a descriptor fail with an error that is not retried. The log
+// must say why the client lost its connection.
 func TestTLSListenerLogsLostClients(t *testing.T) {
 	for first := range duplicatesPerClient {
 		t.Run(strconv.Itoa(first+1), func(t *testing.T) {
--- a/test/watches_test.go
+++ b/test/watches_test.go
@@ -401,7 +401,7 @@
 }
 
 // TestRefusedWatchChangeLosesNoAnswers guards against answers that are lost with their connection because the kernel
-// refuses to watch when the socket of a slow reader is writable again.
+// refuses to report when a slow reader's socket is writable again.
 func TestRefusedWatchChangeLosesNoAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name, script   string
@@ -428,8 +428,8 @@
 	}
 }
 
-// TestRefusedWatchChangeDoesNotSpin guards against an event loop that spins because the kernel refuses to stop watching
-// whether a client that has read all its answers is writable.
+// TestRefusedWatchChangeDoesNotSpin guards against an event loop that spins because the kernel refuses to stop
+// reporting that the socket of a client that has read all its answers is writable.
 func TestRefusedWatchChangeDoesNotSpin(t *testing.T) {
 	t.Parallel()
 	bed := newWatchTestbed(t, answerWithLargeBody)
