--- a/test/pages/checker_test.go
+++ b/test/pages/checker_test.go
@@ -84,7 +84,7 @@
 	return faults
 }
 
-// elsewhere returns a hint if another file in the same directory declares the name, which helps after a move.
+// elsewhere returns a hint if another file in the same directory declares the name. The hint helps after a move.
 func (c *checker) elsewhere(path, name string) string {
 	files, _ := filepath.Glob(filepath.Join(c.root, filepath.Dir(path), "*.go"))
 	for _, other := range files {
--- a/test/pages/commands_test.go
+++ b/test/pages/commands_test.go
@@ -79,7 +79,7 @@
 	return c.text(dir, func(name string) bool { return !isProgram(name) })
 }
 
-// TestCommands checks that the directories, tests, benchmarks and flags exist that go commands on the pages use.
+// TestCommands checks that the directories, tests, benchmarks and flags in the go commands on the pages exist.
 func TestCommands(t *testing.T) {
 	c := &checker{root: root}
 	for _, page := range allPages(t) {
--- a/test/pages/pages_test.go
+++ b/test/pages/pages_test.go
@@ -1,4 +1,4 @@
-// Package pages checks that the files, declarations, links and commands exist that the documentation refers to. "Page"
+// Package pages checks that the files, declarations, links and commands that the documentation refers to exist. "Page"
 // means a Markdown file of the documentation.
 package pages
 
