--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -106,7 +106,7 @@
 		{"all faults", func(bed *testbed) { bed.addSettings("opne 3\nlist {\n loss-share 2\n}") },
 			`:3: list.loss-share: expected a number of 0 to 1, got "2"`},
 		{"an old flag", func(bed *testbed) { bed.flags = []string{"--catalog", "x.json"} },
-			`the block "catalogue" of the file that --conf names`},
+			`the block "catalogue" in the file that --conf names`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			bed := newTestbed(t, nil)
