--- a/test/last_moment_test.go
+++ b/test/last_moment_test.go
@@ -350,10 +350,10 @@
 	})
 }
 
-// TestRequestsUpToTheKill has clients send requests on an open connection from SIGTERM until the earliest kill, longer
-// than the protocol's clients do, and checks the outcome of each request that the kill does not excuse. The proxy must
-// close the connection before the kill unless a request or unread answers keep it open: no request of a client that
-// reads its answers is lost.
+// TestRequestsUpToTheKill makes clients send requests on an open connection from SIGTERM until the earliest kill,
+// longer than clients that follow the protocol do, and checks the outcome of each request that the kill does not
+// excuse. The proxy must close the connection before the kill unless a request or unread answers keep it open: no
+// request of a client that reads its answers is lost.
 func TestRequestsUpToTheKill(t *testing.T) {
 	for _, c := range lastMomentCases() {
 		t.Run(c.name(), func(t *testing.T) {
--- a/test/listeners_test.go
+++ b/test/listeners_test.go
@@ -20,7 +20,7 @@
 // each listener of the program treats its callers meanwhile and afterwards.
 
 // minStartWatches is a lower bound for the number of watches that the program adds until all its listeners are open.
-// refusedPerRun is how many consecutive ones fail in one run. Their order varies slightly between runs.
+// refusedPerRun is how many consecutive watches fail in one run. Their order varies slightly between runs.
 const (
 	minStartWatches = 28
 	refusedPerRun   = 3
--- a/test/listwatch_test.go
+++ b/test/listwatch_test.go
@@ -95,7 +95,7 @@
 	for id := uint64(1); id <= 2; id++ {
 		bed.waitListPoll()
 		if answer := client.call(id, "lookup", nil); answer.Error != "" {
-			t.Errorf("got %+v, want it served", answer)
+			t.Errorf("answer: got %+v, want it served", answer)
 		}
 		if id == 1 {
 			bed.waitLogged("event=endpoint-list-stale")
@@ -163,8 +163,8 @@
 	}
 }
 
-// TestEndpointDrainsDuringDial has an endpoint begin to drain while an attempt waits for the connection to it. The
-// attempt must go to another endpoint, and nothing may be written once the connection is established.
+// TestEndpointDrainsDuringDial checks an endpoint that begins to drain while an attempt waits for the connection to it.
+// The attempt must go to another endpoint, and nothing may be written once the connection is established.
 func TestEndpointDrainsDuringDial(t *testing.T) {
 	bed := newTestbed(t, nil, "c2")
 	address := bed.listenWithFullBacklog()
@@ -192,8 +192,8 @@
 	}
 }
 
-// TestSlowListServiceIsFollowed has the list service answer each connection only after 2 s, which is longer than a
-// watch may be silent. Its events must still arrive.
+// TestSlowListServiceIsFollowed checks a list service that answers each connection only after 2 s, which is longer than
+// a watch may be silent. Its events must still arrive.
 func TestSlowListServiceIsFollowed(t *testing.T) {
 	t.Parallel()
 	bed := newTestbed(t, nil)
--- a/test/quota_test.go
+++ b/test/quota_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// TestNoisyTeamBesideQuietTeam has one team send three times its budget, while the contracts add up to nine tenths of
+// TestNoisyTeamBesideQuietTeam makes one team send three times its budget, while the contracts add up to nine tenths of
 // the endpoints' capacity. The quiet team's on-time share must stay within 5% of its share without the other team, and
 // every rejection of the noisy team must name the budget.
 func TestNoisyTeamBesideQuietTeam(t *testing.T) {
@@ -173,9 +173,9 @@
 	return float64(attempts) / float64(load.sent)
 }
 
-// TestRetryBudgetBoundsAttempts has endpoints fail two attempts in five for a while; if they failed all, the policy
-// module itself would stop sending. The proxy must write at most 1.2 attempts per request with a retry budget, and more
-// than 1.2 without one. Afterwards requests must be served again.
+// TestRetryBudgetBoundsAttempts makes endpoints fail two attempts in five for a while. They do not fail all, because
+// the policy module itself would then stop sending. The proxy must write at most 1.2 attempts per request with a retry
+// budget, and more than 1.2 without one. Afterwards requests must be served again.
 func TestRetryBudgetBoundsAttempts(t *testing.T) {
 	t.Parallel()
 	with := attemptsPerRequest(t, "contracts {", "retries {", "team-share 0.1", "}", "team lanes {", "}", "}")
--- a/test/requests_test.go
+++ b/test/requests_test.go
@@ -118,7 +118,7 @@
 	return func(attempt *receivedRequest) { attempt.Answer(word, "-", "") }
 }
 
-// TestAttemptOutcomes has the first attempt of a request end in each possible way, and checks what the proxy does next.
+// TestAttemptOutcomes ends the first attempt of a request in each possible way, and checks what the proxy does next.
 func TestAttemptOutcomes(t *testing.T) {
 	reset := func(attempt *receivedRequest) { _ = attempt.Conn.Close() }
 	unreadable := func(attempt *receivedRequest) { _, _ = io.WriteString(attempt.Conn, "what is this\r\n") }
@@ -255,8 +255,8 @@
 	}
 }
 
-// TestRetryAfterNotSentWhereForbidden checks that rejections of every origin carry a Retry-After only if the settings
-// allow it, and never a longer one than they allow.
+// TestRetryAfterNotSentWhereForbidden checks that rejections by the connection limit and by a contract, also over DNS,
+// carry a Retry-After only if the settings allow it, and never a longer one than they allow.
 func TestRetryAfterNotSentWhereForbidden(t *testing.T) {
 	for _, c := range []struct {
 		name       string
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -67,7 +67,7 @@
 		t.Errorf("blocks enabled by the examples: got %v, want all 7", enabled)
 	}
 	if settings.Catalogue == nil || len(settings.Catalogue.Services) != 3 {
-		t.Error("the examples do not name 3 catalogue services")
+		t.Error("settings with examples: got no catalogue with 3 services, want one")
 	}
 	once := printSettings(t, settings)
 	twice := printSettings(t, parseSettings(t, "printed", once))
--- a/test/shutdown_test.go
+++ b/test/shutdown_test.go
@@ -101,7 +101,7 @@
 	client.send(frame[len(frame)-2:])
 	answerDone(nextReceived(t, pending))
 	if answer := client.mustRead(); answer.Body != "done" {
-		t.Errorf("got %+v, want it served", answer)
+		t.Errorf("answer: got %+v, want it served", answer)
 	}
 }
 
@@ -120,22 +120,23 @@
 	bed.waitLogged("event=reload-failed")
 	answerDone(attempt)
 	if answer := client.mustRead(); answer.Body != "done" {
-		t.Errorf("got %+v, want it served", answer)
+		t.Errorf("answer: got %+v, want it served", answer)
 	}
 }
 
-// runSilentEndpoint has a client's time limit equal the deadline of the classes.
+// runSilentEndpoint sends SIGTERM while the endpoint does not respond and the client's time limit equals the deadline
+// of the classes.
 func runSilentEndpoint(t *testing.T, bed *testbed, pending chan *receivedRequest) {
 	client := bed.dial()
 	client.send(request(1, "lookup", map[string]string{"limit": "1500"}, ""))
 	nextReceived(t, pending)
 	bed.terminate()
 	if answer := client.mustRead(); answer.Error == "" {
-		t.Errorf("got %+v, want an error", answer)
+		t.Errorf("answer: got %+v, want an error", answer)
 	}
 }
 
-// runLongClientTimeout has a client wait far longer than the program can.
+// runLongClientTimeout sends SIGTERM while a client waits far longer than the program can run.
 func runLongClientTimeout(t *testing.T, bed *testbed, pending chan *receivedRequest) {
 	client := bed.dial()
 	client.send(request(1, "charge", map[string]string{"limit": "600000", "unique": "k1"}, ""))
@@ -262,7 +263,7 @@
 	}
 }
 
-// TestRequestsCrossShutdown has clients send one request after another while the program shuts down and closes their
+// TestRequestsCrossShutdown makes clients send one request after another while the program shuts down and closes their
 // connections. Each request must be answered.
 func TestRequestsCrossShutdown(t *testing.T) {
 	bed := newTestbed(t, nil)
@@ -311,7 +312,7 @@
 		bed.terminate()
 		go bed.endpoints.Serve("c1", bed.fullBacklogListener)
 		if answer := client.mustRead(); answer.Error != "" {
-			t.Errorf("got %+v, want it served", answer)
+			t.Errorf("answer: got %+v, want it served", answer)
 		}
 		bed.waitExit()
 	})
@@ -329,7 +330,7 @@
 		bed.terminate()
 		close(terminated)
 		if answer := client.mustRead(); answer.Error != "" || len(answer.Body) != 4 {
-			t.Errorf("got %+v, want it served", answer)
+			t.Errorf("answer: got %+v, want it served", answer)
 		}
 		bed.waitExit()
 	})
--- a/test/standstill_test.go
+++ b/test/standstill_test.go
@@ -56,8 +56,9 @@
 	}
 }
 
-// TestWaitBeforeAcceptShortensDeadlines has clients connect and send requests while the program stands still, or while
-// accept fails. The time of the requests must run from when they were sent, although the program accepts them later.
+// TestWaitBeforeAcceptShortensDeadlines makes clients connect and send requests while the program stands still, or
+// while accept fails. The time of the requests must run from when they were sent, although the program accepts them
+// later.
 func TestWaitBeforeAcceptShortensDeadlines(t *testing.T) {
 	const limit = 2500 * time.Millisecond
 	expectDeadlines := func(t *testing.T, bed *testbed, waited time.Duration) {
--- a/test/syscalls_test.go
+++ b/test/syscalls_test.go
@@ -12,8 +12,8 @@
 	"sloequay/internal/proxy/admin"
 )
 
-// TestSurvivesFailedAccepts has accept fail temporarily with each documented error, before the first client and between
-// later ones. The program must keep running and serve the clients that connected meanwhile.
+// TestSurvivesFailedAccepts makes accept fail temporarily with each documented error, before the first client and
+// between later ones. The program must keep running and serve the clients that connected meanwhile.
 func TestSurvivesFailedAccepts(t *testing.T) {
 	t.Parallel()
 	bed := newTestbed(t, nil)
@@ -28,8 +28,8 @@
 	bed.expectRunning()
 }
 
-// TestSurvivesFailedConnects has new connections to endpoints fail temporarily because the local machine lacks
-// resources. That is no failure of the endpoints: requests must wait and be served, and no endpoint may be ejected.
+// TestSurvivesFailedConnects makes new connections to endpoints fail temporarily because the local machine lacks
+// resources. The endpoints are not at fault: requests must wait and be served, and no endpoint may be ejected.
 func TestSurvivesFailedConnects(t *testing.T) {
 	t.Parallel()
 	bed := newTestbed(t, nil)
@@ -72,7 +72,8 @@
 	}
 }
 
-// TestStartsDespiteFailedCalls has system calls that the start needs fail temporarily.
+// TestStartsDespiteFailedCalls makes system calls that the start needs fail temporarily. The program must start and
+// serve a request.
 func TestStartsDespiteFailedCalls(t *testing.T) {
 	t.Parallel()
 	bed := newTestbed(t, nil)
@@ -83,9 +84,8 @@
 	}
 }
 
-// TestOpensControlSocketDespiteFailedCalls has one of the socket calls at the program's start fail for lack of
-// descriptors, each of them in turn. In addition, the socket file of a killed process occupies the path of the
-// operators' socket.
+// TestOpensControlSocketDespiteFailedCalls makes each socket call at the program's start in turn fail for lack of
+// descriptors. In addition, the socket file of a killed process occupies the path of the operators' socket.
 func TestOpensControlSocketDespiteFailedCalls(t *testing.T) {
 	const sockets = 12 // created at the start
 	for call := range sockets {
@@ -109,7 +109,7 @@
 	}
 }
 
-// TestSnapshotIsWrittenOnceDiskRecovers has the disk fail while the snapshot is written, with no changes afterwards.
+// TestSnapshotIsWrittenOnceDiskRecovers makes the disk fail while the snapshot is written, with no changes afterwards.
 // The snapshot must be written as soon as the disk works again.
 func TestSnapshotIsWrittenOnceDiskRecovers(t *testing.T) {
 	t.Parallel()
--- a/test/tls_test.go
+++ b/test/tls_test.go
@@ -160,7 +160,7 @@
 		t.Errorf("on the established connection: got %+v, want it served", answer)
 	}
 	finished := tls.Client(unfinished, config)
-	if err := finished.Handshake(); err == nil { // it may have timed out
+	if err := finished.Handshake(); err == nil { // the listener may have closed the slow handshake
 		client := newClient(t, finished)
 		if answer := client.call(1, "lookup", map[string]string{"txn": "00000000000000ff"}); answer.Error != "" {
 			t.Errorf("on the connection with the incomplete handshake: got %+v, want it served", answer)
@@ -237,8 +237,8 @@
 // one of each end of the socket pair, and three of the end that the event loop takes over, the last of them by gnet.
 const duplicatesPerClient = 6
 
-// TestTLSListenerSurvivesExhaustedDescriptors guards against TLS clients that lose their connection because one of the
-// duplicates that it needs temporarily fails for lack of descriptors.
+// TestTLSListenerSurvivesExhaustedDescriptors guards against TLS clients that lose their connection because duplicating
+// one of their descriptors temporarily fails: the process has no descriptor free.
 func TestTLSListenerSurvivesExhaustedDescriptors(t *testing.T) {
 	for first := range duplicatesPerClient {
 		t.Run(strconv.Itoa(first+1), func(t *testing.T) {
@@ -256,7 +256,7 @@
 	}
 }
 
-// TestTLSListenerLogsLostClients has the duplication of a descriptor fail with an error that is not retried. The log
+// TestTLSListenerLogsLostClients makes the duplication of a descriptor fail with an error that is not retried. The log
 // must say why the client lost its connection.
 func TestTLSListenerLogsLostClients(t *testing.T) {
 	for first := range duplicatesPerClient {
--- a/test/upstream_tls_test.go
+++ b/test/upstream_tls_test.go
@@ -33,9 +33,9 @@
 }
 
 // TestUpstreamTLS checks that the proxy uses TLS to the endpoints of one site, which must present a certificate for
-// their own id, and plain TCP to those of another. An endpoint that presents another's certificate receives nothing.
-// The proxy's own certificate is replaced while requests are served, and none fails; one that does not match its key is
-// ignored.
+// their own id, and plain TCP to those of another. An endpoint that presents another endpoint's certificate receives
+// nothing. The proxy's own certificate is replaced while requests are served, and none fails; one that does not match
+// its key is ignored.
 func TestUpstreamTLS(t *testing.T) {
 	t.Parallel()
 	large := strings.Repeat("y", 200_000)
@@ -72,7 +72,7 @@
 		}
 	}
 	if attemptCounts["c1"] == 0 || attemptCounts["c2"] > 0 {
-		t.Errorf("attempts by endpoint: got %v, want some at c1, and none at c2, which presents another's certificate",
+		t.Errorf("attempts by endpoint: got %v, want some at c1, none at c2, which presents c1's certificate",
 			attemptCounts)
 	}
 	bed.waitLogMatches(`event=upstream-connect-failed endpoint=c2 .*not c2\.endpoints\.test`)
--- a/test/watches_test.go
+++ b/test/watches_test.go
@@ -73,7 +73,7 @@
 // bothPollers are the pollers that watch each accepted connection.
 var bothPollers = []string{goPoller, gnetPoller}
 
-// newWatchTestbed starts the program with all faults disabled, and has it connect to all endpoints.
+// newWatchTestbed starts the program with all faults disabled, and makes it connect to all endpoints.
 func newWatchTestbed(t *testing.T, respond func(*receivedRequest)) *watchTestbed {
 	t.Helper()
 	bed := newTestbed(t, respond)
@@ -152,8 +152,8 @@
 	}
 }
 
-// TestWatchesBeyondUserLimitAreRetried refuses watches because the program's user has reached its limit
-// (max_user_watches). They must be retried until other watches are removed.
+// TestWatchesBeyondUserLimitAreRetried refuses watches with ENOSPC, as the kernel does when the program's user has
+// reached its limit (max_user_watches). They must be retried until other watches are removed.
 func TestWatchesBeyondUserLimitAreRetried(t *testing.T) {
 	for _, poller := range bothPollers {
 		t.Run(poller, func(t *testing.T) {
@@ -270,8 +270,8 @@
 	}
 }
 
-// TestClientLeavesBeforeWatchIsAdded has clients close or reset their connections before these are watched. All of
-// their descriptors must be closed, and later clients served.
+// TestClientLeavesBeforeWatchIsAdded makes clients close or reset their connections before the program watches them.
+// The program must close all of their descriptors and serve later clients.
 func TestClientLeavesBeforeWatchIsAdded(t *testing.T) {
 	for _, poller := range bothPollers {
 		for _, way := range abandonWays[1:] {
@@ -329,7 +329,7 @@
 	}
 }
 
-// TestRefusedWatchesSurviveExhaustedDescriptors has descriptors run out while a refused watch is retried. The
+// TestRefusedWatchesSurviveExhaustedDescriptors makes descriptors run out while a refused watch is retried. The
 // connection must be kept and served, and so must those that arrive meanwhile.
 func TestRefusedWatchesSurviveExhaustedDescriptors(t *testing.T) {
 	for _, poller := range bothPollers {
