--- a/test/cancellation_test.go
+++ b/test/cancellation_test.go
@@ -11,8 +11,8 @@
 )
 
 // TestCanceledAttempts checks that attempts are canceled when the client cancels the request or disconnects, that a
-// canceled request gets no response, and that a late response to its attempt is not taken for the response to a later
-// attempt with the same id.
+// canceled request gets no response, and that a late response to its attempt is not mistaken for the response to a
+// later attempt with the same id.
 func TestCanceledAttempts(t *testing.T) {
 	pending := make(chan *receivedRequest, 8)
 	bed := newTestbed(t, func(attempt *receivedRequest) { pending <- attempt })
--- a/test/catalogue_test.go
+++ b/test/catalogue_test.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// startHeartbeats has the list service send heartbeats until the test ends. Each carries the returned number, which the
-// caller must set to that of the last event.
+// startHeartbeats makes the list service send heartbeats until the test ends. Each carries the returned number, which
+// the caller must set to that of the last event.
 func (bed *testbed) startHeartbeats() *atomic.Int64 {
 	lastEvent := &atomic.Int64{}
 	lastEvent.Store(1)
@@ -232,7 +232,7 @@
 	unknownSite.Meta["site"] = "nowhere"
 	cluster.Put(unknownSite)
 	bed.start()
-	bed.waitLogged("reason=filtered") // the wrong token has no rights
+	bed.waitLogged("reason=filtered") // the wrong token may read no service
 	writeFile(t, token, "right\n")
 	bed.waitEndpointsKnown(4)
 	for range 10 { // each change causes a response
--- a/test/clients_test.go
+++ b/test/clients_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// malformedFrames returns invalid input that clients can send, by what is wrong with it. The request with the id 77 is
+// malformedFrames returns invalid inputs that clients can send, keyed by their defects. The request with the id 77 is
 // expected to be open.
 func malformedFrames() map[string][]byte {
 	with := func(field, value string) []byte { return request(1, "footage", map[string]string{field: value}, "") }
--- a/test/clock_test.go
+++ b/test/clock_test.go
@@ -76,7 +76,7 @@
 	setOffset(24 * time.Hour)
 	release("when the clock stepped forward a day")
 	expectReason("a token of two hours after the step forward", valid, "expired")
-	// The purge has the timestamp of a correct clock. The proxy, whose clock was a day ahead, must not take it for a
+	// The purge has the timestamp of a correct clock. The proxy, whose clock was a day ahead, must not treat it as a
 	// day old.
 	setOffset(0)
 	expectServed("after the step to the correct time")
--- a/test/connections_test.go
+++ b/test/connections_test.go
@@ -99,13 +99,13 @@
 	}
 	<-quitRead
 	if answer := client.mustRead(); answer.ID != 1 || answer.Body != "1" {
-		t.Errorf("got response %+v, want that to the second attempt", answer)
+		t.Errorf("got response %+v, want the response to the second attempt", answer)
 	}
 }
 
-// TestDuplicateResponse checks an endpoint that responds twice to an attempt, the second time when the next attempt
-// for the same request is open on the same connection. It guards against taking that for the response to the open
-// attempt and sending a third one in parallel.
+// TestDuplicateResponse checks an endpoint that responds twice to an attempt, the second time when the next attempt for
+// the same request is open on the same connection. It guards against mistaking the duplicate for the response to the
+// open attempt and sending a third one in parallel.
 func TestDuplicateResponse(t *testing.T) {
 	for _, c := range []struct{ name, class, word, fields string }{
 		{"a write that had already ended", "charge", "STALE", "-"},
@@ -359,9 +359,8 @@
 	}
 }
 
-// expectUnreadAttemptsDropped has the origin read nothing while clients send large requests and leave. It fails the
-// test unless, on each connection that the program closed, the origin reads no more attempts than its own socket
-// holds.
+// expectUnreadAttemptsDropped makes the origin read nothing while clients send large requests and leave. It fails the
+// test unless, on each connection that the program closed, the origin reads no more attempts than its own socket holds.
 func expectUnreadAttemptsDropped(t *testing.T, bed *testbed) {
 	t.Helper()
 	address, read := bed.listenWithoutReading()
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// sendFaultyLists has the list service send invalid events, then lists without endpoints, and disconnect in between.
+// sendFaultyLists makes the list service send invalid events, then lists without endpoints, and disconnect in between.
 func (r *faultRun) sendFaultyLists() {
 	bed := r.testbed
 	for {
@@ -173,14 +173,14 @@
 	}
 }
 
-// sendValidList has the list service send the complete list, and waits until an endpoint serves again.
+// sendValidList makes the list service send the complete list, and waits until an endpoint serves again.
 func (r *faultRun) sendValidList() {
 	bed := r.testbed
 	idleClient := bed.dial()
 	idleClient.waitRequestsRead(1)
 	bed.waitUntil("an endpoint serves again", func() bool {
-		// After an event number that it already has, or that skips some, the program polls again; a later number will
-		// do.
+		// If the program already has this event number, or the number skips some, the program polls again and a later
+		// number is accepted.
 		r.listVersion++
 		for _, line := range []string{listEvent(r.listVersion, true, bed.listedEndpoints...), "!"} {
 			select {
