--- a/internal/drill/audit_test.go
+++ b/internal/drill/audit_test.go
@@ -173,8 +173,10 @@
 			r.ProcessRuns[0].ReadyAt, r.ProcessRuns[1].ReadyAt = 2*sec, 2*sec
 		}},
 		{"alive", "process ended unexpectedly", func(r *Record) { r.ProcessRuns[1].EndRequested = false }},
-		{"list-calls 3", "one too many", func(r *Record) { r.ListCalls = append(r.ListCalls, ListCall{At: 9 * sec}) }},
-		{"list-peak 2", "one too many in a second", func(r *Record) {
+		{"list-calls 3", "one call too many", func(r *Record) {
+			r.ListCalls = append(r.ListCalls, ListCall{At: 9 * sec})
+		}},
+		{"list-peak 2", "one call too many within a second", func(r *Record) {
 			r.ListCalls = append(r.ListCalls, ListCall{At: 2*sec - 1})
 		}},
 		{"peer-bytes 20", "one proxy sends too much", func(r *Record) { r.PeerBytes["d001"][1] = 100 }},
--- a/internal/drill/plan.go
+++ b/internal/drill/plan.go
@@ -162,9 +162,9 @@
 	section.Number("fall", &p.OverloadFactor, 0, 100,
 		"multiple of its current capacity above which a warming endpoint crashes; 0: never")
 	section.Duration("fall-for", &p.OverloadWindow, 100*time.Millisecond, time.Minute,
-		"window over which the load is averaged for that")
+		"window over which the load is averaged to detect overload")
 	section.Duration("down-for", &p.OverloadDowntime, 100*time.Millisecond, time.Minute,
-		"how long an endpoint stays down after that")
+		"how long an endpoint that crashed from overload stays down")
 }
 
 // The protocol's times for a planned restart: SIGKILL comes no sooner after SIGTERM than killGrace plus the longest
--- a/internal/drill/record.go
+++ b/internal/drill/record.go
@@ -92,7 +92,7 @@
 	ResendRefusal  ResendRefusal // why it was not resent
 }
 
-// Attempt is one sending of a request to an endpoint, as the endpoint observed it.
+// Attempt is one attempt to have a request served by an endpoint, as the endpoint observed it.
 type Attempt struct {
 	ID, Key, Class string // of the request
 	Endpoint, From string
--- a/internal/drill/steps_process.go
+++ b/internal/drill/steps_process.go
@@ -141,8 +141,8 @@
 	}}, nil
 }
 
-// parseFinish parses the end of a process at a planned restart: SIGTERM, and SIGKILL at the protocol's earliest time
-// for a process that is still running.
+// parseFinish parses a step that ends processes as in a planned restart: SIGTERM, and then SIGKILL at the earliest time
+// that the protocol allows, if a process is still running.
 func parseFinish(words []string) (action, error) {
 	return proxyAction{who: words[0], concurrent: true, apply: (*proxy).finish}, nil
 }
