--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -44,7 +44,7 @@
 	messageNotification = 2
 )
 
-// statusMethod is the method by which a client asks whether a proxy is ready.
+// statusMethod is the method that a client calls to ask whether a proxy is ready.
 const statusMethod = "status"
 
 // Cancellation returns the frame of the notification that the client no longer waits for the response to a message.
@@ -100,7 +100,7 @@
 	}
 }
 
-// The first bytes of MessagePack values by which the kinds of responses are told apart.
+// The first bytes of MessagePack values that distinguish the kinds of responses.
 const (
 	formatNil   = 0xc0
 	formatFalse = 0xc2
--- a/internal/emulator/consul/local.go
+++ b/internal/emulator/consul/local.go
@@ -135,7 +135,7 @@
 	})
 }
 
-// renewTTL restarts a check's TTL, and reports whether the check already had that status.
+// renewTTL restarts a check's TTL, and reports whether the check already has the given status.
 func (c *Cluster) renewTTL(service, checkID, status string) (isSame bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/emulator/consul/query.go
+++ b/internal/emulator/consul/query.go
@@ -205,8 +205,8 @@
 	}
 }
 
-// waitWhileHanging blocks while the fault Hang applies, and reports whether the query should go on waiting: not if the
-// agent does not hang or the client has disconnected.
+// waitWhileHanging blocks while the fault Hang applies. It returns true once the fault has changed, so that the query
+// goes on, and false if the agent does not hang or the client has disconnected.
 func (a *Agent) waitWhileHanging(r *http.Request) bool {
 	a.mu.Lock()
 	isHanging, faultChanged := a.fault.fault == Hang, a.faultChanged
